--- a/internal/direct/directory/apply.go
+++ b/internal/direct/directory/apply.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// removedRoutesKept bounds the removals that are remembered for readers
-	// that are behind; older readers get everything.
-	removedRoutesKept = 4096
-	// forgottenKept bounds the forgotten targets that are remembered.
-	forgottenKept = 4096
+	// maxRouteTombstones bounds the removed routes that are kept for readers that are behind. A
+	// reader that is further behind gets the full table.
+	maxRouteTombstones = 4096
+	// maxTargetTombstones likewise bounds the removed targets that are kept.
+	maxTargetTombstones = 4096
 )
 
-// Apply implements replica.StateMachine. A command that cannot be decoded
-// changes nothing, on every member alike.
+// Apply implements replica.StateMachine. A command that cannot be decoded changes nothing but the
+// revision, on every member alike.
 func (directory *Directory) Apply(index model.Revision, _ time.Time, data []byte) []byte {
 	command, err := decodeCommand(data)
 	directory.lock.Lock()
@@ -24,7 +24,7 @@
 	directory.revision = index
 	var result Result
 	if err == nil {
-		result = directory.run(command)
+		result = directory.execute(command)
 	}
 	encoded, err := EncodeResult(result)
 	if err != nil {
@@ -33,7 +33,8 @@
 	return encoded
 }
 
-func (directory *Directory) run(command Command) Result {
+// execute applies a decoded command at the current revision.
+func (directory *Directory) execute(command Command) Result {
 	switch {
 	case command.Declare != nil:
 		return directory.declare(command)
@@ -42,158 +43,165 @@
 	case command.RegisterAll != nil:
 		return directory.registerAll(command.RegisterAll.Targets)
 	case command.Leave != nil:
-		directory.leave(command.Leave)
+		directory.markLeft(command.Leave)
 	case command.TargetHealth != nil:
 		directory.changeHealth(command.TargetHealth)
 	case command.ForgetTargets != nil:
-		directory.forget(command.ForgetTargets.Tokens)
+		directory.removeTargets(command.ForgetTargets.Tokens)
 	case command.Evacuate != nil:
-		return directory.orderZone(command.Evacuate)
+		return directory.applyEvacuationOrder(command.Evacuate)
 	}
 	return Result{}
 }
 
-// declare replaces the configuration. An older or equal version changes
-// nothing, whatever it contains.
+// declare replaces the declared configuration. An older or equal version changes nothing, whatever
+// it contains.
 func (directory *Directory) declare(command Command) Result {
 	difference := command.Declare
-	held := directory.configuration.Version
-	if difference.Version <= held {
-		return Result{Version: held}
+	current := directory.configuration.Version
+	if difference.Version <= current {
+		return Result{Version: current}
 	}
 	next, applies := difference.Apply(directory.configuration)
 	if !applies {
-		return Result{Conflict: true, Version: held}
+		return Result{Conflict: true, Version: current}
 	}
 	directory.configuration = next
-	directory.configurationAt = directory.revision
+	directory.configurationChangedAt = directory.revision
 	if difference.ServicesChanged {
-		directory.takeColdLimits()
+		directory.collectColdLimits()
 	}
 	if difference.ServicesChanged || difference.LimitsChanged {
-		directory.limitsAt = directory.revision
+		directory.limitsChangedAt = directory.revision
 	}
 	for _, address := range difference.Removed {
 		delete(directory.routes, address)
-		directory.removed = append(directory.removed, removedRoute{address: address, revision: directory.revision})
+		directory.routeTombstones = append(directory.routeTombstones, routeTombstone{address: address, revision: directory.revision})
 	}
 	for _, route := range difference.Routes {
 		directory.routes[route.Address] = routeRecord{route: route, revision: directory.revision}
 	}
-	directory.trimRemoved()
+	directory.trimTombstones()
 	return Result{Version: next.Version}
 }
 
-func (directory *Directory) trimRemoved() {
-	if excess := len(directory.removed) - removedRoutesKept; excess > 0 {
-		directory.removedFloor = max(directory.removedFloor, directory.removed[excess-1].revision)
-		directory.removed = slices.Clone(directory.removed[excess:])
+// trimTombstones drops the oldest tombstones above the bounds and raises tombstoneFloor to the
+// revision of the latest dropped one.
+func (directory *Directory) trimTombstones() {
+	if excess := len(directory.routeTombstones) - maxRouteTombstones; excess > 0 {
+		directory.tombstoneFloor = max(directory.tombstoneFloor, directory.routeTombstones[excess-1].revision)
+		directory.routeTombstones = slices.Clone(directory.routeTombstones[excess:])
 	}
-	if excess := len(directory.forgotten) - forgottenKept; excess > 0 {
-		directory.removedFloor = max(directory.removedFloor, directory.forgotten[excess-1].revision)
-		directory.forgotten = slices.Clone(directory.forgotten[excess:])
+	if excess := len(directory.targetTombstones) - maxTargetTombstones; excess > 0 {
+		directory.tombstoneFloor = max(directory.tombstoneFloor, directory.targetTombstones[excess-1].revision)
+		directory.targetTombstones = slices.Clone(directory.targetTombstones[excess:])
 	}
 }
 
-// startedBefore tells whether stated is of a later start of the target. A record without a
-// start is of a program that kept none, or of another writer: a call with one goes on from
-// it if its number does, and is of another start if not.
-func (target *Target) startedBefore(stated Target) bool {
+// startedBefore reports whether the call comes from a later start of the target. A record without
+// a start time was written by an earlier version of the program, which kept none, or by another
+// writer. A call with a start time continues such a record if its sequence number is higher, and
+// belongs to another start otherwise.
+func (target *Target) startedBefore(reported Target) bool {
 	if target.Started == 0 {
-		return stated.Started != 0 && stated.Sequence <= target.Sequence
+		return reported.Started != 0 && reported.Sequence <= target.Sequence
 	}
-	return stated.Started > target.Started
+	return reported.Started > target.Started
 }
 
-// register adds an incarnation or moves its state forward. One that started later than
-// the one held replaces it: the former one is gone, and its flows with it. A failed
-// target stays failed, because a renewal may come long after it was sent; what it states
-// is its state once it is found alive.
-func (directory *Directory) register(stated Target) Result {
-	target, known := directory.targets.byID[stated.ID]
+// register adds an incarnation or moves its state forward. An incarnation with a later start
+// replaces the recorded one, which is marked as failed because its process and its flows are lost.
+// A failed target stays failed, because a renewal may arrive long after it was sent. The state
+// that the renewal reports takes effect once the target is found alive.
+func (directory *Directory) register(reported Target) Result {
+	target, known := directory.targets.byID[reported.ID]
 	if !known {
-		return directory.admit(stated)
+		return directory.addIncarnation(reported)
 	}
-	if target.startedBefore(stated) {
-		directory.fail(target)
-		return directory.admit(stated)
+	if target.startedBefore(reported) {
+		directory.markFailed(target)
+		return directory.addIncarnation(reported)
 	}
-	if stated.Started < target.Started || stated.Sequence <= target.Sequence {
+	if reported.Started < target.Started || reported.Sequence <= target.Sequence {
 		return Result{Token: target.Token}
 	}
-	directory.advance(target, stated)
+	directory.updateIncarnation(target, reported)
 	return Result{Token: target.Token}
 }
 
-// registerAll registers targets one after the other.
-func (directory *Directory) registerAll(stated []Target) Result {
-	result := Result{Tokens: make([]Token, 0, len(stated))}
-	for _, target := range stated {
+// registerAll registers targets in order and returns their tokens in the same order.
+func (directory *Directory) registerAll(reported []Target) Result {
+	result := Result{Tokens: make([]Token, 0, len(reported))}
+	for _, target := range reported {
 		result.Tokens = append(result.Tokens, directory.register(target).Token)
 	}
 	return result
 }
 
-// advance takes in what an incarnation states of itself.
-func (directory *Directory) advance(target *Target, stated Target) {
-	target.Sequence = stated.Sequence
-	if stated.Started != target.Started {
-		target.Started = stated.Started
-		directory.touch(target)
+// updateIncarnation records what the current incarnation reports about itself.
+func (directory *Directory) updateIncarnation(target *Target, reported Target) {
+	target.Sequence = reported.Sequence
+	if reported.Started != target.Started {
+		target.Started = reported.Started
+		directory.markChanged(target)
 	}
 	switch {
 	case target.State == TargetFailed:
-		target.Before = max(target.Before, stated.State)
-	case stated.State > target.State:
-		target.State = stated.State
-		directory.touch(target)
+		target.Before = max(target.Before, reported.State)
+	case reported.State > target.State:
+		target.State = reported.State
+		directory.markChanged(target)
 	}
-	if stated.Address != target.Address || stated.Capacity != target.Capacity {
-		directory.targets.move(target, stated.Address)
-		target.Capacity = stated.Capacity
-		directory.touch(target)
+	if reported.Address != target.Address || reported.Capacity != target.Capacity {
+		directory.targets.changeAddress(target, reported.Address)
+		target.Capacity = reported.Capacity
+		directory.markChanged(target)
 	}
-	directory.changeColdness(target, stated)
+	directory.updateColdness(target, reported)
 }
 
-// admit gives a new incarnation its token.
-func (directory *Directory) admit(stated Target) Result {
-	added := stated
+// addIncarnation adds a new incarnation under the next token.
+func (directory *Directory) addIncarnation(reported Target) Result {
+	added := reported
 	added.Aside = false
 	added.ColdDoubted = false
 	added.Token = directory.nextToken
 	directory.nextToken++
 	directory.targets.add(&added)
-	directory.touch(&added)
+	directory.markChanged(&added)
 	directory.failPredecessors(&added)
 	return Result{Token: added.Token}
 }
 
-// failPredecessors marks former incarnations at the same address: an address
-// serves one incarnation at a time, so their flows are lost.
+// failPredecessors marks the earlier incarnations at the same address as failed. An address serves
+// one incarnation at a time, so their flows are lost.
 func (directory *Directory) failPredecessors(added *Target) {
 	for _, target := range directory.targets.byAddress[added.Address] {
 		if target != added {
-			directory.fail(target)
+			directory.markFailed(target)
 		}
 	}
 }
 
-// touch records that a target changed at the present revision.
-func (directory *Directory) touch(target *Target) {
-	directory.targets.touch(target, directory.revision)
+// markChanged records that a target changed at the current revision.
+func (directory *Directory) markChanged(target *Target) {
+	directory.targets.markChanged(target, directory.revision)
 }
 
-func (directory *Directory) fail(target *Target) {
+// markFailed marks a target as failed and saves its previous state, to which it returns when it
+// recovers.
+func (directory *Directory) markFailed(target *Target) {
 	if target.State == TargetFailed {
 		return
 	}
 	target.Before = target.State
 	target.State = TargetFailed
-	directory.touch(target)
+	directory.markChanged(target)
 }
 
-func (directory *Directory) leave(departure *Departure) {
+// markLeft records that a target leaves, unless the notice is from another start. A failed target
+// stays failed, and becomes TargetLeft if it recovers.
+func (directory *Directory) markLeft(departure *Departure) {
 	target, known := directory.targets.byID[departure.ID]
 	if !known || (departure.Started != 0 && departure.Started != target.Started) {
 		return
@@ -203,39 +211,42 @@
 		target.Before = TargetLeft
 	case target.State < TargetLeft:
 		target.State = TargetLeft
-		directory.touch(target)
+		directory.markChanged(target)
 	}
 }
 
+// changeHealth applies the results of health checks and outlier detection. A target with a
+// successor does not recover.
 func (directory *Directory) changeHealth(change *HealthChange) {
 	for _, token := range change.Failed {
 		if target, known := directory.targets.find(token); known {
-			directory.fail(target)
+			directory.markFailed(target)
 		}
 	}
-	directory.setAside(change.Aside, true)
-	directory.setAside(change.Back, false)
+	directory.setEjected(change.Aside, true)
+	directory.setEjected(change.Back, false)
 	for _, token := range change.Recovered {
 		target, known := directory.targets.find(token)
 		if known && target.State == TargetFailed && directory.successor(target) == nil {
 			target.State = target.Before
-			directory.touch(target)
+			directory.markChanged(target)
 		}
 	}
 }
 
-// setAside records whether targets get new flows.
-func (directory *Directory) setAside(tokens []Token, aside bool) {
+// setEjected records whether targets are ejected: ejected ones get no new flows while other
+// targets can take them.
+func (directory *Directory) setEjected(tokens []Token, ejected bool) {
 	for _, token := range tokens {
-		if target, known := directory.targets.find(token); known && target.Aside != aside {
-			target.Aside = aside
-			directory.touch(target)
+		if target, known := directory.targets.find(token); known && target.Aside != ejected {
+			target.Aside = ejected
+			directory.markChanged(target)
 		}
 	}
 }
 
-// successor returns the later incarnation that has the target's identifier, or its
-// address and did not fail, or nil.
+// successor returns the latest incarnation with the target's identifier if it is later than the
+// target, else a later incarnation at the target's address that did not fail, else nil.
 func (directory *Directory) successor(target *Target) *Target {
 	if latest := directory.targets.byID[target.ID]; latest != nil && latest.Token > target.Token {
 		return latest
@@ -248,14 +259,15 @@
 	return nil
 }
 
-func (directory *Directory) forget(tokens []Token) {
+// removeTargets removes targets and keeps a tombstone of each.
+func (directory *Directory) removeTargets(tokens []Token) {
 	for _, token := range tokens {
 		target, known := directory.targets.find(token)
 		if !known {
 			continue
 		}
 		directory.targets.remove(target)
-		directory.forgotten = append(directory.forgotten, forgottenTarget{token: target.Token, revision: directory.revision})
+		directory.targetTombstones = append(directory.targetTombstones, targetTombstone{token: target.Token, revision: directory.revision})
 	}
-	directory.trimRemoved()
+	directory.trimTombstones()
 }
--- a/internal/direct/directory/capacity_test.go
+++ b/internal/direct/directory/capacity_test.go
@@ -12,18 +12,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCapacitiesFollowTheDirectory: an index that follows changes, over restored copies and
-// orders for zones, says what one that looks at everything does.
-func TestCapacitiesFollowTheDirectory(t *testing.T) {
+// TestCapacityIndexFollowsChanges compares an index that applies changes with a new index that
+// reads everything, across restored snapshots and evacuations.
+func TestCapacityIndexFollowsChanges(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(12))
 	properties.Property("capacities", prop.ForAll(func(seed uint64) bool {
 		runner := newRunner(t)
-		followed := NewCapacityIndex(runner.directory)
+		incremental := NewCapacityIndex(runner.directory)
 		agree := true
-		playRandom(runner, seed, 80, func(random *rand.Rand) {
+		applyRandomCommands(runner, seed, 80, func(random *rand.Rand) {
 			switch random.IntN(10) {
 			case 0:
-				runner.order([]string{"", "a"}[random.IntN(2)], random.IntN(2) == 0, runner.latestOrder())
+				runner.orderEvacuation([]string{"", "a"}[random.IntN(2)], random.IntN(2) == 0, runner.lastOrderRevision())
 			case 1:
 				snapshot, err := runner.directory.Snapshot()
 				require.NoError(t, err)
@@ -33,11 +33,11 @@
 			}
 			fresh := NewCapacityIndex(runner.directory)
 			for token := range runner.directory.nextToken + 1 {
-				service, capacity := followed.ServiceCapacity(token)
-				pool, inPool := followed.PoolCapacity(token)
-				wantedService, wanted := fresh.ServiceCapacity(token)
-				wantedPool, wantedInPool := fresh.PoolCapacity(token)
-				agree = agree && fmt.Sprint(service, capacity, pool, inPool) == fmt.Sprint(wantedService, wanted, wantedPool, wantedInPool)
+				service, capacity := incremental.ServiceCapacity(token)
+				pool, poolCapacity := incremental.PoolCapacity(token)
+				wantedService, wantedCapacity := fresh.ServiceCapacity(token)
+				wantedPool, wantedPoolCapacity := fresh.PoolCapacity(token)
+				agree = agree && fmt.Sprint(service, capacity, pool, poolCapacity) == fmt.Sprint(wantedService, wantedCapacity, wantedPool, wantedPoolCapacity)
 			}
 		})
 		return agree
@@ -45,16 +45,16 @@
 	properties.TestingRun(t)
 }
 
-// BenchmarkCapacityAfterAChange shows what a lookup costs after one of many targets changed.
+// BenchmarkCapacityAfterAChange measures a lookup after one of many targets changed.
 func BenchmarkCapacityAfterAChange(b *testing.B) {
 	for _, count := range []int{1000, 10000} {
 		b.Run(fmt.Sprintf("targets=%d", count), func(b *testing.B) {
 			runner := newRunner(b)
-			var stated []Target
+			var targets []Target
 			for number := range count {
-				stated = append(stated, targetAt(TargetID(number+1), byte(number), 1, TargetReady))
+				targets = append(targets, targetAt(TargetID(number+1), byte(number), 1, TargetReady))
 			}
-			runner.apply(Command{RegisterAll: &Registrations{Targets: stated}})
+			runner.apply(Command{RegisterAll: &Registrations{Targets: targets}})
 			index := NewCapacityIndex(runner.directory)
 			change, err := EncodeCommand(Command{TargetHealth: &HealthChange{Aside: []Token{1}}})
 			require.NoError(b, err)
--- a/internal/direct/directory/coldness.go
+++ b/internal/direct/directory/coldness.go
@@ -6,21 +6,20 @@
 	"merlinpaddle/internal/direct/declared"
 )
 
-// leastCold is the remaining time of a target that counts as cold while its service
-// states no time.
-const leastCold = time.Millisecond
+// minColdTime is the remaining time of a target that is assumed to be cold while its service
+// states no time. Zero would mean warm.
+const minColdTime = time.Millisecond
 
-// ColdLimit returns the bound of cold targets of a service, and false when it has
-// none.
+// ColdLimit returns the limit for cold targets of a service, and false when the service has none.
 func (directory *Directory) ColdLimit(service string) (declared.ColdLimit, bool) {
 	directory.lock.RLock()
 	defer directory.lock.RUnlock()
-	limit, bounded := directory.coldLimits[service]
-	return limit, bounded
+	limit, exists := directory.coldLimits[service]
+	return limit, exists
 }
 
-// takeColdLimits collects the bounds of the configuration.
-func (directory *Directory) takeColdLimits() {
+// collectColdLimits indexes the cold limits of the declared configuration by service.
+func (directory *Directory) collectColdLimits() {
 	directory.coldLimits = make(map[string]declared.ColdLimit)
 	for _, service := range directory.configuration.Services {
 		if service.Cold.Bounded() {
@@ -29,7 +28,8 @@
 	}
 }
 
-func (directory *Directory) coldLimitsOfAll() *ColdLimits {
+// allColdLimits returns the limits as balancers get them.
+func (directory *Directory) allColdLimits() *ColdLimits {
 	limits := &ColdLimits{PerSecond: make(map[string]float64, len(directory.coldLimits))}
 	for service, limit := range directory.coldLimits {
 		limits.PerSecond[service] = limit.PerSecond
@@ -37,43 +37,46 @@
 	return limits
 }
 
-// changeColdness takes in what a target states of its coldness.
-func (directory *Directory) changeColdness(target *Target, stated Target) {
-	isCold, wasCold := stated.Cold > 0, target.Cold > 0
+// updateColdness records whether a target reports itself cold or warm. A target that was assumed
+// to be cold has to report twice that it is warm. The holder is set once in an incarnation's
+// lifetime.
+func (directory *Directory) updateColdness(target *Target, reported Target) {
+	isCold, wasCold := reported.Cold > 0, target.Cold > 0
 	switch {
 	case isCold == wasCold:
 	case !isCold && target.ColdDoubted:
 		target.ColdDoubted = false
 	default:
-		target.Cold = stated.Cold
-		directory.touch(target)
+		target.Cold = reported.Cold
+		directory.markChanged(target)
 	}
 	if isCold && target.Holder == "" {
-		target.Holder = stated.Holder
-		directory.touch(target)
+		target.Holder = reported.Holder
+		directory.markChanged(target)
 	}
 }
 
-// orderZone carries an order for a zone out. Targets of a zone that is taken back may
-// have turned cold shortly before and say so only in their next renewal: until they
-// say that they are warm, those of bounded services count as cold.
-func (directory *Directory) orderZone(order *EvacuationOrder) Result {
+// applyEvacuationOrder begins or ends the evacuation of a zone. When an evacuation ends, targets
+// of the zone may have become cold shortly before and report it only in their next renewal. Until
+// they report that they are warm, those of services with a cold limit are assumed to be cold.
+func (directory *Directory) applyEvacuationOrder(order *EvacuationOrder) Result {
 	_, evacuated := directory.evacuations.byZone[order.Zone]
-	result := directory.evacuations.order(order, directory.revision)
-	if carriedOut := !result.Conflict && !result.Full; carriedOut && evacuated && order.End {
-		directory.doubtWarmth(order.Zone)
+	result := directory.evacuations.apply(order, directory.revision)
+	if applied := !result.Conflict && !result.Full; applied && evacuated && order.End {
+		directory.assumeCold(order.Zone)
 	}
 	return result
 }
 
-func (directory *Directory) doubtWarmth(zone string) {
-	for _, target := range directory.targets.ordered {
-		limit, bounded := directory.coldLimits[target.Service]
-		if !bounded || target.Zone != zone || target.Cold > 0 {
+// assumeCold marks the targets of a zone as cold if their services have a cold limit.
+func (directory *Directory) assumeCold(zone string) {
+	for _, target := range directory.targets.byToken {
+		limit, exists := directory.coldLimits[target.Service]
+		if !exists || target.Zone != zone || target.Cold > 0 {
 			continue
 		}
-		target.Cold = max(limit.Start, leastCold)
+		target.Cold = max(limit.Start, minColdTime)
 		target.ColdDoubted = true
-		directory.touch(target)
+		directory.markChanged(target)
 	}
 }
--- a/internal/direct/directory/combine.go
+++ b/internal/direct/directory/combine.go
@@ -6,9 +6,8 @@
 	"slices"
 )
 
-// Combine returns one set of changes that has the same effect as applying
-// parts in order. Each part must begin at the end of the one before, or
-// earlier. Without parts it returns no changes.
+// Combine returns one set of changes that has the same effect as applying parts in order. Each
+// part must begin at the end of the previous one, or earlier. Without parts it returns no changes.
 func Combine(parts ...Changes) Changes {
 	if len(parts) == 0 {
 		return Changes{}
@@ -32,7 +31,7 @@
 	})
 }
 
-// combination is the state of what changed, by its key.
+// combination has the latest change of each route and target.
 type combination struct {
 	routes     map[netip.AddrPort]RouteEntry
 	removed    map[netip.AddrPort]bool
@@ -42,7 +41,7 @@
 	coldLimits *ColdLimits
 }
 
-// add takes a part in. Within a part, removals come before additions.
+// add applies a part. Within a part, removals come before additions.
 func (combined *combination) add(part Changes) {
 	for _, address := range part.Removed {
 		delete(combined.routes, address)
@@ -67,7 +66,7 @@
 	}
 }
 
-// changes adds what was combined to head, in a fixed order.
+// changes adds the combined entries to head, sorted. A full table has no removals.
 func (combined *combination) changes(head Changes) Changes {
 	head.Zones = combined.zones
 	head.ColdLimits = combined.coldLimits
@@ -93,7 +92,7 @@
 	return head
 }
 
-// Size is the number of entries.
+// Size returns the number of entries.
 func (changes *Changes) Size() int {
 	size := len(changes.Routes) + len(changes.Removed) + len(changes.Targets) + len(changes.Forgotten)
 	if changes.Zones != nil {
--- a/internal/direct/directory/combine_test.go
+++ b/internal/direct/directory/combine_test.go
@@ -13,39 +13,39 @@
 	"merlinpaddle/internal/model"
 )
 
-func TestCombineOfNothingIsNothing(t *testing.T) {
+func TestCombineWithoutParts(t *testing.T) {
 	require.Equal(t, Changes{}, Combine())
 }
 
-// TestCombinedChangesHaveTheSameEffect: a reader that takes the changes one by
-// one and one that takes them combined end alike.
+// TestCombinedChangesHaveTheSameEffect compares a reader that applies changes one by one with a
+// reader that applies them combined.
 func TestCombinedChangesHaveTheSameEffect(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(2711)
 	properties := gopter.NewProperties(parameters)
-	properties.Property("combine", prop.ForAll(func(seed uint64, whole bool) bool {
+	properties.Property("combine", prop.ForAll(func(seed uint64, fromStart bool) bool {
 		runner := newRunner(t)
-		single, combined := &reader{}, &reader{}
+		single, combined := &changeReader{}, &changeReader{}
 		var parts []Changes
 		revision := model.Revision(0)
-		if !whole {
-			playRandom(runner, seed+1, 20, func(*rand.Rand) {})
+		if !fromStart {
+			applyRandomCommands(runner, seed+1, 20, func(*rand.Rand) {})
 			first := runner.directory.ChangesSince(0)
-			single.take(first)
-			combined.take(first)
+			single.apply(first)
+			combined.apply(first)
 			revision = first.To
 		}
-		playRandom(runner, seed, 60, func(random *rand.Rand) {
+		applyRandomCommands(runner, seed, 60, func(random *rand.Rand) {
 			if random.IntN(3) == 0 {
 				part := runner.directory.ChangesSince(revision)
 				revision = part.To
-				single.take(part)
+				single.apply(part)
 				parts = append(parts, part)
 			}
 		})
 		if len(parts) == 0 {
 			return true
 		}
-		combined.take(Combine(parts...))
+		combined.apply(Combine(parts...))
 		return fmt.Sprint(single) == fmt.Sprint(combined)
 	}, gen.UInt64(), gen.Bool()))
 	properties.TestingRun(t)
--- a/internal/direct/directory/command.go
+++ b/internal/direct/directory/command.go
@@ -7,8 +7,7 @@
 	"merlinpaddle/internal/gobstream"
 )
 
-// Command is one change of the directory in the replicated log. Exactly one
-// field is set.
+// Command is one change of the directory in the replicated log. Exactly one field is set.
 type Command struct {
 	Declare  *declared.Difference
 	Register *Registration
@@ -16,62 +15,62 @@
 	RegisterAll *Registrations
 	Leave       *Departure
 	Evacuate    *EvacuationOrder
-	// TargetHealth and ForgetTargets name incarnations by token. Entries of earlier
-	// programs named targets by identifier, in fields of other names, and change
-	// nothing any more: the leader finds anew what they said.
+	// TargetHealth and ForgetTargets name incarnations by token. Entries from earlier versions of
+	// the program named targets by identifier, in fields of other names, and no longer change
+	// anything: the leader detects the same conditions again.
 	TargetHealth  *HealthChange
 	ForgetTargets *Forgetting
 }
 
-// Registration adds a target or changes its state. A registration of a later start is
-// a new incarnation. One of a former start, or whose sequence is not above the
-// incarnation's latest one, is late and changes nothing.
+// Registration adds a target or changes its state. A registration with a later start is a new
+// incarnation. One with an earlier start, or whose sequence number is not above the incarnation's
+// latest, arrived late and changes nothing.
 type Registration struct {
-	// Target has the stated fields; its token, revision and former state are
-	// ignored.
+	// Target has the fields that the target reports. Its token, revision and state before a
+	// failure are ignored.
 	Target Target
 }
 
-// Registrations are those of many targets in one entry of the log.
+// Registrations are the registrations of many targets in one log entry.
 type Registrations struct {
-	// Targets have what each target states, as in a Registration.
+	// Targets have what each target reports, as in a Registration.
 	Targets []Target
 }
 
-// Departure tells that a target leaves for good.
+// Departure is a target's notice that it leaves permanently.
 type Departure struct {
 	ID TargetID
 	// Started is the start of the incarnation that leaves; zero for the latest one.
 	Started StartTime
 }
 
-// HealthChange records that targets were found dead, or alive again, or leave
+// HealthChange records which targets failed or recovered, and which are ejected because they leave
 // requests unanswered.
 type HealthChange struct {
 	Failed    []Token
 	Recovered []Token
-	// Aside are targets that get no new flows for now, Back those that do
-	// again.
+	// Aside are the targets that are ejected and get no new flows for now. Back are those that
+	// get new flows again.
 	Aside []Token
 	Back  []Token
 }
 
-// Forgetting takes targets out whose last flows are past their longest life.
+// Forgetting removes targets whose last flows have exceeded the longest lifetime of a flow.
 type Forgetting struct {
 	Tokens []Token
 }
 
 // Result is the outcome of a command.
 type Result struct {
-	// Conflict tells that a declaration was made against another version
-	// than the one held, or an order for a zone against another base; nothing
-	// changed and it is to be made again.
+	// Conflict means that a declaration was made against another version than the recorded one,
+	// or an evacuation order against another base. Nothing changed, and the caller must try again
+	// from the current state.
 	Conflict bool
-	// Full tells that as many zones are evacuated as may be; nothing changed.
+	// Full means that the maximum number of zones is already evacuated. Nothing changed.
 	Full bool
-	// Version is the declared version that is held now.
+	// Version is the declared version after the command.
 	Version uint64
-	// Token is the registered target's, and Tokens are those of several in their order.
+	// Token is that of the registered target; Tokens are those of several targets in their order.
 	Token  Token
 	Tokens []Token
 }
@@ -79,7 +78,7 @@
 // EncodeCommand returns the command as the data of a log entry.
 func EncodeCommand(command Command) ([]byte, error) { return encode(command) }
 
-// EncodeResult returns the result as bytes.
+// EncodeResult returns the result in the encoding that DecodeResult reads.
 func EncodeResult(result Result) ([]byte, error) { return encode(result) }
 
 func encode(value any) ([]byte, error) { return encoders.Encode(value) }
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -1,18 +1,18 @@
-// Package directory is the replicated state of direct services: the declared
-// configuration, the targets that register by themselves, each with the
-// token that flows carry, and the zones that operators emptied.
+// Package directory is the replicated state of direct services: the declared configuration, the
+// targets that register themselves, each with the token that its flows carry, and the zones that
+// operators evacuated.
 //
-// It is a pure state machine for the control group's log (replica.StateMachine)
-// and, for readers, a store of objects with the revision of their last change.
+// It is a deterministic state machine for the control group's log (replica.StateMachine). For
+// readers, it is a store of objects with the revision of their last change.
 //
 // Invariants:
-//   - the declared version never goes back;
-//   - a token names one incarnation of one target for ever;
-//   - a target that drains never takes new flows again;
-//   - an incarnation of a target has at most one holder for ever;
-//   - of the incarnations with one identifier, all but the latest failed for good;
-//   - an order for a zone changes nothing if another order was applied since its
-//     member looked.
+//   - the declared version never decreases;
+//   - a token names one incarnation of one target and is never reused;
+//   - a draining target never takes new flows again;
+//   - an incarnation of a target has at most one holder in its lifetime;
+//   - of the incarnations with one identifier, all but the latest have failed permanently;
+//   - an evacuation order changes nothing if another order was applied after its member read the
+//     state.
 package directory
 
 import (
@@ -25,32 +25,31 @@
 	"merlinpaddle/internal/model"
 )
 
-// Token names one incarnation of a target in the packets of its flows. Zero
-// means "no token". Tokens are given in ascending order and never reused.
+// Token names one incarnation of a target in the packets of its flows. Zero means "no token".
+// Tokens are assigned in ascending order and never reused.
 type Token uint32
 
-// TargetID is a target's own identifier. Zero means "none". A target that starts again
-// may keep it.
+// TargetID is the identifier that a target chooses for itself. Zero means "none". A target that
+// restarts may keep it.
 type TargetID uint64
 
-// StartTime is when an incarnation of a target started, in Unix milliseconds by the
-// target's own clock. Zero means that the target does not say. A target that starts
-// again under its identifier is another incarnation, and its start tells the two apart.
+// StartTime is when an incarnation of a target started, in Unix milliseconds by the target's own
+// clock. Zero means that the target does not report it. A target that restarts under its
+// identifier is another incarnation, and the start time tells the two apart.
 type StartTime int64
 
 // TargetState is the state of one incarnation of a target.
 type TargetState uint8
 
-// The states of a target. A state other than Failed never goes back to an
-// earlier one.
+// The states of a target. A target never returns to an earlier state, except from TargetFailed.
 const (
 	// TargetReady takes new flows.
 	TargetReady TargetState = iota + 1
 	// TargetDraining keeps its flows and takes no new ones.
 	TargetDraining
-	// TargetLeft said that it leaves; its flows are served while it lasts.
+	// TargetLeft announced that it leaves. Its flows are served until it stops.
 	TargetLeft
-	// TargetFailed was found dead: its flows are lost.
+	// TargetFailed was found dead or was replaced. Its flows are lost.
 	TargetFailed
 )
 
@@ -75,25 +74,25 @@
 	Version  string
 	Capacity int
 	State    TargetState
-	// Before is the state that a failed target returns to when it answers.
+	// Before is the state to which a failed target returns when it recovers.
 	Before TargetState
-	// Aside tells that the target gets no new flows for now, because it leaves
+	// Aside means that the target is ejected: it gets no new flows for now, because it leaves
 	// requests unanswered.
 	Aside bool
-	// Cold is how much longer the target stays slow, as it stated last; zero once it
-	// is warm. Renewals change it only for services whose cold targets are bounded.
+	// Cold is the remaining time of the target's slow start, as it last reported; zero once it is
+	// warm. Renewals change it only for services with a cold limit.
 	Cold time.Duration
-	// ColdDoubted tells that the target counts as cold because its zone was taken
-	// back, not by its own word. Its next renewal that says "warm" may have been sent
-	// before the target turned cold, so that a second one has to say so, too.
+	// ColdDoubted means that the target is assumed to be cold because the evacuation of its zone
+	// ended, not because it reported so. Its next renewal that reports "warm" may have been sent
+	// before the target became cold, so a second one must report it too.
 	ColdDoubted bool
-	// Holder is the one balancer that may give the target new flows while it is cold;
-	// empty for none. It never changes in the life of an incarnation, so that two
-	// balancers whose tables differ never both hold the target's rate.
+	// Holder is the only balancer that may send the target new flows while it is cold; empty for
+	// none. It never changes in the lifetime of an incarnation. Otherwise, two balancers with
+	// different tables could both send the target new flows at its full rate.
 	Holder model.NodeName
-	// Sequence is the number of the latest call that changed the target.
+	// Sequence is the sequence number of the latest call that changed the target.
 	Sequence uint64
-	// Revision is that of the target's last change.
+	// Revision is the revision of the target's last change.
 	Revision model.Revision
 }
 
@@ -103,40 +102,40 @@
 	revision model.Revision
 }
 
-// removedRoute tells that a route is gone since a revision.
-type removedRoute struct {
+// routeTombstone records the revision at which a route was removed.
+type routeTombstone struct {
 	address  netip.AddrPort
 	revision model.Revision
 }
 
-// Directory is the replicated state. Apply, Snapshot, Restore and Digest are
-// for the log's owner alone; all other methods may be called at any time.
+// Directory is the replicated state. Only the log's owner may call Apply, Snapshot, Restore and
+// Digest. All other methods are safe for concurrent use.
 type Directory struct {
 	lock     sync.RWMutex
 	revision model.Revision
 	// configuration is replaced as a whole and never modified.
 	configuration *declared.Configuration
-	// configurationAt is the revision of the latest declaration, limitsAt
-	// that of the latest change of services or limits.
-	configurationAt model.Revision
-	limitsAt        model.Revision
-	routes          map[netip.AddrPort]routeRecord
-	removed         []removedRoute
-	// removedFloor is the revision before which removals are forgotten.
-	removedFloor model.Revision
-	targets      *targetIndex
-	// forgotten are tokens of targets that were taken out.
-	forgotten []forgottenTarget
-	nextToken Token
-	// coldLimits has the bounds of the configuration's services by name, of those
-	// that have one.
+	// configurationChangedAt is the revision of the latest declaration, limitsChangedAt that of
+	// the latest change of services or limits.
+	configurationChangedAt model.Revision
+	limitsChangedAt        model.Revision
+	routes                 map[netip.AddrPort]routeRecord
+	routeTombstones        []routeTombstone
+	// tombstoneFloor is the revision up to which removals are not known: their tombstones were
+	// dropped, or they precede a restored snapshot. Readers from before it need the full table.
+	tombstoneFloor model.Revision
+	targets        *targetIndex
+	// targetTombstones are the tombstones of removed targets.
+	targetTombstones []targetTombstone
+	nextToken        Token
+	// coldLimits has the limits of the configuration's services that have one, by service name.
 	coldLimits map[string]declared.ColdLimit
-	// evacuations are the zones that operators emptied.
+	// evacuations are the zones that operators evacuated.
 	evacuations evacuations
 }
 
-// forgottenTarget tells that a target was taken out of the directory.
-type forgottenTarget struct {
+// targetTombstone records the revision at which a target was removed.
+type targetTombstone struct {
 	token    Token
 	revision model.Revision
 }
@@ -148,16 +147,17 @@
 	return directory
 }
 
+// clear resets the directory to its initial state.
 func (directory *Directory) clear() {
 	directory.revision = 0
 	directory.configuration = &declared.Configuration{}
-	directory.configurationAt = 0
-	directory.limitsAt = 0
+	directory.configurationChangedAt = 0
+	directory.limitsChangedAt = 0
 	directory.routes = make(map[netip.AddrPort]routeRecord)
-	directory.removed = nil
-	directory.removedFloor = 0
+	directory.routeTombstones = nil
+	directory.tombstoneFloor = 0
 	directory.targets = newTargetIndex()
-	directory.forgotten = nil
+	directory.targetTombstones = nil
 	directory.nextToken = 1
 	directory.coldLimits = make(map[string]declared.ColdLimit)
 	directory.evacuations = newEvacuations()
@@ -210,8 +210,9 @@
 	return target.Token, true
 }
 
-// Successor returns the later incarnation that took an incarnation's address or
-// identifier, if there is one that did not fail.
+// Successor returns the incarnation that replaced the one with the token: the latest one with the
+// same identifier, else a later one at the same address that did not fail. It returns false if
+// there is none.
 func (directory *Directory) Successor(token Token) (Target, bool) {
 	directory.lock.RLock()
 	defer directory.lock.RUnlock()
@@ -229,13 +230,12 @@
 // Targets returns copies of all targets in the order of their tokens.
 func (directory *Directory) Targets() []Target { return directory.AppendTargets(nil) }
 
-// AppendTargets appends copies of all targets to buffer, in the order of their
-// tokens.
+// AppendTargets appends copies of all targets to buffer, in the order of their tokens.
 func (directory *Directory) AppendTargets(buffer []Target) []Target {
 	directory.lock.RLock()
 	defer directory.lock.RUnlock()
-	buffer = slices.Grow(buffer, len(directory.targets.ordered))
-	for _, target := range directory.targets.ordered {
+	buffer = slices.Grow(buffer, len(directory.targets.byToken))
+	for _, target := range directory.targets.byToken {
 		buffer = append(buffer, *target)
 	}
 	return buffer
--- a/internal/direct/directory/directory_test.go
+++ b/internal/direct/directory/directory_test.go
@@ -16,7 +16,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// runner applies commands in order.
+// runner applies commands to a directory, each at the next revision.
 type runner struct {
 	t         testing.TB
 	directory *Directory
@@ -40,6 +40,7 @@
 	return runner.apply(Command{Register: &Registration{Target: target}})
 }
 
+// state returns the state of the latest incarnation of a target; zero when there is none.
 func (runner *runner) state(id TargetID) TargetState {
 	target, _ := runner.directory.Target(id)
 	return target.State
@@ -51,25 +52,27 @@
 	return token
 }
 
-func (runner *runner) fail(id TargetID) {
+func (runner *runner) reportFailed(id TargetID) {
 	runner.t.Helper()
 	runner.apply(Command{TargetHealth: &HealthChange{Failed: []Token{runner.token(id)}}})
 }
 
-func (runner *runner) recover(id TargetID) {
+func (runner *runner) reportRecovered(id TargetID) {
 	runner.t.Helper()
 	runner.apply(Command{TargetHealth: &HealthChange{Recovered: []Token{runner.token(id)}}})
 }
 
-// startNow is a start that rises with every few commands, so that targets start again
-// now and then.
-func (runner *runner) startNow() StartTime { return StartTime(1 + runner.index/8) }
+// currentStart returns a start time that increases every 8 commands, so that targets restart now
+// and then.
+func (runner *runner) currentStart() StartTime { return StartTime(1 + runner.index/8) }
 
-func startedAt(started StartTime, target Target) Target {
+func withStart(started StartTime, target Target) Target {
 	target.Started = started
 	return target
 }
 
+// targetAt returns a target of the service "feed" at 10.0.0.host:8080 that processes 2 requests
+// concurrently.
 func targetAt(id TargetID, host byte, sequence uint64, state TargetState) Target {
 	return Target{
 		ID: id, Service: "feed", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, host}), 8080),
@@ -77,11 +80,11 @@
 	}
 }
 
-func TestTokensAreNeverGivenTwice(t *testing.T) {
+func TestTokensAreNeverReused(t *testing.T) {
 	runner := newRunner(t)
 	first := runner.register(targetAt(1, 1, 1, TargetReady))
 	again := runner.register(targetAt(1, 1, 2, TargetReady))
-	require.Equal(t, first.Token, again.Token, "one incarnation keeps its token")
+	require.Equal(t, first.Token, again.Token, "an incarnation keeps its token")
 	runner.apply(Command{ForgetTargets: &Forgetting{Tokens: []Token{first.Token}}})
 	second := runner.register(targetAt(1, 1, 3, TargetReady))
 	require.NotEqual(t, first.Token, second.Token)
@@ -91,11 +94,11 @@
 func TestStateMovesForwardOnly(t *testing.T) {
 	cases := []struct {
 		name string
-		play func(runner *runner)
+		run  func(runner *runner)
 		want TargetState
 	}{
 		{"ready", func(*runner) {}, TargetReady},
-		{"late call after draining", func(r *runner) {
+		{"call with an older sequence number after draining", func(r *runner) {
 			r.register(targetAt(1, 1, 5, TargetDraining))
 			r.register(targetAt(1, 1, 4, TargetReady))
 		}, TargetDraining},
@@ -112,59 +115,60 @@
 			r.apply(Command{Leave: &Departure{ID: 1}})
 		}, TargetLeft},
 		{"failed", func(r *runner) {
-			r.fail(1)
+			r.reportFailed(1)
 		}, TargetFailed},
 		{"failed and recovered", func(r *runner) {
-			r.fail(1)
-			r.recover(1)
+			r.reportFailed(1)
+			r.reportRecovered(1)
 		}, TargetReady},
 		{"failed while draining and recovered", func(r *runner) {
 			r.register(targetAt(1, 1, 5, TargetDraining))
-			r.fail(1)
-			r.recover(1)
+			r.reportFailed(1)
+			r.reportRecovered(1)
 		}, TargetDraining},
 		{"failed, then left, then recovered", func(r *runner) {
-			r.fail(1)
+			r.reportFailed(1)
 			r.apply(Command{Leave: &Departure{ID: 1}})
-			r.recover(1)
+			r.reportRecovered(1)
 		}, TargetLeft},
-		{"failed, and a late renewal comes", func(r *runner) {
-			r.fail(1)
+		{"failed, then renewed", func(r *runner) {
+			r.reportFailed(1)
 			r.register(targetAt(1, 1, 9, TargetReady))
 		}, TargetFailed},
-		{"failed, drains and recovers", func(r *runner) {
-			r.fail(1)
+		{"failed, then draining, then recovered", func(r *runner) {
+			r.reportFailed(1)
 			r.register(targetAt(1, 1, 9, TargetDraining))
-			r.recover(1)
+			r.reportRecovered(1)
 		}, TargetDraining},
-		{"replaced, and a late renewal comes", func(r *runner) {
+		{"replaced, then renewed", func(r *runner) {
 			r.register(targetAt(2, 1, 1, TargetReady))
 			r.register(targetAt(1, 1, 9, TargetReady))
 		}, TargetFailed},
-		{"replaced by one that failed, and recovers", func(r *runner) {
+		{"replaced by one that failed, then recovered", func(r *runner) {
 			r.register(targetAt(2, 1, 1, TargetReady))
-			r.fail(2)
-			r.recover(1)
+			r.reportFailed(2)
+			r.reportRecovered(1)
 		}, TargetReady},
-		{"another incarnation at its address", func(r *runner) {
+		{"replaced at its address", func(r *runner) {
 			r.register(targetAt(2, 1, 1, TargetReady))
 		}, TargetFailed},
-		{"replaced ones do not recover", func(r *runner) {
+		{"replaced, then recovered", func(r *runner) {
 			r.register(targetAt(2, 1, 1, TargetReady))
-			r.recover(1)
+			r.reportRecovered(1)
 		}, TargetFailed},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			runner := newRunner(t)
 			runner.register(targetAt(1, 1, 3, TargetReady))
-			test.play(runner)
+			test.run(runner)
 			require.Equal(t, test.want, runner.state(1))
 		})
 	}
 }
 
-func configurationOf(version uint64, ports ...int) *declared.Configuration {
+// configurationWithPorts returns a configuration with one route per port to the service "feed".
+func configurationWithPorts(version uint64, ports ...int) *declared.Configuration {
 	configuration := &declared.Configuration{Version: version, Services: []declared.Service{{Name: "feed"}}}
 	for _, port := range ports {
 		configuration.Routes = append(configuration.Routes, declared.Route{
@@ -185,20 +189,20 @@
 func TestHighestVersionWins(t *testing.T) {
 	runner := newRunner(t)
 	empty := &declared.Configuration{}
-	seven := configurationOf(7, 1, 2)
+	seven := configurationWithPorts(7, 1, 2)
 	require.Equal(t, Result{Version: 7}, runner.declare(empty, seven))
-	require.Equal(t, Result{Version: 7}, runner.declare(empty, configurationOf(7, 3)), "equal versions change nothing")
-	require.Equal(t, Result{Version: 7}, runner.declare(empty, configurationOf(6, 3)), "older versions change nothing")
-	require.Equal(t, Result{Conflict: true, Version: 7}, runner.declare(empty, configurationOf(9, 3)), "a difference to another version is refused")
+	require.Equal(t, Result{Version: 7}, runner.declare(empty, configurationWithPorts(7, 3)), "equal versions change nothing")
+	require.Equal(t, Result{Version: 7}, runner.declare(empty, configurationWithPorts(6, 3)), "older versions change nothing")
+	require.Equal(t, Result{Conflict: true, Version: 7}, runner.declare(empty, configurationWithPorts(9, 3)), "a difference from another base version is refused")
 	require.Equal(t, seven, runner.directory.Configuration())
-	require.Equal(t, Result{Version: 9}, runner.declare(seven, configurationOf(9, 3)))
+	require.Equal(t, Result{Version: 9}, runner.declare(seven, configurationWithPorts(9, 3)))
 	require.Equal(t, uint64(9), runner.directory.Configuration().Version)
 }
 
-// TestRoutesTellTheirObjectiveAndPriority: balancers admit flows by them.
-func TestRoutesTellTheirObjectiveAndPriority(t *testing.T) {
+// TestRouteChangesCarryObjectiveAndPriority checks the fields by which balancers admit flows.
+func TestRouteChangesCarryObjectiveAndPriority(t *testing.T) {
 	runner := newRunner(t)
-	configuration := configurationOf(7, 1)
+	configuration := configurationWithPorts(7, 1)
 	configuration.Routes[0].Objective = 200 * time.Millisecond
 	configuration.Routes[0].Priority = 2
 	runner.declare(&declared.Configuration{}, configuration)
@@ -206,22 +210,22 @@
 	require.Len(t, changes.Routes, 1)
 	require.Equal(t, 200*time.Millisecond, changes.Routes[0].Objective)
 	require.Equal(t, 2, changes.Routes[0].Priority)
-	again := configurationOf(8, 1)
+	again := configurationWithPorts(8, 1)
 	again.Routes[0].Objective = 300 * time.Millisecond
 	runner.declare(configuration, again)
 	changes = runner.directory.ChangesSince(changes.To)
-	require.Len(t, changes.Routes, 1, "a changed objective is a change of the route")
+	require.Len(t, changes.Routes, 1, "a new objective changes the route")
 	require.Equal(t, 300*time.Millisecond, changes.Routes[0].Objective)
 }
 
-// reader keeps a copy from changes, as a balancer does.
-type reader struct {
+// changeReader keeps a copy of the directory from its changes, as a balancer does.
+type changeReader struct {
 	revision model.Revision
 	routes   map[netip.AddrPort]bool
 	targets  map[Token]TargetEntry
 }
 
-func (reader *reader) take(changes Changes) {
+func (reader *changeReader) apply(changes Changes) {
 	if changes.Whole {
 		reader.routes = make(map[netip.AddrPort]bool)
 		reader.targets = make(map[Token]TargetEntry)
@@ -229,8 +233,8 @@
 	for _, removed := range changes.Removed {
 		delete(reader.routes, removed)
 	}
-	for _, forgotten := range changes.Forgotten {
-		delete(reader.targets, forgotten)
+	for _, removed := range changes.Forgotten {
+		delete(reader.targets, removed)
 	}
 	for _, route := range changes.Routes {
 		reader.routes[route.Address] = true
@@ -241,17 +245,17 @@
 	reader.revision = changes.To
 }
 
-// playRandom applies count random commands and calls each after every one.
-func playRandom(runner *runner, seed uint64, count int, each func(random *rand.Rand)) {
+// applyRandomCommands applies count random commands and calls afterEach after each of them.
+func applyRandomCommands(runner *runner, seed uint64, count int, afterEach func(random *rand.Rand)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	version := uint64(0)
 	for range count {
 		id := TargetID(1 + random.IntN(12))
 		switch random.IntN(7) {
 		case 0, 1:
-			runner.register(startedAt(runner.startNow(), targetAt(id, byte(random.IntN(6)), uint64(runner.index), TargetReady)))
+			runner.register(withStart(runner.currentStart(), targetAt(id, byte(random.IntN(6)), uint64(runner.index), TargetReady)))
 		case 2:
-			runner.register(startedAt(runner.startNow(), targetAt(id, byte(random.IntN(6)), uint64(runner.index), TargetDraining)))
+			runner.register(withStart(runner.currentStart(), targetAt(id, byte(random.IntN(6)), uint64(runner.index), TargetDraining)))
 		case 3:
 			runner.apply(Command{Leave: &Departure{ID: id}})
 		case 4:
@@ -266,21 +270,21 @@
 					ports = append(ports, port)
 				}
 			}
-			runner.declare(runner.directory.Configuration(), configurationOf(version, ports...))
+			runner.declare(runner.directory.Configuration(), configurationWithPorts(version, ports...))
 		}
-		each(random)
+		afterEach(random)
 	}
 }
 
-// TestReadersOfChangesAgreeWithReadersOfEverything compares a reader that
-// follows by changes, at times from a restored copy, with a whole reading.
-func TestReadersOfChangesAgreeWithReadersOfEverything(t *testing.T) {
+// TestIncrementalChangesMatchFullTable compares a reader that applies changes, some of them from a
+// restored copy, with a reader of the full table.
+func TestIncrementalChangesMatchFullTable(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
-	properties.Property("changes add up to everything", prop.ForAll(func(seed uint64) bool {
+	properties.Property("changes add up to the full table", prop.ForAll(func(seed uint64) bool {
 		runner := newRunner(t)
-		follower := &reader{}
+		incremental := &changeReader{}
 		agree := true
-		playRandom(runner, seed, 60, func(random *rand.Rand) {
+		applyRandomCommands(runner, seed, 60, func(random *rand.Rand) {
 			if random.IntN(10) == 0 {
 				restored := New()
 				snapshot, err := runner.directory.Snapshot()
@@ -292,18 +296,18 @@
 			if random.IntN(3) > 0 {
 				return
 			}
-			follower.take(runner.directory.ChangesSince(follower.revision))
-			whole := &reader{}
-			whole.take(runner.directory.ChangesSince(0))
-			agree = agree && fmt.Sprint(whole.routes) == fmt.Sprint(follower.routes) &&
-				fmt.Sprint(whole.targets) == fmt.Sprint(follower.targets)
+			incremental.apply(runner.directory.ChangesSince(incremental.revision))
+			full := &changeReader{}
+			full.apply(runner.directory.ChangesSince(0))
+			agree = agree && fmt.Sprint(full.routes) == fmt.Sprint(incremental.routes) &&
+				fmt.Sprint(full.targets) == fmt.Sprint(incremental.targets)
 		})
 		return agree
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func TestReaderThatIsAheadGetsNothing(t *testing.T) {
+func TestReaderAheadOfTheDirectoryGetsNoChanges(t *testing.T) {
 	runner := newRunner(t)
 	runner.register(targetAt(1, 1, 1, TargetReady))
 	changes := runner.directory.ChangesSince(50)
@@ -312,14 +316,14 @@
 	require.Less(t, changes.To, changes.From)
 }
 
-func TestMembersThatApplyTheSameAgree(t *testing.T) {
+func TestEqualCommandsGiveEqualDigests(t *testing.T) {
 	first, second := newRunner(t), newRunner(t)
-	playRandom(first, 11, 200, func(*rand.Rand) {})
-	playRandom(second, 11, 200, func(*rand.Rand) {})
+	applyRandomCommands(first, 11, 200, func(*rand.Rand) {})
+	applyRandomCommands(second, 11, 200, func(*rand.Rand) {})
 	require.Equal(t, first.directory.Digest(), second.directory.Digest())
 }
 
-func TestUnreadableCommandChangesNothing(t *testing.T) {
+func TestUndecodableCommandChangesNothing(t *testing.T) {
 	directory := New()
 	_, err := DecodeResult(directory.Apply(5, time.Time{}, []byte("no command")))
 	require.NoError(t, err)
--- a/internal/direct/directory/evacuation.go
+++ b/internal/direct/directory/evacuation.go
@@ -7,39 +7,35 @@
 	"merlinpaddle/internal/model"
 )
 
-// evacuationsKept bounds the zones that are evacuated at a time, so that orders
-// for names that are drawn at random cannot fill the replicated state. Systems
-// have some eight zones.
-const evacuationsKept = 256
+// maxEvacuatedZones bounds the number of zones evacuated at a time, so that orders for random
+// names cannot fill the replicated state. Systems have about eight zones.
+const maxEvacuatedZones = 256
 
-// Evacuation tells that a zone is emptied by order of an operator: its targets
-// get no new flows, and open flows go on.
+// Evacuation records that an operator evacuated a zone: its targets get no new flows, and open
+// flows continue.
 type Evacuation struct {
 	Zone string
-	// Since is the revision of the order that began it.
+	// Since is the revision of the order that began the evacuation.
 	Since model.Revision
 }
 
-// EvacuationOrder is an operator's order to empty a zone, or to take it back into
-// use.
+// EvacuationOrder is an operator's order to begin or end the evacuation of a zone.
 //
-// Orders have no version. A member may hold one back and propose it after the
-// operator gave up on that member and had a later order acknowledged elsewhere.
-// Base protects against that: the order changes something only if no other order
-// was applied since the member looked.
+// Orders have no version. A member may delay an order and propose it after the operator gave up on
+// that member and had a later order acknowledged by another one. Base protects against that: an
+// order takes effect only if no other order was applied since the member received it.
 type EvacuationOrder struct {
 	Zone string
-	// End takes the zone back into use.
+	// End ends the evacuation; otherwise the order begins it.
 	End bool
-	// Base is the revision of the latest order that the member knew when the call
-	// came.
+	// Base is the revision of the latest order that the member knew when it received the call.
 	Base model.Revision
 }
 
 // evacuations has the zones that are evacuated.
 //
-// Invariant: changedAt is the revision of the latest order that was applied,
-// whether or not it changed anything.
+// Invariant: changedAt is the revision of the latest order that was applied, whether or not it
+// changed anything.
 type evacuations struct {
 	byZone    map[string]Evacuation
 	changedAt model.Revision
@@ -47,11 +43,11 @@
 
 func newEvacuations() evacuations { return evacuations{byZone: make(map[string]Evacuation)} }
 
-// order carries an order out. One that is already fulfilled is acknowledged
-// whatever its base, because operators repeat an order whose answer was lost. It
-// moves changedAt all the same: an opposite order that a slow member still holds
-// must not take effect after the acknowledgement.
-func (evacuations *evacuations) order(order *EvacuationOrder, revision model.Revision) Result {
+// apply applies an order at a revision. An order that is already fulfilled is acknowledged
+// whatever its base, because operators repeat an order whose response was lost. It sets changedAt
+// all the same: an opposite order that a slow member still holds must not take effect after the
+// acknowledgement.
+func (evacuations *evacuations) apply(order *EvacuationOrder, revision model.Revision) Result {
 	_, evacuated := evacuations.byZone[order.Zone]
 	fulfilled := evacuated != order.End
 	switch {
@@ -60,7 +56,7 @@
 		return Result{Conflict: true}
 	case order.End:
 		delete(evacuations.byZone, order.Zone)
-	case len(evacuations.byZone) >= evacuationsKept:
+	case len(evacuations.byZone) >= maxEvacuatedZones:
 		return Result{Full: true}
 	default:
 		evacuations.byZone[order.Zone] = Evacuation{Zone: order.Zone, Since: revision}
@@ -69,7 +65,7 @@
 	return Result{}
 }
 
-// list returns the evacuations in the order of their zones.
+// list returns the evacuations, sorted by zone.
 func (evacuations *evacuations) list() []Evacuation {
 	listed := make([]Evacuation, 0, len(evacuations.byZone))
 	for _, evacuation := range evacuations.byZone {
@@ -79,6 +75,7 @@
 	return listed
 }
 
+// restore replaces the evacuations by those of a snapshot.
 func (evacuations *evacuations) restore(saved []Evacuation, changedAt model.Revision) {
 	*evacuations = newEvacuations()
 	evacuations.changedAt = changedAt
@@ -87,8 +84,7 @@
 	}
 }
 
-// Evacuations returns the zones that are evacuated, sorted, and the revision of
-// the latest order.
+// Evacuations returns the evacuated zones, sorted, and the revision of the latest order.
 func (directory *Directory) Evacuations() ([]Evacuation, model.Revision) {
 	directory.lock.RLock()
 	defer directory.lock.RUnlock()
--- a/internal/direct/directory/size_bench_test.go
+++ b/internal/direct/directory/size_bench_test.go
@@ -6,19 +6,19 @@
 	"merlinpaddle/internal/direct/declared"
 )
 
-// BenchmarkDeclaration measures the bytes of a declaration in the log that
-// changes one of many routes, as a difference and as a whole.
+// BenchmarkDeclaration measures the encoded size of a declaration that changes one of many routes,
+// as a difference and as a full configuration.
 func BenchmarkDeclaration(b *testing.B) {
 	var ports []int
 	for port := 1; port <= 430; port++ {
 		ports = append(ports, port)
 	}
-	base, next := configurationOf(1, ports...), configurationOf(2, ports...)
+	base, next := configurationWithPorts(1, ports...), configurationWithPorts(2, ports...)
 	next.Routes[200].Timeout *= 2
 	for _, variant := range []struct {
 		name string
 		from *declared.Configuration
-	}{{"difference", base}, {"whole", &declared.Configuration{}}} {
+	}{{"difference", base}, {"full", &declared.Configuration{}}} {
 		b.Run(variant.name, func(b *testing.B) {
 			size := 0
 			for b.Loop() {
--- a/internal/direct/directory/snapshot.go
+++ b/internal/direct/directory/snapshot.go
@@ -10,15 +10,15 @@
 	"merlinpaddle/internal/model"
 )
 
-// savedState is the whole directory as it is stored.
+// savedState is the directory as a snapshot stores it.
 type savedState struct {
 	Revision        model.Revision
 	Configuration   declared.Configuration
 	ConfigurationAt model.Revision
 	Targets         []Target
 	NextToken       Token
-	// Evacuations and EvacuationsAt are missing in snapshots of earlier programs,
-	// which knew of none.
+	// Evacuations and EvacuationsAt are missing in snapshots of earlier versions of the program,
+	// which had no evacuations.
 	Evacuations   []Evacuation
 	EvacuationsAt model.Revision
 }
@@ -30,17 +30,19 @@
 	return directory.encodeState()
 }
 
+// encodeState returns the encoded state. Equal states must have equal encodings, because Digest
+// compares them.
 func (directory *Directory) encodeState() ([]byte, error) {
 	saved := savedState{
 		Revision:        directory.revision,
 		Configuration:   *directory.configuration,
-		ConfigurationAt: directory.configurationAt,
-		Targets:         make([]Target, 0, len(directory.targets.ordered)),
+		ConfigurationAt: directory.configurationChangedAt,
+		Targets:         make([]Target, 0, len(directory.targets.byToken)),
 		NextToken:       directory.nextToken,
 		Evacuations:     directory.evacuations.list(),
 		EvacuationsAt:   directory.evacuations.changedAt,
 	}
-	for _, target := range directory.targets.ordered {
+	for _, target := range directory.targets.byToken {
 		saved.Targets = append(saved.Targets, *target)
 	}
 	var buffer bytes.Buffer
@@ -48,8 +50,8 @@
 	return buffer.Bytes(), err
 }
 
-// Restore implements replica.StateMachine. Readers that are behind the
-// restored revision get everything.
+// Restore implements replica.StateMachine. Readers from before the restored revision get the full
+// table.
 func (directory *Directory) Restore(snapshot []byte) error {
 	var saved savedState
 	if err := gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&saved); err != nil {
@@ -60,10 +62,10 @@
 	directory.clear()
 	directory.revision = saved.Revision
 	directory.configuration = &saved.Configuration
-	directory.configurationAt = saved.ConfigurationAt
-	directory.limitsAt = saved.ConfigurationAt
-	directory.takeColdLimits()
-	directory.removedFloor = saved.Revision
+	directory.configurationChangedAt = saved.ConfigurationAt
+	directory.limitsChangedAt = saved.ConfigurationAt
+	directory.collectColdLimits()
+	directory.tombstoneFloor = saved.Revision
 	directory.nextToken = saved.NextToken
 	for _, route := range saved.Configuration.Routes {
 		directory.routes[route.Address] = routeRecord{route: route, revision: saved.ConfigurationAt}
--- a/internal/direct/directory/targets.go
+++ b/internal/direct/directory/targets.go
@@ -8,68 +8,70 @@
 	"merlinpaddle/internal/model"
 )
 
-// touchedSlack is how many entries of the log of changes may be out of date
-// beyond the number of targets before it is compacted.
-const touchedSlack = 256
+// changeLogSlack is the number of entries that changeLog may have above twice the number of
+// targets before obsolete entries are removed.
+const changeLogSlack = 256
 
-// touched tells that a target changed at a revision.
-type touched struct {
+// targetChange records that a target changed at a revision.
+type targetChange struct {
 	target   *Target
 	revision model.Revision
 }
 
-// targetIndex has the incarnations of targets by their identifiers, their addresses,
-// in the order of their tokens, and in the order of their changes.
+// targetIndex has the incarnations of targets by identifier, by address, in the order of their
+// tokens, and in the order of their changes.
 //
-// Invariants: each incarnation stands once in ordered and byAddress; byID has the latest
-// one of each identifier; the last entry of changes with its revision is the
-// incarnation's latest one; the revisions of changes never go back.
+// Invariants: each incarnation is once in byToken and once in byAddress; byID has the latest
+// incarnation of each identifier; the last entry of changeLog with an incarnation's Revision is its
+// latest change; the revisions in changeLog never decrease.
 type targetIndex struct {
 	byID      map[TargetID]*Target
 	byAddress map[netip.AddrPort][]*Target
-	ordered   []*Target
-	changes   []touched
+	byToken   []*Target
+	changeLog []targetChange
 }
 
 func newTargetIndex() *targetIndex {
 	return &targetIndex{byID: make(map[TargetID]*Target), byAddress: make(map[netip.AddrPort][]*Target)}
 }
 
-// add takes a new target in, whose token is above those of all others.
+// add adds a new target, whose token must be higher than all others.
 func (index *targetIndex) add(added *Target) {
 	index.byID[added.ID] = added
 	index.byAddress[added.Address] = append(index.byAddress[added.Address], added)
-	index.ordered = append(index.ordered, added)
+	index.byToken = append(index.byToken, added)
 }
 
-// remove takes a target out.
+// remove removes a target. Its entries in changeLog become obsolete.
 func (index *targetIndex) remove(target *Target) {
 	if index.byID[target.ID] == target {
 		delete(index.byID, target.ID)
 	}
-	index.leaveAddress(target)
-	if place, found := index.place(target.Token); found {
-		index.ordered = slices.Delete(index.ordered, place, place+1)
+	index.removeFromAddress(target)
+	if position, found := index.position(target.Token); found {
+		index.byToken = slices.Delete(index.byToken, position, position+1)
 	}
 }
 
-// place returns where the incarnation with the token stands in ordered.
-func (index *targetIndex) place(token Token) (int, bool) {
-	return slices.BinarySearchFunc(index.ordered, token, func(other *Target, token Token) int {
+// position returns the index of the incarnation with the token in byToken, and whether it is
+// there.
+func (index *targetIndex) position(token Token) (int, bool) {
+	return slices.BinarySearchFunc(index.byToken, token, func(other *Target, token Token) int {
 		return cmp.Compare(other.Token, token)
 	})
 }
 
 // find returns the incarnation with the token.
 func (index *targetIndex) find(token Token) (*Target, bool) {
-	place, found := index.place(token)
+	position, found := index.position(token)
 	if !found {
 		return nil, false
 	}
-	return index.ordered[place], true
+	return index.byToken[position], true
 }
 
-func (index *targetIndex) leaveAddress(target *Target) {
+// removeFromAddress removes a target from byAddress.
+func (index *targetIndex) removeFromAddress(target *Target) {
 	others := slices.DeleteFunc(index.byAddress[target.Address], func(other *Target) bool { return other == target })
 	if len(others) == 0 {
 		delete(index.byAddress, target.Address)
@@ -78,28 +80,28 @@
 	index.byAddress[target.Address] = others
 }
 
-// move gives a target another address.
-func (index *targetIndex) move(target *Target, address netip.AddrPort) {
+// changeAddress gives a target another address.
+func (index *targetIndex) changeAddress(target *Target, address netip.AddrPort) {
 	if target.Address == address {
 		return
 	}
-	index.leaveAddress(target)
+	index.removeFromAddress(target)
 	target.Address = address
 	index.byAddress[address] = append(index.byAddress[address], target)
 }
 
-// touch records that a target changed at a revision.
-func (index *targetIndex) touch(target *Target, revision model.Revision) {
+// markChanged records that a target changed at a revision, which must not be lower than earlier
+// ones.
+func (index *targetIndex) markChanged(target *Target, revision model.Revision) {
 	target.Revision = revision
-	index.changes = append(index.changes, touched{target: target, revision: revision})
-	if len(index.changes) > 2*len(index.ordered)+touchedSlack {
-		index.changes = slices.DeleteFunc(index.changes, func(entry touched) bool { return !index.latest(entry) })
+	index.changeLog = append(index.changeLog, targetChange{target: target, revision: revision})
+	if len(index.changeLog) > 2*len(index.byToken)+changeLogSlack {
+		index.changeLog = slices.DeleteFunc(index.changeLog, func(entry targetChange) bool { return !index.isLatestChange(entry) })
 	}
 }
 
-// latest tells whether an entry is the latest change of a target that is still
-// there.
-func (index *targetIndex) latest(entry touched) bool {
+// isLatestChange reports whether an entry is the latest change of a target that still exists.
+func (index *targetIndex) isLatestChange(entry targetChange) bool {
 	if entry.target.Revision != entry.revision {
 		return false
 	}
@@ -107,15 +109,14 @@
 	return present
 }
 
-// changedSince returns the targets that changed after a revision, in the order
-// of their tokens.
+// changedSince returns the targets that changed after a revision, in the order of their tokens.
 func (index *targetIndex) changedSince(from model.Revision) []TargetEntry {
-	place, _ := slices.BinarySearchFunc(index.changes, from+1, func(entry touched, revision model.Revision) int {
+	position, _ := slices.BinarySearchFunc(index.changeLog, from+1, func(entry targetChange, revision model.Revision) int {
 		return cmp.Compare(entry.revision, revision)
 	})
 	var entries []TargetEntry
-	for _, entry := range index.changes[place:] {
-		if index.latest(entry) {
+	for _, entry := range index.changeLog[position:] {
+		if index.isLatestChange(entry) {
 			entries = append(entries, entry.target.entry())
 		}
 	}
@@ -123,12 +124,12 @@
 	return slices.CompactFunc(entries, func(left, right TargetEntry) bool { return left.Token == right.Token })
 }
 
-// restore replaces everything by targets in the order of their tokens.
+// restore adds the targets of a snapshot, in the order of their tokens, to an empty index.
 func (index *targetIndex) restore(targets []Target) {
-	for place := range targets {
-		target := targets[place]
+	for position := range targets {
+		target := targets[position]
 		index.add(&target)
-		index.changes = append(index.changes, touched{target: &target, revision: target.Revision})
+		index.changeLog = append(index.changeLog, targetChange{target: &target, revision: target.Revision})
 	}
-	slices.SortStableFunc(index.changes, func(left, right touched) int { return cmp.Compare(left.revision, right.revision) })
+	slices.SortStableFunc(index.changeLog, func(left, right targetChange) int { return cmp.Compare(left.revision, right.revision) })
 }
