--- a/internal/direct/declared/declared.go
+++ b/internal/direct/declared/declared.go
@@ -1,10 +1,9 @@
-// Package declared holds the declared configuration of direct services: a
-// whole set of routes, services and limits that an operator replaces at once
-// under a version of its own. The highest version wins; sending a version
-// again, or an older one, changes nothing.
+// Package declared holds the declared configuration of direct services: the complete set of
+// routes, services and limits, which an operator replaces at once under a version number of their
+// choice. The highest version wins. Sending the same version again, or an older one, changes
+// nothing.
 //
-// The package is pure: it checks configurations, compares them and applies
-// differences.
+// The package is pure: it validates configurations, compares them and applies differences.
 package declared
 
 import (
@@ -16,7 +15,7 @@
 	"merlinpaddle/internal/faults"
 )
 
-// RequestKind tells what repeating a request of a route may do.
+// RequestKind states whether a route's requests may be repeated, and which way large bodies flow.
 type RequestKind string
 
 // The kinds of requests.
@@ -27,11 +26,11 @@
 	KindUnsafe RequestKind = "unsafe"
 	// KindUpload requests carry large bodies and run at most once.
 	KindUpload RequestKind = "upload"
-	// KindDownload requests have large answers and may be repeated.
+	// KindDownload requests have large responses and may be repeated.
 	KindDownload RequestKind = "download"
 )
 
-// Known tells whether the kind is one of the above.
+// Known reports whether the kind is one of the above.
 func (kind RequestKind) Known() bool {
 	switch kind {
 	case KindSafe, KindUnsafe, KindUpload, KindDownload:
@@ -41,88 +40,87 @@
 	}
 }
 
-// PoolPart is one service's part of a route's new flows.
+// PoolPart is one service's share of a route's new flows.
 type PoolPart struct {
 	Service string
-	// Weight is the part's share relative to the other parts' weights.
+	// Weight is the share relative to the weights of the other parts.
 	Weight int
 }
 
-// Route gives the flows of one address to a pool of services.
+// Route assigns the flows of one address to a pool of services.
 type Route struct {
 	Name string
 	// Address is the address and port that callers use. It identifies the
 	// route: no two routes of a configuration share it.
 	Address netip.AddrPort
 	Kind    RequestKind
-	// Timeout bounds one request; it is positive.
+	// Timeout bounds one request. It must be positive.
 	Timeout time.Duration
-	// Objective is the latency that operators aim at.
+	// Objective is the latency that operators aim at; zero for none.
 	Objective time.Duration
 	// Priority orders routes under overload; zero is the highest.
 	Priority int
-	// Attempts is recorded for operators and means nothing to the balancer.
+	// Attempts is recorded for operators; the balancer ignores it.
 	Attempts int
 	// Pool has at least one part with a positive weight.
 	Pool []PoolPart
-	// Weighted tells that the operator stated the pool as weighted parts
-	// rather than as one service.
+	// Weighted means that the operator declared the pool as weighted parts rather than as one
+	// service.
 	Weighted bool
-	// Regions are the regions whose targets may serve the route, its homes; empty for
-	// all.
+	// Regions are the route's home regions: only their targets may serve it. Empty for all.
 	Regions []string
 }
 
-// Service is a group of targets that serve the same.
+// Service is a group of interchangeable targets.
 type Service struct {
 	Name string
-	// HealthPath is the path of a target's health check over HTTP.
+	// HealthPath is the HTTP path of a target's health check.
 	HealthPath string
-	// MaxConnections bounds the flows that one target holds.
+	// MaxConnections bounds the flows of one target.
 	MaxConnections int
-	// Protocol and TLS are recorded for operators; the balancer carries
-	// packets and does not look inside.
+	// Protocol and TLS are recorded for operators. The balancer forwards packets and does not
+	// inspect their payload.
 	Protocol string
 	TLS      bool
-	// Cold is what the service's targets bear shortly after their start.
+	// Cold limits the new flows that the service's targets get shortly after their start.
 	Cold ColdLimit
 }
 
-// ColdLimit is what a target bears while it is cold: for some time after its start
-// it is slow, because its caches and pools are empty.
+// ColdLimit is what a target can handle while it is cold (slow start): for some time after its
+// start it is slow, because its caches and connection pools are empty.
 type ColdLimit struct {
-	// Stated tells that the operator stated the fields below. What was not stated
-	// is not shown either.
+	// Stated means that the operator declared the fields below. Fields that were not declared are
+	// not shown to operators either.
 	Stated bool
-	// Start is how long a target stays cold.
+	// Start is how long a target stays cold after its start.
 	Start time.Duration
-	// PerSecond is the number of new flows a second that it bears meanwhile. Zero
-	// sets no bound.
+	// PerSecond is the number of new flows per second that a cold target can handle. Zero sets no
+	// limit.
 	PerSecond float64
 }
 
-// Bounded tells whether new flows of cold targets are bounded.
+// Bounded reports whether the new flows of cold targets are limited.
 func (limit ColdLimit) Bounded() bool { return limit.PerSecond > 0 }
 
-// Limits are bounds that hold for all routes.
+// Limits apply to all routes.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
-	// IdleTimeout is how long a flow may rest before it may be forgotten.
+	// IdleTimeout is how long a flow may be idle before balancers may remove it.
 	IdleTimeout time.Duration
 }
 
 // Configuration is one version of the declared configuration.
 type Configuration struct {
-	// Version is the operator's own number; zero means "none declared yet".
+	// Version is the operator's own version number; zero means "none declared yet".
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Validate returns an error that names the first field that is wrong.
+// Validate returns an error that names the first invalid field. Its code is ConfigurationInvalid.
 func (configuration *Configuration) Validate() error {
 	if configuration.Version == 0 {
 		return invalid("version: must be positive")
@@ -143,17 +141,18 @@
 	return configuration.validateRoutes(services)
 }
 
-// validate returns an error that names the first field that is wrong.
+// validate returns an error that names the first invalid field.
 func (limit ColdLimit) validate() error {
 	switch {
 	case limit.Start < 0:
 		return fmt.Errorf("cold.start: %s is negative", limit.Start)
 	case !(limit.PerSecond >= 0) || math.IsInf(limit.PerSecond, 1):
-		return fmt.Errorf("cold.per_second: %v is no rate", limit.PerSecond)
+		return fmt.Errorf("cold.per_second: %v is not a finite, non-negative number", limit.PerSecond)
 	}
 	return nil
 }
 
+// validateRoutes checks the routes against each other and against the declared services, by name.
 func (configuration *Configuration) validateRoutes(services map[string]bool) error {
 	names := make(map[string]bool, len(configuration.Routes))
 	addresses := make(map[netip.AddrPort]bool, len(configuration.Routes))
@@ -174,6 +173,7 @@
 	return nil
 }
 
+// validate checks one route; index is its position in the configuration.
 func (route *Route) validate(index int, services map[string]bool) error {
 	switch {
 	case route.Name == "":
@@ -193,6 +193,7 @@
 	return route.validatePool(index, services)
 }
 
+// validatePool checks that the pool names declared services and has a positive weight.
 func (route *Route) validatePool(index int, services map[string]bool) error {
 	total := 0
 	for position, part := range route.Pool {
@@ -205,7 +206,7 @@
 		total += part.Weight
 	}
 	if total == 0 {
-		return invalid("routes[%d].pool: no part has a weight", index)
+		return invalid("routes[%d].pool: no part has a positive weight", index)
 	}
 	return nil
 }
--- a/internal/direct/declared/difference.go
+++ b/internal/direct/declared/difference.go
@@ -5,29 +5,27 @@
 	"slices"
 )
 
-// Difference turns one version of the configuration into another. It keeps
-// the replicated log and the traffic to balancers small when a large
-// configuration changes a little.
+// Difference turns one version of the configuration into another. It keeps the entries of the
+// replicated log and the traffic to balancers small when a large configuration changes a little.
 type Difference struct {
 	// Base is the version that the difference applies to.
 	Base    uint64
 	Version uint64
-	// Routes are new or changed routes, by address.
+	// Routes are the new and changed routes.
 	Routes []Route
-	// Removed are the addresses of routes that are gone.
+	// Removed are the addresses of removed routes.
 	Removed []netip.AddrPort
-	// Order has the addresses of all routes in the operator's order; nil
-	// means that kept routes stay in order and new ones follow.
+	// Order has the addresses of all routes in the operator's order. Nil means that the remaining
+	// routes keep their order and new ones follow.
 	Order []netip.AddrPort
-	// Services and Limits replace the former ones when ServicesChanged or
-	// LimitsChanged is set.
+	// Services and Limits replace the previous ones if ServicesChanged or LimitsChanged is set.
 	Services        []Service
 	ServicesChanged bool
 	Limits          Limits
 	LimitsChanged   bool
 }
 
-// Equal tells whether two routes are the same in every field.
+// Equal reports whether two routes are the same in every field.
 func (route *Route) Equal(other *Route) bool {
 	return route.Name == other.Name &&
 		route.Address == other.Address &&
@@ -55,19 +53,19 @@
 	if difference.LimitsChanged {
 		difference.Limits = next.Limits
 	}
-	former := make(map[netip.AddrPort]*Route, len(base.Routes))
+	previous := make(map[netip.AddrPort]*Route, len(base.Routes))
 	for index := range base.Routes {
-		former[base.Routes[index].Address] = &base.Routes[index]
+		previous[base.Routes[index].Address] = &base.Routes[index]
 	}
 	for index := range next.Routes {
 		route := &next.Routes[index]
-		if known, exists := former[route.Address]; !exists || !known.Equal(route) {
+		if known, exists := previous[route.Address]; !exists || !known.Equal(route) {
 			difference.Routes = append(difference.Routes, *route)
 		}
-		delete(former, route.Address)
+		delete(previous, route.Address)
 	}
 	for index := range base.Routes {
-		if address := base.Routes[index].Address; former[address] != nil {
+		if address := base.Routes[index].Address; previous[address] != nil {
 			difference.Removed = append(difference.Removed, address)
 		}
 	}
@@ -80,12 +78,13 @@
 	return difference
 }
 
+// sameOrder reports whether two lists have routes of the same addresses in the same order.
 func sameOrder(left, right []Route) bool {
 	return slices.EqualFunc(left, right, func(one, other Route) bool { return one.Address == other.Address })
 }
 
-// Apply returns the configuration that follows base, or false when the
-// difference was made against another version.
+// Apply returns the configuration that follows base, or false if the difference was made against
+// another version.
 func (difference *Difference) Apply(base *Configuration) (*Configuration, bool) {
 	if base.Version != difference.Base {
 		return nil, false
@@ -93,6 +92,7 @@
 	return difference.applyTo(base), true
 }
 
+// applyTo applies the difference whatever the version of base.
 func (difference *Difference) applyTo(base *Configuration) *Configuration {
 	next := &Configuration{
 		Version:  difference.Version,
@@ -109,7 +109,9 @@
 	return next
 }
 
-func (difference *Difference) mergeRoutes(former []Route) []Route {
+// mergeRoutes returns the previous routes without the removed ones and with the changed and new
+// ones, in the new order.
+func (difference *Difference) mergeRoutes(previous []Route) []Route {
 	removed := make(map[netip.AddrPort]bool, len(difference.Removed))
 	for _, address := range difference.Removed {
 		removed[address] = true
@@ -118,16 +120,16 @@
 	for index := range difference.Routes {
 		changed[difference.Routes[index].Address] = &difference.Routes[index]
 	}
-	merged := make([]Route, 0, len(former)+len(difference.Routes))
-	for index := range former {
-		address := former[index].Address
+	merged := make([]Route, 0, len(previous)+len(difference.Routes))
+	for index := range previous {
+		address := previous[index].Address
 		switch {
 		case removed[address]:
 		case changed[address] != nil:
 			merged = append(merged, *changed[address])
 			delete(changed, address)
 		default:
-			merged = append(merged, former[index])
+			merged = append(merged, previous[index])
 		}
 	}
 	for index := range difference.Routes {
@@ -138,6 +140,7 @@
 	return difference.reorder(merged)
 }
 
+// reorder sorts routes by Order, if it is set.
 func (difference *Difference) reorder(merged []Route) []Route {
 	if difference.Order == nil {
 		return merged
