--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -1,10 +1,9 @@
-// Package renewal spreads the renewals of many targets over the balancers.
+// Package renewal distributes the renewals of many targets over the balancers.
 //
-// Members hand a target whose renewals they have too many of to a balancer. The
-// balancer takes only what changes nothing, and only while it hears a quorum;
-// everything else it refuses, so that the target goes back to a member. It
-// tells the node that it follows, folded into one message, which targets
-// renewed.
+// A member that gets too many renewals redirects targets to a balancer. The balancer accepts only
+// renewals that change nothing, and only while a quorum has confirmed its table recently. It
+// refuses all other calls, so that the target goes back to a member. It combines the accepted
+// renewals into one message at a time and sends it to the node that it follows.
 package renewal
 
 import (
@@ -21,93 +20,96 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// tellInterval is the time between two messages with renewals.
-const tellInterval = 400 * time.Millisecond
+// sendInterval is the time between two messages with renewals.
+const sendInterval = 400 * time.Millisecond
 
-// heardWithin is how long after the last word of a quorum a balancer takes
-// renewals. It is longer than a table counts as current: when members have too
-// much to do, all targets that went back to them would be more than they can
-// take, and a target whose renewals do not arrive is probed before it fails.
-const heardWithin = 6 * time.Second
+// maxConfirmationAge is how long after the last confirmation by a quorum a balancer accepts
+// renewals. It is longer than a table counts as current. When members are overloaded, they could
+// not handle all the targets that would go back to them, and a target whose renewals do not arrive
+// is probed before it is marked as failed.
+const maxConfirmationAge = 6 * time.Second
 
-// keptFor is how long a renewal is kept while no node is followed; an older one
-// says nothing any more.
-const keptFor = 3 * time.Second
+// maxRenewalAge is the age above which a renewal is dropped instead of sent: it is no longer
+// evidence that the target is alive.
+const maxRenewalAge = 3 * time.Second
 
-// Relay is the controller that takes renewals at a balancer. Renew may be called
-// from any goroutine.
+// Relay is the controller that accepts renewals at a balancer. Renew may be called from any
+// goroutine.
 type Relay struct {
-	mailbox *protocol.Mailbox
-	passed  *board.Queue[protocol.Envelope]
-	table   *steer.Table
-	follows func() model.NodeName
-	renewed *board.Table[directory.TargetID, time.Time]
-	toldAt  time.Time
+	mailbox      *protocol.Mailbox
+	forwarded    *board.Queue[protocol.Envelope]
+	table        *steer.Table
+	followedNode func() model.NodeName
+	renewedAt    *board.Table[directory.TargetID, time.Time]
+	lastSentAt   time.Time
 }
 
-// NewRelay returns the controller. follows returns the node that is told.
-func NewRelay(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, table *steer.Table, follows func() model.NodeName) *Relay {
+// NewRelay returns the controller. followedNode returns the node to which renewals are sent; empty
+// for none.
+func NewRelay(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, table *steer.Table, followedNode func() model.NodeName) *Relay {
 	return &Relay{
-		mailbox: mailbox,
-		passed:  dispatcher.Handle(registrar.Renewals{}),
-		table:   table,
-		follows: follows,
-		renewed: registrar.NewRenewed(),
+		mailbox:      mailbox,
+		forwarded:    dispatcher.Handle(registrar.Renewals{}),
+		table:        table,
+		followedNode: followedNode,
+		renewedAt:    registrar.NewRenewed(),
 	}
 }
 
-// Renew takes a target's renewal. It refuses what must be committed and what
-// the table does not know.
-func (relay *Relay) Renew(now time.Time, stated directory.Target) error {
-	if confirmedAt := relay.table.ConfirmedAt(); confirmedAt.IsZero() || now.Sub(confirmedAt) > heardWithin {
-		return faults.New(faults.QuorumUnconfirmed, "this balancer has not heard from a quorum lately")
+// Renew records a target's renewal. It returns NotLeader for changes that must be committed and
+// for targets that the table does not have, and QuorumUnconfirmed while no quorum has confirmed
+// the table recently.
+func (relay *Relay) Renew(now time.Time, reported directory.Target) error {
+	if confirmedAt := relay.table.ConfirmedAt(); confirmedAt.IsZero() || now.Sub(confirmedAt) > maxConfirmationAge {
+		return faults.New(faults.QuorumUnconfirmed, "no quorum has confirmed the table of this balancer recently")
 	}
-	known, exists := relay.table.FindTarget(stated.ID)
-	sameColdness := (known.Cold > 0) == (stated.Cold > 0)
+	known, exists := relay.table.FindTarget(reported.ID)
+	sameColdness := (known.Cold > 0) == (reported.Cold > 0)
 	unchanged := exists &&
-		known.Started == stated.Started &&
+		known.Started == reported.Started &&
 		(sameColdness || !relay.table.ColdBounded(known.Service)) &&
 		known.State == directory.TargetReady &&
-		stated.State == directory.TargetReady &&
-		known.Address == stated.Address &&
-		known.Capacity == stated.Capacity
+		reported.State == directory.TargetReady &&
+		known.Address == reported.Address &&
+		known.Capacity == reported.Capacity
 	if !unchanged {
-		return faults.New(faults.NotLeader, "this balancer takes renewals only; a member takes what is new")
+		return faults.New(faults.NotLeader, "a balancer accepts only renewals that change nothing; send other registrations to a member")
 	}
-	relay.renewed.Put(stated.ID, now)
+	relay.renewedAt.Put(reported.ID, now)
 	return nil
 }
 
 // Name implements board.Controller.
 func (relay *Relay) Name() string { return "renewals" }
 
-// Reconcile implements board.Controller.
+// Reconcile implements board.Controller. Once per interval, it sends the recorded renewals to the
+// followed node. Without a followed node, they are dropped.
 func (relay *Relay) Reconcile(now time.Time) {
-	relay.takePassed(now)
-	if now.Sub(relay.toldAt) < tellInterval {
+	relay.mergeForwarded(now)
+	if now.Sub(relay.lastSentAt) < sendInterval {
 		return
 	}
-	relay.toldAt = now
-	renewals := registrar.TakeRenewals(relay.renewed, now)
-	renewals = slices.DeleteFunc(renewals, func(renewal registrar.Renewal) bool { return renewal.Ago > keptFor })
-	if node := relay.follows(); node != "" && len(renewals) > 0 {
+	relay.lastSentAt = now
+	renewals := registrar.TakeRenewals(relay.renewedAt, now)
+	renewals = slices.DeleteFunc(renewals, func(renewal registrar.Renewal) bool { return renewal.Ago > maxRenewalAge })
+	if node := relay.followedNode(); node != "" && len(renewals) > 0 {
 		slices.SortFunc(renewals, func(left, right registrar.Renewal) int { return cmp.Compare(left.ID, right.ID) })
 		relay.mailbox.Send(node, registrar.Renewals{Targets: renewals})
 	}
 }
 
-// takePassed keeps the renewals that balancers which follow this one took, for
-// the next message.
-func (relay *Relay) takePassed(now time.Time) {
-	for _, received := range protocol.Receive[registrar.Renewals](relay.passed) {
+// mergeForwarded records the renewals that balancers which follow this one forwarded, for the next
+// message. The latest renewal of each target counts.
+func (relay *Relay) mergeForwarded(now time.Time) {
+	for _, received := range protocol.Receive[registrar.Renewals](relay.forwarded) {
 		message := received.Message
 		for _, renewal := range message.Targets {
-			relay.renewed.Update(renewal.ID, func(at time.Time, exists bool) (time.Time, bool) {
-				passed := now.Add(-renewal.Ago)
-				if exists && at.After(passed) {
+			relay.renewedAt.Update(renewal.ID, func(at time.Time, exists bool) (time.Time, bool) {
+				renewed := now.Add(-renewal.Ago)
+				if exists && at.After(renewed) {
 					return at, true
 				}
-				return passed, true
+				return renewed, true
 			})
 		}
 	}
