--- a/internal/direct/admin/server.go
+++ b/internal/direct/admin/server.go
@@ -31,7 +31,7 @@
 // maximumDocument bounds a document, in bytes.
 const maximumDocument = 16 << 20
 
-// Declarations takes and returns the declared configuration; registrar.Calls
+// Declarations takes and returns the declared configuration; registrar.BlockingRegistrar
 // implements it.
 type Declarations interface {
 	// Declare replaces the declared configuration.
@@ -215,7 +215,7 @@
 }
 
 // Serve runs the interface on direct.admin, if the settings name it.
-func Serve(lifecycle fx.Lifecycle, tasks *process.Tasks, chosen settings.Settings, calls *registrar.Calls, state *directory.Directory,
+func Serve(lifecycle fx.Lifecycle, tasks *process.Tasks, chosen settings.Settings, calls *registrar.BlockingRegistrar, state *directory.Directory,
 	publisher *feed.Publisher, logger *zap.Logger) {
 	if chosen.Direct.Admin == "" {
 		return
--- a/internal/direct/member/metrics.go
+++ b/internal/direct/member/metrics.go
@@ -55,18 +55,18 @@
 		syncs:    describe("log_syncs_total", "Synced batches that this member wrote to its log."),
 		logBytes: describe("log_bytes_total", "Bytes that this member wrote to its log."),
 	}
-	proposer.Observe(made.observe)
+	proposer.OnCallEnd(made.observe)
 	registry.MustRegister(made, made.calls)
 	return made
 }
 
-func (metrics *metrics) observe(ended registrar.Ended) {
+func (metrics *metrics) observe(ended registrar.CallOutcome) {
 	kind := "propose"
-	if ended.Read {
+	if ended.IsRead {
 		kind = "read"
 	}
 	code := strconv.Itoa(int(faults.CodeOf(ended.Err)))
-	metrics.calls.WithLabelValues(kind, code).Observe(ended.Took.Seconds())
+	metrics.calls.WithLabelValues(kind, code).Observe(ended.Elapsed.Seconds())
 }
 
 // Describe implements prometheus.Collector.
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -2,7 +2,7 @@
 // services.
 //
 // It provides model.Role, *directory.Directory, *replica.Controller,
-// *replica.Node, collecting and *registrar.Calls, includes transport.Module, and needs
+// *replica.Node, collecting and *registrar.BlockingRegistrar, includes transport.Module, and needs
 // what the process base provides.
 package member
 
@@ -77,7 +77,7 @@
 			process.ProvideFolder,
 			provideReplica,
 			replica.NewNode,
-			registrar.NewRenewed,
+			registrar.NewRenewalTable,
 			provideProposer,
 			provideRegistrar,
 			provideHandOver,
@@ -117,27 +117,27 @@
 }
 
 func provideRegistrar(state *directory.Directory, proposer *registrar.Proposer, group *replica.Controller,
-	renewed *registrar.Renewed, publisher *feed.Publisher, logger *zap.Logger) *registrar.Registrar {
+	renewed *registrar.RenewalTable, publisher *feed.Publisher, logger *zap.Logger) *registrar.Registrar {
 	return registrar.NewRegistrar(state, proposer, group, renewed, publisher.Peers, logger.Named("registrar"))
 }
 
-func provideHandOver(chosen settings.Settings, publisher *feed.Publisher) *registrar.HandOver {
-	return registrar.NewHandOver(chosen.Direct.RenewalsPerSecond, publisher.Peers)
+func provideHandOver(chosen settings.Settings, publisher *feed.Publisher) *registrar.RenewalRedirector {
+	return registrar.NewRenewalRedirector(chosen.Direct.RenewalsPerSecond, publisher.Peers)
 }
 
-func provideCalls(chosen settings.Settings, taker *registrar.Registrar, handOver *registrar.HandOver) *registrar.Calls {
-	return registrar.NewCalls(taker, handOver, chosen.Direct.AnswerWithin)
+func provideCalls(chosen settings.Settings, taker *registrar.Registrar, handOver *registrar.RenewalRedirector) *registrar.BlockingRegistrar {
+	return registrar.NewBlockingRegistrar(taker, handOver, chosen.Direct.AnswerWithin)
 }
 
 func provideHealth(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
-	group *replica.Controller, state *directory.Directory, renewed *registrar.Renewed, logger *zap.Logger) *registrar.Health {
+	group *replica.Controller, state *directory.Directory, renewed *registrar.RenewalTable, logger *zap.Logger) *registrar.HealthMonitor {
 	options := registrar.HealthOptions{
-		SilentAfter: chosen.Direct.SilentAfter,
-		MissedAfter: chosen.Direct.RenewalInterval * missedNumerator / missedDenominator,
-		ProbePause:  probePause,
-		ForgetAfter: chosen.Direct.FlowLife + forgetMargin,
+		SilentAfter:       chosen.Direct.SilentAfter,
+		MissedAfter:       chosen.Direct.RenewalInterval * missedNumerator / missedDenominator,
+		MinProbeInterval:  probePause,
+		RemoveFailedAfter: chosen.Direct.FlowLife + forgetMargin,
 	}
-	return registrar.NewHealth(options, mailbox, dispatcher, group, state, renewed, probe.New(probe.DialTCP), logger.Named("targets"))
+	return registrar.NewHealthMonitor(options, mailbox, dispatcher, group, state, renewed, probe.New(probe.DialTCP), logger.Named("targets"))
 }
 
 func providePublisher(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, state *directory.Directory, group *replica.Controller) *feed.Publisher {
@@ -158,7 +158,7 @@
 
 // Confirmed implements feed.Source.
 func (source memberSource) Confirmed(now time.Time) (time.Duration, bool) {
-	return 0, registrar.Fresh(source.group, now)
+	return 0, registrar.QuorumConfirmed(source.group, now)
 }
 
 // Depth implements feed.Source.
@@ -188,7 +188,7 @@
 	Group       *replica.Controller
 	Directory   *directory.Directory
 	Proposer    *registrar.Proposer
-	Health      *registrar.Health
+	Health      *registrar.HealthMonitor
 	Publisher   *feed.Publisher
 	Collecting  collecting
 	Reconfigure *reconfigure.Controller
--- a/internal/direct/registrar/calls.go
+++ b/internal/direct/registrar/calls.go
@@ -9,55 +9,55 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Calls has the registrar's methods in a form that waits for the outcome, for
+// BlockingRegistrar has the registrar's methods in a form that waits for the outcome, for
 // servers that run a goroutine for each call.
-type Calls struct {
+type BlockingRegistrar struct {
 	registrar *Registrar
-	handOver  *HandOver
+	handOver  *RenewalRedirector
 	within    time.Duration
 }
 
-// NewCalls returns calls that end within a time.
-func NewCalls(registrar *Registrar, handOver *HandOver, within time.Duration) *Calls {
-	return &Calls{registrar: registrar, handOver: handOver, within: within}
+// NewBlockingRegistrar returns calls that end within a time.
+func NewBlockingRegistrar(registrar *Registrar, handOver *RenewalRedirector, within time.Duration) *BlockingRegistrar {
+	return &BlockingRegistrar{registrar: registrar, handOver: handOver, within: within}
 }
 
 // Register takes a target's registration or renewal. It returns the address at
 // which the target is to renew from now on, or nothing for "where it likes".
-func (calls *Calls) Register(ctx context.Context, stated directory.Target) (string, error) {
+func (calls *BlockingRegistrar) Register(ctx context.Context, stated directory.Target) (string, error) {
 	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		calls.registrar.Register(now, stated, deadline, done)
 	})
 	if err != nil {
 		return "", err
 	}
-	return calls.handOver.Place(time.Now(), stated), nil
+	return calls.handOver.Redirect(time.Now(), stated), nil
 }
 
 // Leave takes a target's notice that it leaves for good.
-func (calls *Calls) Leave(ctx context.Context, departure directory.Departure) error {
+func (calls *BlockingRegistrar) Leave(ctx context.Context, departure directory.Departure) error {
 	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		calls.registrar.Leave(now, departure, deadline, done)
 	})
 }
 
 // Declare replaces the declared configuration.
-func (calls *Calls) Declare(ctx context.Context, next *declared.Configuration) error {
+func (calls *BlockingRegistrar) Declare(ctx context.Context, next *declared.Configuration) error {
 	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		calls.registrar.Declare(now, next, deadline, done)
 	})
 }
 
 // Evacuate orders that a zone is emptied, or, with end, taken back into use.
-func (calls *Calls) Evacuate(ctx context.Context, zone string, end bool) error {
+func (calls *BlockingRegistrar) Evacuate(ctx context.Context, zone string, end bool) error {
 	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		order := ZoneOrder{Zone: zone, End: end, Wanted: func() bool { return ctx.Err() == nil }}
+		order := ZoneOrder{Zone: zone, End: end, CallerWaiting: func() bool { return ctx.Err() == nil }}
 		calls.registrar.Evacuate(now, order, deadline, done)
 	})
 }
 
 // Evacuations returns the zones that are evacuated, confirmed by a quorum.
-func (calls *Calls) Evacuations(ctx context.Context) ([]directory.Evacuation, error) {
+func (calls *BlockingRegistrar) Evacuations(ctx context.Context) ([]directory.Evacuation, error) {
 	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		calls.registrar.Configuration(now, deadline, func(_ *declared.Configuration, err error) { done(err) })
 	})
@@ -69,7 +69,7 @@
 }
 
 // Configuration returns the newest declared configuration.
-func (calls *Calls) Configuration(ctx context.Context) (*declared.Configuration, error) {
+func (calls *BlockingRegistrar) Configuration(ctx context.Context) (*declared.Configuration, error) {
 	var held *declared.Configuration
 	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		calls.registrar.Configuration(now, deadline, func(read *declared.Configuration, err error) {
@@ -83,7 +83,7 @@
 	return held, nil
 }
 
-func (calls *Calls) wait(ctx context.Context, start func(now, deadline time.Time, done func(error))) error {
+func (calls *BlockingRegistrar) wait(ctx context.Context, start func(now, deadline time.Time, done func(error))) error {
 	now := time.Now()
 	answers := make(chan error, 1)
 	start(now, now.Add(calls.within), func(err error) { answers <- err })
--- a/internal/direct/registrar/evacuate.go
+++ b/internal/direct/registrar/evacuate.go
@@ -23,9 +23,9 @@
 	Zone string
 	// End takes the zone back.
 	End bool
-	// Wanted tells whether the caller still waits for the answer. A member that
+	// CallerWaiting tells whether the caller still waits for the answer. A member that
 	// stood still finds calls whose callers went elsewhere long ago.
-	Wanted func() bool
+	CallerWaiting func() bool
 }
 
 // Evacuate empties a zone or takes it back. It is done once the order is durable on
@@ -57,7 +57,7 @@
 		switch {
 		case err != nil:
 			done(err)
-		case !order.Wanted():
+		case !order.CallerWaiting():
 			done(faults.New(faults.OutcomeUnknown, "the caller left before the order was proposed; nothing was changed by this call"))
 		default:
 			_, base := registrar.directory.Evacuations()
--- a/internal/direct/registrar/evacuate_test.go
+++ b/internal/direct/registrar/evacuate_test.go
@@ -41,7 +41,7 @@
 
 func TestOrdersAreAcknowledgedAgainInAnyOrder(t *testing.T) {
 	bench := newBench(t)
-	begin, end := ZoneOrder{Zone: "a", Wanted: wanted}, ZoneOrder{Zone: "a", End: true, Wanted: wanted}
+	begin, end := ZoneOrder{Zone: "a", CallerWaiting: wanted}, ZoneOrder{Zone: "a", End: true, CallerWaiting: wanted}
 	for _, step := range []struct {
 		order ZoneOrder
 		want  []string
@@ -57,7 +57,7 @@
 	bench := newBench(t)
 	var outcomes []*[]error
 	for _, zone := range []string{"a", "b", "c", "d"} {
-		outcomes = append(outcomes, bench.orderAt(ZoneOrder{Zone: zone, Wanted: wanted}))
+		outcomes = append(outcomes, bench.orderAt(ZoneOrder{Zone: zone, CallerWaiting: wanted}))
 	}
 	bench.run(time.Second)
 	for _, outcome := range outcomes {
@@ -69,7 +69,7 @@
 func TestInvalidOrdersAreRefused(t *testing.T) {
 	for _, zone := range []string{"", strings.Repeat("z", longestZoneName+1)} {
 		bench := newBench(t)
-		require.Equal(t, faults.ZoneOrderInvalid, faults.CodeOf(bench.order(ZoneOrder{Zone: zone, Wanted: wanted})))
+		require.Equal(t, faults.ZoneOrderInvalid, faults.CodeOf(bench.order(ZoneOrder{Zone: zone, CallerWaiting: wanted})))
 		require.Zero(t, bench.group.proposed)
 	}
 }
@@ -77,18 +77,18 @@
 func TestMemberThatCannotCommitTakesNoOrder(t *testing.T) {
 	bench := newBench(t)
 	bench.group.status = replica.Status{Leader: "other", CurrentAt: start.Add(-freshFor)}
-	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf(bench.order(ZoneOrder{Zone: "a", Wanted: wanted})))
+	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf(bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted})))
 
 	bench = newBench(t)
 	bench.group.silent = true
-	err := bench.order(ZoneOrder{Zone: "a", Wanted: wanted})
+	err := bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted})
 	require.Equal(t, faults.LeadershipUnconfirmed, faults.CodeOf(err))
 	require.Zero(t, bench.group.proposed)
 }
 
 func TestOrderWhoseCallerLeftChangesNothing(t *testing.T) {
 	bench := newBench(t)
-	require.Error(t, bench.order(ZoneOrder{Zone: "a", Wanted: func() bool { return false }}))
+	require.Error(t, bench.order(ZoneOrder{Zone: "a", CallerWaiting: func() bool { return false }}))
 	require.Empty(t, bench.evacuated())
 }
 
@@ -96,7 +96,7 @@
 // its time is over; the operator has had the opposite one acknowledged elsewhere.
 func TestMemberThatStoodStillProposesNoOldOrder(t *testing.T) {
 	bench := newBench(t)
-	outcomes := bench.orderAt(ZoneOrder{Zone: "a", Wanted: wanted})
+	outcomes := bench.orderAt(ZoneOrder{Zone: "a", CallerWaiting: wanted})
 	bench.now = bench.now.Add(5 * time.Second)
 	bench.run(time.Second)
 	require.Len(t, *outcomes, 1)
@@ -110,8 +110,8 @@
 	bench := newBench(t)
 	late, err := directory.EncodeCommand(directory.Command{Evacuate: &directory.EvacuationOrder{Zone: "a"}})
 	require.NoError(t, err)
-	require.NoError(t, bench.order(ZoneOrder{Zone: "a", Wanted: wanted}))
-	require.NoError(t, bench.order(ZoneOrder{Zone: "a", End: true, Wanted: wanted}))
+	require.NoError(t, bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted}))
+	require.NoError(t, bench.order(ZoneOrder{Zone: "a", End: true, CallerWaiting: wanted}))
 	bench.group.Submit(late, func([]byte, error) {})
 	require.Empty(t, bench.evacuated())
 }
--- a/internal/direct/registrar/handover.go
+++ b/internal/direct/registrar/handover.go
@@ -11,9 +11,9 @@
 // rateWindow is the time over which renewals are counted.
 const rateWindow = time.Second
 
-// HandOver decides which targets are to renew at a balancer, because this member
+// RenewalRedirector decides which targets are to renew at a balancer, because this member
 // takes more renewals than it should. It may be used from many goroutines.
-type HandOver struct {
+type RenewalRedirector struct {
 	// limit is the number of renewals a second that a member takes without
 	// handing targets over; zero hands over none.
 	limit int
@@ -25,14 +25,14 @@
 	former int
 }
 
-// NewHandOver returns a hand-over to the balancers of peers.
-func NewHandOver(limit int, peers func() []feed.Peer) *HandOver {
-	return &HandOver{limit: limit, peers: peers}
+// NewRenewalRedirector returns a hand-over to the balancers of peers.
+func NewRenewalRedirector(limit int, peers func() []feed.Peer) *RenewalRedirector {
+	return &RenewalRedirector{limit: limit, peers: peers}
 }
 
-// Place counts a renewal at this member and returns the address at which the
+// Redirect counts a renewal at this member and returns the address at which the
 // target is to renew from now on; it is empty for "here".
-func (handOver *HandOver) Place(now time.Time, stated directory.Target) string {
+func (handOver *RenewalRedirector) Redirect(now time.Time, stated directory.Target) string {
 	if handOver.limit == 0 || stated.State != directory.TargetReady || !handOver.crowded(now) {
 		return ""
 	}
@@ -41,7 +41,7 @@
 
 // crowded counts a renewal and tells whether this window or the one before it
 // has too many.
-func (handOver *HandOver) crowded(now time.Time) bool {
+func (handOver *RenewalRedirector) crowded(now time.Time) bool {
 	handOver.lock.Lock()
 	defer handOver.lock.Unlock()
 	if passed := now.Sub(handOver.window); passed >= rateWindow {
--- a/internal/direct/registrar/handover_test.go
+++ b/internal/direct/registrar/handover_test.go
@@ -43,12 +43,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			handOver := NewHandOver(test.limit, test.peers)
+			handOver := NewRenewalRedirector(test.limit, test.peers)
 			now := start
 			var place string
 			for range 3 * test.rate {
 				now = now.Add(time.Second / time.Duration(test.rate))
-				place = handOver.Place(now, test.stated)
+				place = handOver.Redirect(now, test.stated)
 			}
 			require.Contains(t, test.want, place)
 		})
@@ -56,13 +56,13 @@
 }
 
 func TestHandOverEndsWithTheCrowd(t *testing.T) {
-	handOver := NewHandOver(5, peersOf("x"))
+	handOver := NewRenewalRedirector(5, peersOf("x"))
 	for range 20 {
-		handOver.Place(start, ready(1, 1))
+		handOver.Redirect(start, ready(1, 1))
 	}
-	require.NotEmpty(t, handOver.Place(start, ready(1, 1)))
-	require.NotEmpty(t, handOver.Place(start.Add(rateWindow), ready(1, 1)), "the window before counts too")
-	require.Empty(t, handOver.Place(start.Add(3*rateWindow), ready(1, 1)))
+	require.NotEmpty(t, handOver.Redirect(start, ready(1, 1)))
+	require.NotEmpty(t, handOver.Redirect(start.Add(rateWindow), ready(1, 1)), "the window before counts too")
+	require.Empty(t, handOver.Redirect(start.Add(3*rateWindow), ready(1, 1)))
 }
 
 func TestTargetsSpreadOverTheBalancersOfTheirZone(t *testing.T) {
--- a/internal/direct/registrar/health.go
+++ b/internal/direct/registrar/health.go
@@ -20,22 +20,22 @@
 	SilentAfter time.Duration
 	// MissedAfter is how long after a renewal the next one counts as missed.
 	MissedAfter time.Duration
-	// ProbePause is the least time between two probes of one target.
-	ProbePause time.Duration
-	// ForgetAfter is how long a failed target's token is kept: the longest
+	// MinProbeInterval is the least time between two probes of one target.
+	MinProbeInterval time.Duration
+	// RemoveFailedAfter is how long a failed target's token is kept: the longest
 	// life of a flow and a margin.
-	ForgetAfter time.Duration
+	RemoveFailedAfter time.Duration
 }
 
-// Health is the controller that finds dead targets. Members pass renewals and
+// HealthMonitor is the controller that finds dead targets. Members pass renewals and
 // reports of balancers to the leader; the leader probes what is silent and
 // commits what it finds.
-type Health struct {
+type HealthMonitor struct {
 	options   HealthOptions
 	mailbox   *protocol.Mailbox
 	group     Group
 	directory *directory.Directory
-	renewed   *Renewed
+	renewed   *RenewalTable
 	renewals  *board.Queue[protocol.Envelope]
 	reports   *board.Queue[protocol.Envelope]
 	outcomes  *board.Queue[protocol.Envelope]
@@ -55,10 +55,10 @@
 	judgedAt time.Time
 }
 
-// NewHealth returns the failure detector of one member.
-func NewHealth(options HealthOptions, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group Group,
-	directory *directory.Directory, renewed *Renewed, prober *probe.Prober, logger *zap.Logger) *Health {
-	return &Health{
+// NewHealthMonitor returns the failure detector of one member.
+func NewHealthMonitor(options HealthOptions, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group Group,
+	directory *directory.Directory, renewed *RenewalTable, prober *probe.Prober, logger *zap.Logger) *HealthMonitor {
+	return &HealthMonitor{
 		options:   options,
 		mailbox:   mailbox,
 		group:     group,
@@ -79,15 +79,15 @@
 }
 
 // Name implements board.Controller.
-func (health *Health) Name() string { return "target health" }
+func (health *HealthMonitor) Name() string { return "target health" }
 
 // Sources returns the channels whose notices call for a Reconcile.
-func (health *Health) Sources() []<-chan struct{} {
+func (health *HealthMonitor) Sources() []<-chan struct{} {
 	return []<-chan struct{}{health.reports.Watch(), health.prober.Results.Watch()}
 }
 
 // Reconcile implements board.Controller.
-func (health *Health) Reconcile(now time.Time) {
+func (health *HealthMonitor) Reconcile(now time.Time) {
 	health.now = now
 	status := health.group.StatusAt(now)
 	renewals := health.takeRenewals(now)
--- a/internal/direct/registrar/health_inspect.go
+++ b/internal/direct/registrar/health_inspect.go
@@ -43,7 +43,7 @@
 
 // observation returns what is remembered of the target. One that is new to the
 // leader counts as heard from just now.
-func (health *Health) observation(token directory.Token) *observation {
+func (health *HealthMonitor) observation(token directory.Token) *observation {
 	known := health.observed[token]
 	if known == nil {
 		known = &observation{seenAt: health.now, renewedAt: health.now}
@@ -53,7 +53,7 @@
 }
 
 // inspect looks at every target for silence, return and age.
-func (health *Health) inspect(now time.Time) {
+func (health *HealthMonitor) inspect(now time.Time) {
 	health.looked = health.directory.AppendTargets(health.looked[:0])
 	targets := health.looked
 	if len(health.observed) > 2*len(targets)+observedSlack {
@@ -65,7 +65,7 @@
 		case directory.TargetFailed:
 			health.inspectFailed(now, &target, known)
 		case directory.TargetLeft:
-			health.probeWhenSilent(now, &target, known, health.options.ProbePause)
+			health.probeWhenSilent(now, &target, known, health.options.MinProbeInterval)
 		default:
 			health.probeWhenSilent(now, &target, known, health.options.SilentAfter)
 		}
@@ -76,7 +76,7 @@
 const observedSlack = 64
 
 // dropForgotten forgets observations of targets that are not in the directory.
-func (health *Health) dropForgotten() {
+func (health *HealthMonitor) dropForgotten() {
 	for token := range health.observed {
 		if _, exists := health.directory.Incarnation(token); !exists {
 			delete(health.observed, token)
@@ -84,18 +84,18 @@
 	}
 }
 
-func (health *Health) probeWhenSilent(now time.Time, target *directory.Target, known *observation, limit time.Duration) {
+func (health *HealthMonitor) probeWhenSilent(now time.Time, target *directory.Target, known *observation, limit time.Duration) {
 	if now.Sub(known.seenAt) >= limit {
 		health.probe(now, target.Token, target.Address)
 	}
 }
 
-func (health *Health) inspectFailed(now time.Time, target *directory.Target, known *observation) {
+func (health *HealthMonitor) inspectFailed(now time.Time, target *directory.Target, known *observation) {
 	if known.failedAt.IsZero() {
 		known.failedAt = now
 	}
 	switch {
-	case now.Sub(known.failedAt) > health.options.ForgetAfter:
+	case now.Sub(known.failedAt) > health.options.RemoveFailedAfter:
 		health.logger.Info("target forgotten", zap.Uint64("target", uint64(target.ID)), zap.Duration("failed_for", now.Sub(known.failedAt)))
 		health.propose(now, target.Token, directory.Command{ForgetTargets: &directory.Forgetting{Tokens: []directory.Token{target.Token}}})
 	case known.renewedAt.After(known.failedAt) && now.Sub(known.renewedAt) <= health.options.MissedAfter:
@@ -106,7 +106,7 @@
 // reconsider looks at a failed target that renews. The renewal may have been
 // sent before the target died, so that it must then answer a probe; and another
 // incarnation may have its address by now, which answers in its place.
-func (health *Health) reconsider(now time.Time, target *directory.Target, known *observation) {
+func (health *HealthMonitor) reconsider(now time.Time, target *directory.Target, known *observation) {
 	if successor, replaced := health.directory.Successor(target.Token); replaced {
 		if known.renewedAt.Sub(health.observation(successor.Token).renewedAt) >= health.options.MissedAfter*missedToYield {
 			health.fail(now, successor, "a former incarnation renews at its address")
--- a/internal/direct/registrar/health_outcomes.go
+++ b/internal/direct/registrar/health_outcomes.go
@@ -13,7 +13,7 @@
 // judgeOutcomes sets targets aside that leave requests unanswered, and brings
 // them back after a while. The directory says which are aside, so that another
 // leader goes on from there.
-func (health *Health) judgeOutcomes(now time.Time) {
+func (health *HealthMonitor) judgeOutcomes(now time.Time) {
 	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomes) {
 		report := received.Message
 		health.judge.Take(report, now)
@@ -40,7 +40,7 @@
 }
 
 // targetField names the target of an incarnation in a log line.
-func (health *Health) targetField(token directory.Token) zap.Field {
+func (health *HealthMonitor) targetField(token directory.Token) zap.Field {
 	target, _ := health.directory.Incarnation(token)
 	return zap.Uint64("target", uint64(target.ID))
 }
--- a/internal/direct/registrar/health_renewals.go
+++ b/internal/direct/registrar/health_renewals.go
@@ -16,7 +16,7 @@
 
 // takeRenewals returns the targets that were heard from at this member since
 // the last call, and those that other members told.
-func (health *Health) takeRenewals(now time.Time) []Renewal {
+func (health *HealthMonitor) takeRenewals(now time.Time) []Renewal {
 	var renewals []Renewal
 	for _, received := range protocol.Receive[Renewals](health.renewals) {
 		message := received.Message
@@ -26,14 +26,14 @@
 		return renewals
 	}
 	health.toldAt = now
-	renewals = append(renewals, TakeRenewals(health.renewed, now)...)
+	renewals = append(renewals, DrainRenewals(health.renewed, now)...)
 	slices.SortFunc(renewals, func(left, right Renewal) int { return cmp.Compare(left.ID, right.ID) })
 	return renewals
 }
 
-// TakeRenewals returns what the table has and takes it out, but for targets
+// DrainRenewals returns what the table has and takes it out, but for targets
 // that renew meanwhile.
-func TakeRenewals(renewed *Renewed, now time.Time) []Renewal {
+func DrainRenewals(renewed *RenewalTable, now time.Time) []Renewal {
 	var renewals []Renewal
 	renewed.Range(func(id directory.TargetID, row board.Row[time.Time]) bool {
 		renewals = append(renewals, Renewal{ID: id, Ago: now.Sub(row.Value)})
@@ -49,7 +49,7 @@
 }
 
 // passOn sends the leader what this member heard.
-func (health *Health) passOn(leader model.NodeName, renewals []Renewal) {
+func (health *HealthMonitor) passOn(leader model.NodeName, renewals []Renewal) {
 	reports := health.reports.Drain()
 	outcomes := health.outcomes.Drain()
 	if leader == "" || leader == health.mailbox.Self {
@@ -66,7 +66,7 @@
 // note takes renewals in. A renewal counts for the latest incarnation of its target: a
 // former one is gone for good. One of a target that is not in the directory is one of a
 // registration that was not committed.
-func (health *Health) note(now time.Time, renewals []Renewal) {
+func (health *HealthMonitor) note(now time.Time, renewals []Renewal) {
 	for _, renewal := range renewals {
 		token, exists := health.directory.TokenOf(renewal.ID)
 		if !exists {
--- a/internal/direct/registrar/health_verdict.go
+++ b/internal/direct/registrar/health_verdict.go
@@ -13,7 +13,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-func (health *Health) takeReports(now time.Time) {
+func (health *HealthMonitor) takeReports(now time.Time) {
 	for _, received := range protocol.Receive[feed.HealthReport](health.reports) {
 		report := received.Message
 		target, exists := health.directory.Incarnation(report.Token)
@@ -38,7 +38,7 @@
 // dead when two did lately and it also missed a renewal: on a link where
 // packets wait, a probe runs out of time although the target is well, and a
 // failed target's open flows are reset.
-func (health *Health) takeSilence(now time.Time, target directory.Target, witness model.NodeName) {
+func (health *HealthMonitor) takeSilence(now time.Time, target directory.Target, witness model.NodeName) {
 	known := health.observation(target.Token)
 	missed := now.Sub(known.seenAt) > health.options.MissedAfter
 	if known.witness(now, witness) >= silentWitnesses && missed {
@@ -46,9 +46,9 @@
 	}
 }
 
-func (health *Health) probe(now time.Time, token directory.Token, address netip.AddrPort) {
+func (health *HealthMonitor) probe(now time.Time, token directory.Token, address netip.AddrPort) {
 	known := health.observation(token)
-	if now.Sub(known.probedAt) < health.options.ProbePause {
+	if now.Sub(known.probedAt) < health.options.MinProbeInterval {
 		return
 	}
 	known.probedAt = now
@@ -68,7 +68,7 @@
 	aloneProbes = 2
 )
 
-func (health *Health) takeResults(now time.Time) {
+func (health *HealthMonitor) takeResults(now time.Time) {
 	for _, result := range health.prober.Results.Drain() {
 		target, exists := health.directory.Incarnation(directory.Token(result.Key))
 		if !exists {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (health *Health) fail(now time.Time, target directory.Target, cause string) {
+func (health *HealthMonitor) fail(now time.Time, target directory.Target, cause string) {
 	known := health.observation(target.Token)
 	health.logger.Info("target failed",
 		zap.Uint64("target", uint64(target.ID)),
@@ -108,7 +108,7 @@
 // proposePause is the least time between two proposals about one target.
 const proposePause = 500 * time.Millisecond
 
-func (health *Health) propose(now time.Time, token directory.Token, command directory.Command) {
+func (health *HealthMonitor) propose(now time.Time, token directory.Token, command directory.Command) {
 	known := health.observation(token)
 	if now.Sub(known.proposedAt) < proposePause {
 		return
--- a/internal/direct/registrar/proposer.go
+++ b/internal/direct/registrar/proposer.go
@@ -70,7 +70,7 @@
 	directory     *directory.Directory
 
 	// observe is told how each call ended.
-	observe func(ended Ended)
+	observe func(ended CallOutcome)
 
 	last uint64
 	// pending has the calls under way by their present attempt, and order
@@ -79,19 +79,19 @@
 	order   []uint64
 }
 
-// Ended tells how a call ended.
-type Ended struct {
-	// Read tells a read from a proposal.
-	Read bool
-	// Took is the time from the call to its end.
-	Took time.Duration
+// CallOutcome tells how a call ended.
+type CallOutcome struct {
+	// IsRead tells a read from a proposal.
+	IsRead bool
+	// Elapsed is the time from the call to its end.
+	Elapsed time.Duration
 	// Err is nil for a success.
 	Err error
 }
 
-// Observe makes observe be told how each call ended. It is set before the
+// OnCallEnd makes observe be told how each call ended. It is set before the
 // first Reconcile and must return at once.
-func (proposer *Proposer) Observe(observe func(ended Ended)) { proposer.observe = observe }
+func (proposer *Proposer) OnCallEnd(observe func(ended CallOutcome)) { proposer.observe = observe }
 
 // NewProposer returns the proposer of one member. Attempts are numbered from
 // seed, so that replies to a former life of the process match nothing.
@@ -108,7 +108,7 @@
 		directory:     directory,
 		last:          seed,
 		pending:       make(map[uint64]*call),
-		observe:       func(Ended) {},
+		observe:       func(CallOutcome) {},
 	}
 }
 
@@ -250,7 +250,7 @@
 // try begins one attempt of a call, at this member or at the leader.
 func (proposer *Proposer) try(now time.Time, begun *call) {
 	if !now.Before(begun.deadline) {
-		proposer.observe(Ended{Read: begun.command == nil, Took: now.Sub(begun.begunAt), Err: errNotTried})
+		proposer.observe(CallOutcome{IsRead: begun.command == nil, Elapsed: now.Sub(begun.begunAt), Err: errNotTried})
 		begun.done(Reply{}, errNotTried)
 		return
 	}
@@ -296,7 +296,7 @@
 
 func (proposer *Proposer) finish(now time.Time, ended *call, reply Reply, err error) {
 	delete(proposer.pending, ended.attempt)
-	proposer.observe(Ended{Read: ended.command == nil, Took: now.Sub(ended.begunAt), Err: err})
+	proposer.observe(CallOutcome{IsRead: ended.command == nil, Elapsed: now.Sub(ended.begunAt), Err: err})
 	ended.done(reply, err)
 }
 
--- a/internal/direct/registrar/registrar.go
+++ b/internal/direct/registrar/registrar.go
@@ -23,7 +23,7 @@
 )
 
 // Registrar takes registrations and declarations at one member. Its methods
-// return at once and call done once, by the deadline at the latest; Calls has
+// return at once and call done once, by the deadline at the latest; BlockingRegistrar has
 // them in a form that waits.
 type Registrar struct {
 	directory *directory.Directory
@@ -31,7 +31,7 @@
 	group     Group
 	// renewals has when each target was heard from at this member since the
 	// leader was last told.
-	renewals *Renewed
+	renewals *RenewalTable
 	// holders are the balancers that may hold the rate of a cold target.
 	holders func() []feed.Peer
 	logger  *zap.Logger
@@ -40,24 +40,24 @@
 // NewRegistrar returns the registrar of one member.
 //
 // holders returns the balancers that may hold the rate of a cold target.
-func NewRegistrar(directory *directory.Directory, proposer *Proposer, group Group, renewals *Renewed,
+func NewRegistrar(directory *directory.Directory, proposer *Proposer, group Group, renewals *RenewalTable,
 	holders func() []feed.Peer, logger *zap.Logger) *Registrar {
 	return &Registrar{directory: directory, proposer: proposer, group: group, renewals: renewals, holders: holders, logger: logger}
 }
 
-// Renewed is the blackboard's table of targets that were heard from at this
+// RenewalTable is the blackboard's table of targets that were heard from at this
 // member since the leader was last told, with the time.
-type Renewed = board.Table[directory.TargetID, time.Time]
+type RenewalTable = board.Table[directory.TargetID, time.Time]
 
-// NewRenewed returns an empty table.
-func NewRenewed() *Renewed {
+// NewRenewalTable returns an empty table.
+func NewRenewalTable() *RenewalTable {
 	return board.NewTable[directory.TargetID, time.Time]("renewals", board.HashNumber[directory.TargetID])
 }
 
-// Fresh tells whether the group's member leads with a confirmed quorum, or has
+// QuorumConfirmed tells whether the group's member leads with a confirmed quorum, or has
 // lately held everything that its leader had committed. A follower whose disk
 // takes nothing, or whose answers are lost, hears its leader and falls behind.
-func Fresh(group Group, now time.Time) bool {
+func QuorumConfirmed(group Group, now time.Time) bool {
 	status := group.StatusAt(now)
 	if status.Leading {
 		return true
@@ -66,7 +66,7 @@
 }
 
 func (registrar *Registrar) demandQuorum(now time.Time) error {
-	if !Fresh(registrar.group, now) {
+	if !QuorumConfirmed(registrar.group, now) {
 		return faults.New(faults.QuorumUnconfirmed, "this member has not heard from a leader for %s", freshFor)
 	}
 	return nil
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -63,7 +63,7 @@
 	dispatch  *protocol.Dispatcher
 	proposer  *Proposer
 	registrar *Registrar
-	health    *Health
+	health    *HealthMonitor
 	probes    []netip.AddrPort
 	outcome   probe.Outcome
 }
@@ -72,15 +72,15 @@
 	made := &bench{t: t, now: start, mailbox: protocol.NewMailbox("self"), outcome: probe.Answered}
 	made.group = &group{directory: directory.New(), status: replica.Status{Leader: "self", Leading: true, Term: 1}}
 	made.dispatch = protocol.NewDispatcher(made.mailbox)
-	renewed := NewRenewed()
+	renewed := NewRenewalTable()
 	made.proposer = NewProposer(made.mailbox, made.dispatch, made.group, made.group.directory, 0)
 	made.registrar = NewRegistrar(made.group.directory, made.proposer, made.group, renewed, peersOf("x"), zap.NewNop())
 	prober := probe.NewWith(func(address netip.AddrPort, done func(probe.Outcome)) {
 		made.probes = append(made.probes, address)
 		done(made.outcome)
 	})
-	made.health = NewHealth(HealthOptions{
-		SilentAfter: 5 * time.Second, MissedAfter: 2 * time.Second, ProbePause: 700 * time.Millisecond, ForgetAfter: 75 * time.Second,
+	made.health = NewHealthMonitor(HealthOptions{
+		SilentAfter: 5 * time.Second, MissedAfter: 2 * time.Second, MinProbeInterval: 700 * time.Millisecond, RemoveFailedAfter: 75 * time.Second,
 	}, made.mailbox, made.dispatch, made.group, made.group.directory, renewed, prober, zap.NewNop())
 	return made
 }
--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -52,7 +52,7 @@
 		passed:  dispatcher.Handle(registrar.Renewals{}),
 		table:   table,
 		follows: follows,
-		renewed: registrar.NewRenewed(),
+		renewed: registrar.NewRenewalTable(),
 	}
 }
 
@@ -88,7 +88,7 @@
 		return
 	}
 	relay.toldAt = now
-	renewals := registrar.TakeRenewals(relay.renewed, now)
+	renewals := registrar.DrainRenewals(relay.renewed, now)
 	renewals = slices.DeleteFunc(renewals, func(renewal registrar.Renewal) bool { return renewal.Ago > keptFor })
 	if node := relay.follows(); node != "" && len(renewals) > 0 {
 		slices.SortFunc(renewals, func(left, right registrar.Renewal) int { return cmp.Compare(left.ID, right.ID) })
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -81,13 +81,13 @@
 		return kernel.Program{Mailbox: mailbox}
 	}
 	member.group = group
-	renewed := registrar.NewRenewed()
+	renewed := registrar.NewRenewalTable()
 	proposer := registrar.NewProposer(mailbox, dispatcher, group, member.Directory, seed)
-	health := registrar.NewHealth(registrar.HealthOptions{
-		SilentAfter: 5 * time.Second,
-		MissedAfter: renewalInterval * 8 / 5,
-		ProbePause:  700 * time.Millisecond,
-		ForgetAfter: flowLife + 15*time.Second,
+	health := registrar.NewHealthMonitor(registrar.HealthOptions{
+		SilentAfter:       5 * time.Second,
+		MissedAfter:       renewalInterval * 8 / 5,
+		MinProbeInterval:  700 * time.Millisecond,
+		RemoveFailedAfter: flowLife + 15*time.Second,
 	}, mailbox, dispatcher, group, member.Directory, renewed, world.prober(member.process), zap.NewNop())
 	publisher := feed.NewPublisher(feed.PublisherOptions{Limit: world.options.Followers, TellsMembers: true},
 		mailbox, dispatcher, member.Directory, memberSource{member: member})
@@ -122,7 +122,7 @@
 
 // Confirmed implements feed.Source.
 func (source memberSource) Confirmed(now time.Time) (time.Duration, bool) {
-	return 0, registrar.Fresh(source.member.group, now)
+	return 0, registrar.QuorumConfirmed(source.member.group, now)
 }
 
 // Depth implements feed.Source.
--- a/internal/sim/directworld/stories_zones.go
+++ b/internal/sim/directworld/stories_zones.go
@@ -35,7 +35,7 @@
 	waiting := true
 	world.call(operator.endpoint(), world.members[place%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			order := registrar.ZoneOrder{Zone: string(zone), End: end, Wanted: func() bool { return waiting }}
+			order := registrar.ZoneOrder{Zone: string(zone), End: end, CallerWaiting: func() bool { return waiting }}
 			member.Registrar.Evacuate(now, order, deadline, done)
 		}, func(err error) {
 			waiting = false
