--- a/internal/direct/registrar/batch.go
+++ b/internal/direct/registrar/batch.go
@@ -8,43 +8,43 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Registrations in batches. The load it answers is that of thousands of targets which start
-// together, as after a loss of power: one by one, each is a message to the leader, an entry
-// of the log, and a message to every member, so that the leader's work grows with targets
-// times members. A leader that is late then makes it worse, because targets whose answers
-// do not come call another member, and are proposed once more.
+// Registrations are committed in batches. The case that matters is thousands of targets that
+// start at once, for example after a power failure. Committed one by one, each registration
+// costs a message to the leader, a log entry and a message to every member, so the leader's
+// work grows with targets times members. An overloaded leader then makes it worse: targets
+// that get no answer in time call another member, and their registrations are proposed again.
 //
-// A member has one batch under way and folds all that comes meanwhile into the next one. The
-// leader's work is so bounded by the members and its own pace, whatever the number of
-// targets: a slow leader gets larger batches, not more of them.
+// Each member has one batch in flight and collects all registrations that arrive meanwhile in
+// the next one. The leader's work is thereby bounded by the number of members and by its own
+// pace, whatever the number of targets: a slow leader gets larger batches, not more of them.
 const (
-	// batchTargets bounds the registrations of one batch, some 100 bytes each: an entry of
-	// the log that a link of 10 Mbit/s takes within 20 ms.
-	batchTargets = 256
-	// batchPatience is how long a batch may be under way before another one may follow it:
-	// several times what a calm group needs to commit one, and a quarter of the time that a
-	// caller waits, so that a batch that was lost on its way does not take that time from
-	// those behind it.
-	batchPatience = 200 * time.Millisecond
+	// maxBatchTargets bounds the registrations of one batch. At about 100 bytes each, the log
+	// entry takes about 20 ms on a link of 10 Mbit/s.
+	maxBatchTargets = 256
+	// batchStallTimeout is how long a batch in flight holds back the next one. It is several
+	// times the commit time of an unloaded group, and a quarter of the time that a caller
+	// waits, so that a lost batch doesn't use up the deadlines of the registrations queued
+	// behind it.
+	batchStallTimeout = 200 * time.Millisecond
 )
 
-// registration is a target's call that is to be committed.
+// registration is a target's registration that has to be committed.
 type registration struct {
-	stated   directory.Target
-	deadline time.Time
-	done     func(directory.Token, error)
-	ended    bool
+	target    directory.Target
+	deadline  time.Time
+	done      func(directory.Token, error)
+	completed bool
 }
 
-// end tells the outcome, once.
-func (registration *registration) end(token directory.Token, err error) {
-	if !registration.ended {
-		registration.ended = true
+// complete calls done with the outcome. Only the first call has an effect.
+func (registration *registration) complete(token directory.Token, err error) {
+	if !registration.completed {
+		registration.completed = true
 		registration.done(token, err)
 	}
 }
 
-// batch is registrations that are proposed as one command.
+// batch holds registrations that are proposed as one command.
 type batch struct {
 	registrations []*registration
 }
@@ -52,95 +52,97 @@
 // command returns the command that commits the batch.
 func (batch *batch) command() directory.Command {
 	targets := make([]directory.Target, 0, len(batch.registrations))
-	for _, waiting := range batch.registrations {
-		targets = append(targets, waiting.stated)
+	for _, entry := range batch.registrations {
+		targets = append(targets, entry.target)
 	}
 	return directory.Command{RegisterAll: &directory.Registrations{Targets: targets}}
 }
 
-// deadline is the latest deadline of the batch: those that end earlier leave it by
-// themselves.
+// deadline returns the latest deadline of the batch. Registrations with an earlier deadline
+// are completed by batchQueue.expire.
 func (batch *batch) deadline() time.Time {
 	var latest time.Time
-	for _, waiting := range batch.registrations {
-		if waiting.deadline.After(latest) {
-			latest = waiting.deadline
+	for _, entry := range batch.registrations {
+		if entry.deadline.After(latest) {
+			latest = entry.deadline
 		}
 	}
 	return latest
 }
 
-// end tells all registrations of the batch their outcome.
-func (batch *batch) end(result directory.Result, err error) {
+// complete reports the outcome to all registrations of the batch. A result without exactly
+// one token per registration counts as an unknown outcome.
+func (batch *batch) complete(result directory.Result, err error) {
 	if err == nil && len(result.Tokens) != len(batch.registrations) {
-		err = faults.New(faults.OutcomeUnknown, "the outcome has %d tokens for %d targets", len(result.Tokens), len(batch.registrations))
+		err = faults.New(faults.OutcomeUnknown, "the result has %d tokens for %d targets", len(result.Tokens), len(batch.registrations))
 	}
-	for place, waiting := range batch.registrations {
+	for index, entry := range batch.registrations {
 		var token directory.Token
 		if err == nil {
-			token = result.Tokens[place]
+			token = result.Tokens[index]
 		}
-		waiting.end(token, err)
+		entry.complete(token, err)
 	}
 }
 
-// batches decides which registrations are proposed together, and when. It is for one
-// goroutine.
-type batches struct {
-	waiting  []*registration
-	underWay []*batch
-	// begunAt is when the latest batch began.
-	begunAt time.Time
+// batchQueue decides which registrations are proposed together, and when. It is not safe for
+// concurrent use.
+type batchQueue struct {
+	queued   []*registration
+	inFlight []*batch
+	// latestBegunAt is when the latest batch was started.
+	latestBegunAt time.Time
 }
 
-// add takes a registration in. Targets that leave go first: their flows are moved only once
-// that is committed, while one that comes may wait.
-func (batches *batches) add(added *registration) {
-	if added.stated.State != directory.TargetDraining {
-		batches.waiting = append(batches.waiting, added)
+// add queues a registration. Draining targets go ahead of all others: their flows are moved
+// only once the draining state is committed, while a new target can wait.
+func (queue *batchQueue) add(added *registration) {
+	if added.target.State != directory.TargetDraining {
+		queue.queued = append(queue.queued, added)
 		return
 	}
-	place := slices.IndexFunc(batches.waiting, func(other *registration) bool {
-		return other.stated.State != directory.TargetDraining
+	index := slices.IndexFunc(queue.queued, func(other *registration) bool {
+		return other.target.State != directory.TargetDraining
 	})
-	if place < 0 {
-		place = len(batches.waiting)
+	if index < 0 {
+		index = len(queue.queued)
 	}
-	batches.waiting = slices.Insert(batches.waiting, place, added)
+	queue.queued = slices.Insert(queue.queued, index, added)
 }
 
-// next returns the batch to propose now, or nil.
-func (batches *batches) next(now time.Time) *batch {
-	if len(batches.waiting) == 0 || len(batches.underWay) > 0 && now.Sub(batches.begunAt) < batchPatience {
+// next returns the batch to propose now, or nil when nothing is queued or a batch in flight
+// has not reached batchStallTimeout yet.
+func (queue *batchQueue) next(now time.Time) *batch {
+	if len(queue.queued) == 0 || len(queue.inFlight) > 0 && now.Sub(queue.latestBegunAt) < batchStallTimeout {
 		return nil
 	}
-	count := min(len(batches.waiting), batchTargets)
-	begun := &batch{registrations: slices.Clone(batches.waiting[:count])}
-	batches.waiting = slices.Delete(batches.waiting, 0, count)
-	batches.underWay = append(batches.underWay, begun)
-	batches.begunAt = now
-	return begun
+	count := min(len(queue.queued), maxBatchTargets)
+	proposed := &batch{registrations: slices.Clone(queue.queued[:count])}
+	queue.queued = slices.Delete(queue.queued, 0, count)
+	queue.inFlight = append(queue.inFlight, proposed)
+	queue.latestBegunAt = now
+	return proposed
 }
 
-// settle takes in that a batch ended.
-func (batches *batches) settle(ended *batch) {
-	batches.underWay = slices.DeleteFunc(batches.underWay, func(other *batch) bool { return other == ended })
+// remove takes a finished batch off the list of batches in flight.
+func (queue *batchQueue) remove(finished *batch) {
+	queue.inFlight = slices.DeleteFunc(queue.inFlight, func(other *batch) bool { return other == finished })
 }
 
-// expire ends the registrations whose time is over. Those that were not proposed yet never
-// will be: their callers have gone elsewhere.
-func (batches *batches) expire(now time.Time) {
-	batches.waiting = slices.DeleteFunc(batches.waiting, func(waiting *registration) bool {
-		over := !now.Before(waiting.deadline)
-		if over {
-			waiting.end(0, errNotTried)
+// expire completes the registrations whose deadline has passed. Those that are still queued
+// are dropped without being proposed, because their callers have gone to another member.
+func (queue *batchQueue) expire(now time.Time) {
+	queue.queued = slices.DeleteFunc(queue.queued, func(entry *registration) bool {
+		expired := !now.Before(entry.deadline)
+		if expired {
+			entry.complete(0, errExpiredUnproposed)
 		}
-		return over
+		return expired
 	})
-	for _, begun := range batches.underWay {
-		for _, waiting := range begun.registrations {
-			if !now.Before(waiting.deadline) {
-				waiting.end(0, errNoAnswer)
+	for _, proposed := range queue.inFlight {
+		for _, entry := range proposed.registrations {
+			if !now.Before(entry.deadline) {
+				entry.complete(0, errLeaderTimeout)
 			}
 		}
 	}
--- a/internal/direct/registrar/calls.go
+++ b/internal/direct/registrar/calls.go
@@ -9,88 +9,89 @@
 	"merlinpaddle/internal/faults"
 )
 
-// BlockingRegistrar has the registrar's methods in a form that waits for the outcome, for
-// servers that run a goroutine for each call.
+// BlockingRegistrar offers the methods of Registrar in a form that waits for the outcome, for
+// servers that run a goroutine for each call. Its Register also redirects renewals.
 type BlockingRegistrar struct {
-	registrar *Registrar
-	handOver  *RenewalRedirector
-	within    time.Duration
+	registrar  *Registrar
+	redirector *RenewalRedirector
+	timeout    time.Duration
 }
 
-// NewBlockingRegistrar returns calls that end within a time.
-func NewBlockingRegistrar(registrar *Registrar, handOver *RenewalRedirector, within time.Duration) *BlockingRegistrar {
-	return &BlockingRegistrar{registrar: registrar, handOver: handOver, within: within}
+// NewBlockingRegistrar returns a BlockingRegistrar whose calls end within timeout.
+func NewBlockingRegistrar(registrar *Registrar, redirector *RenewalRedirector, timeout time.Duration) *BlockingRegistrar {
+	return &BlockingRegistrar{registrar: registrar, redirector: redirector, timeout: timeout}
 }
 
-// Register takes a target's registration or renewal. It returns the address at
-// which the target is to renew from now on, or nothing for "where it likes".
-func (calls *BlockingRegistrar) Register(ctx context.Context, stated directory.Target) (string, error) {
-	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		calls.registrar.Register(now, stated, deadline, done)
+// Register registers or renews a target. It returns the address at which the target is to
+// renew from now on, or an empty string if the target may keep choosing.
+func (blocking *BlockingRegistrar) Register(ctx context.Context, target directory.Target) (string, error) {
+	err := blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
+		blocking.registrar.Register(now, target, deadline, done)
 	})
 	if err != nil {
 		return "", err
 	}
-	return calls.handOver.Redirect(time.Now(), stated), nil
+	return blocking.redirector.Redirect(time.Now(), target), nil
 }
 
-// Leave takes a target's notice that it leaves for good.
-func (calls *BlockingRegistrar) Leave(ctx context.Context, departure directory.Departure) error {
-	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		calls.registrar.Leave(now, departure, deadline, done)
+// Leave records that a target leaves permanently.
+func (blocking *BlockingRegistrar) Leave(ctx context.Context, departure directory.Departure) error {
+	return blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
+		blocking.registrar.Leave(now, departure, deadline, done)
 	})
 }
 
-// Declare replaces the declared configuration.
-func (calls *BlockingRegistrar) Declare(ctx context.Context, next *declared.Configuration) error {
-	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		calls.registrar.Declare(now, next, deadline, done)
+// Declare replaces the declared configuration. See Registrar.Declare.
+func (blocking *BlockingRegistrar) Declare(ctx context.Context, next *declared.Configuration) error {
+	return blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
+		blocking.registrar.Declare(now, next, deadline, done)
 	})
 }
 
-// Evacuate orders that a zone is emptied, or, with end, taken back into use.
-func (calls *BlockingRegistrar) Evacuate(ctx context.Context, zone string, end bool) error {
-	return calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
+// Evacuate orders the evacuation of a zone, or ends it when end is set.
+func (blocking *BlockingRegistrar) Evacuate(ctx context.Context, zone string, end bool) error {
+	return blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
 		order := ZoneOrder{Zone: zone, End: end, CallerWaiting: func() bool { return ctx.Err() == nil }}
-		calls.registrar.Evacuate(now, order, deadline, done)
+		blocking.registrar.Evacuate(now, order, deadline, done)
 	})
 }
 
-// Evacuations returns the zones that are evacuated, confirmed by a quorum.
-func (calls *BlockingRegistrar) Evacuations(ctx context.Context) ([]directory.Evacuation, error) {
-	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		calls.registrar.Configuration(now, deadline, func(_ *declared.Configuration, err error) { done(err) })
+// Evacuations returns the zones under evacuation, confirmed by a quorum.
+func (blocking *BlockingRegistrar) Evacuations(ctx context.Context) ([]directory.Evacuation, error) {
+	err := blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
+		blocking.registrar.Configuration(now, deadline, func(_ *declared.Configuration, err error) { done(err) })
 	})
 	if err != nil {
 		return nil, err
 	}
-	held, _ := calls.registrar.directory.Evacuations()
-	return held, nil
+	evacuations, _ := blocking.registrar.directory.Evacuations()
+	return evacuations, nil
 }
 
-// Configuration returns the newest declared configuration.
-func (calls *BlockingRegistrar) Configuration(ctx context.Context) (*declared.Configuration, error) {
-	var held *declared.Configuration
-	err := calls.wait(ctx, func(now, deadline time.Time, done func(error)) {
-		calls.registrar.Configuration(now, deadline, func(read *declared.Configuration, err error) {
-			held = read
+// Configuration returns the newest declared configuration, confirmed by a quorum.
+func (blocking *BlockingRegistrar) Configuration(ctx context.Context) (*declared.Configuration, error) {
+	var configuration *declared.Configuration
+	err := blocking.wait(ctx, func(now, deadline time.Time, done func(error)) {
+		blocking.registrar.Configuration(now, deadline, func(read *declared.Configuration, err error) {
+			configuration = read
 			done(err)
 		})
 	})
 	if err != nil {
 		return nil, err
 	}
-	return held, nil
+	return configuration, nil
 }
 
-func (calls *BlockingRegistrar) wait(ctx context.Context, start func(now, deadline time.Time, done func(error))) error {
+// wait starts a call and waits for its outcome or the end of ctx.
+func (blocking *BlockingRegistrar) wait(ctx context.Context, start func(now, deadline time.Time, done func(error))) error {
 	now := time.Now()
-	answers := make(chan error, 1)
-	start(now, now.Add(calls.within), func(err error) { answers <- err })
+	results := make(chan error, 1)
+	start(now, now.Add(blocking.timeout), func(err error) { results <- err })
 	select {
-	case err := <-answers:
+	case err := <-results:
 		return err
 	case <-ctx.Done():
-		return faults.New(faults.OutcomeUnknown, "the caller left before the answer came")
+		return faults.New(faults.OutcomeUnknown, "the caller's context ended before the answer arrived")
 	}
 }
--- a/internal/direct/registrar/evacuate.go
+++ b/internal/direct/registrar/evacuate.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// orderAttempts bounds how often an order is made anew because another one came
-	// first. Operators have few orders under way at a time.
-	orderAttempts = 8
-	// longestZoneName bounds the names of zones, in bytes.
-	longestZoneName = 255
+	// maxOrderAttempts bounds how often an order is retried after a conflict with another
+	// order. Operators rarely have more than a few orders in progress.
+	maxOrderAttempts = 8
+	// maxZoneNameBytes bounds the length of a zone name.
+	maxZoneNameBytes = 255
 )
 
-// ZoneOrder is an operator's call to empty a zone, or to take it back into use.
+// ZoneOrder is an operator's order to evacuate a zone or to end its evacuation.
 type ZoneOrder struct {
 	Zone string
-	// End takes the zone back.
+	// End ends the evacuation.
 	End bool
-	// CallerWaiting tells whether the caller still waits for the answer. A member that
-	// stood still finds calls whose callers went elsewhere long ago.
+	// CallerWaiting reports whether the caller still waits for the answer. After a
+	// stall of its process, a member finds calls whose callers have long gone to another one.
 	CallerWaiting func() bool
 }
 
-// Evacuate empties a zone or takes it back. It is done once the order is durable on
-// a majority. A zone that no target has named yet is as good as any: its targets
-// may register later.
+// Evacuate evacuates a zone or ends its evacuation. It calls done without an error once the
+// order is durable on a majority. The zone need not have any targets: they may register later.
 //
-// The order is made against the latest one that was committed when the call came,
-// as a confirmed read tells. An order that is proposed late, after the operator had
-// the opposite one acknowledged at another member, therefore changes nothing.
+// The order is made on top of the latest order committed when the call arrived, which a
+// confirmed read returns. An order that is proposed late, after the operator got the opposite
+// order acknowledged by another member, therefore conflicts and changes nothing.
 func (registrar *Registrar) Evacuate(now time.Time, order ZoneOrder, deadline time.Time, done func(error)) {
-	if order.Zone == "" || len(order.Zone) > longestZoneName {
-		done(faults.New(faults.ZoneOrderInvalid, "zone: %q is no name of 1 to %d bytes", order.Zone, longestZoneName))
+	if order.Zone == "" || len(order.Zone) > maxZoneNameBytes {
+		done(faults.New(faults.ZoneOrderInvalid, "zone: %q is not a name of 1 to %d bytes", order.Zone, maxZoneNameBytes))
 		return
 	}
-	if err := registrar.demandQuorum(now); err != nil {
+	if err := registrar.requireQuorum(now); err != nil {
 		done(err)
 		return
 	}
-	registrar.orderZone(order, deadline, orderAttempts, done)
+	registrar.attemptZoneOrder(order, deadline, maxOrderAttempts, done)
 }
 
-// orderZone reads what holds and proposes the order on top of it.
-func (registrar *Registrar) orderZone(order ZoneOrder, deadline time.Time, attempts int, done func(error)) {
+// attemptZoneOrder reads the latest committed order and proposes this one on top of it. On a
+// conflict it tries again, up to attempts times.
+func (registrar *Registrar) attemptZoneOrder(order ZoneOrder, deadline time.Time, attempts int, done func(error)) {
 	if attempts == 0 {
-		done(faults.New(faults.ProposalsFull, "other orders came first %d times; nothing was changed", orderAttempts))
+		done(faults.New(faults.ProposalsFull, "the order conflicted with other orders %d times; nothing was changed", maxOrderAttempts))
 		return
 	}
 	registrar.proposer.Read(deadline, func(err error) {
@@ -58,15 +58,16 @@
 		case err != nil:
 			done(err)
 		case !order.CallerWaiting():
-			done(faults.New(faults.OutcomeUnknown, "the caller left before the order was proposed; nothing was changed by this call"))
+			done(faults.New(faults.OutcomeUnknown, "the caller disconnected before the order was proposed; this call changed nothing"))
 		default:
 			_, base := registrar.directory.Evacuations()
-			registrar.proposeOrder(order, base, deadline, attempts, done)
+			registrar.proposeZoneOrder(order, base, deadline, attempts, done)
 		}
 	})
 }
 
-func (registrar *Registrar) proposeOrder(order ZoneOrder, base model.Revision, deadline time.Time, attempts int, done func(error)) {
+// proposeZoneOrder proposes an order on top of the order committed at revision base.
+func (registrar *Registrar) proposeZoneOrder(order ZoneOrder, base model.Revision, deadline time.Time, attempts int, done func(error)) {
 	command := directory.Command{Evacuate: &directory.EvacuationOrder{Zone: order.Zone, End: order.End, Base: base}}
 	registrar.proposer.Propose(command, deadline, func(result directory.Result, err error) {
 		registrar.logger.Info("zone order",
@@ -80,9 +81,9 @@
 		case err != nil:
 			done(err)
 		case result.Conflict:
-			registrar.orderZone(order, deadline, attempts-1, done)
+			registrar.attemptZoneOrder(order, deadline, attempts-1, done)
 		case result.Full:
-			done(faults.New(faults.ZoneOrdersFull, "no further zone can be evacuated"))
+			done(faults.New(faults.ZoneOrdersFull, "the maximum number of zones is already evacuated"))
 		default:
 			done(nil)
 		}
--- a/internal/direct/registrar/evacuate_test.go
+++ b/internal/direct/registrar/evacuate_test.go
@@ -13,123 +13,123 @@
 	"merlinpaddle/internal/replica"
 )
 
-func wanted() bool { return true }
+func callerWaiting() bool { return true }
 
-// orderAt begins an order and returns where its outcome is put.
-func (bench *bench) orderAt(order ZoneOrder) *[]error {
+// beginOrder starts a zone order and returns the list to which its outcome will be appended.
+func (harness *harness) beginOrder(order ZoneOrder) *[]error {
 	outcomes := &[]error{}
-	bench.registrar.Evacuate(bench.now, order, bench.now.Add(800*time.Millisecond), func(err error) { *outcomes = append(*outcomes, err) })
+	harness.registrar.Evacuate(harness.now, order, harness.now.Add(800*time.Millisecond), func(err error) { *outcomes = append(*outcomes, err) })
 	return outcomes
 }
 
-func (bench *bench) order(order ZoneOrder) error {
-	bench.t.Helper()
-	outcomes := bench.orderAt(order)
-	bench.run(time.Second)
-	require.Len(bench.t, *outcomes, 1, "a call ends once")
+func (harness *harness) evacuate(order ZoneOrder) error {
+	harness.t.Helper()
+	outcomes := harness.beginOrder(order)
+	harness.run(time.Second)
+	require.Len(harness.t, *outcomes, 1, "a call must end exactly once")
 	return (*outcomes)[0]
 }
 
-func (bench *bench) evacuated() []string {
+func (harness *harness) evacuatedZones() []string {
 	zones := []string{}
-	held, _ := bench.group.directory.Evacuations()
-	for _, evacuation := range held {
+	evacuations, _ := harness.group.directory.Evacuations()
+	for _, evacuation := range evacuations {
 		zones = append(zones, evacuation.Zone)
 	}
 	return zones
 }
 
-func TestOrdersAreAcknowledgedAgainInAnyOrder(t *testing.T) {
-	bench := newBench(t)
-	begin, end := ZoneOrder{Zone: "a", CallerWaiting: wanted}, ZoneOrder{Zone: "a", End: true, CallerWaiting: wanted}
+func TestRepeatedZoneOrdersAreAcknowledged(t *testing.T) {
+	harness := newHarness(t)
+	begin, end := ZoneOrder{Zone: "a", CallerWaiting: callerWaiting}, ZoneOrder{Zone: "a", End: true, CallerWaiting: callerWaiting}
 	for _, step := range []struct {
 		order ZoneOrder
 		want  []string
 	}{
 		{end, []string{}}, {begin, []string{"a"}}, {begin, []string{"a"}}, {end, []string{}}, {end, []string{}}, {begin, []string{"a"}},
 	} {
-		require.NoError(t, bench.order(step.order))
-		require.Equal(t, step.want, bench.evacuated())
+		require.NoError(t, harness.evacuate(step.order))
+		require.Equal(t, step.want, harness.evacuatedZones())
 	}
 }
 
-func TestOrdersForSeveralZonesAtOnceAreAllTaken(t *testing.T) {
-	bench := newBench(t)
+func TestConcurrentOrdersForSeveralZonesSucceed(t *testing.T) {
+	harness := newHarness(t)
 	var outcomes []*[]error
 	for _, zone := range []string{"a", "b", "c", "d"} {
-		outcomes = append(outcomes, bench.orderAt(ZoneOrder{Zone: zone, CallerWaiting: wanted}))
+		outcomes = append(outcomes, harness.beginOrder(ZoneOrder{Zone: zone, CallerWaiting: callerWaiting}))
 	}
-	bench.run(time.Second)
+	harness.run(time.Second)
 	for _, outcome := range outcomes {
 		require.Equal(t, []error{nil}, *outcome)
 	}
-	require.Equal(t, []string{"a", "b", "c", "d"}, bench.evacuated())
+	require.Equal(t, []string{"a", "b", "c", "d"}, harness.evacuatedZones())
 }
 
 func TestInvalidOrdersAreRefused(t *testing.T) {
-	for _, zone := range []string{"", strings.Repeat("z", longestZoneName+1)} {
-		bench := newBench(t)
-		require.Equal(t, faults.ZoneOrderInvalid, faults.CodeOf(bench.order(ZoneOrder{Zone: zone, CallerWaiting: wanted})))
-		require.Zero(t, bench.group.proposed)
+	for _, zone := range []string{"", strings.Repeat("z", maxZoneNameBytes+1)} {
+		harness := newHarness(t)
+		require.Equal(t, faults.ZoneOrderInvalid, faults.CodeOf(harness.evacuate(ZoneOrder{Zone: zone, CallerWaiting: callerWaiting})))
+		require.Zero(t, harness.group.proposals)
 	}
 }
 
-func TestMemberThatCannotCommitTakesNoOrder(t *testing.T) {
-	bench := newBench(t)
-	bench.group.status = replica.Status{Leader: "other", CurrentAt: start.Add(-freshFor)}
-	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf(bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted})))
+func TestZoneOrderNeedsAQuorum(t *testing.T) {
+	harness := newHarness(t)
+	harness.group.status = replica.Status{Leader: "other", CurrentAt: startTime.Add(-maxStaleness)}
+	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf(harness.evacuate(ZoneOrder{Zone: "a", CallerWaiting: callerWaiting})))
 
-	bench = newBench(t)
-	bench.group.silent = true
-	err := bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted})
+	harness = newHarness(t)
+	harness.group.unresponsive = true
+	err := harness.evacuate(ZoneOrder{Zone: "a", CallerWaiting: callerWaiting})
 	require.Equal(t, faults.LeadershipUnconfirmed, faults.CodeOf(err))
-	require.Zero(t, bench.group.proposed)
+	require.Zero(t, harness.group.proposals)
 }
 
 func TestOrderWhoseCallerLeftChangesNothing(t *testing.T) {
-	bench := newBench(t)
-	require.Error(t, bench.order(ZoneOrder{Zone: "a", CallerWaiting: func() bool { return false }}))
-	require.Empty(t, bench.evacuated())
+	harness := newHarness(t)
+	require.Error(t, harness.evacuate(ZoneOrder{Zone: "a", CallerWaiting: func() bool { return false }}))
+	require.Empty(t, harness.evacuatedZones())
 }
 
-// TestMemberThatStoodStillProposesNoOldOrder: the member comes to the order after
-// its time is over; the operator has had the opposite one acknowledged elsewhere.
-func TestMemberThatStoodStillProposesNoOldOrder(t *testing.T) {
-	bench := newBench(t)
-	outcomes := bench.orderAt(ZoneOrder{Zone: "a", CallerWaiting: wanted})
-	bench.now = bench.now.Add(5 * time.Second)
-	bench.run(time.Second)
+// TestStalledMemberDoesNotProposeAnExpiredOrder: a stalled member starts an order after its
+// deadline, when the operator may have got the opposite order acknowledged by another member.
+func TestStalledMemberDoesNotProposeAnExpiredOrder(t *testing.T) {
+	harness := newHarness(t)
+	outcomes := harness.beginOrder(ZoneOrder{Zone: "a", CallerWaiting: callerWaiting})
+	harness.now = harness.now.Add(5 * time.Second)
+	harness.run(time.Second)
 	require.Len(t, *outcomes, 1)
 	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf((*outcomes)[0]))
-	require.Zero(t, bench.group.proposed)
+	require.Zero(t, harness.group.proposals)
 }
 
-// TestProposalThatArrivesLateChangesNothing: the order was proposed in time and
-// reaches the log after a later, opposite one.
-func TestProposalThatArrivesLateChangesNothing(t *testing.T) {
-	bench := newBench(t)
-	late, err := directory.EncodeCommand(directory.Command{Evacuate: &directory.EvacuationOrder{Zone: "a"}})
+// TestOrderWithAnOutdatedBaseChangesNothing: an order that was proposed in time enters the log
+// after a later, opposite order.
+func TestOrderWithAnOutdatedBaseChangesNothing(t *testing.T) {
+	harness := newHarness(t)
+	delayed, err := directory.EncodeCommand(directory.Command{Evacuate: &directory.EvacuationOrder{Zone: "a"}})
 	require.NoError(t, err)
-	require.NoError(t, bench.order(ZoneOrder{Zone: "a", CallerWaiting: wanted}))
-	require.NoError(t, bench.order(ZoneOrder{Zone: "a", End: true, CallerWaiting: wanted}))
-	bench.group.Submit(late, func([]byte, error) {})
-	require.Empty(t, bench.evacuated())
+	require.NoError(t, harness.evacuate(ZoneOrder{Zone: "a", CallerWaiting: callerWaiting}))
+	require.NoError(t, harness.evacuate(ZoneOrder{Zone: "a", End: true, CallerWaiting: callerWaiting}))
+	harness.group.Submit(delayed, func([]byte, error) {})
+	require.Empty(t, harness.evacuatedZones())
 }
 
-// TestColdnessIsCommittedWhereItIsBounded: balancers have to know it there; elsewhere a
-// renewal costs no commit.
-func TestColdnessIsCommittedWhereItIsBounded(t *testing.T) {
+// TestColdnessChangeIsCommittedOnlyWithAColdLimit: with a cold limit, balancers must learn that
+// a target is no longer cold; without one, the renewal must not cost a commit.
+func TestColdnessChangeIsCommittedOnlyWithAColdLimit(t *testing.T) {
 	for _, perSecond := range []float64{0, 4} {
-		bench := newBench(t)
-		next := configurationOf(1, 443)
+		harness := newHarness(t)
+		next := testConfiguration(1, 443)
 		next.Services[0].Cold = declared.ColdLimit{Stated: true, Start: time.Second, PerSecond: perSecond}
-		require.NoError(t, bench.declare(next))
-		cold := ready(1, 1)
+		require.NoError(t, harness.declare(next))
+		cold := readyTarget(1, 1)
 		cold.Cold = time.Second
-		require.NoError(t, bench.register(cold))
-		before := bench.group.proposed
-		require.NoError(t, bench.register(ready(1, 2)))
-		committed := bench.group.proposed - before
+		require.NoError(t, harness.register(cold))
+		before := harness.group.proposals
+		require.NoError(t, harness.register(readyTarget(1, 2)))
+		committed := harness.group.proposals - before
 		if perSecond > 0 {
 			require.Equal(t, 1, committed)
 		} else {
--- a/internal/direct/registrar/handover.go
+++ b/internal/direct/registrar/handover.go
@@ -8,72 +8,74 @@
 	"merlinpaddle/internal/direct/feed"
 )
 
-// rateWindow is the time over which renewals are counted.
+// rateWindow is the length of the window in which renewals are counted.
 const rateWindow = time.Second
 
-// RenewalRedirector decides which targets are to renew at a balancer, because this member
-// takes more renewals than it should. It may be used from many goroutines.
+// RenewalRedirector decides which targets are sent to a balancer for their renewals, because
+// this member gets more renewals than its limit. It is safe for concurrent use.
 type RenewalRedirector struct {
-	// limit is the number of renewals a second that a member takes without
-	// handing targets over; zero hands over none.
+	// limit is the number of renewals per second above which targets are redirected; zero
+	// never redirects.
 	limit int
 	peers func() []feed.Peer
 
-	lock   sync.Mutex
-	window time.Time
-	count  int
-	former int
+	lock          sync.Mutex
+	windowStart   time.Time
+	count         int
+	previousCount int
 }
 
-// NewRenewalRedirector returns a hand-over to the balancers of peers.
+// NewRenewalRedirector returns a redirector to the balancers that peers returns. A limit of
+// zero never redirects.
 func NewRenewalRedirector(limit int, peers func() []feed.Peer) *RenewalRedirector {
 	return &RenewalRedirector{limit: limit, peers: peers}
 }
 
-// Redirect counts a renewal at this member and returns the address at which the
-// target is to renew from now on; it is empty for "here".
-func (handOver *RenewalRedirector) Redirect(now time.Time, stated directory.Target) string {
-	if handOver.limit == 0 || stated.State != directory.TargetReady || !handOver.crowded(now) {
+// Redirect counts the renewal of a ready target at this member and returns the address at which the
+// target is to renew from now on. It is empty when the target stays at this member, as targets
+// in other states always do.
+func (redirector *RenewalRedirector) Redirect(now time.Time, target directory.Target) string {
+	if redirector.limit == 0 || target.State != directory.TargetReady || !redirector.countRenewal(now) {
 		return ""
 	}
-	return choosePeer(handOver.peers(), stated)
+	return choosePeer(redirector.peers(), target)
 }
 
-// crowded counts a renewal and tells whether this window or the one before it
-// has too many.
-func (handOver *RenewalRedirector) crowded(now time.Time) bool {
-	handOver.lock.Lock()
-	defer handOver.lock.Unlock()
-	if passed := now.Sub(handOver.window); passed >= rateWindow {
-		handOver.former = handOver.count
-		if passed >= 2*rateWindow {
-			handOver.former = 0
+// countRenewal counts a renewal and reports whether the current or the previous window is over
+// the limit.
+func (redirector *RenewalRedirector) countRenewal(now time.Time) bool {
+	redirector.lock.Lock()
+	defer redirector.lock.Unlock()
+	if elapsed := now.Sub(redirector.windowStart); elapsed >= rateWindow {
+		redirector.previousCount = redirector.count
+		if elapsed >= 2*rateWindow {
+			redirector.previousCount = 0
 		}
-		handOver.window = now
-		handOver.count = 0
+		redirector.windowStart = now
+		redirector.count = 0
 	}
-	handOver.count++
-	return max(handOver.count, handOver.former) > handOver.limit
+	redirector.count++
+	return max(redirector.count, redirector.previousCount) > redirector.limit
 }
 
-// choosePeer spreads targets over the balancers that take renewals, those of
-// the target's own zone first.
-func choosePeer(peers []feed.Peer, stated directory.Target) string {
-	var near, all []string
+// choosePeer returns the renewal address of a balancer, or an empty string if none accepts
+// renewals. It spreads targets by their identifiers and prefers balancers in the target's zone.
+func choosePeer(peers []feed.Peer, target directory.Target) string {
+	var sameZone, addresses []string
 	for _, peer := range peers {
 		if peer.Renewals == "" {
 			continue
 		}
-		all = append(all, peer.Renewals)
-		if string(peer.Zone) == stated.Zone {
-			near = append(near, peer.Renewals)
+		addresses = append(addresses, peer.Renewals)
+		if string(peer.Zone) == target.Zone {
+			sameZone = append(sameZone, peer.Renewals)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	if len(sameZone) > 0 {
+		addresses = sameZone
 	}
-	if len(all) == 0 {
+	if len(addresses) == 0 {
 		return ""
 	}
-	return all[uint64(stated.ID)%uint64(len(all))]
+	return addresses[uint64(target.ID)%uint64(len(addresses))]
 }
--- a/internal/direct/registrar/handover_test.go
+++ b/internal/direct/registrar/handover_test.go
@@ -11,7 +11,9 @@
 	"merlinpaddle/internal/model"
 )
 
-func peersOf(zones ...string) func() []feed.Peer {
+// peersInZones returns balancers named na, nb, ... in the given zones, with the renewal addresses a,
+// b, ...
+func peersInZones(zones ...string) func() []feed.Peer {
 	var peers []feed.Peer
 	for index, zone := range zones {
 		name := string(rune('a' + index))
@@ -20,56 +22,56 @@
 	return func() []feed.Peer { return peers }
 }
 
-func TestHandOver(t *testing.T) {
-	near := ready(7, 1)
-	near.Zone = "x"
-	draining := near
+func TestRenewalRedirector(t *testing.T) {
+	target := readyTarget(7, 1)
+	target.Zone = "x"
+	draining := target
 	draining.State = directory.TargetDraining
 	cases := []struct {
 		name   string
 		limit  int
 		peers  func() []feed.Peer
 		rate   int
-		stated directory.Target
+		target directory.Target
 		want   []string
 	}{
-		{"below the limit", 20, peersOf("x"), 10, near, []string{""}},
-		{"above the limit", 5, peersOf("x", "y"), 10, near, []string{"a"}},
-		{"above the limit, no balancer of the zone", 5, peersOf("y", "z"), 10, near, []string{"a", "b"}},
-		{"above the limit, no balancer at all", 5, peersOf(), 10, near, []string{""}},
-		{"balancers that take none", 5, func() []feed.Peer { return []feed.Peer{{Name: "a", Zone: "x"}} }, 10, near, []string{""}},
-		{"never", 0, peersOf("x"), 1000, near, []string{""}},
-		{"draining targets stay", 5, peersOf("x"), 10, draining, []string{""}},
+		{"below the limit", 20, peersInZones("x"), 10, target, []string{""}},
+		{"above the limit", 5, peersInZones("x", "y"), 10, target, []string{"a"}},
+		{"above the limit, no balancer in the zone", 5, peersInZones("y", "z"), 10, target, []string{"a", "b"}},
+		{"above the limit, no balancer known", 5, peersInZones(), 10, target, []string{""}},
+		{"above the limit, no balancer accepts renewals", 5, func() []feed.Peer { return []feed.Peer{{Name: "a", Zone: "x"}} }, 10, target, []string{""}},
+		{"redirecting disabled", 0, peersInZones("x"), 1000, target, []string{""}},
+		{"draining targets are not redirected", 5, peersInZones("x"), 10, draining, []string{""}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			handOver := NewRenewalRedirector(test.limit, test.peers)
-			now := start
-			var place string
+			redirector := NewRenewalRedirector(test.limit, test.peers)
+			now := startTime
+			var address string
 			for range 3 * test.rate {
 				now = now.Add(time.Second / time.Duration(test.rate))
-				place = handOver.Redirect(now, test.stated)
+				address = redirector.Redirect(now, test.target)
 			}
-			require.Contains(t, test.want, place)
+			require.Contains(t, test.want, address)
 		})
 	}
 }
 
-func TestHandOverEndsWithTheCrowd(t *testing.T) {
-	handOver := NewRenewalRedirector(5, peersOf("x"))
+func TestRedirectingEndsWhenTheRateDrops(t *testing.T) {
+	redirector := NewRenewalRedirector(5, peersInZones("x"))
 	for range 20 {
-		handOver.Redirect(start, ready(1, 1))
+		redirector.Redirect(startTime, readyTarget(1, 1))
 	}
-	require.NotEmpty(t, handOver.Redirect(start, ready(1, 1)))
-	require.NotEmpty(t, handOver.Redirect(start.Add(rateWindow), ready(1, 1)), "the window before counts too")
-	require.Empty(t, handOver.Redirect(start.Add(3*rateWindow), ready(1, 1)))
+	require.NotEmpty(t, redirector.Redirect(startTime, readyTarget(1, 1)))
+	require.NotEmpty(t, redirector.Redirect(startTime.Add(rateWindow), readyTarget(1, 1)), "the previous window counts too")
+	require.Empty(t, redirector.Redirect(startTime.Add(3*rateWindow), readyTarget(1, 1)))
 }
 
 func TestTargetsSpreadOverTheBalancersOfTheirZone(t *testing.T) {
-	peers := peersOf("x", "x", "x", "y")
+	peers := peersInZones("x", "x", "x", "y")
 	counts := make(map[string]int)
 	for id := range directory.TargetID(300) {
-		target := ready(id+1, 1)
+		target := readyTarget(id+1, 1)
 		target.Zone = "x"
 		counts[choosePeer(peers(), target)]++
 	}
--- a/internal/direct/registrar/health.go
+++ b/internal/direct/registrar/health.go
@@ -13,100 +13,99 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// HealthOptions are the bounds of failure detection.
+// HealthOptions are the time limits of failure detection.
 type HealthOptions struct {
-	// SilentAfter is how long a target may send no renewal before it is
-	// probed.
+	// SilentAfter is how long after its latest renewal or probe answer a target is probed.
 	SilentAfter time.Duration
-	// MissedAfter is how long after a renewal the next one counts as missed.
+	// MissedAfter is how long after the latest renewal the next one counts as missed.
 	MissedAfter time.Duration
-	// MinProbeInterval is the least time between two probes of one target.
+	// MinProbeInterval is the minimum time between two probes of a target.
 	MinProbeInterval time.Duration
-	// RemoveFailedAfter is how long a failed target's token is kept: the longest
-	// life of a flow and a margin.
+	// RemoveFailedAfter is how long the token of a failed target is kept: the longest lifetime
+	// of a flow and a margin.
 	RemoveFailedAfter time.Duration
 }
 
-// HealthMonitor is the controller that finds dead targets. Members pass renewals and
-// reports of balancers to the leader; the leader probes what is silent and
-// commits what it finds.
+// HealthMonitor is the controller that detects failed targets and ejects targets with failing
+// requests. Members forward renewals and balancers' reports to the leader; the leader probes
+// targets that stopped renewing and commits what it finds.
 type HealthMonitor struct {
-	options   HealthOptions
-	mailbox   *protocol.Mailbox
-	group     Group
-	directory *directory.Directory
-	renewed   *RenewalTable
-	renewals  *board.Queue[protocol.Envelope]
-	reports   *board.Queue[protocol.Envelope]
-	outcomes  *board.Queue[protocol.Envelope]
-	judge     *outcome.Judge
-	prober    *probe.Prober
-	logger    *zap.Logger
+	options         HealthOptions
+	mailbox         *protocol.Mailbox
+	group           Group
+	directory       *directory.Directory
+	renewalTable    *RenewalTable
+	renewalMessages *board.Queue[protocol.Envelope]
+	healthReports   *board.Queue[protocol.Envelope]
+	outcomeReports  *board.Queue[protocol.Envelope]
+	outlierDetector *outcome.Judge
+	prober          *probe.Prober
+	logger          *zap.Logger
 
-	// looked is kept between looks at the targets, to spare its memory.
-	looked   []directory.Target
-	observed map[directory.Token]*observation
-	// now is the time of the present Reconcile.
+	// targets are those of the latest checkTargets. The slice is reused to avoid allocations.
+	targets      []directory.Target
+	observations map[directory.Token]*observation
+	// now is the time of the current Reconcile.
 	now time.Time
-	// since is when this member began to lead.
-	since    time.Time
-	term     uint64
-	toldAt   time.Time
-	judgedAt time.Time
+	// leadingSince is when this member became leader; zero when it doesn't lead.
+	leadingSince      time.Time
+	term              uint64
+	renewalsDrainedAt time.Time
+	outliersCheckedAt time.Time
 }
 
-// NewHealthMonitor returns the failure detector of one member.
+// NewHealthMonitor returns the health monitor of one member.
 func NewHealthMonitor(options HealthOptions, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group Group,
-	directory *directory.Directory, renewed *RenewalTable, prober *probe.Prober, logger *zap.Logger) *HealthMonitor {
+	directory *directory.Directory, renewalTable *RenewalTable, prober *probe.Prober, logger *zap.Logger) *HealthMonitor {
 	return &HealthMonitor{
-		options:   options,
-		mailbox:   mailbox,
-		group:     group,
-		directory: directory,
-		renewed:   renewed,
-		renewals:  dispatcher.Handle(Renewals{}),
-		reports:   dispatcher.Handle(feed.HealthReport{}),
-		outcomes:  dispatcher.Handle(feed.OutcomeReport{}),
-		judge:     outcome.NewJudge(),
-		prober:    prober,
-		logger:    logger,
-		observed:  newObserved(),
+		options:         options,
+		mailbox:         mailbox,
+		group:           group,
+		directory:       directory,
+		renewalTable:    renewalTable,
+		renewalMessages: dispatcher.Handle(Renewals{}),
+		healthReports:   dispatcher.Handle(feed.HealthReport{}),
+		outcomeReports:  dispatcher.Handle(feed.OutcomeReport{}),
+		outlierDetector: outcome.NewJudge(),
+		prober:          prober,
+		logger:          logger,
+		observations:    newObservations(),
 	}
 }
 
-func newObserved() map[directory.Token]*observation {
+func newObservations() map[directory.Token]*observation {
 	return make(map[directory.Token]*observation)
 }
 
 // Name implements board.Controller.
 func (health *HealthMonitor) Name() string { return "target health" }
 
-// Sources returns the channels whose notices call for a Reconcile.
+// Sources returns the channels whose notifications trigger a Reconcile.
 func (health *HealthMonitor) Sources() []<-chan struct{} {
-	return []<-chan struct{}{health.reports.Watch(), health.prober.Results.Watch()}
+	return []<-chan struct{}{health.healthReports.Watch(), health.prober.Results.Watch()}
 }
 
 // Reconcile implements board.Controller.
 func (health *HealthMonitor) Reconcile(now time.Time) {
 	health.now = now
 	status := health.group.StatusAt(now)
-	renewals := health.takeRenewals(now)
+	renewals := health.collectRenewals(now)
 	if !status.Leading {
-		health.passOn(status.Leader, renewals)
-		health.observed = newObserved()
-		health.since = time.Time{}
+		health.forwardToLeader(status.Leader, renewals)
+		health.observations = newObservations()
+		health.leadingSince = time.Time{}
 		health.prober.Results.Drain()
 		return
 	}
-	if health.since.IsZero() || health.term != status.Term {
-		health.since = now
+	if health.leadingSince.IsZero() || health.term != status.Term {
+		health.leadingSince = now
 		health.term = status.Term
-		health.observed = newObserved()
-		health.judge = outcome.NewJudge()
+		health.observations = newObservations()
+		health.outlierDetector = outcome.NewJudge()
 	}
-	health.note(now, renewals)
-	health.takeReports(now)
-	health.takeResults(now)
-	health.inspect(now)
-	health.judgeOutcomes(now)
+	health.recordRenewals(now, renewals)
+	health.handleHealthReports(now)
+	health.handleProbeResults(now)
+	health.checkTargets(now)
+	health.ejectOutliers(now)
 }
--- a/internal/direct/registrar/health_inspect.go
+++ b/internal/direct/registrar/health_inspect.go
@@ -9,120 +9,125 @@
 	"merlinpaddle/internal/model"
 )
 
-// observation is what the leader remembers of a target in memory.
+// observation is what the leader knows about a target. It is kept in memory only.
 type observation struct {
-	// seenAt is when the target last renewed or answered a probe.
+	// seenAt is when the target last renewed or answered a probe of the leader.
 	seenAt time.Time
-	// renewedAt is when it last renewed, and answeredAt when it last answered.
+	// renewedAt is when it last renewed, and answeredAt when it last answered a probe.
 	renewedAt  time.Time
 	answeredAt time.Time
 	probedAt   time.Time
 	failedAt   time.Time
-	// proposedAt is when a change of the target was last proposed.
+	// proposedAt is when a change to the target was last proposed.
 	proposedAt time.Time
-	// silentProbes counts the leader's own probes in a row without an answer.
-	silentProbes int
-	// witnesses are the processes that found the target silent, with the time.
-	witnesses map[model.NodeName]time.Time
+	// unansweredProbes counts the leader's consecutive unanswered probes.
+	unansweredProbes int
+	// reporters are the nodes that got no answer from the target, with the time of the latest
+	// finding.
+	reporters map[model.NodeName]time.Time
 }
 
-// witness records that name found the target silent, and returns how many
-// processes did lately.
-func (known *observation) witness(now time.Time, name model.NodeName) int {
-	if known.witnesses == nil {
-		known.witnesses = make(map[model.NodeName]time.Time)
+// addReporter records that a node got no answer from the target, and returns how many nodes
+// found this within reporterTTL.
+func (observed *observation) addReporter(now time.Time, name model.NodeName) int {
+	if observed.reporters == nil {
+		observed.reporters = make(map[model.NodeName]time.Time)
 	}
-	known.witnesses[name] = now
-	for other, at := range known.witnesses {
-		if now.Sub(at) > witnessFor {
-			delete(known.witnesses, other)
+	observed.reporters[name] = now
+	for other, at := range observed.reporters {
+		if now.Sub(at) > reporterTTL {
+			delete(observed.reporters, other)
 		}
 	}
-	return len(known.witnesses)
+	return len(observed.reporters)
 }
 
-// observation returns what is remembered of the target. One that is new to the
-// leader counts as heard from just now.
-func (health *HealthMonitor) observation(token directory.Token) *observation {
-	known := health.observed[token]
-	if known == nil {
-		known = &observation{seenAt: health.now, renewedAt: health.now}
-		health.observed[token] = known
+// observationOf returns the observation of a target. A target without one gets an observation
+// that counts as renewed now.
+func (health *HealthMonitor) observationOf(token directory.Token) *observation {
+	observed := health.observations[token]
+	if observed == nil {
+		observed = &observation{seenAt: health.now, renewedAt: health.now}
+		health.observations[token] = observed
 	}
-	return known
+	return observed
 }
 
-// inspect looks at every target for silence, return and age.
-func (health *HealthMonitor) inspect(now time.Time) {
-	health.looked = health.directory.AppendTargets(health.looked[:0])
-	targets := health.looked
-	if len(health.observed) > 2*len(targets)+observedSlack {
-		health.dropForgotten()
+// checkTargets probes the targets that stopped renewing, recovers failed targets that renew
+// again, and removes those that failed long ago.
+func (health *HealthMonitor) checkTargets(now time.Time) {
+	health.targets = health.directory.AppendTargets(health.targets[:0])
+	targets := health.targets
+	if len(health.observations) > 2*len(targets)+staleObservationSlack {
+		health.pruneObservations()
 	}
 	for _, target := range targets {
-		known := health.observation(target.Token)
+		observed := health.observationOf(target.Token)
 		switch target.State {
 		case directory.TargetFailed:
-			health.inspectFailed(now, &target, known)
+			health.checkFailed(now, &target, observed)
 		case directory.TargetLeft:
-			health.probeWhenSilent(now, &target, known, health.options.MinProbeInterval)
+			health.probeIfSilent(now, &target, observed, health.options.MinProbeInterval)
 		default:
-			health.probeWhenSilent(now, &target, known, health.options.SilentAfter)
+			health.probeIfSilent(now, &target, observed, health.options.SilentAfter)
 		}
 	}
 }
 
-// observedSlack is how many observations of forgotten targets are left alone.
-const observedSlack = 64
+// staleObservationSlack is how many observations beyond twice the number of targets are kept
+// before those of removed targets are pruned.
+const staleObservationSlack = 64
 
-// dropForgotten forgets observations of targets that are not in the directory.
-func (health *HealthMonitor) dropForgotten() {
-	for token := range health.observed {
+// pruneObservations deletes the observations of targets that are no longer in the directory.
+func (health *HealthMonitor) pruneObservations() {
+	for token := range health.observations {
 		if _, exists := health.directory.Incarnation(token); !exists {
-			delete(health.observed, token)
+			delete(health.observations, token)
 		}
 	}
 }
 
-func (health *HealthMonitor) probeWhenSilent(now time.Time, target *directory.Target, known *observation, limit time.Duration) {
-	if now.Sub(known.seenAt) >= limit {
+// probeIfSilent probes a target that has neither renewed nor answered a probe for limit.
+func (health *HealthMonitor) probeIfSilent(now time.Time, target *directory.Target, observed *observation, limit time.Duration) {
+	if now.Sub(observed.seenAt) >= limit {
 		health.probe(now, target.Token, target.Address)
 	}
 }
 
-func (health *HealthMonitor) inspectFailed(now time.Time, target *directory.Target, known *observation) {
-	if known.failedAt.IsZero() {
-		known.failedAt = now
+// checkFailed removes a target that failed long ago, or checks whether one that renews is alive.
+func (health *HealthMonitor) checkFailed(now time.Time, target *directory.Target, observed *observation) {
+	if observed.failedAt.IsZero() {
+		observed.failedAt = now
 	}
 	switch {
-	case now.Sub(known.failedAt) > health.options.RemoveFailedAfter:
-		health.logger.Info("target forgotten", zap.Uint64("target", uint64(target.ID)), zap.Duration("failed_for", now.Sub(known.failedAt)))
+	case now.Sub(observed.failedAt) > health.options.RemoveFailedAfter:
+		health.logger.Info("target forgotten", zap.Uint64("target", uint64(target.ID)), zap.Duration("failed_for", now.Sub(observed.failedAt)))
 		health.propose(now, target.Token, directory.Command{ForgetTargets: &directory.Forgetting{Tokens: []directory.Token{target.Token}}})
-	case known.renewedAt.After(known.failedAt) && now.Sub(known.renewedAt) <= health.options.MissedAfter:
-		health.reconsider(now, target, known)
+	case observed.renewedAt.After(observed.failedAt) && now.Sub(observed.renewedAt) <= health.options.MissedAfter:
+		health.recoverIfAlive(now, target, observed)
 	}
 }
 
-// reconsider looks at a failed target that renews. The renewal may have been
-// sent before the target died, so that it must then answer a probe; and another
-// incarnation may have its address by now, which answers in its place.
-func (health *HealthMonitor) reconsider(now time.Time, target *directory.Target, known *observation) {
+// recoverIfAlive handles a failed target that renews. The renewal may have been sent before
+// the target failed, so the target must also answer a probe after it. If another incarnation
+// has taken its address, a probe proves nothing, because that incarnation would answer it.
+func (health *HealthMonitor) recoverIfAlive(now time.Time, target *directory.Target, observed *observation) {
 	if successor, replaced := health.directory.Successor(target.Token); replaced {
-		if known.renewedAt.Sub(health.observation(successor.Token).renewedAt) >= health.options.MissedAfter*missedToYield {
-			health.fail(now, successor, "a former incarnation renews at its address")
+		if observed.renewedAt.Sub(health.observationOf(successor.Token).renewedAt) >= health.options.MissedAfter*successorMissedRenewals {
+			health.markFailed(now, successor, "another incarnation renews at its address")
 		}
 		return
 	}
-	if !known.answeredAt.After(known.renewedAt) {
+	if !observed.answeredAt.After(observed.renewedAt) {
 		health.probe(now, target.Token, target.Address)
 		return
 	}
-	health.logger.Info("target recovered", zap.Uint64("target", uint64(target.ID)), zap.Duration("failed_for", now.Sub(known.failedAt)))
-	known.failedAt = time.Time{}
+	health.logger.Info("target recovered", zap.Uint64("target", uint64(target.ID)), zap.Duration("failed_for", now.Sub(observed.failedAt)))
+	observed.failedAt = time.Time{}
 	health.propose(now, target.Token, directory.Command{TargetHealth: &directory.HealthChange{Recovered: []directory.Token{target.Token}}})
 }
 
-// missedToYield is how many renewals in a row the later incarnation at an
-// address must miss, while the former one renews, before it counts as dead: its
-// registration came late, from a time before the one that renews.
-const missedToYield = 3
+// successorMissedRenewals is how many consecutive renewals the later incarnation at an address
+// must miss, while the earlier one renews, before it counts as failed. Its registration was
+// then a delayed one, sent before the incarnation that renews took the address.
+const successorMissedRenewals = 3
--- a/internal/direct/registrar/health_outcomes.go
+++ b/internal/direct/registrar/health_outcomes.go
@@ -10,19 +10,18 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// judgeOutcomes sets targets aside that leave requests unanswered, and brings
-// them back after a while. The directory says which are aside, so that another
-// leader goes on from there.
-func (health *HealthMonitor) judgeOutcomes(now time.Time) {
-	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomes) {
+// ejectOutliers ejects targets with failing requests and readmits them after a while. The
+// directory records which targets are ejected, so that a new leader continues from there.
+func (health *HealthMonitor) ejectOutliers(now time.Time) {
+	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomeReports) {
 		report := received.Message
-		health.judge.Take(report, now)
+		health.outlierDetector.Take(report, now)
 	}
-	if now.Sub(health.judgedAt) < judgeInterval {
+	if now.Sub(health.outliersCheckedAt) < outlierCheckInterval {
 		return
 	}
-	health.judgedAt = now
-	verdict := health.judge.Decide(health.looked, now)
+	health.outliersCheckedAt = now
+	verdict := health.outlierDetector.Decide(health.targets, now)
 	if len(verdict.Aside)+len(verdict.Back) == 0 {
 		return
 	}
@@ -39,12 +38,12 @@
 	health.group.Submit(data, func([]byte, error) {})
 }
 
-// targetField names the target of an incarnation in a log line.
+// targetField returns the log field that identifies the target of an incarnation.
 func (health *HealthMonitor) targetField(token directory.Token) zap.Field {
 	target, _ := health.directory.Incarnation(token)
 	return zap.Uint64("target", uint64(target.ID))
 }
 
-// judgeInterval is the time between two decisions about outcomes; the former one
-// is applied by then.
-const judgeInterval = 500 * time.Millisecond
+// outlierCheckInterval is the time between two outlier checks. It is long enough for the
+// previous decision to be applied.
+const outlierCheckInterval = 500 * time.Millisecond
--- a/internal/direct/registrar/health_renewals.go
+++ b/internal/direct/registrar/health_renewals.go
@@ -11,47 +11,48 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// renewalInterval is the time between two messages that fold renewals.
-const renewalInterval = 250 * time.Millisecond
+// renewalFlushInterval is the time between two messages with the renewals at this member.
+const renewalFlushInterval = 250 * time.Millisecond
 
-// takeRenewals returns the targets that were heard from at this member since
-// the last call, and those that other members told.
-func (health *HealthMonitor) takeRenewals(now time.Time) []Renewal {
+// collectRenewals returns the renewals that other members forwarded and, every
+// renewalFlushInterval, those received at this member since the last flush.
+func (health *HealthMonitor) collectRenewals(now time.Time) []Renewal {
 	var renewals []Renewal
-	for _, received := range protocol.Receive[Renewals](health.renewals) {
+	for _, received := range protocol.Receive[Renewals](health.renewalMessages) {
 		message := received.Message
 		renewals = append(renewals, message.Targets...)
 	}
-	if now.Sub(health.toldAt) < renewalInterval {
+	if now.Sub(health.renewalsDrainedAt) < renewalFlushInterval {
 		return renewals
 	}
-	health.toldAt = now
-	renewals = append(renewals, DrainRenewals(health.renewed, now)...)
+	health.renewalsDrainedAt = now
+	renewals = append(renewals, DrainRenewals(health.renewalTable, now)...)
 	slices.SortFunc(renewals, func(left, right Renewal) int { return cmp.Compare(left.ID, right.ID) })
 	return renewals
 }
 
-// DrainRenewals returns what the table has and takes it out, but for targets
-// that renew meanwhile.
-func DrainRenewals(renewed *RenewalTable, now time.Time) []Renewal {
+// DrainRenewals returns the renewals in the table and deletes their rows, except for targets
+// that renewed again meanwhile.
+func DrainRenewals(table *RenewalTable, now time.Time) []Renewal {
 	var renewals []Renewal
-	renewed.Range(func(id directory.TargetID, row board.Row[time.Time]) bool {
+	table.Range(func(id directory.TargetID, row board.Row[time.Time]) bool {
 		renewals = append(renewals, Renewal{ID: id, Ago: now.Sub(row.Value)})
 		return true
 	})
 	for _, renewal := range renewals {
-		taken := now.Add(-renewal.Ago)
-		renewed.Update(renewal.ID, func(at time.Time, exists bool) (time.Time, bool) {
-			return at, exists && at.After(taken)
+		drainedAt := now.Add(-renewal.Ago)
+		table.Update(renewal.ID, func(at time.Time, exists bool) (time.Time, bool) {
+			return at, exists && at.After(drainedAt)
 		})
 	}
 	return renewals
 }
 
-// passOn sends the leader what this member heard.
-func (health *HealthMonitor) passOn(leader model.NodeName, renewals []Renewal) {
-	reports := health.reports.Drain()
-	outcomes := health.outcomes.Drain()
+// forwardToLeader sends the leader the renewals and the reports that this member received.
+// Without a known leader they are dropped.
+func (health *HealthMonitor) forwardToLeader(leader model.NodeName, renewals []Renewal) {
+	reports := health.healthReports.Drain()
+	outcomes := health.outcomeReports.Drain()
 	if leader == "" || leader == health.mailbox.Self {
 		return
 	}
@@ -63,26 +64,26 @@
 	}
 }
 
-// note takes renewals in. A renewal counts for the latest incarnation of its target: a
-// former one is gone for good. One of a target that is not in the directory is one of a
-// registration that was not committed.
-func (health *HealthMonitor) note(now time.Time, renewals []Renewal) {
+// recordRenewals records renewals. A renewal counts for the latest incarnation of its target,
+// because the process of an earlier one has ended. Renewals of targets that are not in the
+// directory are ignored: their registration was not committed.
+func (health *HealthMonitor) recordRenewals(now time.Time, renewals []Renewal) {
 	for _, renewal := range renewals {
 		token, exists := health.directory.TokenOf(renewal.ID)
 		if !exists {
 			continue
 		}
-		known := health.observation(token)
+		observed := health.observationOf(token)
 		renewedAt := now.Add(-renewal.Ago)
-		if renewedAt.After(known.renewedAt) {
-			known.renewedAt = renewedAt
+		if renewedAt.After(observed.renewedAt) {
+			observed.renewedAt = renewedAt
 		}
-		if renewedAt.After(known.seenAt) {
-			known.seenAt = renewedAt
+		if renewedAt.After(observed.seenAt) {
+			observed.seenAt = renewedAt
 		}
-		if renewal.Ago < renewalInterval {
-			known.witnesses = nil
-			known.silentProbes = 0
+		if renewal.Ago < renewalFlushInterval {
+			observed.reporters = nil
+			observed.unansweredProbes = 0
 		}
 	}
 }
--- a/internal/direct/registrar/messages.go
+++ b/internal/direct/registrar/messages.go
@@ -1,11 +1,9 @@
-// Package registrar is the control side of direct services: it takes targets'
-// registrations and operators' declarations at any member, commits through the
-// leader what must be durable, keeps renewals in memory, and finds dead
-// targets.
+// Package registrar is the control plane of direct services. It accepts targets' registrations
+// and operators' declarations at any member, commits durable changes through the leader, keeps
+// renewals in memory, and detects failed targets.
 //
-// A change is acknowledged only once a majority of members holds it durably.
-// A member that knows of no confirmed quorum takes nothing, so that callers go
-// on to another member.
+// A change is acknowledged only once a majority of members has stored it durably. A member
+// without a confirmed quorum refuses calls, so that callers go to another member.
 package registrar
 
 import (
@@ -19,13 +17,12 @@
 
 // ProposeRequest asks the leader to commit a command.
 type ProposeRequest struct {
-	// Correlation pairs the reply with the request.
+	// Correlation matches the reply to the request.
 	Correlation uint64
 	Command     []byte
 }
 
-// ReadRequest asks the leader for the revision that holds every change that
-// was committed before.
+// ReadRequest asks the leader for a revision that includes every change committed before.
 type ReadRequest struct {
 	Correlation uint64
 }
@@ -33,23 +30,23 @@
 // Reply answers a ProposeRequest or a ReadRequest.
 type Reply struct {
 	Correlation uint64
-	// Result is a proposal's encoded result.
+	// Result is the encoded result of a proposal.
 	Result []byte
 	// Revision is the directory's revision at the leader.
 	Revision model.Revision
-	// Code and Text tell why the request failed; Code is zero otherwise.
+	// Code and Text state why the request failed; Code is zero on success.
 	Code faults.Code
 	Text string
 }
 
-// Renewal tells that a target was heard from.
+// Renewal states that a target renewed.
 type Renewal struct {
 	ID directory.TargetID
-	// Ago is how long before the message the target was heard from.
+	// Ago is how long before the message was sent the target renewed.
 	Ago time.Duration
 }
 
-// Renewals tells the leader which targets renewed at this member.
+// Renewals lists targets that renewed at the sender, or whose renewals were forwarded to it.
 type Renewals struct {
 	Targets []Renewal
 }
--- a/internal/direct/registrar/proposer.go
+++ b/internal/direct/registrar/proposer.go
@@ -11,165 +11,169 @@
 	"merlinpaddle/internal/replica"
 )
 
-// Group is what the registrar needs of the member's place in the control
-// group; replica.Controller implements it.
+// Group is the part of the control group's consensus that the registrar uses.
+// replica.Controller implements it.
 type Group interface {
-	// Submit proposes a command and calls done once with its result.
+	// Submit proposes a command and calls done exactly once with its result.
 	Submit(command []byte, done func(result []byte, err error))
-	// ReadBarrier calls done once this member's state has every change that
-	// was committed before the call.
+	// ReadBarrier calls done once this member has applied every change that was committed
+	// before the call.
 	ReadBarrier(done func(err error))
 	// StatusAt returns the member's status as of now.
 	StatusAt(now time.Time) replica.Status
 }
 
 const (
-	// retryPause is the wait before a request is tried again that certainly
-	// was not proposed.
-	retryPause = 30 * time.Millisecond
-	// callsKept bounds the calls that wait to be taken.
-	callsKept = 4096
+	// retryDelay is the wait before retrying a request that certainly was not proposed.
+	retryDelay = 30 * time.Millisecond
+	// maxQueuedCalls bounds the calls, and the registrations, that are queued for the next
+	// Reconcile.
+	maxQueuedCalls = 4096
 )
 
-// call is one proposal, or one read when command is nil.
+// call is a proposal, or a confirmed read when command is nil.
 type call struct {
 	command  []byte
 	begunAt  time.Time
 	deadline time.Time
 	done     func(Reply, error)
-	// attempt numbers the tries; an outcome of an earlier one is ignored.
+	// attempt numbers the current attempt; results of earlier attempts are ignored.
 	attempt uint64
-	// retryAt is when the next try is due; zero while one is under way.
+	// retryAt is when the next attempt is due; zero while one is in flight.
 	retryAt time.Time
-	// awaited is the revision that this member must reach to answer a read.
-	awaited model.Revision
+	// awaitedRevision is the revision that this member must apply before a read is answered;
+	// zero while it is unknown.
+	awaitedRevision model.Revision
 }
 
-// attemptEnd is the end of one try.
-type attemptEnd struct {
+// attemptResult is the result of one attempt.
+type attemptResult struct {
 	attempt uint64
 	reply   Reply
 	err     error
 }
 
-// Proposer commits commands and confirms reads, at this member when it leads
-// and through the leader otherwise. As a controller it also serves the
-// requests that other members forward. Every call ends by its deadline.
+// Proposer commits commands and confirms reads, at this member when it leads and through the
+// leader otherwise. Its Reconcile also serves the requests that other members forward. Every
+// call ends by its deadline.
 type Proposer struct {
 	mailbox   *protocol.Mailbox
 	proposals *board.Queue[protocol.Envelope]
 	reads     *board.Queue[protocol.Envelope]
 	replies   *board.Queue[protocol.Envelope]
 	calls     *board.Queue[*call]
-	// registrations are those that came since the last Reconcile, and batches has them
-	// from then on.
+	// registrations are those received since the last Reconcile, and batches has them afterwards.
 	registrations *board.Queue[*registration]
-	batches       batches
-	outcomes      *board.Queue[attemptEnd]
+	batches       batchQueue
+	localResults  *board.Queue[attemptResult]
 	group         Group
 	directory     *directory.Directory
 
-	// observe is told how each call ended.
-	observe func(ended CallOutcome)
+	// onCallEnd is called with the outcome of each call.
+	onCallEnd func(outcome CallOutcome)
 
-	last uint64
-	// pending has the calls under way by their present attempt, and order
-	// their attempts in the order in which they began.
-	pending map[uint64]*call
-	order   []uint64
+	lastAttempt uint64
+	// inFlight has the unfinished calls by their current attempt. attemptOrder lists those
+	// attempts in the order in which they were started; it may include finished ones.
+	inFlight     map[uint64]*call
+	attemptOrder []uint64
 }
 
-// CallOutcome tells how a call ended.
+// CallOutcome describes how a call ended.
 type CallOutcome struct {
-	// IsRead tells a read from a proposal.
+	// IsRead is true for a read and false for a proposal.
 	IsRead bool
-	// Elapsed is the time from the call to its end.
+	// Elapsed is the time from the first attempt of the call to its end.
 	Elapsed time.Duration
-	// Err is nil for a success.
+	// Err is nil on success.
 	Err error
 }
 
-// OnCallEnd makes observe be told how each call ended. It is set before the
-// first Reconcile and must return at once.
-func (proposer *Proposer) OnCallEnd(observe func(ended CallOutcome)) { proposer.observe = observe }
+// OnCallEnd sets the function that is called with the outcome of each call. It must be set
+// before the first Reconcile, and the function must not block.
+func (proposer *Proposer) OnCallEnd(onCallEnd func(outcome CallOutcome)) {
+	proposer.onCallEnd = onCallEnd
+}
 
-// NewProposer returns the proposer of one member. Attempts are numbered from
-// seed, so that replies to a former life of the process match nothing.
-func NewProposer(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group Group, directory *directory.Directory, seed uint64) *Proposer {
+// NewProposer returns the proposer of one member. Attempts are numbered from attemptSeed, which
+// must differ between runs of the process so that replies to an earlier run match no attempt.
+func NewProposer(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group Group, directory *directory.Directory, attemptSeed uint64) *Proposer {
 	return &Proposer{
 		mailbox:       mailbox,
 		proposals:     dispatcher.Handle(ProposeRequest{}),
 		reads:         dispatcher.Handle(ReadRequest{}),
 		replies:       dispatcher.Handle(Reply{}),
-		calls:         board.NewQueue[*call]("direct calls", callsKept),
-		registrations: board.NewQueue[*registration]("direct registrations", callsKept),
-		outcomes:      board.NewQueue[attemptEnd]("direct outcomes", 2*callsKept),
+		calls:         board.NewQueue[*call]("direct calls", maxQueuedCalls),
+		registrations: board.NewQueue[*registration]("direct registrations", maxQueuedCalls),
+		localResults:  board.NewQueue[attemptResult]("direct outcomes", 2*maxQueuedCalls),
 		group:         group,
 		directory:     directory,
-		last:          seed,
-		pending:       make(map[uint64]*call),
-		observe:       func(CallOutcome) {},
+		lastAttempt:   attemptSeed,
+		inFlight:      make(map[uint64]*call),
+		onCallEnd:     func(CallOutcome) {},
 	}
 }
 
 // Name implements board.Controller.
 func (proposer *Proposer) Name() string { return "direct proposer" }
 
-// Sources returns the channels whose notices call for a Reconcile.
+// Sources returns the channels whose notifications trigger a Reconcile.
 func (proposer *Proposer) Sources() []<-chan struct{} {
 	return []<-chan struct{}{
 		proposer.proposals.Watch(), proposer.reads.Watch(), proposer.replies.Watch(),
-		proposer.calls.Watch(), proposer.outcomes.Watch(), proposer.registrations.Watch(),
+		proposer.calls.Watch(), proposer.localResults.Watch(), proposer.registrations.Watch(),
 	}
 }
 
-// Propose commits command and calls done once with its result, by deadline at
-// the latest. What certainly was not proposed is tried again; an unknown
-// outcome is told as such.
+// Propose commits command and calls done once with its result, by deadline at the latest. It
+// retries only while the command certainly was not proposed; an unknown outcome is returned as
+// an error.
 func (proposer *Proposer) Propose(command directory.Command, deadline time.Time, done func(directory.Result, error)) {
 	data, err := directory.EncodeCommand(command)
 	if err != nil {
 		done(directory.Result{}, err)
 		return
 	}
-	proposer.begin(newProposal(data, time.Time{}, deadline, done))
+	proposer.enqueue(newProposal(data, time.Time{}, deadline, done))
 }
 
-// Register commits a target's registration and calls done once with its token, by deadline
-// at the latest. Registrations that wait are committed together.
-func (proposer *Proposer) Register(stated directory.Target, deadline time.Time, done func(directory.Token, error)) {
-	added := &registration{stated: stated, deadline: deadline, done: done}
+// Register commits a target's registration and calls done once with its token, by deadline at
+// the latest. Queued registrations are committed together.
+func (proposer *Proposer) Register(target directory.Target, deadline time.Time, done func(directory.Token, error)) {
+	added := &registration{target: target, deadline: deadline, done: done}
 	if !proposer.registrations.Put(added) {
-		added.end(0, faults.New(faults.ProposalsFull, "%d registrations wait at this member", callsKept))
+		added.complete(0, faults.New(faults.ProposalsFull, "%d registrations are already queued at this member", maxQueuedCalls))
 	}
 }
 
-// proposeBatches proposes the registrations that wait, as far as they may go now.
+// proposeBatches queues new registrations, expires old ones and proposes the batches that are
+// due.
 func (proposer *Proposer) proposeBatches(now time.Time) {
 	for _, added := range proposer.registrations.Drain() {
 		proposer.batches.add(added)
 	}
 	proposer.batches.expire(now)
-	for begun := proposer.batches.next(now); begun != nil; begun = proposer.batches.next(now) {
-		proposer.proposeBatch(now, begun)
+	for next := proposer.batches.next(now); next != nil; next = proposer.batches.next(now) {
+		proposer.proposeBatch(now, next)
 	}
 }
 
 // proposeBatch proposes one batch.
-func (proposer *Proposer) proposeBatch(now time.Time, begun *batch) {
-	end := func(result directory.Result, err error) {
-		proposer.batches.settle(begun)
-		begun.end(result, err)
+func (proposer *Proposer) proposeBatch(now time.Time, proposed *batch) {
+	complete := func(result directory.Result, err error) {
+		proposer.batches.remove(proposed)
+		proposed.complete(result, err)
 	}
-	data, err := directory.EncodeCommand(begun.command())
+	data, err := directory.EncodeCommand(proposed.command())
 	if err != nil {
-		end(directory.Result{}, err)
+		complete(directory.Result{}, err)
 		return
 	}
-	proposer.try(now, newProposal(data, now, begun.deadline(), end))
+	proposer.startAttempt(now, newProposal(data, now, proposed.deadline(), complete))
 }
 
-// newProposal returns a call that commits an encoded command and ends with done.
+// newProposal returns a call that commits an encoded command and calls done with the decoded
+// result.
 func newProposal(data []byte, begunAt, deadline time.Time, done func(directory.Result, error)) *call {
 	return &call{command: data, begunAt: begunAt, deadline: deadline, done: func(reply Reply, err error) {
 		if err != nil {
@@ -180,57 +184,59 @@
 	}}
 }
 
-// Read calls done once this member's directory has every change that was
-// committed before the call, by deadline at the latest.
+// Read calls done once this member's directory has every change that was committed before the
+// call, by deadline at the latest.
 func (proposer *Proposer) Read(deadline time.Time, done func(error)) {
-	proposer.begin(&call{deadline: deadline, done: func(_ Reply, err error) { done(err) }})
+	proposer.enqueue(&call{deadline: deadline, done: func(_ Reply, err error) { done(err) }})
 }
 
-func (proposer *Proposer) begin(begun *call) {
-	if !proposer.calls.Put(begun) {
-		begun.done(Reply{}, faults.New(faults.ProposalsFull, "%d calls wait at this member", callsKept))
+// enqueue queues a call for the next Reconcile.
+func (proposer *Proposer) enqueue(call *call) {
+	if !proposer.calls.Put(call) {
+		call.done(Reply{}, faults.New(faults.ProposalsFull, "%d calls are already queued at this member", maxQueuedCalls))
 	}
 }
 
 // Reconcile implements board.Controller.
 func (proposer *Proposer) Reconcile(now time.Time) {
-	proposer.serve()
-	for _, begun := range proposer.calls.Drain() {
-		begun.begunAt = now
-		proposer.try(now, begun)
+	proposer.serveForwarded()
+	for _, call := range proposer.calls.Drain() {
+		call.begunAt = now
+		proposer.startAttempt(now, call)
 	}
 	for _, received := range protocol.Receive[Reply](proposer.replies) {
 		reply := received.Message
-		ended := attemptEnd{attempt: reply.Correlation, reply: reply}
+		result := attemptResult{attempt: reply.Correlation, reply: reply}
 		if reply.Code != 0 {
-			ended.err = faults.New(reply.Code, "%s", reply.Text)
+			result.err = faults.New(reply.Code, "%s", reply.Text)
 		}
-		proposer.settle(now, ended)
+		proposer.handleResult(now, result)
 	}
-	for _, ended := range proposer.outcomes.Drain() {
-		proposer.settle(now, ended)
+	for _, result := range proposer.localResults.Drain() {
+		proposer.handleResult(now, result)
 	}
-	proposer.review(now)
+	proposer.checkInFlight(now)
 	proposer.proposeBatches(now)
 }
 
-// serve handles the requests of other members.
-func (proposer *Proposer) serve() {
+// serveForwarded handles the requests that other members forwarded to this one.
+func (proposer *Proposer) serveForwarded() {
 	for _, received := range protocol.Receive[ProposeRequest](proposer.proposals) {
-		asked := received.Message
-		proposer.group.Submit(asked.Command, func(result []byte, err error) {
-			proposer.answer(received.From, asked.Correlation, result, err)
+		request := received.Message
+		proposer.group.Submit(request.Command, func(result []byte, err error) {
+			proposer.reply(received.From, request.Correlation, result, err)
 		})
 	}
 	for _, received := range protocol.Receive[ReadRequest](proposer.reads) {
-		asked := received.Message
+		request := received.Message
 		proposer.group.ReadBarrier(func(err error) {
-			proposer.answer(received.From, asked.Correlation, nil, err)
+			proposer.reply(received.From, request.Correlation, nil, err)
 		})
 	}
 }
 
-func (proposer *Proposer) answer(to model.NodeName, correlation uint64, result []byte, err error) {
+// reply sends the result of a forwarded request back to its sender.
+func (proposer *Proposer) reply(to model.NodeName, correlation uint64, result []byte, err error) {
 	reply := Reply{Correlation: correlation, Result: result, Revision: proposer.directory.Revision()}
 	if err != nil {
 		reply.Code = faults.CodeOf(err)
@@ -239,68 +245,71 @@
 	proposer.mailbox.Send(to, reply)
 }
 
-// errNotTried is the error of a call whose time was over before this member, which
-// stood still meanwhile, came to it. Its caller has gone elsewhere, so that it must
-// not take effect any more.
-var errNotTried = faults.New(faults.QuorumUnconfirmed, "the time of the call was over before it was tried; nothing was proposed")
+// errExpiredUnproposed is the error of a call whose deadline passed before the member started
+// it, for example because the process was stalled. The caller has gone to another member, so
+// the call must no longer take effect.
+var errExpiredUnproposed = faults.New(faults.QuorumUnconfirmed, "the call's deadline passed before it was attempted; nothing was proposed")
 
-// errNoAnswer is the error of a call that was proposed and not answered in time.
-var errNoAnswer = faults.New(faults.ForwardTimeout, "the leader did not answer in time")
+// errLeaderTimeout is the error of a call that was proposed and not answered in time.
+var errLeaderTimeout = faults.New(faults.ForwardTimeout, "the leader did not answer in time")
 
-// try begins one attempt of a call, at this member or at the leader.
-func (proposer *Proposer) try(now time.Time, begun *call) {
-	if !now.Before(begun.deadline) {
-		proposer.observe(CallOutcome{IsRead: begun.command == nil, Elapsed: now.Sub(begun.begunAt), Err: errNotTried})
-		begun.done(Reply{}, errNotTried)
+// startAttempt starts an attempt of a call, at this member or at the leader.
+func (proposer *Proposer) startAttempt(now time.Time, call *call) {
+	if !now.Before(call.deadline) {
+		proposer.onCallEnd(CallOutcome{IsRead: call.command == nil, Elapsed: now.Sub(call.begunAt), Err: errExpiredUnproposed})
+		call.done(Reply{}, errExpiredUnproposed)
 		return
 	}
-	proposer.last++
-	begun.attempt = proposer.last
-	begun.retryAt = time.Time{}
-	proposer.pending[begun.attempt] = begun
-	proposer.order = append(proposer.order, begun.attempt)
-	attempt := begun.attempt
+	proposer.lastAttempt++
+	call.attempt = proposer.lastAttempt
+	call.retryAt = time.Time{}
+	proposer.inFlight[call.attempt] = call
+	proposer.attemptOrder = append(proposer.attemptOrder, call.attempt)
+	attempt := call.attempt
 	leader := proposer.group.StatusAt(now).Leader
 	switch {
 	case leader == "":
-		proposer.settle(now, attemptEnd{attempt: attempt, err: faults.New(faults.QuorumUnconfirmed, "this member knows no leader")})
-	case leader != proposer.mailbox.Self && begun.command != nil:
-		proposer.mailbox.Send(leader, ProposeRequest{Correlation: attempt, Command: begun.command})
+		proposer.handleResult(now, attemptResult{attempt: attempt, err: faults.New(faults.QuorumUnconfirmed, "no leader is known at this member")})
+	case leader != proposer.mailbox.Self && call.command != nil:
+		proposer.mailbox.Send(leader, ProposeRequest{Correlation: attempt, Command: call.command})
 	case leader != proposer.mailbox.Self:
 		proposer.mailbox.Send(leader, ReadRequest{Correlation: attempt})
-	case begun.command != nil:
-		proposer.group.Submit(begun.command, func(result []byte, err error) {
-			proposer.outcomes.Put(attemptEnd{attempt: attempt, reply: Reply{Result: result}, err: err})
+	case call.command != nil:
+		proposer.group.Submit(call.command, func(result []byte, err error) {
+			proposer.localResults.Put(attemptResult{attempt: attempt, reply: Reply{Result: result}, err: err})
 		})
 	default:
 		proposer.group.ReadBarrier(func(err error) {
-			proposer.outcomes.Put(attemptEnd{attempt: attempt, err: err})
+			proposer.localResults.Put(attemptResult{attempt: attempt, err: err})
 		})
 	}
 }
 
-// settle ends an attempt: the call ends, or waits to be tried again, or waits
-// for this member's state.
-func (proposer *Proposer) settle(now time.Time, ended attemptEnd) {
-	waiting, exists := proposer.pending[ended.attempt]
+// handleResult handles the result of an attempt: it ends the call, schedules a retry, or lets a
+// read wait until this member has applied the leader's revision.
+func (proposer *Proposer) handleResult(now time.Time, result attemptResult) {
+	call, exists := proposer.inFlight[result.attempt]
 	switch {
-	case !exists || !waiting.retryAt.IsZero():
-	case ended.err != nil && unproposed(ended.err):
-		waiting.retryAt = now.Add(retryPause)
-	case ended.err == nil && waiting.command == nil && proposer.directory.Revision() < ended.reply.Revision:
-		waiting.awaited = ended.reply.Revision
+	case !exists || !call.retryAt.IsZero():
+	case result.err != nil && certainlyNotProposed(result.err):
+		call.retryAt = now.Add(retryDelay)
+	case result.err == nil && call.command == nil && proposer.directory.Revision() < result.reply.Revision:
+		call.awaitedRevision = result.reply.Revision
 	default:
-		proposer.finish(now, waiting, ended.reply, ended.err)
+		proposer.finish(now, call, result.reply, result.err)
 	}
 }
 
-func (proposer *Proposer) finish(now time.Time, ended *call, reply Reply, err error) {
-	delete(proposer.pending, ended.attempt)
-	proposer.observe(CallOutcome{IsRead: ended.command == nil, Elapsed: now.Sub(ended.begunAt), Err: err})
-	ended.done(reply, err)
+// finish ends a call that is in flight.
+func (proposer *Proposer) finish(now time.Time, call *call, reply Reply, err error) {
+	delete(proposer.inFlight, call.attempt)
+	proposer.onCallEnd(CallOutcome{IsRead: call.command == nil, Elapsed: now.Sub(call.begunAt), Err: err})
+	call.done(reply, err)
 }
 
-func unproposed(err error) bool {
+// certainlyNotProposed reports whether an error rules out that the command is or will be
+// committed, so that the call can be retried.
+func certainlyNotProposed(err error) bool {
 	switch faults.CodeOf(err) {
 	case faults.NotLeader, faults.ProposalReplaced, faults.LeadershipUnconfirmed, faults.QuorumUnconfirmed:
 		return true
@@ -309,37 +318,38 @@
 	}
 }
 
-// review ends calls whose time is over and continues those that wait.
-func (proposer *Proposer) review(now time.Time) {
-	order := proposer.order
-	proposer.order = nil
+// checkInFlight ends calls whose deadline has passed, finishes reads whose revision is applied,
+// and starts the retries that are due.
+func (proposer *Proposer) checkInFlight(now time.Time) {
+	order := proposer.attemptOrder
+	proposer.attemptOrder = nil
 	for _, attempt := range order {
-		waiting, exists := proposer.pending[attempt]
+		call, exists := proposer.inFlight[attempt]
 		if !exists {
 			continue
 		}
 		switch {
-		case !now.Before(waiting.deadline):
-			proposer.finish(now, waiting, Reply{}, overdue(waiting))
-		case waiting.awaited > 0 && proposer.directory.Revision() >= waiting.awaited:
-			proposer.finish(now, waiting, Reply{}, nil)
-		case !waiting.retryAt.IsZero() && !now.Before(waiting.retryAt):
-			delete(proposer.pending, attempt)
-			proposer.try(now, waiting)
+		case !now.Before(call.deadline):
+			proposer.finish(now, call, Reply{}, deadlineError(call))
+		case call.awaitedRevision > 0 && proposer.directory.Revision() >= call.awaitedRevision:
+			proposer.finish(now, call, Reply{}, nil)
+		case !call.retryAt.IsZero() && !now.Before(call.retryAt):
+			delete(proposer.inFlight, attempt)
+			proposer.startAttempt(now, call)
 		default:
-			proposer.order = append(proposer.order, attempt)
+			proposer.attemptOrder = append(proposer.attemptOrder, attempt)
 		}
 	}
 }
 
-// overdue is the error of a call whose time is over.
-func overdue(waiting *call) error {
+// deadlineError returns the error of a call whose deadline has passed.
+func deadlineError(call *call) error {
 	switch {
-	case waiting.command == nil:
+	case call.command == nil:
 		return faults.New(faults.LeadershipUnconfirmed, "the read was not confirmed in time")
-	case !waiting.retryAt.IsZero():
-		return faults.New(faults.QuorumUnconfirmed, "no leader took the change in time; it was not proposed")
+	case !call.retryAt.IsZero():
+		return faults.New(faults.QuorumUnconfirmed, "no leader accepted the change in time; it was not proposed")
 	default:
-		return errNoAnswer
+		return errLeaderTimeout
 	}
 }
--- a/internal/direct/registrar/registrar.go
+++ b/internal/direct/registrar/registrar.go
@@ -14,39 +14,38 @@
 )
 
 const (
-	// declareAttempts bounds how often a declaration is compared anew because
-	// another one came first.
-	declareAttempts = 8
-	// freshFor is how long after the last message of a leader a member counts
-	// as connected to a quorum.
-	freshFor = 800 * time.Millisecond
+	// maxDeclareAttempts bounds how often a declaration is retried after a conflict with
+	// another declaration.
+	maxDeclareAttempts = 8
+	// maxStaleness is how long a follower still counts as connected to a quorum after it was
+	// last up to date with its leader's commit index.
+	maxStaleness = 800 * time.Millisecond
 )
 
-// Registrar takes registrations and declarations at one member. Its methods
-// return at once and call done once, by the deadline at the latest; BlockingRegistrar has
-// them in a form that waits.
+// Registrar handles registrations and declarations at one member. Its methods return at once
+// and call done once, by the deadline at the latest. BlockingRegistrar offers them in a form
+// that waits.
 type Registrar struct {
 	directory *directory.Directory
 	proposer  *Proposer
 	group     Group
-	// renewals has when each target was heard from at this member since the
-	// leader was last told.
-	renewals *RenewalTable
-	// holders are the balancers that may hold the rate of a cold target.
-	holders func() []feed.Peer
-	logger  *zap.Logger
+	// renewalTable has the renewals received at this member that the leader has not got yet.
+	renewalTable *RenewalTable
+	// coldRateHolders returns the balancers that may be assigned to a cold target.
+	coldRateHolders func() []feed.Peer
+	logger          *zap.Logger
 }
 
-// NewRegistrar returns the registrar of one member.
-//
-// holders returns the balancers that may hold the rate of a cold target.
-func NewRegistrar(directory *directory.Directory, proposer *Proposer, group Group, renewals *RenewalTable,
-	holders func() []feed.Peer, logger *zap.Logger) *Registrar {
-	return &Registrar{directory: directory, proposer: proposer, group: group, renewals: renewals, holders: holders, logger: logger}
+// NewRegistrar returns the registrar of one member. coldRateHolders returns the balancers of
+// which one is assigned to each cold target. While the target is cold, only that balancer sends
+// it new flows, within the rate of the service's cold limit.
+func NewRegistrar(directory *directory.Directory, proposer *Proposer, group Group, renewalTable *RenewalTable,
+	coldRateHolders func() []feed.Peer, logger *zap.Logger) *Registrar {
+	return &Registrar{directory: directory, proposer: proposer, group: group, renewalTable: renewalTable, coldRateHolders: coldRateHolders, logger: logger}
 }
 
-// RenewalTable is the blackboard's table of targets that were heard from at this
-// member since the leader was last told, with the time.
+// RenewalTable is the blackboard table with the time of each target's latest renewal at this
+// process, until DrainRenewals takes it.
 type RenewalTable = board.Table[directory.TargetID, time.Time]
 
 // NewRenewalTable returns an empty table.
@@ -54,110 +53,113 @@
 	return board.NewTable[directory.TargetID, time.Time]("renewals", board.HashNumber[directory.TargetID])
 }
 
-// QuorumConfirmed tells whether the group's member leads with a confirmed quorum, or has
-// lately held everything that its leader had committed. A follower whose disk
-// takes nothing, or whose answers are lost, hears its leader and falls behind.
+// QuorumConfirmed reports whether this member leads with a confirmed quorum, or was up to date
+// with its leader's commit index within maxStaleness. Receiving the leader's messages is not
+// enough: a follower whose disk fails, or whose acknowledgements are lost, receives them and
+// falls behind.
 func QuorumConfirmed(group Group, now time.Time) bool {
 	status := group.StatusAt(now)
 	if status.Leading {
 		return true
 	}
-	return !status.CurrentAt.IsZero() && now.Sub(status.CurrentAt) < freshFor
+	return !status.CurrentAt.IsZero() && now.Sub(status.CurrentAt) < maxStaleness
 }
 
-func (registrar *Registrar) demandQuorum(now time.Time) error {
+// requireQuorum returns an error if this member has no confirmed quorum.
+func (registrar *Registrar) requireQuorum(now time.Time) error {
 	if !QuorumConfirmed(registrar.group, now) {
-		return faults.New(faults.QuorumUnconfirmed, "this member has not heard from a leader for %s", freshFor)
+		return faults.New(faults.QuorumUnconfirmed, "this member has not been up to date with a leader for %s", maxStaleness)
 	}
 	return nil
 }
 
-// Register takes a target's registration or renewal. It is done once what it
-// changed is durable on a majority; a renewal that changes nothing is not
-// committed. One of a start before the latest known one is refused: that incarnation is
-// gone.
-func (registrar *Registrar) Register(now time.Time, stated directory.Target, deadline time.Time, done func(error)) {
-	if err := checkTarget(stated); err != nil {
+// Register registers or renews a target. It calls done without an error once the changes are
+// durable on a majority; a renewal that changes nothing is not committed. A registration of an
+// incarnation that started before the latest known one is refused, because the target has
+// restarted since.
+func (registrar *Registrar) Register(now time.Time, target directory.Target, deadline time.Time, done func(error)) {
+	if err := validateTarget(target); err != nil {
 		done(err)
 		return
 	}
-	if err := registrar.demandQuorum(now); err != nil {
+	if err := registrar.requireQuorum(now); err != nil {
 		done(err)
 		return
 	}
-	known, exists := registrar.directory.Target(stated.ID)
-	if exists && stated.Started < known.Started {
-		done(faults.New(faults.RegistrationInvalid, "started: %d, but the target started again at %d", stated.Started, known.Started))
+	current, exists := registrar.directory.Target(target.ID)
+	if exists && target.Started < current.Started {
+		done(faults.New(faults.RegistrationInvalid, "started: %d, but the target restarted at %d", target.Started, current.Started))
 		return
 	}
-	registrar.renewals.Put(stated.ID, now)
-	if exists && registrar.isRenewal(known, stated) {
+	registrar.renewalTable.Put(target.ID, now)
+	if exists && registrar.isRenewal(current, target) {
 		done(nil)
 		return
 	}
-	stated.Holder = registrar.holder(stated)
-	registrar.proposer.Register(stated, deadline, func(token directory.Token, err error) {
+	target.Holder = registrar.chooseHolder(target)
+	registrar.proposer.Register(target, deadline, func(token directory.Token, err error) {
 		registrar.logger.Info("target registered",
-			zap.Uint64("target", uint64(stated.ID)),
-			zap.Int64("started", int64(stated.Started)),
-			zap.String("service", stated.Service),
-			zap.Stringer("address", stated.Address),
-			zap.Stringer("state", stated.State),
-			zap.Uint64("sequence", stated.Sequence),
+			zap.Uint64("target", uint64(target.ID)),
+			zap.Int64("started", int64(target.Started)),
+			zap.String("service", target.Service),
+			zap.Stringer("address", target.Address),
+			zap.Stringer("state", target.State),
+			zap.Uint64("sequence", target.Sequence),
 			zap.Uint32("token", uint32(token)),
 			zap.Error(err))
 		done(err)
 	})
 }
 
-// isRenewal tells whether a registration changes nothing that must be durable. Whether
-// a target is cold matters to balancers only where cold targets are bounded.
-func (registrar *Registrar) isRenewal(known, stated directory.Target) bool {
-	_, bounded := registrar.directory.ColdLimit(known.Service)
-	sameColdness := (known.Cold > 0) == (stated.Cold > 0)
-	return known.Started == stated.Started && (sameColdness || !bounded) && known.State != directory.TargetFailed &&
-		stated.State <= known.State &&
-		stated.Address == known.Address &&
-		stated.Capacity == known.Capacity
+// isRenewal reports whether a registration changes nothing that must be durable. Whether a
+// target is cold matters only if its service limits the rate of cold targets.
+func (registrar *Registrar) isRenewal(current, target directory.Target) bool {
+	_, bounded := registrar.directory.ColdLimit(current.Service)
+	sameColdness := (current.Cold > 0) == (target.Cold > 0)
+	return current.Started == target.Started && (sameColdness || !bounded) && current.State != directory.TargetFailed &&
+		target.State <= current.State &&
+		target.Address == current.Address &&
+		target.Capacity == current.Capacity
 }
 
-// holder returns the balancer that is to hold the rate of a target: one that the members
-// know, spread by the targets' identifiers. It is empty for targets that are warm or have
-// no bound, and when no balancer is known.
-func (registrar *Registrar) holder(stated directory.Target) model.NodeName {
-	if _, bounded := registrar.directory.ColdLimit(stated.Service); !bounded || stated.Cold == 0 {
+// chooseHolder returns the balancer that alone may send new flows to the target while it is
+// cold, chosen by the target's identifier. It is empty for targets that are warm or whose
+// service has no cold limit, and when no balancer is known.
+func (registrar *Registrar) chooseHolder(target directory.Target) model.NodeName {
+	if _, bounded := registrar.directory.ColdLimit(target.Service); !bounded || target.Cold == 0 {
 		return ""
 	}
-	peers := registrar.holders()
+	peers := registrar.coldRateHolders()
 	if len(peers) == 0 {
 		return ""
 	}
-	return peers[uint64(stated.ID)%uint64(len(peers))].Name
+	return peers[uint64(target.ID)%uint64(len(peers))].Name
 }
 
-func checkTarget(stated directory.Target) error {
+// validateTarget returns an error that names the first invalid field of a registration.
+func validateTarget(target directory.Target) error {
 	switch {
-	case stated.ID == 0:
+	case target.ID == 0:
 		return faults.New(faults.RegistrationInvalid, "id: is missing")
-	case stated.Service == "":
+	case target.Service == "":
 		return faults.New(faults.RegistrationInvalid, "service: is empty")
-	case !stated.Address.IsValid() || stated.Address.Port() == 0:
+	case !target.Address.IsValid() || target.Address.Port() == 0:
 		return faults.New(faults.RegistrationInvalid, "address: is not an address and port")
-	case stated.State != directory.TargetReady && stated.State != directory.TargetDraining:
+	case target.State != directory.TargetReady && target.State != directory.TargetDraining:
 		return faults.New(faults.RegistrationInvalid, "state: must be ready or draining")
-	case stated.Capacity < 0:
-		return faults.New(faults.RegistrationInvalid, "capacity: %d is negative", stated.Capacity)
+	case target.Capacity < 0:
+		return faults.New(faults.RegistrationInvalid, "capacity: %d is negative", target.Capacity)
 	}
 	return nil
 }
 
-// Leave takes a target's notice that it leaves for good.
+// Leave records that a target leaves permanently.
 func (registrar *Registrar) Leave(now time.Time, departure directory.Departure, deadline time.Time, done func(error)) {
 	if departure.ID == 0 {
 		done(faults.New(faults.RegistrationInvalid, "id: is missing"))
 		return
 	}
-	if err := registrar.demandQuorum(now); err != nil {
+	if err := registrar.requireQuorum(now); err != nil {
 		done(err)
 		return
 	}
@@ -168,26 +170,27 @@
 	})
 }
 
-// Declare replaces the declared configuration. It is done once the version, or
-// a higher one, is durable on a majority. An older or equal version changes
+// Declare replaces the declared configuration. It calls done without an error once this version
+// or a higher one is durable on a majority. A version that is not above the current one changes
 // nothing.
 func (registrar *Registrar) Declare(now time.Time, next *declared.Configuration, deadline time.Time, done func(error)) {
 	if err := next.Validate(); err != nil {
 		done(err)
 		return
 	}
-	if err := registrar.demandQuorum(now); err != nil {
+	if err := registrar.requireQuorum(now); err != nil {
 		done(err)
 		return
 	}
-	registrar.declare(next, deadline, declareAttempts, done)
+	registrar.proposeDeclaration(next, deadline, maxDeclareAttempts, done)
 }
 
-// declare proposes the difference to what this member holds. When another
-// declaration came first, it compares anew.
-func (registrar *Registrar) declare(next *declared.Configuration, deadline time.Time, attempts int, done func(error)) {
+// proposeDeclaration proposes the difference to the configuration that this member holds. On a
+// conflict with another declaration it reads the newer one and tries again, up to attempts
+// times.
+func (registrar *Registrar) proposeDeclaration(next *declared.Configuration, deadline time.Time, attempts int, done func(error)) {
 	if attempts == 0 {
-		done(faults.New(faults.ProposalsFull, "other declarations came first %d times; nothing was changed", declareAttempts))
+		done(faults.New(faults.ProposalsFull, "the declaration conflicted with others %d times; nothing was changed", maxDeclareAttempts))
 		return
 	}
 	difference := declared.Compare(registrar.directory.Configuration(), next)
@@ -211,15 +214,14 @@
 				done(err)
 				return
 			}
-			registrar.declare(next, deadline, attempts-1, done)
+			registrar.proposeDeclaration(next, deadline, attempts-1, done)
 		})
 	})
 }
 
-// Configuration reads the newest declared configuration, confirmed by a
-// quorum.
+// Configuration reads the newest declared configuration, confirmed by a quorum.
 func (registrar *Registrar) Configuration(now time.Time, deadline time.Time, done func(*declared.Configuration, error)) {
-	if err := registrar.demandQuorum(now); err != nil {
+	if err := registrar.requireQuorum(now); err != nil {
 		done(nil, err)
 		return
 	}
--- a/internal/direct/registrar/restart_test.go
+++ b/internal/direct/registrar/restart_test.go
@@ -11,60 +11,61 @@
 	"merlinpaddle/internal/faults"
 )
 
-func startedAt(started directory.StartTime, target directory.Target) directory.Target {
+func withStart(started directory.StartTime, target directory.Target) directory.Target {
 	target.Started = started
 	return target
 }
 
-// TestTargetThatStartsAgainIsCommitted, though it counts its calls anew and states nothing
-// else that changed.
-func TestTargetThatStartsAgainIsCommitted(t *testing.T) {
-	bench := newBench(t)
-	require.NoError(t, bench.register(startedAt(100, ready(1, 50))))
-	former, _ := bench.group.directory.TokenOf(1)
-	proposed := bench.group.proposed
-	require.NoError(t, bench.register(startedAt(200, ready(1, 1))))
-	require.Equal(t, proposed+1, bench.group.proposed)
-	latest, _ := bench.group.directory.TokenOf(1)
-	require.NotEqual(t, former, latest)
-	require.NoError(t, bench.register(startedAt(200, ready(1, 2))))
-	require.Equal(t, proposed+1, bench.group.proposed, "its renewals need no commit")
+// TestRestartedTargetIsCommitted: a restart is committed although only the start time changed and
+// the sequence numbers begin again.
+func TestRestartedTargetIsCommitted(t *testing.T) {
+	harness := newHarness(t)
+	require.NoError(t, harness.register(withStart(100, readyTarget(1, 50))))
+	previous, _ := harness.group.directory.TokenOf(1)
+	before := harness.group.proposals
+	require.NoError(t, harness.register(withStart(200, readyTarget(1, 1))))
+	require.Equal(t, before+1, harness.group.proposals)
+	latest, _ := harness.group.directory.TokenOf(1)
+	require.NotEqual(t, previous, latest)
+	require.NoError(t, harness.register(withStart(200, readyTarget(1, 2))))
+	require.Equal(t, before+1, harness.group.proposals, "renewals of the new incarnation need no commit")
 }
 
-func TestCallsOfAFormerStartAreRefused(t *testing.T) {
-	bench := newBench(t)
-	require.NoError(t, bench.register(startedAt(200, ready(1, 1))))
+func TestCallsOfAnEarlierIncarnationAreRefused(t *testing.T) {
+	harness := newHarness(t)
+	require.NoError(t, harness.register(withStart(200, readyTarget(1, 1))))
 	for _, started := range []directory.StartTime{0, 100} {
-		err := bench.register(startedAt(started, ready(1, 90)))
+		err := harness.register(withStart(started, readyTarget(1, 90)))
 		require.Equal(t, faults.RegistrationInvalid, faults.CodeOf(err))
 	}
-	require.Equal(t, 1, bench.group.proposed)
+	require.Equal(t, 1, harness.group.proposals)
 }
 
-// TestReportsAboutAFormerStart: a balancer that was refused by a target's former start
-// reports that after the target started again.
-func TestReportsAboutAFormerStart(t *testing.T) {
-	bench := newBench(t)
-	require.NoError(t, bench.register(startedAt(100, ready(1, 50))))
-	former, _ := bench.group.directory.TokenOf(1)
-	require.NoError(t, bench.register(startedAt(200, ready(1, 1))))
-	bench.reportToken("one", former, feed.VerdictRefused)
-	bench.run(time.Second)
-	require.Equal(t, directory.TargetReady, bench.state(1))
-	latest, _ := bench.group.directory.TokenOf(1)
-	bench.reportToken("one", latest, feed.VerdictRefused)
-	bench.run(time.Second)
-	require.Equal(t, directory.TargetFailed, bench.state(1))
+// TestReportsAboutAnEarlierIncarnationAreIgnored: a balancer whose connection was refused by the
+// earlier incarnation of a target reports it after the target restarted.
+func TestReportsAboutAnEarlierIncarnationAreIgnored(t *testing.T) {
+	harness := newHarness(t)
+	require.NoError(t, harness.register(withStart(100, readyTarget(1, 50))))
+	previous, _ := harness.group.directory.TokenOf(1)
+	require.NoError(t, harness.register(withStart(200, readyTarget(1, 1))))
+	harness.reportTokenVerdict("one", previous, feed.VerdictRefused)
+	harness.run(time.Second)
+	require.Equal(t, directory.TargetReady, harness.targetState(1))
+	latest, _ := harness.group.directory.TokenOf(1)
+	harness.reportTokenVerdict("one", latest, feed.VerdictRefused)
+	harness.run(time.Second)
+	require.Equal(t, directory.TargetFailed, harness.targetState(1))
 }
 
-// TestFormerStartIsForgottenAfterItsFlows, while the latest one renews.
-func TestFormerStartIsForgottenAfterItsFlows(t *testing.T) {
-	bench := newBench(t)
-	require.NoError(t, bench.register(startedAt(100, ready(1, 50))))
-	former, _ := bench.group.directory.TokenOf(1)
-	require.NoError(t, bench.register(startedAt(200, ready(1, 1))))
-	bench.renewTargetFor(90*time.Second, startedAt(200, ready(1, 2)))
-	_, known := bench.group.directory.Incarnation(former)
-	require.False(t, known)
-	require.Equal(t, directory.TargetReady, bench.state(1))
+// TestEarlierIncarnationIsRemovedAfterItsFlows: the token of the earlier incarnation is removed
+// while the later incarnation keeps renewing.
+func TestEarlierIncarnationIsRemovedAfterItsFlows(t *testing.T) {
+	harness := newHarness(t)
+	require.NoError(t, harness.register(withStart(100, readyTarget(1, 50))))
+	previous, _ := harness.group.directory.TokenOf(1)
+	require.NoError(t, harness.register(withStart(200, readyTarget(1, 1))))
+	harness.renewTargetFor(90*time.Second, withStart(200, readyTarget(1, 2)))
+	_, exists := harness.group.directory.Incarnation(previous)
+	require.False(t, exists)
+	require.Equal(t, directory.TargetReady, harness.targetState(1))
 }
--- a/internal/direct/registrar/size_bench_test.go
+++ b/internal/direct/registrar/size_bench_test.go
@@ -10,35 +10,35 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// benchTargets is the number of targets of a member in benchmarks.
-const benchTargets = 3000
+// benchmarkTargets is the number of targets in benchmarks.
+const benchmarkTargets = 3000
 
-// benchWithTargets returns a leader with benchTargets targets that renew.
-func benchWithTargets(b *testing.B) *bench {
-	made := newBench(b)
-	for id := range directory.TargetID(benchTargets) {
-		target := ready(id+1, 1)
+// newHarnessWithTargets returns a leader with benchmarkTargets registered targets.
+func newHarnessWithTargets(b *testing.B) *harness {
+	harness := newHarness(b)
+	for id := range directory.TargetID(benchmarkTargets) {
+		target := readyTarget(id+1, 1)
 		target.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(id >> 8), byte(id)}), 8080)
 		data, err := directory.EncodeCommand(directory.Command{Register: &directory.Registration{Target: target}})
 		require.NoError(b, err)
-		made.group.index++
-		made.group.directory.Apply(made.group.index, made.now, data)
+		harness.group.index++
+		harness.group.directory.Apply(harness.group.index, harness.now, data)
 	}
-	return made
+	return harness
 }
 
-// BenchmarkHealthOfManyTargets measures one look of the leader at its targets,
-// of which a twelfth renewed since the last one.
+// BenchmarkHealthOfManyTargets measures one Reconcile of the leader's health monitor when a
+// twelfth of the targets renewed since the previous one.
 func BenchmarkHealthOfManyTargets(b *testing.B) {
-	made := benchWithTargets(b)
+	harness := newHarnessWithTargets(b)
 	next := directory.TargetID(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		for range benchTargets / 12 {
-			next = next%benchTargets + 1
-			made.health.renewed.Put(next, made.now)
+		for range benchmarkTargets / 12 {
+			next = next%benchmarkTargets + 1
+			harness.health.renewalTable.Put(next, harness.now)
 		}
-		made.now = made.now.Add(100 * time.Millisecond)
-		made.health.Reconcile(made.now)
+		harness.now = harness.now.Add(100 * time.Millisecond)
+		harness.health.Reconcile(harness.now)
 	}
 }
