--- a/internal/direct/member/collecting.go
+++ b/internal/direct/member/collecting.go
@@ -16,17 +16,18 @@
 	"merlinpaddle/internal/settings"
 )
 
-// collecting is the collector of the load of targets, and what receives reports.
-type collecting struct {
+// loadCollection is the collector of the targets' load and the receiver of its reports.
+type loadCollection struct {
 	collector *load.Collector
-	// run receives until ctx ends.
+	// run receives reports until ctx ends.
 	run func(ctx context.Context) error
 }
 
-// provideCollecting makes reports go the way that those of balancers do: as
-// datagrams, or over links where processes have keys.
-func provideCollecting(chosen settings.Settings, state *directory.Directory, group *replica.Controller,
-	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, registry *prometheus.Registry, logger *zap.Logger) (collecting, error) {
+// provideLoadCollection sends and receives load reports over the same transport as balancers: as
+// datagrams, or over the connections of the control protocol if the processes have keys or this
+// one listens on no address.
+func provideLoadCollection(chosen settings.Settings, state *directory.Directory, group *replica.Controller,
+	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, registry *prometheus.Registry, logger *zap.Logger) (loadCollection, error) {
 	self := model.NodeName(chosen.Node)
 	options := load.CollectorOptions{
 		Interval:   chosen.Direct.LoadInterval,
@@ -36,11 +37,11 @@
 	}
 	if chosen.Keys != "" || chosen.Listen == "" {
 		collector := load.NewCollector(self, options, load.MailboxOutlet{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
-		return collecting{collector: collector, run: func(context.Context) error { return nil }}, nil
+		return loadCollection{collector: collector, run: func(context.Context) error { return nil }}, nil
 	}
 	socket, err := datagram.Listen(chosen.Listen, socketfault.New(registry, logger.Named("load"), "load"))
 	if err != nil {
-		return collecting{}, err
+		return loadCollection{}, err
 	}
-	return collecting{collector: load.NewCollector(self, options, socket, socket.Reports()), run: socket.Run}, nil
+	return loadCollection{collector: load.NewCollector(self, options, socket, socket.Reports()), run: socket.Run}, nil
 }
--- a/internal/direct/member/connections.go
+++ b/internal/direct/member/connections.go
@@ -14,8 +14,8 @@
 	"merlinpaddle/internal/transport"
 )
 
-// connections is the controller that keeps a connection to every member and
-// seed, and says when the member's view of the group changes.
+// connections is the controller that keeps a connection to every other member and seed. It also
+// logs changes of the member's view of the group and reports readiness.
 type connections struct {
 	self      model.NodeName
 	seeds     atomic.Pointer[[]model.NodeName]
@@ -25,30 +25,29 @@
 	logger    *zap.Logger
 	dialled   map[model.NodeName]bool
 
-	times *times
-	// aloneSince is since when no leader is known; zero while one is.
-	aloneSince time.Time
-	leader     model.NodeName
-	term       uint64
-	members    int
+	histograms *histograms
+	// leaderlessSince is the time since which no leader is known; zero while one is.
+	leaderlessSince time.Time
+	leader          model.NodeName
+	term            uint64
+	members         int
 }
 
-func newConnections(parts parts) *connections {
+func newConnections(params runParams) *connections {
 	created := &connections{
-		self:      model.NodeName(parts.Settings.Node),
-		group:     parts.Group,
-		links:     parts.Links,
-		readiness: parts.Readiness,
-		logger:    parts.Logger.Named("group"),
-		dialled:   make(map[model.NodeName]bool),
-		times:     parts.Times,
+		self:       model.NodeName(params.Settings.Node),
+		group:      params.Group,
+		links:      params.Links,
+		readiness:  params.Readiness,
+		logger:     params.Logger.Named("group"),
+		dialled:    make(map[model.NodeName]bool),
+		histograms: params.Histograms,
 	}
-	created.setSeeds(direct.SeedMembers(parts.Settings.Direct))
+	created.setSeeds(direct.SeedMembers(params.Settings.Direct))
 	return created
 }
 
-// setSeeds replaces the members of the settings; it may be called from any
-// goroutine.
+// setSeeds replaces the seed members of the settings. It is safe for concurrent use.
 func (connections *connections) setSeeds(seeds []model.NodeName) { connections.seeds.Store(&seeds) }
 
 // Name implements board.Controller.
@@ -57,7 +56,7 @@
 // Reconcile implements board.Controller.
 func (connections *connections) Reconcile(now time.Time) {
 	status := connections.group.StatusAt(now)
-	wanted := connections.wanted(status)
+	wanted := connections.desiredPeers(status)
 	for _, name := range wanted {
 		if !connections.dialled[name] {
 			connections.dialled[name] = true
@@ -70,24 +69,24 @@
 			connections.links.Hangup(name)
 		}
 	}
-	connections.readiness.Set(readinessPart, status.Leader != "")
-	connections.measure(now, status.Leader != "")
-	connections.say(status)
+	connections.readiness.Set(readinessComponent, status.Leader != "")
+	connections.observeLeaderless(now, status.Leader != "")
+	connections.logViewChange(status)
 }
 
-// measure observes how long no leader was known.
-func (connections *connections) measure(now time.Time, led bool) {
+// observeLeaderless measures how long no leader was known.
+func (connections *connections) observeLeaderless(now time.Time, hasLeader bool) {
 	switch {
-	case !led && connections.aloneSince.IsZero():
-		connections.aloneSince = now
-	case led && !connections.aloneSince.IsZero():
-		connections.times.leaderless.Observe(now.Sub(connections.aloneSince).Seconds())
-		connections.aloneSince = time.Time{}
+	case !hasLeader && connections.leaderlessSince.IsZero():
+		connections.leaderlessSince = now
+	case hasLeader && !connections.leaderlessSince.IsZero():
+		connections.histograms.leaderlessSeconds.Observe(now.Sub(connections.leaderlessSince).Seconds())
+		connections.leaderlessSince = time.Time{}
 	}
 }
 
-// wanted returns the other nodes to be connected to.
-func (connections *connections) wanted(status replica.Status) []model.NodeName {
+// desiredPeers returns the nodes to connect to: seeds, members and the leader, without this one.
+func (connections *connections) desiredPeers(status replica.Status) []model.NodeName {
 	names := slices.Clone(*connections.seeds.Load())
 	for _, member := range status.Members {
 		names = append(names, member.Name)
@@ -100,7 +99,8 @@
 	return slices.DeleteFunc(names, func(name model.NodeName) bool { return name == connections.self })
 }
 
-func (connections *connections) say(status replica.Status) {
+// logViewChange logs the member's view of the group when its leader, term or size changed.
+func (connections *connections) logViewChange(status replica.Status) {
 	if status.Leader == connections.leader && status.Term == connections.term && len(status.Members) == connections.members {
 		return
 	}
--- a/internal/direct/member/metrics.go
+++ b/internal/direct/member/metrics.go
@@ -12,70 +12,70 @@
 	"merlinpaddle/internal/replica"
 )
 
-// callBuckets are the bounds of call times in seconds: from one sync of a fast
-// disk to the longest answer.
+// callBuckets are bucket bounds for call times in seconds: from a single sync of a fast disk to
+// the longest time in which a call is answered.
 var callBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .4, .85}
 
-// metrics shows the member and its calls.
+// metrics is the Prometheus collector of the member's state and its calls.
 type metrics struct {
 	group     *replica.Controller
 	directory *directory.Directory
 	calls     *prometheus.HistogramVec
 
-	leading  *prometheus.Desc
-	term     *prometheus.Desc
-	applied  *prometheus.Desc
-	version  *prometheus.Desc
-	targets  *prometheus.Desc
-	behind   *prometheus.Desc
-	members  *prometheus.Desc
-	entries  *prometheus.Desc
-	syncs    *prometheus.Desc
-	logBytes *prometheus.Desc
+	leading         *prometheus.Desc
+	term            *prometheus.Desc
+	revision        *prometheus.Desc
+	declaredVersion *prometheus.Desc
+	targets         *prometheus.Desc
+	staleness       *prometheus.Desc
+	members         *prometheus.Desc
+	logEntries      *prometheus.Desc
+	logSyncs        *prometheus.Desc
+	logBytes        *prometheus.Desc
 }
 
 func newMetrics(registry *prometheus.Registry, group *replica.Controller, state *directory.Directory, proposer *registrar.Proposer) *metrics {
 	describe := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc("merlinpaddle_direct_"+name, help, labels, nil)
 	}
-	made := &metrics{
+	created := &metrics{
 		group: group, directory: state,
 		calls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "merlinpaddle_direct_call_seconds", Buckets: callBuckets,
 			Help: "Time of proposals and confirmed reads at this member, by the code of their outcome; 0 is a success.",
 		}, []string{"call", "code"}),
-		leading:  describe("member_leading", "1 while this member leads with a confirmed quorum, else 0."),
-		term:     describe("member_term", "The term of this member."),
-		applied:  describe("member_revision", "The revision that this member has applied."),
-		version:  describe("declared_version", "The declared version that this member holds."),
-		targets:  describe("targets", "Targets, by state.", "state"),
-		behind:   describe("member_current_seconds", "How long ago this follower last held all that its leader had committed."),
-		members:  describe("members", "Members of the control group, by vote.", "vote"),
-		entries:  describe("log_entries_total", "Entries that this member wrote to its log."),
-		syncs:    describe("log_syncs_total", "Synced batches that this member wrote to its log."),
-		logBytes: describe("log_bytes_total", "Bytes that this member wrote to its log."),
+		leading:         describe("member_leading", "1 while this member leads with a confirmed quorum, else 0."),
+		term:            describe("member_term", "The term of this member."),
+		revision:        describe("member_revision", "The revision that this member has applied."),
+		declaredVersion: describe("declared_version", "The declared version that this member holds."),
+		targets:         describe("targets", "Targets, by state.", "state"),
+		staleness:       describe("member_current_seconds", "How long ago this follower last held all that its leader had committed."),
+		members:         describe("members", "Members of the control group, by vote.", "vote"),
+		logEntries:      describe("log_entries_total", "Entries that this member wrote to its log."),
+		logSyncs:        describe("log_syncs_total", "Synced batches that this member wrote to its log."),
+		logBytes:        describe("log_bytes_total", "Bytes that this member wrote to its log."),
 	}
-	proposer.OnCallEnd(made.observe)
-	registry.MustRegister(made, made.calls)
-	return made
+	proposer.OnCallEnd(created.observe)
+	registry.MustRegister(created, created.calls)
+	return created
 }
 
-func (metrics *metrics) observe(ended registrar.CallOutcome) {
+func (metrics *metrics) observe(outcome registrar.CallOutcome) {
 	kind := "propose"
-	if ended.IsRead {
+	if outcome.IsRead {
 		kind = "read"
 	}
-	code := strconv.Itoa(int(faults.CodeOf(ended.Err)))
-	metrics.calls.WithLabelValues(kind, code).Observe(ended.Elapsed.Seconds())
+	code := strconv.Itoa(int(faults.CodeOf(outcome.Err)))
+	metrics.calls.WithLabelValues(kind, code).Observe(outcome.Elapsed.Seconds())
 }
 
 // Describe implements prometheus.Collector.
 func (metrics *metrics) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, one := range []*prometheus.Desc{
-		metrics.leading, metrics.term, metrics.applied, metrics.version, metrics.targets,
-		metrics.behind, metrics.members, metrics.entries, metrics.syncs, metrics.logBytes,
+	for _, description := range []*prometheus.Desc{
+		metrics.leading, metrics.term, metrics.revision, metrics.declaredVersion, metrics.targets,
+		metrics.staleness, metrics.members, metrics.logEntries, metrics.logSyncs, metrics.logBytes,
 	} {
-		descriptions <- one
+		descriptions <- description
 	}
 }
 
@@ -89,20 +89,20 @@
 	counter := func(description *prometheus.Desc, value uint64) {
 		collected <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value))
 	}
-	gauge(metrics.leading, asGauge(status.Leading))
+	gauge(metrics.leading, boolToGauge(status.Leading))
 	gauge(metrics.term, float64(status.Term))
-	gauge(metrics.applied, float64(metrics.directory.Revision()))
-	gauge(metrics.version, float64(metrics.directory.Configuration().Version))
+	gauge(metrics.revision, float64(metrics.directory.Revision()))
+	gauge(metrics.declaredVersion, float64(metrics.directory.Configuration().Version))
 	if !status.CurrentAt.IsZero() {
-		gauge(metrics.behind, now.Sub(status.CurrentAt).Seconds())
+		gauge(metrics.staleness, now.Sub(status.CurrentAt).Seconds())
 	}
-	metrics.collectCounts(gauge, status)
-	counter(metrics.entries, status.Log.Entries)
-	counter(metrics.syncs, status.Log.Batches)
+	metrics.collectTargetAndMemberCounts(gauge, status)
+	counter(metrics.logEntries, status.Log.Entries)
+	counter(metrics.logSyncs, status.Log.Batches)
 	counter(metrics.logBytes, status.Log.Bytes)
 }
 
-func (metrics *metrics) collectCounts(gauge func(*prometheus.Desc, float64, ...string), status replica.Status) {
+func (metrics *metrics) collectTargetAndMemberCounts(gauge func(*prometheus.Desc, float64, ...string), status replica.Status) {
 	counts := map[directory.TargetState]int{
 		directory.TargetReady: 0, directory.TargetDraining: 0, directory.TargetLeft: 0, directory.TargetFailed: 0,
 	}
@@ -124,7 +124,7 @@
 	gauge(metrics.members, float64(learners), "no")
 }
 
-func asGauge(set bool) float64 {
+func boolToGauge(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -1,9 +1,8 @@
-// Package member is the fx module of a member of the control group of direct
-// services.
+// Package member is the fx module of a member of the control group of direct services.
 //
-// It provides model.Role, *directory.Directory, *replica.Controller,
-// *replica.Node, collecting and *registrar.BlockingRegistrar, includes transport.Module, and needs
-// what the process base provides.
+// It provides model.Role, *directory.Directory, *replica.Controller, *replica.Node, loadCollection
+// and *registrar.BlockingRegistrar, includes transport.Module, and needs what the base module of
+// the process provides.
 package member
 
 import (
@@ -34,57 +33,58 @@
 )
 
 const (
-	// healthInterval is how often targets are looked at.
+	// healthInterval is how often the health monitor runs without a notification.
 	healthInterval = 100 * time.Millisecond
-	// publishInterval is how often the feed runs without a notice.
+	// publishInterval is how often the feed runs without a notification.
 	publishInterval = 50 * time.Millisecond
-	// proposerInterval is how often the proposer runs without a notice.
+	// proposerInterval is how often the proposer runs without a notification.
 	proposerInterval = 25 * time.Millisecond
-	// reconfigureInterval is how often the membership is looked at.
+	// reconfigureInterval is how often the membership is checked.
 	reconfigureInterval = 100 * time.Millisecond
-	// loadInterval is how often it is looked whether the load of targets is to be
-	// added up.
+	// loadInterval is how often the collector checks whether the targets' load is due to be
+	// summed.
 	loadInterval = 20 * time.Millisecond
-	// connectInterval is how often connections follow the membership.
+	// connectInterval is how often the connections are adjusted to the membership.
 	connectInterval = 100 * time.Millisecond
-	// missedNumerator and missedDenominator tell how many renewal intervals
-	// after a renewal the next one counts as missed.
-	missedNumerator   = 8
-	missedDenominator = 5
-	// forgetMargin is how much longer a token is kept than the longest flow.
-	forgetMargin = 15 * time.Second
-	// probePause is the least time between two probes of one target.
-	probePause = 700 * time.Millisecond
-	// transferTimeout bounds the hand-over of leadership at a planned stop.
-	transferTimeout = 800 * time.Millisecond
-	// firstElectionDivisor is how much shorter the first wait for a leader
-	// after a start is than the election timeout.
+	// missedRenewalNumerator and missedRenewalDenominator are the fraction of the renewal
+	// interval after which the next renewal counts as missed.
+	missedRenewalNumerator   = 8
+	missedRenewalDenominator = 5
+	// failedTargetMargin is how much longer than the longest flow a failed target's token is
+	// kept.
+	failedTargetMargin = 15 * time.Second
+	// minProbeInterval is the minimum time between two probes of a target.
+	minProbeInterval = 700 * time.Millisecond
+	// leadershipTransferTimeout bounds the transfer of leadership at a planned stop.
+	leadershipTransferTimeout = 800 * time.Millisecond
+	// firstElectionDivisor divides the election timeout to get the shorter first one after a
+	// start.
 	firstElectionDivisor = 4
-	// segmentBytes is the size of a log segment.
+	// segmentBytes is the size of a log segment in bytes.
 	segmentBytes = 1 << 20
-	// readinessPart is the member's part of the process's readiness.
-	readinessPart = "member"
+	// readinessComponent names the member in the readiness of the process.
+	readinessComponent = "member"
 )
 
-// Module runs a member.
+// Module returns the fx module that runs a member.
 func Module() fx.Option {
 	return fx.Module("direct member",
 		fx.Supply(model.RoleControl),
 		transport.ModuleWith(transport.QuickTiming()),
 		fx.Provide(
 			directory.New,
-			newTimes,
+			newHistograms,
 			process.ProvideFolder,
 			provideReplica,
 			replica.NewNode,
 			registrar.NewRenewalTable,
 			provideProposer,
 			provideRegistrar,
-			provideHandOver,
-			provideCalls,
-			provideHealth,
+			provideRenewalRedirector,
+			provideBlockingRegistrar,
+			provideHealthMonitor,
 			providePublisher,
-			provideCollecting,
+			provideLoadCollection,
 			provideReconfigure,
 		),
 		fx.Provide(newMetrics),
@@ -93,7 +93,7 @@
 }
 
 func provideReplica(chosen settings.Settings, files filesystem.FileSystem, mailbox *protocol.Mailbox,
-	dispatcher *protocol.Dispatcher, state *directory.Directory, times *times) (*replica.Controller, error) {
+	dispatcher *protocol.Dispatcher, state *directory.Directory, histograms *histograms) (*replica.Controller, error) {
 	self := model.NodeName(chosen.Node)
 	seeds := direct.SeedMembers(chosen.Direct)
 	return replica.NewController(replica.Options{
@@ -109,7 +109,7 @@
 		SnapshotEvery:     chosen.Direct.SnapshotEvery,
 		SegmentBytes:      segmentBytes,
 		Seed:              rand.Uint64(),
-	}, measured.New(files, times.observeSync), mailbox, dispatcher, state)
+	}, measured.New(files, histograms.observeSync), mailbox, dispatcher, state)
 }
 
 func provideProposer(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, group *replica.Controller, state *directory.Directory) *registrar.Proposer {
@@ -117,27 +117,27 @@
 }
 
 func provideRegistrar(state *directory.Directory, proposer *registrar.Proposer, group *replica.Controller,
-	renewed *registrar.RenewalTable, publisher *feed.Publisher, logger *zap.Logger) *registrar.Registrar {
-	return registrar.NewRegistrar(state, proposer, group, renewed, publisher.Peers, logger.Named("registrar"))
+	renewalTable *registrar.RenewalTable, publisher *feed.Publisher, logger *zap.Logger) *registrar.Registrar {
+	return registrar.NewRegistrar(state, proposer, group, renewalTable, publisher.Peers, logger.Named("registrar"))
 }
 
-func provideHandOver(chosen settings.Settings, publisher *feed.Publisher) *registrar.RenewalRedirector {
+func provideRenewalRedirector(chosen settings.Settings, publisher *feed.Publisher) *registrar.RenewalRedirector {
 	return registrar.NewRenewalRedirector(chosen.Direct.RenewalsPerSecond, publisher.Peers)
 }
 
-func provideCalls(chosen settings.Settings, taker *registrar.Registrar, handOver *registrar.RenewalRedirector) *registrar.BlockingRegistrar {
-	return registrar.NewBlockingRegistrar(taker, handOver, chosen.Direct.AnswerWithin)
+func provideBlockingRegistrar(chosen settings.Settings, inner *registrar.Registrar, redirector *registrar.RenewalRedirector) *registrar.BlockingRegistrar {
+	return registrar.NewBlockingRegistrar(inner, redirector, chosen.Direct.AnswerWithin)
 }
 
-func provideHealth(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
-	group *replica.Controller, state *directory.Directory, renewed *registrar.RenewalTable, logger *zap.Logger) *registrar.HealthMonitor {
+func provideHealthMonitor(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
+	group *replica.Controller, state *directory.Directory, renewalTable *registrar.RenewalTable, logger *zap.Logger) *registrar.HealthMonitor {
 	options := registrar.HealthOptions{
 		SilentAfter:       chosen.Direct.SilentAfter,
-		MissedAfter:       chosen.Direct.RenewalInterval * missedNumerator / missedDenominator,
-		MinProbeInterval:  probePause,
-		RemoveFailedAfter: chosen.Direct.FlowLife + forgetMargin,
+		MissedAfter:       chosen.Direct.RenewalInterval * missedRenewalNumerator / missedRenewalDenominator,
+		MinProbeInterval:  minProbeInterval,
+		RemoveFailedAfter: chosen.Direct.FlowLife + failedTargetMargin,
 	}
-	return registrar.NewHealthMonitor(options, mailbox, dispatcher, group, state, renewed, probe.New(probe.DialTCP), logger.Named("targets"))
+	return registrar.NewHealthMonitor(options, mailbox, dispatcher, group, state, renewalTable, probe.New(probe.DialTCP), logger.Named("targets"))
 }
 
 func providePublisher(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, state *directory.Directory, group *replica.Controller) *feed.Publisher {
@@ -151,7 +151,7 @@
 	return reconfigure.New(options, group, logger.Named("membership"))
 }
 
-// memberSource shows the member to its publisher.
+// memberSource is the feed.Source of a member.
 type memberSource struct {
 	group *replica.Controller
 }
@@ -174,54 +174,54 @@
 	return slices.Compact(names)
 }
 
-// parts are what run needs; fx fills it.
-type parts struct {
+// runParams are the dependencies of run, which fx injects.
+type runParams struct {
 	fx.In
 
-	Lifecycle   fx.Lifecycle
-	Settings    settings.Settings
-	Tasks       *process.Tasks
-	Logger      *zap.Logger
-	Readiness   *process.Readiness
-	Links       *transport.Links
-	Node        *replica.Node
-	Group       *replica.Controller
-	Directory   *directory.Directory
-	Proposer    *registrar.Proposer
-	Health      *registrar.HealthMonitor
-	Publisher   *feed.Publisher
-	Collecting  collecting
-	Reconfigure *reconfigure.Controller
-	Times       *times
-	Reloads     *process.Reloads
+	Lifecycle      fx.Lifecycle
+	Settings       settings.Settings
+	Tasks          *process.Tasks
+	Logger         *zap.Logger
+	Readiness      *process.Readiness
+	Links          *transport.Links
+	Node           *replica.Node
+	Group          *replica.Controller
+	Directory      *directory.Directory
+	Proposer       *registrar.Proposer
+	Health         *registrar.HealthMonitor
+	Publisher      *feed.Publisher
+	LoadCollection loadCollection
+	Reconfigure    *reconfigure.Controller
+	Histograms     *histograms
+	Reloads        *process.Reloads
 }
 
-func run(parts parts) {
-	connections := newConnections(parts)
-	parts.Reloads.OnChange(func(changed settings.Settings) {
+func run(params runParams) {
+	connections := newConnections(params)
+	params.Reloads.OnChange(func(changed settings.Settings) {
 		seeds := direct.SeedMembers(changed.Direct)
 		connections.setSeeds(seeds)
-		parts.Group.SetContacts(seeds)
+		params.Group.SetContacts(seeds)
 	})
 	runners := []*board.Runner{
-		board.NewRunner(parts.Proposer, proposerInterval, append(parts.Proposer.Sources(), parts.Node.Watch())...),
-		board.NewRunner(parts.Health, healthInterval, parts.Health.Sources()...),
-		board.NewRunner(parts.Publisher, publishInterval, append(parts.Publisher.Sources(), parts.Node.Watch())...),
-		board.NewRunner(parts.Collecting.collector, loadInterval),
-		board.NewRunner(parts.Reconfigure, reconfigureInterval),
+		board.NewRunner(params.Proposer, proposerInterval, append(params.Proposer.Sources(), params.Node.Watch())...),
+		board.NewRunner(params.Health, healthInterval, params.Health.Sources()...),
+		board.NewRunner(params.Publisher, publishInterval, append(params.Publisher.Sources(), params.Node.Watch())...),
+		board.NewRunner(params.LoadCollection.collector, loadInterval),
+		board.NewRunner(params.Reconfigure, reconfigureInterval),
 		board.NewRunner(connections, connectInterval),
 	}
-	parts.Lifecycle.Append(fx.StartStopHook(
+	params.Lifecycle.Append(fx.StartStopHook(
 		func() {
-			parts.Tasks.Go("consensus", parts.Node.Run)
-			parts.Tasks.Go("load reports", parts.Collecting.run)
+			params.Tasks.Go("consensus", params.Node.Run)
+			params.Tasks.Go("load reports", params.LoadCollection.run)
 			for _, runner := range runners {
-				parts.Tasks.Go("controller", func(ctx context.Context) error {
+				params.Tasks.Go("controller", func(ctx context.Context) error {
 					runner.Run(ctx)
 					return nil
 				})
 			}
 		},
-		func(ctx context.Context) { parts.Node.HandOver(ctx, transferTimeout, parts.Logger) },
+		func(ctx context.Context) { params.Node.HandOver(ctx, leadershipTransferTimeout, params.Logger) },
 	))
 }
