--- a/internal/direct/admin/admin_test.go
+++ b/internal/direct/admin/admin_test.go
@@ -18,51 +18,52 @@
 	"merlinpaddle/internal/model"
 )
 
-// holder is a stand-in for a member's calls.
-type holder struct {
-	held *declared.Configuration
-	err  error
-	// evacuated is the zone that is emptied, or empty.
-	evacuated string
+// fakeMember is a fake of a member's calls.
+type fakeMember struct {
+	configuration *declared.Configuration
+	err           error
+	// evacuatedZone is the zone under evacuation, or empty.
+	evacuatedZone string
 }
 
-func (holder *holder) Declare(_ context.Context, next *declared.Configuration) error {
+func (member *fakeMember) Declare(_ context.Context, next *declared.Configuration) error {
 	if err := next.Validate(); err != nil {
 		return err
 	}
-	if holder.err == nil {
-		holder.held = next
+	if member.err == nil {
+		member.configuration = next
 	}
-	return holder.err
+	return member.err
 }
 
-func (holder *holder) Configuration(context.Context) (*declared.Configuration, error) {
-	return holder.held, holder.err
+func (member *fakeMember) Configuration(context.Context) (*declared.Configuration, error) {
+	return member.configuration, member.err
 }
 
-func (holder *holder) Evacuate(_ context.Context, zone string, end bool) error {
+func (member *fakeMember) Evacuate(_ context.Context, zone string, end bool) error {
 	switch {
-	case holder.err != nil:
-		return holder.err
+	case member.err != nil:
+		return member.err
 	case end:
-		holder.evacuated = ""
+		member.evacuatedZone = ""
 	default:
-		holder.evacuated = zone
+		member.evacuatedZone = zone
 	}
 	return nil
 }
 
-func (holder *holder) Evacuations(context.Context) ([]directory.Evacuation, error) {
-	if holder.evacuated == "" || holder.err != nil {
-		return nil, holder.err
+func (member *fakeMember) Evacuations(context.Context) ([]directory.Evacuation, error) {
+	if member.evacuatedZone == "" || member.err != nil {
+		return nil, member.err
 	}
-	return []directory.Evacuation{{Zone: holder.evacuated, Since: 7}}, nil
+	return []directory.Evacuation{{Zone: member.evacuatedZone, Since: 7}}, nil
 }
 
 // Behind implements Followers.
-func (holder *holder) Behind(revision model.Revision) int { return int(revision) - 4 }
+func (member *fakeMember) Behind(revision model.Revision) int { return int(revision) - 4 }
 
-func example(version uint64) *declared.Configuration {
+// exampleConfiguration returns a valid configuration that sets every field.
+func exampleConfiguration(version uint64) *declared.Configuration {
 	return &declared.Configuration{
 		Version: version,
 		Routes: []declared.Route{{
@@ -76,8 +77,8 @@
 	}
 }
 
-// serve runs a member's interface and returns its address.
-func serve(t *testing.T, holder *holder) string {
+// serveAdmin serves a member's interface and returns its address.
+func serveAdmin(t *testing.T, member *fakeMember) string {
 	t.Helper()
 	state := directory.New()
 	data, err := directory.EncodeCommand(directory.Command{Register: &directory.Registration{Target: directory.Target{
@@ -85,34 +86,34 @@
 	}}})
 	require.NoError(t, err)
 	state.Apply(1, time.Time{}, data)
-	server := httptest.NewServer(Handler(holder, state, holder, zap.NewNop()))
+	server := httptest.NewServer(Handler(member, state, member, zap.NewNop()))
 	t.Cleanup(server.Close)
 	return server.Listener.Addr().String()
 }
 
-func TestDocumentsKeepEveryField(t *testing.T) {
-	stated := example(7)
-	document := DocumentOf(stated)
-	back, err := document.Configuration()
+func TestDocumentRoundTripKeepsEveryField(t *testing.T) {
+	configuration := exampleConfiguration(7)
+	document := DocumentOf(configuration)
+	decoded, err := document.Configuration()
 	require.NoError(t, err)
-	require.Equal(t, stated, back)
+	require.Equal(t, configuration, decoded)
 }
 
 func TestConfigurationIsDeclaredAndRead(t *testing.T) {
-	holder := &holder{held: example(1)}
-	client := &Client{Members: []string{"127.0.0.1:1", serve(t, holder)}}
+	member := &fakeMember{configuration: exampleConfiguration(1)}
+	client := &Client{Members: []string{"127.0.0.1:1", serveAdmin(t, member)}}
 	ctx := context.Background()
-	require.NoError(t, client.Declare(ctx, DocumentOf(example(9))), "a member that cannot be reached is passed over")
-	require.Equal(t, example(9), holder.held)
+	require.NoError(t, client.Declare(ctx, DocumentOf(exampleConfiguration(9))), "an unreachable member is skipped")
+	require.Equal(t, exampleConfiguration(9), member.configuration)
 	read, err := client.Configuration(ctx)
 	require.NoError(t, err)
-	require.Equal(t, DocumentOf(example(9)), read)
+	require.Equal(t, DocumentOf(exampleConfiguration(9)), read)
 	targets, err := client.Targets(ctx)
 	require.NoError(t, err)
 	require.Equal(t, []Target{{ID: 0x7f3a, Token: 1, Service: "feed", Address: "10.0.0.1:80", Zone: "a", State: "ready", Revision: 1}}, targets)
 }
 
-func TestBadInputIsRefusedWithItsField(t *testing.T) {
+func TestInvalidInputNamesItsField(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(document *Document)
@@ -129,20 +130,20 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			holder := &holder{held: example(1)}
-			client := &Client{Members: []string{serve(t, holder), "127.0.0.1:1"}}
-			document := DocumentOf(example(9))
+			member := &fakeMember{configuration: exampleConfiguration(1)}
+			client := &Client{Members: []string{serveAdmin(t, member), "127.0.0.1:1"}}
+			document := DocumentOf(exampleConfiguration(9))
 			test.change(&document)
 			err := client.Declare(context.Background(), document)
 			require.Equal(t, faults.ConfigurationInvalid, faults.CodeOf(err), "%v", err)
 			require.ErrorContains(t, err, test.field)
-			require.Equal(t, example(1), holder.held)
+			require.Equal(t, exampleConfiguration(1), member.configuration)
 		})
 	}
 }
 
 func TestUnreadableBodiesAreRefused(t *testing.T) {
-	address := serve(t, &holder{held: example(1)})
+	address := serveAdmin(t, &fakeMember{configuration: exampleConfiguration(1)})
 	for _, body := range []string{"", "{", `{"version":"7"}`, `{"version":7,"colour":"blue"}`} {
 		request, err := http.NewRequest(http.MethodPut, "http://"+address+pathConfiguration, strings.NewReader(body))
 		require.NoError(t, err)
@@ -154,9 +155,9 @@
 }
 
 func TestWithoutAQuorumTheNextMemberIsAsked(t *testing.T) {
-	lost := &holder{err: faults.New(faults.QuorumUnconfirmed, "cut")}
-	well := &holder{held: example(3)}
-	client := &Client{Members: []string{serve(t, lost), serve(t, well)}}
+	cutOff := &fakeMember{err: faults.New(faults.QuorumUnconfirmed, "cut")}
+	healthy := &fakeMember{configuration: exampleConfiguration(3)}
+	client := &Client{Members: []string{serveAdmin(t, cutOff), serveAdmin(t, healthy)}}
 	read, err := client.Configuration(context.Background())
 	require.NoError(t, err)
 	require.Equal(t, uint64(3), read.Version)
@@ -167,9 +168,9 @@
 	require.Equal(t, faults.CodeUsage, faults.CodeOf(err))
 }
 
-func TestZonesAreEmptiedAndTakenBack(t *testing.T) {
-	holder := &holder{held: example(7)}
-	client := &Client{Members: []string{serve(t, holder)}}
+func TestZonesAreEvacuatedAndRestored(t *testing.T) {
+	member := &fakeMember{configuration: exampleConfiguration(7)}
+	client := &Client{Members: []string{serveAdmin(t, member)}}
 	ctx := context.Background()
 	require.NoError(t, client.Evacuate(ctx, "a", false))
 	listed, err := client.Evacuations(ctx)
@@ -179,6 +180,6 @@
 	listed, err = client.Evacuations(ctx)
 	require.NoError(t, err)
 	require.Empty(t, listed)
-	holder.err = faults.New(faults.QuorumUnconfirmed, "no leader")
+	member.err = faults.New(faults.QuorumUnconfirmed, "no leader")
 	require.Equal(t, faults.QuorumUnconfirmed, faults.CodeOf(client.Evacuate(ctx, "a", false)))
 }
--- a/internal/direct/admin/client.go
+++ b/internal/direct/admin/client.go
@@ -15,9 +15,9 @@
 // callTimeout bounds one call to one member.
 const callTimeout = 2 * time.Second
 
-// Client calls members in turn until one takes the call.
+// Client calls members in turn until one accepts the call.
 type Client struct {
-	// Members are the admin addresses of members.
+	// Members are the admin addresses of members, as HOST:PORT.
 	Members []string
 }
 
@@ -28,7 +28,7 @@
 	return document, err
 }
 
-// Declare replaces the declared configuration. Sending the same version again
+// Declare replaces the declared configuration. It is idempotent: sending the same version again
 // is safe.
 func (client *Client) Declare(ctx context.Context, document Document) error {
 	body, err := json.Marshal(document)
@@ -38,7 +38,7 @@
 	return client.call(ctx, http.MethodPut, pathConfiguration, body, nil)
 }
 
-// Evacuate orders that a zone is emptied, or, with end, taken back into use. Sending
+// Evacuate orders the evacuation of a zone, or ends it when end is set. It is idempotent: sending
 // an order again is safe.
 func (client *Client) Evacuate(ctx context.Context, zone string, end bool) error {
 	method := http.MethodPost
@@ -48,72 +48,75 @@
 	return client.call(ctx, method, pathEvacuations+"/"+url.PathEscape(zone), nil, nil)
 }
 
-// Evacuations returns the zones that are evacuated.
+// Evacuations returns the zones under evacuation.
 func (client *Client) Evacuations(ctx context.Context) ([]Evacuation, error) {
 	var evacuations []Evacuation
 	err := client.call(ctx, http.MethodGet, pathEvacuations, nil, &evacuations)
 	return evacuations, err
 }
 
-// Targets returns the targets that a member holds.
+// Targets returns the targets that the answering member knows.
 func (client *Client) Targets(ctx context.Context) ([]Target, error) {
 	var targets []Target
 	err := client.call(ctx, http.MethodGet, pathTargets, nil, &targets)
 	return targets, err
 }
 
-// call asks one member after the other; what is invalid is invalid everywhere.
-func (client *Client) call(ctx context.Context, method, path string, body []byte, into any) error {
+// call tries the members in turn and returns the last error. It stops early at invalid input,
+// which every member would refuse.
+func (client *Client) call(ctx context.Context, method, path string, body []byte, result any) error {
 	if len(client.Members) == 0 {
-		return faults.New(faults.CodeUsage, "no member is named")
+		return faults.New(faults.CodeUsage, "no member address is given")
 	}
-	var last error
+	var lastErr error
 	for _, member := range client.Members {
-		last = callOne(ctx, method, "http://"+member+path, body, into)
-		if last == nil || invalidEverywhere(last) || ctx.Err() != nil {
-			return last
+		lastErr = callMember(ctx, method, "http://"+member+path, body, result)
+		if lastErr == nil || isInvalidInput(lastErr) || ctx.Err() != nil {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-func invalidEverywhere(err error) bool {
+// isInvalidInput reports whether an error means that every member would refuse the call.
+func isInvalidInput(err error) bool {
 	code := faults.CodeOf(err)
 	return code == faults.ConfigurationInvalid || code == faults.ZoneOrderInvalid
 }
 
-func callOne(ctx context.Context, method, address string, body []byte, into any) error {
-	within, cancel := context.WithTimeout(ctx, callTimeout)
+func callMember(ctx context.Context, method, address string, body []byte, result any) error {
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(within, method, address, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(callCtx, method, address, bytes.NewReader(body))
 	if err != nil {
 		return faults.New(faults.CodeUsage, "%v", err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return faults.New(faults.CodeMemberUnreachable, "%v", err)
 	}
-	defer answer.Body.Close()
-	content, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		return faults.New(faults.CodeMemberUnreachable, "%v", err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return refusalOf(answer.StatusCode, content)
+	if response.StatusCode != http.StatusOK {
+		return responseError(response.StatusCode, responseBody)
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(content, into); err != nil {
-		return faults.New(faults.CodeMemberUnreachable, "the answer cannot be read: %v", err)
+	if err := json.Unmarshal(responseBody, result); err != nil {
+		return faults.New(faults.CodeMemberUnreachable, "the response cannot be decoded: %v", err)
 	}
 	return nil
 }
 
-func refusalOf(status int, content []byte) error {
-	var told refusal
-	if err := json.Unmarshal(content, &told); err != nil || told.Code == 0 {
+// responseError returns the error that an error response states.
+func responseError(status int, responseBody []byte) error {
+	var body errorBody
+	if err := json.Unmarshal(responseBody, &body); err != nil || body.Code == 0 {
 		return faults.New(faults.CodeMemberUnreachable, "status %d", status)
 	}
-	return faults.New(faults.Code(told.Code), "%s", told.Error)
+	return faults.New(faults.Code(body.Code), "%s", body.Error)
 }
--- a/internal/direct/admin/document.go
+++ b/internal/direct/admin/document.go
@@ -1,6 +1,6 @@
-// Package admin serves operators of direct services in the product's own terms:
-// the declared configuration, the targets and the group, on an address of its
-// own. Client is the other side of it.
+// Package admin is the HTTP interface for operators of direct services, on an address of its own.
+// It serves the declared configuration, the targets and zone evacuations in the load balancer's
+// own terms. Client is the client of the interface.
 package admin
 
 import (
@@ -12,8 +12,8 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Document is a declared configuration as operators write it, in YAML or JSON.
-// Durations are texts such as "1.5s".
+// Document is a declared configuration as operators write it, in YAML or JSON. Durations are
+// strings such as "1.5s".
 type Document struct {
 	Version  uint64    `json:"version" yaml:"version"`
 	Services []Service `json:"services" yaml:"services"`
@@ -21,27 +21,27 @@
 	Limits   Limits    `json:"limits" yaml:"limits"`
 }
 
-// Service is a group of targets.
+// Service describes a group of interchangeable targets.
 type Service struct {
 	Name           string `json:"name" yaml:"name"`
 	HealthPath     string `json:"health_path,omitempty" yaml:"health_path,omitempty"`
 	MaxConnections int    `json:"max_connections,omitempty" yaml:"max_connections,omitempty"`
 	Protocol       string `json:"protocol,omitempty" yaml:"protocol,omitempty"`
 	TLS            bool   `json:"tls,omitempty" yaml:"tls,omitempty"`
-	// Cold is what targets bear shortly after their start; nothing for no bound.
+	// Cold limits the load of targets shortly after their start; nil for no limit.
 	Cold *ColdLimit `json:"cold,omitempty" yaml:"cold,omitempty"`
 }
 
-// ColdLimit is what a target bears while it is cold.
+// ColdLimit limits the rate of new flows to a target while it is cold.
 type ColdLimit struct {
 	// Start is how long a target stays cold after its start.
 	Start string `json:"start,omitempty" yaml:"start,omitempty"`
-	// PerSecond is the number of new flows a second that it bears meanwhile; zero for
-	// no bound.
+	// PerSecond is the number of new flows per second that a cold target can handle; zero for no
+	// limit.
 	PerSecond float64 `json:"per_second,omitempty" yaml:"per_second,omitempty"`
 }
 
-// Route gives the flows of an address to a pool of services.
+// Route sends the flows of an address to a pool of services.
 type Route struct {
 	Name      string `json:"name" yaml:"name"`
 	Address   string `json:"address" yaml:"address"`
@@ -51,18 +51,18 @@
 	Priority  int    `json:"priority,omitempty" yaml:"priority,omitempty"`
 	Attempts  int    `json:"attempts,omitempty" yaml:"attempts,omitempty"`
 	Weighted  bool   `json:"weighted,omitempty" yaml:"weighted,omitempty"`
-	// Regions are the regions whose targets may serve the route; none for all.
+	// Regions are the regions whose targets may serve the route; empty for all.
 	Regions []string `json:"regions,omitempty" yaml:"regions,omitempty"`
 	Pool    []Part   `json:"pool" yaml:"pool"`
 }
 
-// Part is one service's part of a pool.
+// Part is a service in a pool, with its share of the flows.
 type Part struct {
 	Service string `json:"service" yaml:"service"`
 	Weight  int    `json:"weight" yaml:"weight"`
 }
 
-// Limits are bounds of all routes.
+// Limits are limits that apply to all routes.
 type Limits struct {
 	MaxHeaderBytes int    `json:"max_header_bytes,omitempty" yaml:"max_header_bytes,omitempty"`
 	MaxBodyBytes   int    `json:"max_body_bytes,omitempty" yaml:"max_body_bytes,omitempty"`
@@ -70,126 +70,126 @@
 	IdleTimeout    string `json:"idle_timeout,omitempty" yaml:"idle_timeout,omitempty"`
 }
 
-// DocumentOf returns a configuration as a document.
-func DocumentOf(held *declared.Configuration) Document {
+// DocumentOf converts a configuration to a document.
+func DocumentOf(configuration *declared.Configuration) Document {
 	document := Document{
-		Version: held.Version,
+		Version: configuration.Version,
 		Limits: Limits{
-			MaxHeaderBytes: held.Limits.MaxHeaderBytes,
-			MaxBodyBytes:   held.Limits.MaxBodyBytes,
-			HeaderTimeout:  textOf(held.Limits.HeaderTimeout),
-			IdleTimeout:    textOf(held.Limits.IdleTimeout),
+			MaxHeaderBytes: configuration.Limits.MaxHeaderBytes,
+			MaxBodyBytes:   configuration.Limits.MaxBodyBytes,
+			HeaderTimeout:  formatDuration(configuration.Limits.HeaderTimeout),
+			IdleTimeout:    formatDuration(configuration.Limits.IdleTimeout),
 		},
 	}
-	for _, service := range held.Services {
+	for _, service := range configuration.Services {
 		document.Services = append(document.Services, serviceOf(service))
 	}
-	for index := range held.Routes {
-		document.Routes = append(document.Routes, routeOf(&held.Routes[index]))
+	for index := range configuration.Routes {
+		document.Routes = append(document.Routes, routeOf(&configuration.Routes[index]))
 	}
 	return document
 }
 
-func serviceOf(held declared.Service) Service {
+func serviceOf(configuration declared.Service) Service {
 	service := Service{
-		Name: held.Name, HealthPath: held.HealthPath, MaxConnections: held.MaxConnections, Protocol: held.Protocol, TLS: held.TLS,
+		Name: configuration.Name, HealthPath: configuration.HealthPath, MaxConnections: configuration.MaxConnections, Protocol: configuration.Protocol, TLS: configuration.TLS,
 	}
-	if held.Cold.Stated {
-		service.Cold = &ColdLimit{Start: textOf(held.Cold.Start), PerSecond: held.Cold.PerSecond}
+	if configuration.Cold.Stated {
+		service.Cold = &ColdLimit{Start: formatDuration(configuration.Cold.Start), PerSecond: configuration.Cold.PerSecond}
 	}
 	return service
 }
 
-func routeOf(held *declared.Route) Route {
+func routeOf(configuration *declared.Route) Route {
 	route := Route{
-		Name:      held.Name,
-		Address:   held.Address.String(),
-		Kind:      string(held.Kind),
-		Timeout:   textOf(held.Timeout),
-		Objective: textOf(held.Objective),
-		Priority:  held.Priority,
-		Attempts:  held.Attempts,
-		Weighted:  held.Weighted,
-		Regions:   held.Regions,
-	}
-	for _, part := range held.Pool {
+		Name:      configuration.Name,
+		Address:   configuration.Address.String(),
+		Kind:      string(configuration.Kind),
+		Timeout:   formatDuration(configuration.Timeout),
+		Objective: formatDuration(configuration.Objective),
+		Priority:  configuration.Priority,
+		Attempts:  configuration.Attempts,
+		Weighted:  configuration.Weighted,
+		Regions:   configuration.Regions,
+	}
+	for _, part := range configuration.Pool {
 		route.Pool = append(route.Pool, Part(part))
 	}
 	return route
 }
 
-func textOf(duration time.Duration) string {
+func formatDuration(duration time.Duration) string {
 	if duration == 0 {
 		return ""
 	}
 	return duration.String()
 }
 
-// Configuration returns the document as a configuration, or an error that names
-// the field that cannot be read. Whether the whole is valid, Validate tells.
+// Configuration converts the document to a configuration. It returns an error that names the
+// first field that cannot be parsed; otherwise the configuration is not validated.
 func (document *Document) Configuration() (*declared.Configuration, error) {
-	stated := &declared.Configuration{Version: document.Version}
+	configuration := &declared.Configuration{Version: document.Version}
 	for index := range document.Services {
 		service, err := document.Services[index].service(fmt.Sprintf("services[%d]", index))
 		if err != nil {
 			return nil, err
 		}
-		stated.Services = append(stated.Services, service)
+		configuration.Services = append(configuration.Services, service)
 	}
 	for index := range document.Routes {
 		route, err := document.Routes[index].route(fmt.Sprintf("routes[%d]", index))
 		if err != nil {
 			return nil, err
 		}
-		stated.Routes = append(stated.Routes, route)
+		configuration.Routes = append(configuration.Routes, route)
 	}
-	header, err := durationOf("limits.header_timeout", document.Limits.HeaderTimeout)
+	header, err := parseDuration("limits.header_timeout", document.Limits.HeaderTimeout)
 	if err != nil {
 		return nil, err
 	}
-	idle, err := durationOf("limits.idle_timeout", document.Limits.IdleTimeout)
+	idle, err := parseDuration("limits.idle_timeout", document.Limits.IdleTimeout)
 	if err != nil {
 		return nil, err
 	}
-	stated.Limits = declared.Limits{
+	configuration.Limits = declared.Limits{
 		MaxHeaderBytes: document.Limits.MaxHeaderBytes,
 		MaxBodyBytes:   document.Limits.MaxBodyBytes,
 		HeaderTimeout:  header,
 		IdleTimeout:    idle,
 	}
-	return stated, nil
+	return configuration, nil
 }
 
 func (service *Service) service(field string) (declared.Service, error) {
-	stated := declared.Service{
+	configuration := declared.Service{
 		Name: service.Name, HealthPath: service.HealthPath, MaxConnections: service.MaxConnections,
 		Protocol: service.Protocol, TLS: service.TLS,
 	}
 	if service.Cold == nil {
-		return stated, nil
+		return configuration, nil
 	}
-	start, err := durationOf(field+".cold.start", service.Cold.Start)
+	start, err := parseDuration(field+".cold.start", service.Cold.Start)
 	if err != nil {
 		return declared.Service{}, err
 	}
-	stated.Cold = declared.ColdLimit{Stated: true, Start: start, PerSecond: service.Cold.PerSecond}
-	return stated, nil
+	configuration.Cold = declared.ColdLimit{Stated: true, Start: start, PerSecond: service.Cold.PerSecond}
+	return configuration, nil
 }
 
 func (route *Route) route(field string) (declared.Route, error) {
 	address, err := netip.ParseAddrPort(route.Address)
 	if err != nil {
-		return declared.Route{}, unreadable(field+".address", err)
+		return declared.Route{}, fieldError(field+".address", err)
 	}
-	timeout, err := durationOf(field+".timeout", route.Timeout)
+	timeout, err := parseDuration(field+".timeout", route.Timeout)
 	if err != nil {
 		return declared.Route{}, err
 	}
-	objective, err := durationOf(field+".objective", route.Objective)
+	objective, err := parseDuration(field+".objective", route.Objective)
 	if err != nil {
 		return declared.Route{}, err
 	}
-	stated := declared.Route{
+	configuration := declared.Route{
 		Name:      route.Name,
 		Address:   address,
 		Kind:      declared.RequestKind(route.Kind),
@@ -201,22 +201,23 @@
 		Regions:   route.Regions,
 	}
 	for _, part := range route.Pool {
-		stated.Pool = append(stated.Pool, declared.PoolPart(part))
+		configuration.Pool = append(configuration.Pool, declared.PoolPart(part))
 	}
-	return stated, nil
+	return configuration, nil
 }
 
-func durationOf(field, text string) (time.Duration, error) {
+func parseDuration(field, text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		return 0, unreadable(field, err)
+		return 0, fieldError(field, err)
 	}
 	return duration, nil
 }
 
-func unreadable(field string, err error) error {
+// fieldError returns the error of a field that cannot be parsed.
+func fieldError(field string, err error) error {
 	return faults.New(faults.ConfigurationInvalid, "%s: %v", field, err)
 }
--- a/internal/direct/admin/server.go
+++ b/internal/direct/admin/server.go
@@ -21,49 +21,48 @@
 	"merlinpaddle/internal/settings"
 )
 
-// The paths of the interface.
+// Paths of the HTTP interface.
 const (
 	pathConfiguration = "/direct/configuration"
 	pathTargets       = "/direct/targets"
 	pathEvacuations   = "/direct/evacuations"
 )
 
-// maximumDocument bounds a document, in bytes.
-const maximumDocument = 16 << 20
+// maxDocumentBytes bounds the body of a declaration.
+const maxDocumentBytes = 16 << 20
 
-// Declarations takes and returns the declared configuration; registrar.BlockingRegistrar
-// implements it.
+// Declarations handles operators' calls at a member. registrar.BlockingRegistrar implements it.
 type Declarations interface {
 	// Declare replaces the declared configuration.
 	Declare(ctx context.Context, next *declared.Configuration) error
 	// Configuration returns the newest declared configuration.
 	Configuration(ctx context.Context) (*declared.Configuration, error)
-	// Evacuate orders that a zone is emptied, or, with end, taken back into use.
+	// Evacuate orders the evacuation of a zone, or ends it when end is set.
 	Evacuate(ctx context.Context, zone string, end bool) error
-	// Evacuations returns the zones that are evacuated.
+	// Evacuations returns the zones under evacuation.
 	Evacuations(ctx context.Context) ([]directory.Evacuation, error)
 }
 
-// Evacuation is what operators see of a zone that is emptied by order.
+// Evacuation describes a zone under evacuation.
 type Evacuation struct {
 	Zone string `json:"zone"`
 	// Since is the revision of the order.
 	Since uint64 `json:"since"`
 	// Targets is the number of ready targets in the zone, which get no new flows.
 	Targets int `json:"targets"`
-	// Behind is the number of balancers that follow this member and did not know of the
-	// order yet when it heard of them last, a second ago at the most.
+	// Behind is the number of balancers following this member that had not received the order
+	// yet when they last reported, at most a second ago.
 	Behind int `json:"behind"`
 }
 
-// Followers tells how far the balancers that follow a member are; feed.Publisher
+// Followers reports how up to date the balancers that follow a member are. feed.Publisher
 // implements it.
 type Followers interface {
-	// Behind returns how many of them did not have a revision yet.
+	// Behind returns how many of them have not received a revision yet.
 	Behind(revision model.Revision) int
 }
 
-// Target is what operators see of one incarnation of a target.
+// Target describes one incarnation of a target.
 type Target struct {
 	ID       uint64 `json:"id"`
 	Token    uint32 `json:"token"`
@@ -74,13 +73,13 @@
 	Revision uint64 `json:"revision"`
 }
 
-// refusal is the body of an answer that is no success.
-type refusal struct {
+// errorBody is the body of an error response.
+type errorBody struct {
 	Code  int    `json:"code"`
 	Error string `json:"error"`
 }
 
-// Handler serves the interface of one member.
+// Handler returns the HTTP handler of one member's interface.
 func Handler(declarations Declarations, state *directory.Directory, followers Followers, logger *zap.Logger) http.Handler {
 	server := &server{declarations: declarations, directory: state, followers: followers, logger: logger}
 	router := chi.NewRouter()
@@ -88,8 +87,8 @@
 	router.Put(pathConfiguration, server.putConfiguration)
 	router.Get(pathTargets, server.getTargets)
 	router.Get(pathEvacuations, server.getEvacuations)
-	router.Post(pathEvacuations+"/{zone}", server.orderZone(false))
-	router.Delete(pathEvacuations+"/{zone}", server.orderZone(true))
+	router.Post(pathEvacuations+"/{zone}", server.zoneOrderHandler(false))
+	router.Delete(pathEvacuations+"/{zone}", server.zoneOrderHandler(true))
 	return router
 }
 
@@ -101,42 +100,42 @@
 }
 
 func (server *server) getConfiguration(writer http.ResponseWriter, request *http.Request) {
-	held, err := server.declarations.Configuration(request.Context())
+	configuration, err := server.declarations.Configuration(request.Context())
 	if err != nil {
-		server.refuse(writer, err)
+		server.writeError(writer, err)
 		return
 	}
-	server.answer(writer, DocumentOf(held))
+	server.writeJSON(writer, DocumentOf(configuration))
 }
 
 func (server *server) putConfiguration(writer http.ResponseWriter, request *http.Request) {
-	done, err := process.BoundBody(writer)
+	bodyRead, err := process.BoundBody(writer)
 	if err != nil {
-		server.refuse(writer, faults.New(faults.CodeOutcomeUnknown, "%v", err))
+		server.writeError(writer, faults.New(faults.CodeOutcomeUnknown, "%v", err))
 		return
 	}
 	var document Document
-	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maximumDocument))
+	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maxDocumentBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&document); err != nil {
-		server.refuse(writer, unreadableBody(err))
+		server.writeError(writer, bodyError(err))
 		return
 	}
-	done()
-	stated, err := document.Configuration()
+	bodyRead()
+	configuration, err := document.Configuration()
 	if err == nil {
-		err = server.declarations.Declare(request.Context(), stated)
+		err = server.declarations.Declare(request.Context(), configuration)
 	}
 	if err != nil {
-		server.refuse(writer, err)
+		server.writeError(writer, err)
 		return
 	}
-	server.answer(writer, struct{}{})
+	server.writeJSON(writer, struct{}{})
 }
 
-// unreadableBody is the error of a body that cannot be read. One that did not come in time
-// says nothing about what it holds.
-func unreadableBody(err error) error {
+// bodyError returns the error of a body that cannot be read. A body that did not arrive in time
+// may be valid, so its error is not ConfigurationInvalid.
+func bodyError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return faults.New(faults.CodeOutcomeUnknown, "%v", err)
 	}
@@ -145,24 +144,24 @@
 
 func (server *server) getTargets(writer http.ResponseWriter, _ *http.Request) {
 	targets := []Target{}
-	for _, held := range server.directory.Targets() {
+	for _, target := range server.directory.Targets() {
 		targets = append(targets, Target{
-			ID:       uint64(held.ID),
-			Token:    uint32(held.Token),
-			Service:  held.Service,
-			Address:  held.Address.String(),
-			Zone:     held.Zone,
-			State:    held.State.String(),
-			Revision: uint64(held.Revision),
+			ID:       uint64(target.ID),
+			Token:    uint32(target.Token),
+			Service:  target.Service,
+			Address:  target.Address.String(),
+			Zone:     target.Zone,
+			State:    target.State.String(),
+			Revision: uint64(target.Revision),
 		})
 	}
-	server.answer(writer, targets)
+	server.writeJSON(writer, targets)
 }
 
 func (server *server) getEvacuations(writer http.ResponseWriter, request *http.Request) {
-	held, err := server.declarations.Evacuations(request.Context())
+	ordered, err := server.declarations.Evacuations(request.Context())
 	if err != nil {
-		server.refuse(writer, err)
+		server.writeError(writer, err)
 		return
 	}
 	ready := make(map[string]int)
@@ -172,37 +171,38 @@
 		}
 	}
 	evacuations := []Evacuation{}
-	for _, evacuation := range held {
+	for _, evacuation := range ordered {
 		evacuations = append(evacuations, Evacuation{
 			Zone: evacuation.Zone, Since: uint64(evacuation.Since), Targets: ready[evacuation.Zone],
 			Behind: server.followers.Behind(evacuation.Since),
 		})
 	}
-	server.answer(writer, evacuations)
+	server.writeJSON(writer, evacuations)
 }
 
-// orderZone serves the order to empty the zone of the path, or to take it back.
-func (server *server) orderZone(end bool) http.HandlerFunc {
+// zoneOrderHandler returns the handler that orders the evacuation of the zone in the path, or ends
+// it when end is set.
+func (server *server) zoneOrderHandler(end bool) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		err := server.declarations.Evacuate(request.Context(), chi.URLParam(request, "zone"), end)
 		if err != nil {
-			server.refuse(writer, err)
+			server.writeError(writer, err)
 			return
 		}
-		server.answer(writer, struct{}{})
+		server.writeJSON(writer, struct{}{})
 	}
 }
 
-func (server *server) answer(writer http.ResponseWriter, value any) {
+func (server *server) writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(writer).Encode(value); err != nil {
 		server.logger.Warn("answer not written", zap.Error(err))
 	}
 }
 
-// refuse tells the caller a failure: 400 for what is invalid, 503 for what
-// another member may take.
-func (server *server) refuse(writer http.ResponseWriter, err error) {
+// writeError writes an error response: 400 for invalid input, and 503 for what another member may
+// accept.
+func (server *server) writeError(writer http.ResponseWriter, err error) {
 	code := faults.CodeOf(err)
 	status := http.StatusServiceUnavailable
 	if code == faults.ConfigurationInvalid || code == faults.ZoneOrderInvalid {
@@ -211,10 +211,10 @@
 	server.logger.Info("operator's call refused", zap.Int("code", int(code)), zap.Int("status", status), zap.Error(err))
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(refusal{Code: int(code), Error: err.Error()})
+	_ = json.NewEncoder(writer).Encode(errorBody{Code: int(code), Error: err.Error()})
 }
 
-// Serve runs the interface on direct.admin, if the settings name it.
+// Serve runs the HTTP interface on the address in direct.admin, if it is set.
 func Serve(lifecycle fx.Lifecycle, tasks *process.Tasks, chosen settings.Settings, calls *registrar.BlockingRegistrar, state *directory.Directory,
 	publisher *feed.Publisher, logger *zap.Logger) {
 	if chosen.Direct.Admin == "" {
