--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -52,7 +52,7 @@
 		forwarded:    dispatcher.Handle(registrar.Renewals{}),
 		table:        table,
 		followedNode: followedNode,
-		renewedAt:    registrar.NewRenewed(),
+		renewedAt:    registrar.NewRenewalTable(),
 	}
 }
 
@@ -90,7 +90,7 @@
 		return
 	}
 	relay.lastSentAt = now
-	renewals := registrar.TakeRenewals(relay.renewedAt, now)
+	renewals := registrar.DrainRenewals(relay.renewedAt, now)
 	renewals = slices.DeleteFunc(renewals, func(renewal registrar.Renewal) bool { return renewal.Ago > maxRenewalAge })
 	if node := relay.followedNode(); node != "" && len(renewals) > 0 {
 		slices.SortFunc(renewals, func(left, right registrar.Renewal) int { return cmp.Compare(left.ID, right.ID) })
