--- a/internal/direct/balancernode/metrics.go
+++ b/internal/direct/balancernode/metrics.go
@@ -28,7 +28,7 @@
 	tableAge   prometheus.Histogram
 	egressWait prometheus.Histogram
 	table      *steer.Table
-	book       *load.Book
+	book       *load.Counter
 	open       *prometheus.Desc
 	trusted    *prometheus.Desc
 	revision   *prometheus.Desc
@@ -45,7 +45,7 @@
 	waitBuckets = []float64{.005, .01, .02, .05, .1, .2, .4, .8, 1.6}
 )
 
-func newMetrics(table *steer.Table, book *load.Book) *metrics {
+func newMetrics(table *steer.Table, book *load.Counter) *metrics {
 	return &metrics{
 		tableAge: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "merlinpaddle_direct_table_age_seconds", Buckets: ageBuckets,
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -63,13 +63,13 @@
 		fx.Supply(model.RoleBalancer),
 		transport.ModuleWith(transport.QuickTiming()),
 		fx.Provide(newTable, provideSubscriber, provideReplica, providePublisher, provideReports, provideRelay, provideTracker,
-			load.NewBook, provideWatcher, provideAdmission, provideSharing, newConnections, provideSuspects, provideForwarder, newMetrics, newObserver),
+			load.NewCounter, provideWatcher, provideAdmission, provideSharing, newConnections, provideSuspects, provideForwarder, newMetrics, newObserver),
 		fx.Provide(newChangeListeners),
 		fx.Invoke(reportChanges, run),
 	)
 }
 
-func newTable(chosen settings.Settings, book *load.Book) *steer.Table {
+func newTable(chosen settings.Settings, book *load.Counter) *steer.Table {
 	options := steer.DefaultOptions()
 	options.Self = model.NodeName(chosen.Node)
 	options.Zone = chosen.Zone
@@ -164,7 +164,7 @@
 	return outcome.NewTracker(mailbox, subscriber.Following)
 }
 
-func provideWatcher(tracker *outcome.Tracker, book *load.Book) *requests.Watcher {
+func provideWatcher(tracker *outcome.Tracker, book *load.Counter) *requests.Watcher {
 	watcher := requests.NewWatcher(tracker, book)
 	watcher.ObserveAnswers(tracker)
 	return watcher
@@ -175,8 +175,8 @@
 func provideAdmission(chosen settings.Settings, watcher *requests.Watcher) *transfer.Admission {
 	sizes := transfer.NewSizes()
 	watcher.ObserveSizes(sizes)
-	options := transfer.Options{BytesPerSecond: linkRate(chosen), Share: chosen.Direct.LinkAdmission}
-	return transfer.New(options, sizes, watcher.EachOpen)
+	options := transfer.Options{BytesPerSecond: linkRate(chosen), ObjectiveShare: chosen.Direct.LinkAdmission}
+	return transfer.NewAdmission(options, sizes, watcher.EachOpen)
 }
 
 // linkRate returns the rate that the balancer sends at, in bytes a second; zero
--- a/internal/direct/balancernode/observer_test.go
+++ b/internal/direct/balancernode/observer_test.go
@@ -18,7 +18,7 @@
 func TestRefusalTellsWhatItRestsOn(t *testing.T) {
 	core, lines := logged.New(zap.InfoLevel)
 	table := steer.NewTable(steer.DefaultOptions())
-	observer := newObserver(newMetrics(table, load.NewBook()), table, zap.New(core))
+	observer := newObserver(newMetrics(table, load.NewCounter()), table, zap.New(core))
 	segment := steer.Segment{Caller: netip.MustParseAddrPort("192.0.2.1:1"), Service: netip.MustParseAddrPort("192.0.2.2:2"), Opening: true}
 	observer.Decided(segment, steer.Decision{Action: steer.Reset, Reason: steer.ReasonOverloaded, Open: 5, Evidence: steer.Evidence{
 		Own: 1, Others: 4, HeardAgo: 20 * time.Millisecond,
--- a/internal/direct/balancernode/sharing.go
+++ b/internal/direct/balancernode/sharing.go
@@ -25,18 +25,18 @@
 
 // provideSharing makes reports go as datagrams, or over links where processes
 // have keys, because a datagram proves nothing about its sender.
-func provideSharing(chosen settings.Settings, book *load.Book, table *steer.Table, subscriber *feed.Subscriber,
+func provideSharing(chosen settings.Settings, book *load.Counter, table *steer.Table, subscriber *feed.Subscriber,
 	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, connections *connections,
 	registry *prometheus.Registry, logger *zap.Logger) (sharing, error) {
-	options := load.Options{
+	options := load.ExchangeOptions{
 		Interval:   chosen.Direct.LoadInterval,
 		Neighbours: subscriber.Neighbours,
 		Collector:  subscriber.FollowedMember,
 		Capacities: table,
-		OnChange:   load.Announce(registry, logger.Named("load")),
+		OnChange:   load.NewSharingObserver(registry, logger.Named("load")),
 	}
 	if chosen.Keys != "" || chosen.Listen == "" {
-		outlet := load.NewLinkOutlet(mailbox, connections)
+		outlet := load.NewLinkSender(mailbox, connections)
 		exchange := load.NewExchange(options, book, outlet, dispatcher.Handle(load.Report{}))
 		return sharing{exchange: exchange, run: func(context.Context) error { return nil }}, nil
 	}
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -391,7 +391,7 @@
 				{Token: 7, ID: 70, Service: "feed", State: directory.TargetReady, Address: loopback(9)},
 			}}, time.Now()))
 			probes := 0
-			prober := probe.NewWith(func(_ netip.AddrPort, done func(probe.Outcome)) {
+			prober := probe.NewWithStarter(func(_ netip.AddrPort, done func(probe.Outcome)) {
 				probes++
 				done(test.outcome)
 			})
--- a/internal/direct/load/announce.go
+++ b/internal/direct/load/announce.go
@@ -7,19 +7,19 @@
 
 // Announce returns a function for OnChange that writes a log line at each change, and
 // registers a gauge that shows the present state.
-func Announce(registry prometheus.Registerer, logger *zap.Logger) func(sharing Sharing) {
+func NewSharingObserver(registry prometheus.Registerer, logger *zap.Logger) func(sharing SharingState) {
 	shared := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "merlinpaddle_direct_load_shared",
 		Help: "1 while this node shares the load of targets with others, because a service is half used; else 0.",
 	})
 	registry.MustRegister(shared)
-	return func(sharing Sharing) {
+	return func(sharing SharingState) {
 		shared.Set(0)
-		if sharing.Shared {
+		if sharing.Active {
 			shared.Set(1)
 		}
 		logger.Info("load sharing changed",
-			zap.Bool("shared", sharing.Shared),
+			zap.Bool("shared", sharing.Active),
 			zap.Float64("utilization", sharing.Utilization),
 			zap.Int("nodes", sharing.Nodes))
 	}
--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -49,7 +49,7 @@
 
 // Book has the open requests of all targets. It is safe for many goroutines and
 // is a requests.Listener.
-type Book struct {
+type Counter struct {
 	shards [shardCount]shard
 	trust  trust
 	// partial tells that the requests of other balancers are not known although load is
@@ -62,21 +62,21 @@
 	heardAt atomic.Int64
 }
 
-var _ requests.Listener = (*Book)(nil)
+var _ requests.Listener = (*Counter)(nil)
 
 // NewBook returns a book in which no request is open.
-func NewBook() *Book {
-	book := &Book{}
+func NewCounter() *Counter {
+	book := &Counter{}
 	for index := range book.shards {
 		book.shards[index].counts = make(map[directory.Token]*count)
 	}
 	return book
 }
 
-func (book *Book) shard(token directory.Token) *shard { return &book.shards[token%shardCount] }
+func (book *Counter) shard(token directory.Token) *shard { return &book.shards[token%shardCount] }
 
 // add changes the count of a target.
-func (book *Book) add(token directory.Token, own, others int) {
+func (book *Counter) add(token directory.Token, own, others int) {
 	shard := book.shard(token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // Began implements requests.Listener.
-func (book *Book) Began(target requests.Target, now time.Time) {
+func (book *Counter) Began(target requests.Target, now time.Time) {
 	book.trust.began(now)
 	shard := book.shard(target.Token)
 	shard.lock.Lock()
@@ -124,7 +124,7 @@
 }
 
 // Ended implements requests.Listener.
-func (book *Book) Ended(target requests.Target, ending requests.Ending, took time.Duration) {
+func (book *Counter) Ended(target requests.Target, ending requests.Ending, took time.Duration) {
 	if ending != requests.Withdrawn {
 		book.trust.missed.Note(ending != requests.Answered)
 	}
@@ -146,7 +146,7 @@
 
 // Receiving implements requests.Listener. A request whose data still comes takes
 // no place at its target.
-func (book *Book) Receiving(target requests.Target, receiving bool) {
+func (book *Counter) Receiving(target requests.Target, receiving bool) {
 	if receiving {
 		book.add(target.Token, -1, 0)
 	} else {
@@ -156,7 +156,7 @@
 
 // Waiting implements requests.Listener. A request that has not left this balancer takes no
 // place at its target yet.
-func (book *Book) Waiting(target requests.Target, waiting bool) {
+func (book *Counter) Waiting(target requests.Target, waiting bool) {
 	shard := book.shard(target.Token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -172,7 +172,7 @@
 }
 
 // Continued implements requests.Listener.
-func (book *Book) Continued(whole bool) { book.trust.flows.Note(whole) }
+func (book *Counter) Continued(whole bool) { book.trust.flows.Note(whole) }
 
 const (
 	// learnedCrowd is the number of requests by capacity that a request may have met for
@@ -202,12 +202,12 @@
 // Typical returns how long a request takes on an idle target of the service, as an
 // average over its targets; zero while too few answered. In a large system a balancer
 // hears of a single target now and then alone.
-func (book *Book) Typical(service string) time.Duration { return book.services.typical(service) }
+func (book *Counter) Typical(service string) time.Duration { return book.services.typical(service) }
 
 // Load returns the number of requests that are open at the target, and how long
 // it takes with one when it is idle, as far as is known; zero when it is not.
 // Nothing is known while this balancer does not see its flows whole.
-func (book *Book) Load(token directory.Token) (open int, serving time.Duration) {
+func (book *Counter) Load(token directory.Token) (open int, serving time.Duration) {
 	if !book.trust.holds() {
 		return 0, 0
 	}
@@ -222,7 +222,7 @@
 }
 
 // Coming implements steer.Loads.
-func (book *Book) Coming(token directory.Token) int {
+func (book *Counter) Coming(token directory.Token) int {
 	if !book.trust.holds() {
 		return 0
 	}
@@ -236,10 +236,10 @@
 }
 
 // Known implements steer.Loads.
-func (book *Book) Known() bool { return book.trust.holds() }
+func (book *Counter) Known() bool { return book.trust.holds() }
 
 // Evidence implements steer.Loads.
-func (book *Book) Evidence(token directory.Token, now time.Time) steer.Evidence {
+func (book *Counter) Evidence(token directory.Token, now time.Time) steer.Evidence {
 	evidence := steer.Evidence{HeardAgo: steer.NeverHeard}
 	if heardAt := book.heardAt.Load(); heardAt != 0 {
 		evidence.HeardAgo = time.Duration(now.UnixNano() - heardAt)
@@ -255,14 +255,14 @@
 }
 
 // heard notes that another node told of open requests.
-func (book *Book) heard(now time.Time) { book.heardAt.Store(now.UnixNano()) }
+func (book *Counter) heard(now time.Time) { book.heardAt.Store(now.UnixNano()) }
 
 // Proven implements steer.Loads.
-func (book *Book) Proven(now time.Time) bool { return book.trust.proven(now) }
+func (book *Counter) Proven(now time.Time) bool { return book.trust.proven(now) }
 
 // Totals returns the open requests of all targets: this balancer's own, and those
 // that other balancers told.
-func (book *Book) Totals() (own, others int) {
+func (book *Counter) Totals() (own, others int) {
 	for index := range book.shards {
 		shard := &book.shards[index]
 		shard.lock.RLock()
@@ -277,7 +277,7 @@
 
 // appendOwn appends this balancer's counts that are not zero, in no order. It has
 // none to tell while it does not see its flows whole.
-func (book *Book) appendOwn(entries []Entry) []Entry {
+func (book *Counter) appendOwn(entries []Entry) []Entry {
 	if !book.trust.holds() {
 		return entries
 	}
@@ -296,7 +296,7 @@
 
 // forgetIdle drops the counts that stayed zero since the last call, so that
 // targets which are gone leave nothing behind.
-func (book *Book) forgetIdle() {
+func (book *Counter) forgetIdle() {
 	for index := range book.shards {
 		shard := &book.shards[index]
 		shard.lock.Lock()
--- a/internal/direct/load/collector.go
+++ b/internal/direct/load/collector.go
@@ -35,7 +35,7 @@
 	Capacities PoolCapacities
 	// OnChange, when it is not nil, is called when the load begins to be shared, and
 	// when it ends.
-	OnChange func(sharing Sharing)
+	OnChange func(sharing SharingState)
 }
 
 // PoolCapacities tells what the targets of a service in one zone can bear.
@@ -55,7 +55,7 @@
 type Collector struct {
 	self    model.NodeName
 	options CollectorOptions
-	outlet  Outlet
+	outlet  Sender
 	reports *board.Queue[protocol.Envelope]
 	demand  demand
 	// announced tells of changes of demand.
@@ -74,7 +74,7 @@
 
 // NewCollector returns the controller of the member named self, which takes
 // reports from a queue.
-func NewCollector(self model.NodeName, options CollectorOptions, outlet Outlet, reports *board.Queue[protocol.Envelope]) *Collector {
+func NewCollector(self model.NodeName, options CollectorOptions, outlet Sender, reports *board.Queue[protocol.Envelope]) *Collector {
 	return &Collector{
 		self: self, options: options, outlet: outlet, reports: reports,
 		balancers: make(map[model.NodeName]heard), members: make(map[model.NodeName]heard),
@@ -97,8 +97,8 @@
 	}
 	dropSilent(collector.balancers, now)
 	dropSilent(collector.members, now)
-	collector.announced.announce(Sharing{
-		Shared: collector.demand.high(now), Utilization: collector.demand.average,
+	collector.announced.announce(SharingState{
+		Active: collector.demand.high(now), Utilization: collector.demand.average,
 		Nodes: len(collector.balancers) + len(collector.members),
 	})
 	if len(collector.balancers) == 0 || now.Sub(collector.toldAt) < collector.pause(now) {
@@ -194,11 +194,11 @@
 			members = append(members, member)
 		}
 	}
-	collector.outlet.Tell(members, Report{Scope: ScopeFollowers, Entries: entriesOf(collector.own), Wanted: wanted})
+	collector.outlet.Send(members, Report{Scope: ScopeFollowers, Entries: entriesOf(collector.own), Wanted: wanted})
 	if !collector.demand.high(now) {
 		return
 	}
-	collector.outlet.Tell(slices.Sorted(maps.Keys(collector.balancers)), Report{
+	collector.outlet.Send(slices.Sorted(maps.Keys(collector.balancers)), Report{
 		Scope: ScopeSystem, Entries: entriesOf(collector.all), Wanted: true, Pause: collector.pause(now), Serving: collector.serving(now),
 	})
 }
--- a/internal/direct/load/collector_test.go
+++ b/internal/direct/load/collector_test.go
@@ -48,7 +48,7 @@
 		member.dispatcher = protocol.NewDispatcher(member.mailbox)
 		member.collector = NewCollector(name, CollectorOptions{
 			Interval: interval, Members: func() []model.NodeName { return names }, Capacities: capacities,
-		}, MailboxOutlet{Mailbox: member.mailbox}, member.dispatcher.Handle(Report{}))
+		}, MailboxSender{Mailbox: member.mailbox}, member.dispatcher.Handle(Report{}))
 		made.members[name] = member
 	}
 	for number := range balancers {
@@ -184,8 +184,8 @@
 func TestSharingEndsWithTheLoad(t *testing.T) {
 	site := newSite(2, 20, 10)
 	var atMember, atBalancer []bool
-	site.members["m0"].collector.announced.onChange = func(sharing Sharing) { atMember = append(atMember, sharing.Shared) }
-	site.balancers[0].exchange.announced.onChange = func(sharing Sharing) { atBalancer = append(atBalancer, sharing.Shared) }
+	site.members["m0"].collector.announced.onChange = func(sharing SharingState) { atMember = append(atMember, sharing.Active) }
+	site.balancers[0].exchange.announced.onChange = func(sharing SharingState) { atBalancer = append(atBalancer, sharing.Active) }
 	for _, balancer := range site.balancers {
 		begin(balancer, 7, 1)
 	}
@@ -265,7 +265,7 @@
 type outletOf struct{ told [][]model.NodeName }
 
 // Tell implements Outlet.
-func (outlet *outletOf) Tell(nodes []model.NodeName, _ Report) {
+func (outlet *outletOf) Send(nodes []model.NodeName, _ Report) {
 	outlet.told = append(outlet.told, nodes)
 }
 
--- a/internal/direct/load/datagram/socket.go
+++ b/internal/direct/load/datagram/socket.go
@@ -39,7 +39,7 @@
 	failures *socketfault.Counter
 }
 
-var _ load.Outlet = (*Socket)(nil)
+var _ load.Sender = (*Socket)(nil)
 
 // Listen opens a socket at the node's own address. What fails later is counted.
 func Listen(address string, failures *socketfault.Counter) (*Socket, error) {
@@ -70,7 +70,7 @@
 
 // Tell implements load.Outlet. A report that cannot be sent is lost, like one
 // that gets lost on its way.
-func (socket *Socket) Tell(nodes []model.NodeName, report load.Report) {
+func (socket *Socket) Send(nodes []model.NodeName, report load.Report) {
 	content, err := socket.encoders.Encode(report)
 	if err == nil && len(content) > maximumReport {
 		err = faults.New(faults.PacketSocket, "load report: %d targets take %d bytes, more than %d", len(report.Entries), len(content), maximumReport)
--- a/internal/direct/load/datagram/socket_test.go
+++ b/internal/direct/load/datagram/socket_test.go
@@ -46,7 +46,7 @@
 func TestReportsReachTheirNodes(t *testing.T) {
 	one, other := listen(t), listen(t)
 	sent := load.Report{Entries: []load.Entry{{Token: 7, Open: 3}, {Token: 9, Open: 1}}, Wanted: true}
-	one.Tell([]model.NodeName{"no address", nameOf(other)}, sent)
+	one.Send([]model.NodeName{"no address", nameOf(other)}, sent)
 	var received []protocol.Envelope
 	require.Eventually(t, func() bool {
 		received = append(received, other.Reports().Drain()...)
@@ -64,7 +64,7 @@
 		_, err := stranger.Write(content)
 		require.NoError(t, err)
 	}
-	one.Tell([]model.NodeName{nameOf(other)}, load.Report{Wanted: true})
+	one.Send([]model.NodeName{nameOf(other)}, load.Report{Wanted: true})
 	require.Eventually(t, func() bool { return other.Reports().Length() > 0 }, conditionTimeout, time.Millisecond)
 	require.Len(t, other.Reports().Drain(), 1)
 }
--- a/internal/direct/load/demand.go
+++ b/internal/direct/load/demand.go
@@ -22,9 +22,9 @@
 )
 
 // Sharing tells whether a node shares the load of targets, and what it knows of it.
-type Sharing struct {
+type SharingState struct {
 	// Shared tells whether reports are sent often.
-	Shared bool
+	Active bool
 	// Utilization is the average use of the busiest service by its capacity, as far
 	// as the node itself looks.
 	Utilization float64
@@ -34,15 +34,15 @@
 
 // announcer calls a function with each change of whether load is shared.
 type announcer struct {
-	onChange func(sharing Sharing)
+	onChange func(sharing SharingState)
 	shared   bool
 }
 
-func (announcer *announcer) announce(sharing Sharing) {
-	if sharing.Shared == announcer.shared {
+func (announcer *announcer) announce(sharing SharingState) {
+	if sharing.Active == announcer.shared {
 		return
 	}
-	announcer.shared = sharing.Shared
+	announcer.shared = sharing.Active
 	if announcer.onChange != nil {
 		announcer.onChange(sharing)
 	}
--- a/internal/direct/load/exchange.go
+++ b/internal/direct/load/exchange.go
@@ -33,10 +33,10 @@
 )
 
 // Outlet sends reports to other nodes. Reports may be lost.
-type Outlet interface {
+type Sender interface {
 	// Tell sends the report to the nodes. It must return at once, and keep
 	// nothing of the report.
-	Tell(nodes []model.NodeName, report Report)
+	Send(nodes []model.NodeName, report Report)
 }
 
 // Capacities tells what services can bear.
@@ -47,7 +47,7 @@
 }
 
 // Options are what an exchange works with.
-type Options struct {
+type ExchangeOptions struct {
 	// Interval is the least time between two reports; zero tells nobody and
 	// hears nobody.
 	Interval time.Duration
@@ -61,7 +61,7 @@
 	Capacities Capacities
 	// OnChange, when it is not nil, is called when the load begins to be shared, and
 	// when it ends.
-	OnChange func(sharing Sharing)
+	OnChange func(sharing SharingState)
 }
 
 // heard is what another node told last, which counts until a while later.
@@ -77,9 +77,9 @@
 // other; in a large one each tells a collector, which answers with the open
 // requests of all.
 type Exchange struct {
-	options Options
-	book    *Book
-	outlet  Outlet
+	options ExchangeOptions
+	book    *Counter
+	outlet  Sender
 	// reports has the envelopes with reports of other balancers.
 	reports *board.Queue[protocol.Envelope]
 	demand  demand
@@ -102,7 +102,7 @@
 }
 
 // NewExchange returns the controller that takes reports from a queue.
-func NewExchange(options Options, book *Book, outlet Outlet, reports *board.Queue[protocol.Envelope]) *Exchange {
+func NewExchange(options ExchangeOptions, book *Counter, outlet Sender, reports *board.Queue[protocol.Envelope]) *Exchange {
 	return &Exchange{
 		options: options, book: book, outlet: outlet, reports: reports,
 		heard: make(map[model.NodeName]*heard), openBy: make(map[string]int),
@@ -141,8 +141,8 @@
 	} else {
 		exchange.tellNeighbours(neighbours, now)
 	}
-	exchange.announced.announce(Sharing{
-		Shared: exchange.demand.high(now), Utilization: exchange.demand.average, Nodes: len(exchange.heard),
+	exchange.announced.announce(SharingState{
+		Active: exchange.demand.high(now), Utilization: exchange.demand.average, Nodes: len(exchange.heard),
 	})
 }
 
@@ -259,7 +259,7 @@
 	}
 	exchange.told, exchange.entries = exchange.entries, exchange.told
 	exchange.toldAt = now
-	exchange.outlet.Tell(neighbours, Report{Entries: exchange.told, Wanted: exchange.demand.found(now)})
+	exchange.outlet.Send(neighbours, Report{Entries: exchange.told, Wanted: exchange.demand.found(now)})
 }
 
 // tellCollector sends the open requests to the collector, now and then while the
@@ -285,5 +285,5 @@
 		exchange.servingToldAt = now
 		report.Serving = exchange.book.services.all()
 	}
-	exchange.outlet.Tell([]model.NodeName{collector}, report)
+	exchange.outlet.Send([]model.NodeName{collector}, report)
 }
--- a/internal/direct/load/links.go
+++ b/internal/direct/load/links.go
@@ -17,22 +17,22 @@
 
 // LinkOutlet sends reports over the links between processes, which prove who
 // sends. It is for one goroutine.
-type LinkOutlet struct {
+type LinkSender struct {
 	mailbox   *protocol.Mailbox
 	connector Connector
 	// connected are the nodes that were told last.
 	connected []model.NodeName
 }
 
-var _ Outlet = (*LinkOutlet)(nil)
+var _ Sender = (*LinkSender)(nil)
 
 // NewLinkOutlet returns an outlet that makes its connections by connector.
-func NewLinkOutlet(mailbox *protocol.Mailbox, connector Connector) *LinkOutlet {
-	return &LinkOutlet{mailbox: mailbox, connector: connector}
+func NewLinkSender(mailbox *protocol.Mailbox, connector Connector) *LinkSender {
+	return &LinkSender{mailbox: mailbox, connector: connector}
 }
 
 // Tell implements Outlet.
-func (outlet *LinkOutlet) Tell(nodes []model.NodeName, report Report) {
+func (outlet *LinkSender) Send(nodes []model.NodeName, report Report) {
 	if !slices.Equal(nodes, outlet.connected) {
 		outlet.connect(nodes)
 	}
@@ -44,7 +44,7 @@
 
 // connect keeps connections to the nodes. Of two nodes that tell each other, the
 // one with the lower name connects.
-func (outlet *LinkOutlet) connect(nodes []model.NodeName) {
+func (outlet *LinkSender) connect(nodes []model.NodeName) {
 	for _, node := range outlet.connected {
 		if outlet.dials(node) && !slices.Contains(nodes, node) {
 			outlet.connector.Disconnect(node)
@@ -58,18 +58,18 @@
 	outlet.connected = slices.Clone(nodes)
 }
 
-func (outlet *LinkOutlet) dials(node model.NodeName) bool { return outlet.mailbox.Self < node }
+func (outlet *LinkSender) dials(node model.NodeName) bool { return outlet.mailbox.Self < node }
 
 // MailboxOutlet sends reports over links that stand for other reasons, as those of
 // members with each other and with their balancers do.
-type MailboxOutlet struct {
+type MailboxSender struct {
 	Mailbox *protocol.Mailbox
 }
 
-var _ Outlet = MailboxOutlet{}
+var _ Sender = MailboxSender{}
 
 // Tell implements Outlet.
-func (outlet MailboxOutlet) Tell(nodes []model.NodeName, report Report) {
+func (outlet MailboxSender) Send(nodes []model.NodeName, report Report) {
 	report.Entries = slices.Clone(report.Entries)
 	for _, node := range nodes {
 		outlet.Mailbox.Send(node, report)
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -21,7 +21,7 @@
 type node struct {
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
-	book       *Book
+	book       *Counter
 	exchange   *Exchange
 	neighbours []model.NodeName
 	connected  map[model.NodeName]bool
@@ -36,13 +36,13 @@
 func (node *node) Disconnect(name model.NodeName) { delete(node.connected, name) }
 
 func newNode(name model.NodeName, interval time.Duration, neighbours ...model.NodeName) *node {
-	made := &node{mailbox: protocol.NewMailbox(name), book: NewBook(), neighbours: neighbours, connected: make(map[model.NodeName]bool)}
+	made := &node{mailbox: protocol.NewMailbox(name), book: NewCounter(), neighbours: neighbours, connected: make(map[model.NodeName]bool)}
 	made.dispatcher = protocol.NewDispatcher(made.mailbox)
-	made.exchange = NewExchange(Options{
+	made.exchange = NewExchange(ExchangeOptions{
 		Interval:   interval,
 		Neighbours: func() []model.NodeName { return made.neighbours },
 		Capacities: made,
-	}, made.book, NewLinkOutlet(made.mailbox, made), made.dispatcher.Handle(Report{}))
+	}, made.book, NewLinkSender(made.mailbox, made), made.dispatcher.Handle(Report{}))
 	made.capacity = 1
 	return made
 }
@@ -183,10 +183,10 @@
 // lower name makes it.
 func TestOneOfTwoConnects(t *testing.T) {
 	node := newNode("b", interval)
-	outlet := NewLinkOutlet(node.mailbox, node)
-	outlet.Tell([]model.NodeName{"a", "c", "d"}, Report{})
+	outlet := NewLinkSender(node.mailbox, node)
+	outlet.Send([]model.NodeName{"a", "c", "d"}, Report{})
 	require.Equal(t, map[model.NodeName]bool{"c": true, "d": true}, node.connected)
-	outlet.Tell([]model.NodeName{"d", "e"}, Report{})
+	outlet.Send([]model.NodeName{"d", "e"}, Report{})
 	require.Equal(t, map[model.NodeName]bool{"d": true, "e": true}, node.connected)
 }
 
@@ -240,7 +240,7 @@
 
 func TestServingTimeIsLearned(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
-	answer := func(book *Book, open int, took time.Duration, ending requests.Ending) {
+	answer := func(book *Counter, open int, took time.Duration, ending requests.Ending) {
 		for range open {
 			book.Began(target, start)
 		}
@@ -265,7 +265,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := NewBook()
+			book := NewCounter()
 			for answers := range leastAnswers {
 				_, serving := book.Load(7)
 				require.Zero(t, serving, "%d answers say too little", answers)
@@ -278,7 +278,7 @@
 			require.Zero(t, book.Typical("ledger"))
 		})
 	}
-	book := NewBook()
+	book := NewCounter()
 	answer(book, 1, 40*time.Millisecond, requests.Answered)
 	for range 100 {
 		answer(book, 1, 80*time.Millisecond, requests.Answered)
@@ -298,7 +298,7 @@
 // next to nothing is open any more. By what is left then, they would take 146 ms.
 func TestTheEndOfARushTeachesNoLongServingTimes(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
-	book := NewBook()
+	book := NewCounter()
 	const rush, each = 10, 40 * time.Millisecond
 	for range leastAnswers {
 		for range rush {
@@ -324,7 +324,7 @@
 }
 
 func BenchmarkLoad(b *testing.B) {
-	book := NewBook()
+	book := NewCounter()
 	book.Began(requests.Target{Token: 7}, start)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/direct/load/size_bench_test.go
+++ b/internal/direct/load/size_bench_test.go
@@ -34,7 +34,7 @@
 }
 
 // Tell implements Outlet.
-func (outlet *discard) Tell(nodes []model.NodeName, report Report) {
+func (outlet *discard) Send(nodes []model.NodeName, report Report) {
 	content, err := outlet.encoders.Encode(report)
 	if err != nil {
 		return
--- a/internal/direct/member/collecting.go
+++ b/internal/direct/member/collecting.go
@@ -32,10 +32,10 @@
 		Interval:   chosen.Direct.LoadInterval,
 		Members:    memberSource{group: group}.Members,
 		Capacities: directory.NewCapacityIndex(state),
-		OnChange:   load.Announce(registry, logger.Named("load")),
+		OnChange:   load.NewSharingObserver(registry, logger.Named("load")),
 	}
 	if chosen.Keys != "" || chosen.Listen == "" {
-		collector := load.NewCollector(self, options, load.MailboxOutlet{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
+		collector := load.NewCollector(self, options, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
 		return collecting{collector: collector, run: func(context.Context) error { return nil }}, nil
 	}
 	socket, err := datagram.Listen(chosen.Listen, socketfault.New(registry, logger.Named("load"), "load"))
--- a/internal/direct/outcome/hasty_test.go
+++ b/internal/direct/outcome/hasty_test.go
@@ -91,7 +91,7 @@
 				report.Counts = append(report.Counts, feed.OutcomeCount{Token: target.Token, Answered: 10, Hasty: uint32(10 * hasty(target.Token))})
 			}
 		}
-		bench.judge.Take(report, bench.now)
+		bench.judge.AddReport(report, bench.now)
 		verdict := bench.judge.Decide(bench.targets, bench.now)
 		for id, cause := range verdict.Causes {
 			causes[id] = cause
--- a/internal/direct/outcome/judge.go
+++ b/internal/direct/outcome/judge.go
@@ -90,16 +90,16 @@
 
 // Judge decides which targets are set aside. It is pure: it has no clock, and
 // its decisions are the caller's to carry out. It is for one goroutine.
-type Judge struct {
+type Ejector struct {
 	records map[directory.Token]*record
 }
 
 // NewJudge returns a judge that knows nothing yet.
-func NewJudge() *Judge { return &Judge{records: make(map[directory.Token]*record)} }
+func NewEjector() *Ejector { return &Ejector{records: make(map[directory.Token]*record)} }
 
 func stepOf(now time.Time) int64 { return now.UnixNano() / int64(stepLength) }
 
-func (judge *Judge) record(token directory.Token) *record {
+func (judge *Ejector) record(token directory.Token) *record {
 	known := judge.records[token]
 	if known == nil {
 		known = &record{}
@@ -127,7 +127,7 @@
 }
 
 // Take takes a balancer's counts in.
-func (judge *Judge) Take(report feed.OutcomeReport, now time.Time) {
+func (judge *Ejector) AddReport(report feed.OutcomeReport, now time.Time) {
 	for _, counted := range report.Counts {
 		known := judge.record(counted.Token)
 		known.forward(now)
@@ -138,45 +138,45 @@
 }
 
 // Verdict is what the judge decided.
-type Verdict struct {
+type Changes struct {
 	// Aside are targets that get no new flows from now on, Back those that do
 	// again.
-	Aside, Back []directory.Token
+	Eject, Restore []directory.Token
 	// Causes has why each of Aside is set aside.
 	Causes map[directory.Token]Cause
 }
 
 // add takes in that a target is set aside.
-func (verdict *Verdict) add(bad suspect) {
+func (verdict *Changes) add(bad suspect) {
 	if verdict.Causes == nil {
 		verdict.Causes = make(map[directory.Token]Cause)
 	}
-	verdict.Aside = append(verdict.Aside, bad.token)
+	verdict.Eject = append(verdict.Eject, bad.token)
 	verdict.Causes[bad.token] = bad.cause
 }
 
 // Decide returns what is to change among the targets.
-func (judge *Judge) Decide(targets []directory.Target, now time.Time) Verdict {
-	var verdict Verdict
+func (judge *Ejector) Decide(targets []directory.Target, now time.Time) Changes {
+	var verdict Changes
 	services := make(map[string][]*directory.Target)
 	for index := range targets {
 		target := &targets[index]
 		if target.State == directory.TargetReady {
 			services[target.Service] = append(services[target.Service], target)
 		} else if target.Aside {
-			verdict.Back = append(verdict.Back, target.Token)
+			verdict.Restore = append(verdict.Restore, target.Token)
 		}
 	}
 	for _, members := range services {
 		judge.decideService(members, now, &verdict)
 	}
-	slices.Sort(verdict.Aside)
-	slices.Sort(verdict.Back)
+	slices.Sort(verdict.Eject)
+	slices.Sort(verdict.Restore)
 	judge.forget(targets)
 	return verdict
 }
 
-func (judge *Judge) decideService(targets []*directory.Target, now time.Time, verdict *Verdict) {
+func (judge *Ejector) decideService(targets []*directory.Target, now time.Time, verdict *Changes) {
 	aside := 0
 	for _, target := range targets {
 		if target.Aside {
@@ -202,7 +202,7 @@
 
 // decideReturn brings a target back after its time. One that another leader set
 // aside gets the first time from now on.
-func (judge *Judge) decideReturn(token directory.Token, now time.Time, verdict *Verdict) {
+func (judge *Ejector) decideReturn(token directory.Token, now time.Time, verdict *Changes) {
 	known := judge.record(token)
 	switch {
 	case known.until.IsZero():
@@ -211,7 +211,7 @@
 		known.until = time.Time{}
 		known.calmFrom = now
 		known.steps = [windowSteps]counts{}
-		verdict.Back = append(verdict.Back, token)
+		verdict.Restore = append(verdict.Restore, token)
 	}
 }
 
@@ -233,7 +233,7 @@
 
 // worse returns the targets that are far worse than the middle one, each once, the worst
 // of each fault first.
-func (judge *Judge) worse(targets []*directory.Target, now time.Time) []suspect {
+func (judge *Ejector) worse(targets []*directory.Target, now time.Time) []suspect {
 	var found []suspect
 	for index := range faults {
 		for _, one := range judge.worseBy(&faults[index], targets, now) {
@@ -247,7 +247,7 @@
 
 // worseBy returns the targets that are far worse than the middle one by one fault, the
 // worst first.
-func (judge *Judge) worseBy(fault *fault, targets []*directory.Target, now time.Time) []suspect {
+func (judge *Ejector) worseBy(fault *fault, targets []*directory.Target, now time.Time) []suspect {
 	var shares []float64
 	var suspects []suspect
 	for _, target := range targets {
@@ -277,7 +277,7 @@
 const recordsSlack = 64
 
 // forget drops the records of targets that are gone.
-func (judge *Judge) forget(targets []directory.Target) {
+func (judge *Ejector) forget(targets []directory.Target) {
 	if len(judge.records) <= 2*len(targets)+recordsSlack {
 		return
 	}
--- a/internal/direct/outcome/judge_test.go
+++ b/internal/direct/outcome/judge_test.go
@@ -17,7 +17,7 @@
 
 // bench carries a judge's verdicts out on targets of one service.
 type bench struct {
-	judge   *Judge
+	judge   *Ejector
 	targets []directory.Target
 	now     time.Time
 	// most is the largest number of targets that were aside at a time.
@@ -25,7 +25,7 @@
 }
 
 func newBench(count int) *bench {
-	made := &bench{judge: NewJudge(), now: start}
+	made := &bench{judge: NewEjector(), now: start}
 	for id := range count {
 		made.targets = append(made.targets, directory.Target{Token: directory.Token(id + 1), Service: "feed", State: directory.TargetReady})
 	}
@@ -44,19 +44,19 @@
 				report.Counts = append(report.Counts, feed.OutcomeCount{Token: target.Token, Answered: 10 - unanswered, Unanswered: unanswered})
 			}
 		}
-		bench.judge.Take(report, bench.now)
+		bench.judge.AddReport(report, bench.now)
 		bench.carryOut(bench.judge.Decide(bench.targets, bench.now))
 	}
 }
 
-func (bench *bench) carryOut(verdict Verdict) {
+func (bench *bench) carryOut(verdict Changes) {
 	aside := 0
 	for index := range bench.targets {
 		target := &bench.targets[index]
-		if slices.Contains(verdict.Aside, target.Token) {
+		if slices.Contains(verdict.Eject, target.Token) {
 			target.Aside = true
 		}
-		if slices.Contains(verdict.Back, target.Token) {
+		if slices.Contains(verdict.Restore, target.Token) {
 			target.Aside = false
 		}
 		if target.Aside {
@@ -152,7 +152,7 @@
 	bench := newBench(10)
 	bench.targets[4].Aside = true
 	bench.targets[4].State = directory.TargetDraining
-	require.Equal(t, Verdict{Back: []directory.Token{5}}, bench.judge.Decide(bench.targets, start))
+	require.Equal(t, Changes{Restore: []directory.Token{5}}, bench.judge.Decide(bench.targets, start))
 }
 
 func TestRecordsOfForgottenTargetsGo(t *testing.T) {
--- a/internal/direct/probe/probe.go
+++ b/internal/direct/probe/probe.go
@@ -91,13 +91,13 @@
 
 // New returns a prober that probes with dial, each probe on a goroutine.
 func New(dial Dial) *Prober {
-	return NewWith(func(address netip.AddrPort, done func(Outcome)) {
+	return NewWithStarter(func(address netip.AddrPort, done func(Outcome)) {
 		go func() { done(attempt(dial, address)) }()
 	})
 }
 
 // NewWith returns a prober whose probes are begun by start.
-func NewWith(start Starter) *Prober {
+func NewWithStarter(start Starter) *Prober {
 	return &Prober{
 		Results: board.NewQueue[Result]("probe results", resultsKept),
 		start:   start,
--- a/internal/direct/probe/probe_test.go
+++ b/internal/direct/probe/probe_test.go
@@ -51,7 +51,7 @@
 func TestProbesAreBounded(t *testing.T) {
 	started := 0
 	var finish []func(Outcome)
-	prober := NewWith(func(_ netip.AddrPort, done func(Outcome)) {
+	prober := NewWithStarter(func(_ netip.AddrPort, done func(Outcome)) {
 		started++
 		finish = append(finish, done)
 	})
--- a/internal/direct/registrar/health.go
+++ b/internal/direct/registrar/health.go
@@ -39,7 +39,7 @@
 	renewals  *board.Queue[protocol.Envelope]
 	reports   *board.Queue[protocol.Envelope]
 	outcomes  *board.Queue[protocol.Envelope]
-	judge     *outcome.Judge
+	judge     *outcome.Ejector
 	prober    *probe.Prober
 	logger    *zap.Logger
 
@@ -67,7 +67,7 @@
 		renewals:  dispatcher.Handle(Renewals{}),
 		reports:   dispatcher.Handle(feed.HealthReport{}),
 		outcomes:  dispatcher.Handle(feed.OutcomeReport{}),
-		judge:     outcome.NewJudge(),
+		judge:     outcome.NewEjector(),
 		prober:    prober,
 		logger:    logger,
 		observed:  newObserved(),
@@ -102,7 +102,7 @@
 		health.since = now
 		health.term = status.Term
 		health.observed = newObserved()
-		health.judge = outcome.NewJudge()
+		health.judge = outcome.NewEjector()
 	}
 	health.note(now, renewals)
 	health.takeReports(now)
--- a/internal/direct/registrar/health_outcomes.go
+++ b/internal/direct/registrar/health_outcomes.go
@@ -16,23 +16,23 @@
 func (health *Health) judgeOutcomes(now time.Time) {
 	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomes) {
 		report := received.Message
-		health.judge.Take(report, now)
+		health.judge.AddReport(report, now)
 	}
 	if now.Sub(health.judgedAt) < judgeInterval {
 		return
 	}
 	health.judgedAt = now
 	verdict := health.judge.Decide(health.looked, now)
-	if len(verdict.Aside)+len(verdict.Back) == 0 {
+	if len(verdict.Eject)+len(verdict.Restore) == 0 {
 		return
 	}
-	for _, token := range verdict.Aside {
+	for _, token := range verdict.Eject {
 		health.logger.Info("target set aside", health.targetField(token), zap.String("cause", string(verdict.Causes[token])))
 	}
-	for _, token := range verdict.Back {
+	for _, token := range verdict.Restore {
 		health.logger.Info("target gets new flows again", health.targetField(token))
 	}
-	data, err := directory.EncodeCommand(directory.Command{TargetHealth: &directory.HealthChange{Aside: verdict.Aside, Back: verdict.Back}})
+	data, err := directory.EncodeCommand(directory.Command{TargetHealth: &directory.HealthChange{Aside: verdict.Eject, Back: verdict.Restore}})
 	if err != nil {
 		return
 	}
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -75,7 +75,7 @@
 	renewed := NewRenewed()
 	made.proposer = NewProposer(made.mailbox, made.dispatch, made.group, made.group.directory, 0)
 	made.registrar = NewRegistrar(made.group.directory, made.proposer, made.group, renewed, peersOf("x"), zap.NewNop())
-	prober := probe.NewWith(func(address netip.AddrPort, done func(probe.Outcome)) {
+	prober := probe.NewWithStarter(func(address netip.AddrPort, done func(probe.Outcome)) {
 		made.probes = append(made.probes, address)
 		done(made.outcome)
 	})
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -26,24 +26,24 @@
 	BytesPerSecond float64
 	// Share is the share of its route's objective in which a long request has to
 	// be carried. Zero admits all.
-	Share float64
+	ObjectiveShare float64
 }
 
 // Open visits the open requests, in no order.
-type Open func(visit func(progress requests.Progress))
+type VisitOpen func(visit func(progress requests.Progress))
 
 // Admission decides about new flows. It is safe for many goroutines.
 type Admission struct {
 	options Options
 	sizes   *Sizes
-	open    Open
+	open    VisitOpen
 	link    Link
 	// refused is the share of long requests that were refused lately.
 	refused requests.Share
 }
 
 // New returns an admission that goes by the requests that open visits.
-func New(options Options, sizes *Sizes, open Open) *Admission {
+func NewAdmission(options Options, sizes *Sizes, open VisitOpen) *Admission {
 	return &Admission{
 		options: options, sizes: sizes, open: open,
 		link:    unknownLink{},
@@ -78,8 +78,8 @@
 	// Size is the number of bytes that a request of the route usually brings, and
 	// Ahead how many of open long requests still come. Expected is how long the
 	// link takes for both.
-	Size, Ahead int
-	Expected    time.Duration
+	TypicalSize, BytesAhead int
+	ExpectedTime            time.Duration
 }
 
 // Review returns the decision about a packet, or a refusal in place of one that
@@ -90,21 +90,21 @@
 	if !opens || segment.Seen {
 		return decision
 	}
-	if wait := admission.link.ShortWait(); admission.options.Share > 0 && wait > shortWaitMost {
+	if wait := admission.link.ShortWait(); admission.options.ObjectiveShare > 0 && wait > shortWaitMost {
 		return decision.RefuseForLink(wait)
 	}
-	verdict := admission.Consider(segment.Service, decision.Objective, now)
+	verdict := admission.Decide(segment.Service, decision.Objective, now)
 	if !verdict.Refused {
 		return decision
 	}
-	return decision.RefuseForLink(verdict.Expected)
+	return decision.RefuseForLink(verdict.ExpectedTime)
 }
 
 // Consider decides about a new flow of a route, whose objective is zero when it
 // has none.
-func (admission *Admission) Consider(route netip.AddrPort, objective time.Duration, now time.Time) Verdict {
-	verdict := Verdict{Size: admission.sizes.Typical(route)}
-	if admission.options.BytesPerSecond == 0 || admission.options.Share == 0 || objective == 0 || verdict.Size <= requests.LongFrom {
+func (admission *Admission) Decide(route netip.AddrPort, objective time.Duration, now time.Time) Verdict {
+	verdict := Verdict{TypicalSize: admission.sizes.Typical(route)}
+	if admission.options.BytesPerSecond == 0 || admission.options.ObjectiveShare == 0 || objective == 0 || verdict.TypicalSize <= requests.LongFrom {
 		return verdict
 	}
 	idle := admission.link.Idle()
@@ -112,11 +112,11 @@
 		if idle && now.Sub(progress.LastAt) > quietAfter {
 			return
 		}
-		verdict.Ahead += admission.remaining(progress)
+		verdict.BytesAhead += admission.remaining(progress)
 	})
-	verdict.Expected = admission.carries(verdict.Ahead + verdict.Size)
-	wait := admission.carries(verdict.Ahead)
-	verdict.Refused = wait > 0 && wait > admission.allowedWait(verdict.Size, objective)
+	verdict.ExpectedTime = admission.carries(verdict.BytesAhead + verdict.TypicalSize)
+	wait := admission.carries(verdict.BytesAhead)
+	verdict.Refused = wait > 0 && wait > admission.allowedWait(verdict.TypicalSize, objective)
 	admission.refused.Note(verdict.Refused)
 	return verdict
 }
@@ -129,7 +129,7 @@
 // tenths of what all links carry, this serves 821 to 955 of some 1,600 uploads in their
 // objective instead of 694 to 801 (docs/design/shifted-work.md, round 3).
 func (admission *Admission) allowedWait(size int, objective time.Duration) time.Duration {
-	most := time.Duration(admission.options.Share*float64(objective)) - admission.carries(size)
+	most := time.Duration(admission.options.ObjectiveShare*float64(objective)) - admission.carries(size)
 	patience := (refusedMost - admission.refused.Value()) / (refusedMost - refusedFew)
 	patience = min(max(patience, 0), 1)
 	return max(time.Duration(patience*float64(most)), min(roomFrom, most))
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -46,7 +46,7 @@
 func (state linkState) ShortWait() time.Duration { return state.shortWait }
 
 // visiting returns an Open that visits the requests.
-func visiting(open ...requests.Progress) Open {
+func visiting(open ...requests.Progress) VisitOpen {
 	return func(visit func(progress requests.Progress)) {
 		for _, progress := range open {
 			if progress.LastAt.IsZero() {
@@ -87,24 +87,24 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(test.open...))
-			verdict := admission.Consider(test.route, test.objective, start)
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(test.open...))
+			verdict := admission.Decide(test.route, test.objective, start)
 			require.Equal(t, test.refused, verdict.Refused)
-			require.Equal(t, test.ahead, verdict.Ahead)
+			require.Equal(t, test.ahead, verdict.BytesAhead)
 		})
 	}
 }
 
 func TestConsiderTellsWhatDecided(t *testing.T) {
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
-	require.Equal(t, Verdict{Size: 40_000, Ahead: 30_000, Expected: 700 * time.Millisecond}, admission.Consider(uploads, objective, start))
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
+	require.Equal(t, Verdict{TypicalSize: 40_000, BytesAhead: 30_000, ExpectedTime: 700 * time.Millisecond}, admission.Decide(uploads, objective, start))
 }
 
 // TestReviewRefusesNewFlowsAlone: packets of open flows, copies of opening packets
 // and what the table refused stay as they were decided.
 func TestReviewRefusesNewFlowsAlone(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(begun, begun))
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(begun, begun))
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Token: 7, Objective: objective, Revision: 5, Version: 3}
 	opening := steer.Segment{Service: uploads, Opening: true}
 	refused := steer.Decision{Action: steer.Reset, Reason: steer.ReasonLinkFull, Expected: 1200 * time.Millisecond, Revision: 5, Version: 3}
@@ -122,9 +122,9 @@
 
 func TestAdmissionSwitchedOff(t *testing.T) {
 	full := visiting(requests.Progress{Route: uploads}, requests.Progress{Route: uploads}, requests.Progress{Route: uploads})
-	require.True(t, New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), full).Consider(uploads, objective, start).Refused)
-	require.False(t, New(Options{BytesPerSecond: rate}, learned(), full).Consider(uploads, objective, start).Refused)
-	require.False(t, New(Options{Share: 0.5}, learned(), full).Consider(uploads, objective, start).Refused, "a link without a bound")
+	require.True(t, NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{BytesPerSecond: rate}, learned(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learned(), full).Decide(uploads, objective, start).Refused, "a link without a bound")
 }
 
 // TestMoreAreRefusedWhereMostAre: with few refusals a link takes what the objective
@@ -134,10 +134,10 @@
 	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*roomFrom.Seconds())}
 	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-leastRemaining)
 	var open []requests.Progress
-	admission := New(Options{BytesPerSecond: 2 * rate, Share: 0.5}, learned(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
+	admission := NewAdmission(Options{BytesPerSecond: 2 * rate, ObjectiveShare: 0.5}, learned(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
 	refused := func(now ...requests.Progress) bool {
 		open = now
-		return admission.Consider(uploads, objective, start).Refused
+		return admission.Decide(uploads, objective, start).Refused
 	}
 	require.False(t, refused(begun, begun))
 	for range 10 {
@@ -168,9 +168,9 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			begun := requests.Progress{Route: uploads}
-			admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(begun, begun))
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(begun, begun))
 			admission.ObserveLink(linkState{idle: test.idle})
-			require.Equal(t, test.refused, admission.Consider(uploads, objective, start.Add(test.quiet)).Refused)
+			require.Equal(t, test.refused, admission.Decide(uploads, objective, start.Add(test.quiet)).Refused)
 		})
 	}
 }
@@ -226,10 +226,10 @@
 		}
 		watcher.Note(segment, requests.Target{Token: 7}, start)
 	}
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), watcher.EachOpen)
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), watcher.EachOpen)
 	b.ReportAllocs()
 	for b.Loop() {
-		admission.Consider(uploads, objective, start)
+		admission.Decide(uploads, objective, start)
 	}
 }
 
@@ -255,7 +255,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := New(Options{BytesPerSecond: rate, Share: test.share}, learned(), visiting())
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: test.share}, learned(), visiting())
 			admission.ObserveLink(linkState{shortWait: test.wait})
 			decision := admission.Review(test.segment, test.given, start)
 			require.Equal(t, test.refused, decision.Reason == steer.ReasonLinkFull)
--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -75,7 +75,7 @@
 	options := steer.DefaultOptions()
 	options.Zone = string(balancer.process.Zone)
 	options.Self = mailbox.Self
-	book := load.NewBook()
+	book := load.NewCounter()
 	options.Loads = book
 	balancer.world.options.Parts.Choice(&options)
 	balancer.table = steer.NewTable(options)
@@ -98,11 +98,11 @@
 		balancer.link = newLink(balancer.world, balancer)
 		balancer.admission.ObserveLink(balancer.link.egress)
 	}
-	sharing := load.Options{
+	sharing := load.ExchangeOptions{
 		Interval: loadInterval, Neighbours: subscriber.Neighbours,
 		Collector: subscriber.FollowedMember, Capacities: balancer.table,
 	}
-	exchange := load.NewExchange(sharing, book, load.NewLinkOutlet(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
+	exchange := load.NewExchange(sharing, book, load.NewLinkSender(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
 	balancer.suspects = forwarder.NewSuspects(balancer.table, balancer.world.prober(balancer.process), mailbox, subscriber.Following, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
@@ -115,9 +115,9 @@
 	world := balancer.world
 	sizes := transfer.NewSizes()
 	balancer.watcher.ObserveSizes(sizes)
-	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, Share: linkAdmission}
+	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkAdmission}
 	world.options.Parts.Transfers(&options)
-	return transfer.New(options, sizes, balancer.watcher.EachOpen)
+	return transfer.NewAdmission(options, sizes, balancer.watcher.EachOpen)
 }
 
 // route returns a balancer for one packet of a flow: any active one that has a
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -97,7 +97,7 @@
 		Capacities: directory.NewCapacityIndex(member.Directory),
 	}
 	world.options.Parts.Collecting(&collecting)
-	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxOutlet{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
+	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
 	keeper := reconfigure.New(reconfigure.DefaultOptions(world.options.ToleratedLosses), group, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
@@ -140,7 +140,7 @@
 
 // prober returns a prober whose probes cross the packet network.
 func (world *World) prober(process *kernel.Process) *probe.Prober {
-	return probe.NewWith(func(address netip.AddrPort, done func(probe.Outcome)) {
+	return probe.NewWithStarter(func(address netip.AddrPort, done func(probe.Outcome)) {
 		answered := false
 		answer := func(outcome probe.Outcome) {
 			if !answered {
--- a/internal/sim/mutant/direct.go
+++ b/internal/sim/mutant/direct.go
@@ -208,7 +208,7 @@
 			Expect: []checker.Invariant{checker.InvariantTimely},
 			Story:  storyOf("direct-full-links"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
-				parts.Direct.Transfers = func(options *transfer.Options) { options.Share = 0 }
+				parts.Direct.Transfers = func(options *transfer.Options) { options.ObjectiveShare = 0 }
 			},
 		},
 		{
