--- a/internal/direct/load/announce.go
+++ b/internal/direct/load/announce.go
@@ -5,8 +5,8 @@
 	"go.uber.org/zap"
 )
 
-// Announce returns a function for OnChange that writes a log line at each change, and
-// registers a gauge that shows the present state.
+// NewSharingObserver returns a function for OnChange that logs each start and end of load
+// sharing and keeps a gauge of the current state. The gauge is registered with registry.
 func NewSharingObserver(registry prometheus.Registerer, logger *zap.Logger) func(sharing SharingState) {
 	shared := prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "merlinpaddle_direct_load_shared",
--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -1,13 +1,13 @@
-// Package load knows how many requests are open at each target.
+// Package load estimates how many requests are open at each target.
 //
-// A balancer counts the requests that it sent on itself (package requests) in its
-// Book, and hears the counts of other balancers. Both together are the estimate that
-// the choice of a target goes by. In a small system the Exchange of each balancer tells
-// all others; in a large one it tells a member of the control group, whose Collector
-// adds up and tells its balancers the sum of all. Either way reports go every few tens
-// of milliseconds while a service is half used, and hardly at all else. Counts of a node
-// that falls silent are forgotten quickly: without word of others the estimate is what
-// this balancer sees, and the choice falls back to hashing.
+// A balancer counts the requests that it forwarded itself (package requests) in its Counter,
+// and receives the counts of other balancers. The sum of both is the estimate that target
+// selection uses. In a small system the Exchange of each balancer reports to all other
+// balancers. In a large system it reports to one member of the control group, whose Collector
+// sums the reports and sends the totals back to its balancers. In both cases reports are sent
+// every few tens of milliseconds while some service is at least half used, and rarely
+// otherwise. The counts of a node that stops reporting expire quickly. Without remote counts
+// the estimate is the local counts alone, and target selection falls back to hashing.
 package load
 
 import (
@@ -20,273 +20,282 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// shardCount is the number of shards of a book; a power of two.
+// shardCount is the number of shards of a counter; a power of two.
 const shardCount = 16
 
-// count has the open requests of one target, without those whose data still comes.
-type count struct {
-	// own are those of this balancer, others those that other balancers told.
-	own, others int
-	// coming are those of this balancer whose packet still waits in front of its link; they
-	// are not among own.
-	coming int
-	// serving is the average time from the data of a request to the caller's
-	// acknowledgement of the answer on an idle target.
-	serving average
-	// met has what was open when each of this balancer's requests began, that request
-	// included, the oldest first. Targets work on requests in about the order of their
-	// arrival, so that the oldest is taken for the one that ends.
-	met []int
-	// used tells that the count changed since the last search for idle ones.
-	used bool
+// targetCount holds the open requests of one target. Requests whose data is still arriving
+// are not included.
+type targetCount struct {
+	// local counts the requests of this balancer, remote those reported by other balancers.
+	local, remote int
+	// pending counts the requests of this balancer whose packet still waits in front of its
+	// link. They are not included in local.
+	pending int
+	// servingTime is the average time, on an idle target, from the last data of a request to
+	// the caller's acknowledgement of the answer.
+	servingTime average
+	// startOccupancies holds, for each request of this balancer, the number of requests that
+	// were open at the target when it began, itself included; the oldest comes first. Targets
+	// serve requests roughly in order of arrival, so the oldest entry is taken for the request
+	// that ends next.
+	startOccupancies []int
+	// usedSinceSweep is set when the count changes and cleared by removeIdle.
+	usedSinceSweep bool
 }
 
-// shard has a part of the targets.
+// shard holds the counts of a subset of the targets.
 type shard struct {
 	lock   sync.RWMutex
-	counts map[directory.Token]*count
+	counts map[directory.Token]*targetCount
 }
 
-// Book has the open requests of all targets. It is safe for many goroutines and
-// is a requests.Listener.
+// Counter counts the open requests of all targets. It implements requests.Listener and
+// steer.Loads and is safe for concurrent use.
 type Counter struct {
-	shards [shardCount]shard
-	trust  trust
-	// partial tells that the requests of other balancers are not known although load is
-	// high: how crowded targets are cannot be told then.
-	partial atomic.Bool
-	// services has the serving times of services.
-	services serviceTimes
-	// heardAt is when another node last told of open requests, in Unix nanoseconds; zero
-	// when none did.
-	heardAt atomic.Int64
+	shards      [shardCount]shard
+	reliability reliability
+	// remoteCountsMissing is set in a large system while load is high and no remote counts are
+	// known. The occupancy of targets is unknown then, so no serving times are learned.
+	remoteCountsMissing atomic.Bool
+	// servingTimes holds the serving time of each service.
+	servingTimes serviceTimes
+	// remoteReportAt is when the last remote report of open requests arrived, in Unix
+	// nanoseconds; zero if none has.
+	remoteReportAt atomic.Int64
 }
 
 var _ requests.Listener = (*Counter)(nil)
 
-// NewBook returns a book in which no request is open.
+// NewCounter returns a Counter without open requests.
 func NewCounter() *Counter {
-	book := &Counter{}
-	for index := range book.shards {
-		book.shards[index].counts = make(map[directory.Token]*count)
+	counter := &Counter{}
+	for index := range counter.shards {
+		counter.shards[index].counts = make(map[directory.Token]*targetCount)
 	}
-	return book
+	return counter
 }
 
-func (book *Counter) shard(token directory.Token) *shard { return &book.shards[token%shardCount] }
+func (counter *Counter) shard(token directory.Token) *shard { return &counter.shards[token%shardCount] }
 
-// add changes the count of a target.
-func (book *Counter) add(token directory.Token, own, others int) {
-	shard := book.shard(token)
+// add changes the local and remote counts of a target by the given amounts.
+func (counter *Counter) add(token directory.Token, local, remote int) {
+	shard := counter.shard(token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	known := shard.count(token)
-	known.own += own
-	known.others += others
-	known.used = true
+	count := shard.countFor(token)
+	count.local += local
+	count.remote += remote
+	count.usedSinceSweep = true
 }
 
-// count returns the count of a target, a new one where there was none.
-func (shard *shard) count(token directory.Token) *count {
-	known := shard.counts[token]
-	if known == nil {
-		known = &count{}
-		shard.counts[token] = known
+// countFor returns the count of a target and creates it if necessary. The shard must be locked.
+func (shard *shard) countFor(token directory.Token) *targetCount {
+	count := shard.counts[token]
+	if count == nil {
+		count = &targetCount{}
+		shard.counts[token] = count
 	}
-	return known
+	return count
 }
 
 // Began implements requests.Listener.
-func (book *Counter) Began(target requests.Target, now time.Time) {
-	book.trust.began(now)
-	shard := book.shard(target.Token)
+func (counter *Counter) Began(target requests.Target, now time.Time) {
+	counter.reliability.noteRequest(now)
+	shard := counter.shard(target.Token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	known := shard.count(target.Token)
-	known.own++
-	known.used = true
-	if len(known.met) < metKept {
-		known.met = append(known.met, known.own+known.others)
+	count := shard.countFor(target.Token)
+	count.local++
+	count.usedSinceSweep = true
+	if len(count.startOccupancies) < maxStartOccupancies {
+		count.startOccupancies = append(count.startOccupancies, count.local+count.remote)
 	}
 }
 
-// metKept bounds what is remembered of the requests at one target, which holds far fewer.
-const metKept = 64
+// maxStartOccupancies bounds startOccupancies. A target has far fewer open requests.
+const maxStartOccupancies = 64
 
-// takeMet returns what was open when the oldest request began, and forgets it.
-func (count *count) takeMet() int {
-	if len(count.met) == 0 {
-		return count.own + count.others
+// popStartOccupancy removes and returns the oldest start occupancy. Without one it returns the
+// current occupancy.
+func (count *targetCount) popStartOccupancy() int {
+	if len(count.startOccupancies) == 0 {
+		return count.local + count.remote
 	}
-	oldest := count.met[0]
-	count.met = count.met[:copy(count.met, count.met[1:])]
+	oldest := count.startOccupancies[0]
+	count.startOccupancies = count.startOccupancies[:copy(count.startOccupancies, count.startOccupancies[1:])]
 	return oldest
 }
 
 // Ended implements requests.Listener.
-func (book *Counter) Ended(target requests.Target, ending requests.Ending, took time.Duration) {
+func (counter *Counter) Ended(target requests.Target, ending requests.Ending, took time.Duration) {
 	if ending != requests.Withdrawn {
-		book.trust.missed.Note(ending != requests.Answered)
+		counter.reliability.unanswered.Note(ending != requests.Answered)
 	}
-	shard := book.shard(target.Token)
+	shard := counter.shard(target.Token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	known := shard.counts[target.Token]
-	if known == nil {
+	count := shard.counts[target.Token]
+	if count == nil {
 		return
 	}
-	met := known.takeMet()
-	if ending == requests.Answered && !book.partial.Load() {
-		if alone, clear := known.learn(took, met, target.Capacity); clear {
-			book.services.learn(target.Service, alone)
+	occupancy := count.popStartOccupancy()
+	if ending == requests.Answered && !counter.remoteCountsMissing.Load() {
+		if idleTime, ok := count.learnServingTime(took, occupancy, target.Capacity); ok {
+			counter.servingTimes.add(target.Service, idleTime)
 		}
 	}
-	known.own--
+	count.local--
 }
 
-// Receiving implements requests.Listener. A request whose data still comes takes
-// no place at its target.
-func (book *Counter) Receiving(target requests.Target, receiving bool) {
+// Receiving implements requests.Listener. A request whose data is still arriving does not
+// count towards its target's load.
+func (counter *Counter) Receiving(target requests.Target, receiving bool) {
 	if receiving {
-		book.add(target.Token, -1, 0)
+		counter.add(target.Token, -1, 0)
 	} else {
-		book.add(target.Token, 1, 0)
+		counter.add(target.Token, 1, 0)
 	}
 }
 
-// Waiting implements requests.Listener. A request that has not left this balancer takes no
-// place at its target yet.
-func (book *Counter) Waiting(target requests.Target, waiting bool) {
-	shard := book.shard(target.Token)
+// Waiting implements requests.Listener. A request that has not left this balancer yet does not
+// count towards its target's load; it is counted as pending.
+func (counter *Counter) Waiting(target requests.Target, waiting bool) {
+	shard := counter.shard(target.Token)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	known := shard.count(target.Token)
-	known.used = true
+	count := shard.countFor(target.Token)
+	count.usedSinceSweep = true
 	if waiting {
-		known.own--
-		known.coming++
+		count.local--
+		count.pending++
 	} else {
-		known.own++
-		known.coming--
+		count.local++
+		count.pending--
 	}
 }
 
 // Continued implements requests.Listener.
-func (book *Counter) Continued(whole bool) { book.trust.flows.Note(whole) }
+func (counter *Counter) Continued(whole bool) { counter.reliability.continuity.Note(whole) }
 
 const (
-	// learnedCrowd is the number of requests by capacity that a request may have met for
-	// its answer to count for the serving time.
-	learnedCrowd = 2
-	// refusingCrowd is the number of requests by capacity from which an answer may be a
-	// refusal, which comes quickly and out of order.
-	refusingCrowd = 4
+	// maxLearnOccupancy is the highest occupancy at its start, as a multiple of the target's
+	// capacity, at which a request is still used to learn the serving time.
+	maxLearnOccupancy = 2
+	// refusalOccupancy is the occupancy, as a multiple of the target's capacity, above which an
+	// answer may be a refusal, which is sent quickly and out of order.
+	refusalOccupancy = 4
 )
 
-// learn takes an answer into the serving time. A request that met more at the target than
-// it works on at once waited for its part of the time. What is left when its answer comes
-// says nothing of that: while a rush ends, it made an idle target's time seem two and a half
-// times as long, so that flows were refused beside idle slots. It returns what the request
-// would have taken alone, and false when the target was or is too full to tell.
-func (count *count) learn(took time.Duration, met, capacity int) (alone float64, clear bool) {
+// learnServingTime adds an answer to the target's average serving time. A request that found
+// more open requests than the target serves at once spent part of its time waiting, so its time
+// is divided by that ratio. The occupancy when the answer arrives would not do: at the end of a
+// load spike it is low, which made the time of an idle target seem two and a half times as long,
+// so that flows were refused although targets had idle slots. It returns the time that the
+// request would have taken on an idle target, in nanoseconds, and false if the target was or is
+// too full to estimate it.
+func (count *targetCount) learnServingTime(took time.Duration, occupancy, capacity int) (idleTime float64, ok bool) {
 	slots := float64(max(capacity, 1))
-	if float64(met) > learnedCrowd*slots || float64(count.own+count.others) > refusingCrowd*slots {
+	if float64(occupancy) > maxLearnOccupancy*slots || float64(count.local+count.remote) > refusalOccupancy*slots {
 		return 0, false
 	}
-	crowd := max(float64(met)/slots, 1)
-	alone = float64(took) / crowd
-	count.serving.learn(alone, targetWeight)
-	return alone, true
+	slowdown := max(float64(occupancy)/slots, 1)
+	idleTime = float64(took) / slowdown
+	count.servingTime.add(idleTime, targetWeight)
+	return idleTime, true
 }
 
-// Typical returns how long a request takes on an idle target of the service, as an
-// average over its targets; zero while too few answered. In a large system a balancer
-// hears of a single target now and then alone.
-func (book *Counter) Typical(service string) time.Duration { return book.services.typical(service) }
+// Typical implements steer.Loads. It returns how long a request takes on an idle target of the
+// service, averaged over its targets, or zero while too few answers were seen. The average is
+// kept per service because in a large system a balancer sees a single target only rarely.
+func (counter *Counter) Typical(service string) time.Duration {
+	return counter.servingTimes.typical(service)
+}
 
-// Load returns the number of requests that are open at the target, and how long
-// it takes with one when it is idle, as far as is known; zero when it is not.
-// Nothing is known while this balancer does not see its flows whole.
-func (book *Counter) Load(token directory.Token) (open int, serving time.Duration) {
-	if !book.trust.holds() {
+// Load implements steer.Loads. It returns the number of open requests at the target and how
+// long one request takes when the target is idle. Either is zero if unknown. Both are unknown
+// while this balancer does not see all packets of its flows.
+func (counter *Counter) Load(token directory.Token) (open int, serving time.Duration) {
+	if !counter.reliability.usable() {
 		return 0, 0
 	}
-	shard := book.shard(token)
+	shard := counter.shard(token)
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
-	known := shard.counts[token]
-	if known == nil {
+	count := shard.counts[token]
+	if count == nil {
 		return 0, 0
 	}
-	return known.own + known.others, known.serving.time()
+	return count.local + count.remote, count.servingTime.estimate()
 }
 
 // Coming implements steer.Loads.
-func (book *Counter) Coming(token directory.Token) int {
-	if !book.trust.holds() {
+func (counter *Counter) Coming(token directory.Token) int {
+	if !counter.reliability.usable() {
 		return 0
 	}
-	shard := book.shard(token)
+	shard := counter.shard(token)
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
-	if known := shard.counts[token]; known != nil {
-		return known.coming
+	if count := shard.counts[token]; count != nil {
+		return count.pending
 	}
 	return 0
 }
 
 // Known implements steer.Loads.
-func (book *Counter) Known() bool { return book.trust.holds() }
+func (counter *Counter) Known() bool { return counter.reliability.usable() }
 
 // Evidence implements steer.Loads.
-func (book *Counter) Evidence(token directory.Token, now time.Time) steer.Evidence {
+func (counter *Counter) Evidence(token directory.Token, now time.Time) steer.Evidence {
 	evidence := steer.Evidence{HeardAgo: steer.NeverHeard}
-	if heardAt := book.heardAt.Load(); heardAt != 0 {
-		evidence.HeardAgo = time.Duration(now.UnixNano() - heardAt)
+	if reportedAt := counter.remoteReportAt.Load(); reportedAt != 0 {
+		evidence.HeardAgo = time.Duration(now.UnixNano() - reportedAt)
 	}
-	evidence.Gaps, evidence.Missed = book.trust.proportions()
-	shard := book.shard(token)
+	evidence.Gaps, evidence.Missed = counter.reliability.proportions()
+	shard := counter.shard(token)
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
-	if known := shard.counts[token]; known != nil {
-		evidence.Own, evidence.Others, evidence.Coming = known.own, known.others, known.coming
+	if count := shard.counts[token]; count != nil {
+		evidence.Own, evidence.Others, evidence.Coming = count.local, count.remote, count.pending
 	}
 	return evidence
 }
 
-// heard notes that another node told of open requests.
-func (book *Counter) heard(now time.Time) { book.heardAt.Store(now.UnixNano()) }
+// noteRemoteReport records that a remote report of open requests arrived.
+func (counter *Counter) noteRemoteReport(now time.Time) { counter.remoteReportAt.Store(now.UnixNano()) }
 
 // Proven implements steer.Loads.
-func (book *Counter) Proven(now time.Time) bool { return book.trust.proven(now) }
+func (counter *Counter) Proven(now time.Time) bool {
+	return counter.reliability.sufficientEvidence(now)
+}
 
-// Totals returns the open requests of all targets: this balancer's own, and those
-// that other balancers told.
-func (book *Counter) Totals() (own, others int) {
-	for index := range book.shards {
-		shard := &book.shards[index]
+// Totals returns the number of open requests over all targets: those of this balancer, and those
+// reported by other balancers.
+func (counter *Counter) Totals() (local, remote int) {
+	for index := range counter.shards {
+		shard := &counter.shards[index]
 		shard.lock.RLock()
-		for _, known := range shard.counts {
-			own += known.own
-			others += known.others
+		for _, count := range shard.counts {
+			local += count.local
+			remote += count.remote
 		}
 		shard.lock.RUnlock()
 	}
-	return own, others
+	return local, remote
 }
 
-// appendOwn appends this balancer's counts that are not zero, in no order. It has
-// none to tell while it does not see its flows whole.
-func (book *Counter) appendOwn(entries []Entry) []Entry {
-	if !book.trust.holds() {
+// appendLocal appends the local counts above zero, in no particular order. It appends none while
+// this balancer does not see all packets of its flows.
+func (counter *Counter) appendLocal(entries []Entry) []Entry {
+	if !counter.reliability.usable() {
 		return entries
 	}
-	for index := range book.shards {
-		shard := &book.shards[index]
+	for index := range counter.shards {
+		shard := &counter.shards[index]
 		shard.lock.RLock()
-		for token, known := range shard.counts {
-			if known.own > 0 {
-				entries = append(entries, Entry{Token: token, Open: known.own})
+		for token, count := range shard.counts {
+			if count.local > 0 {
+				entries = append(entries, Entry{Token: token, Open: count.local})
 			}
 		}
 		shard.lock.RUnlock()
@@ -294,17 +303,17 @@
 	return entries
 }
 
-// forgetIdle drops the counts that stayed zero since the last call, so that
-// targets which are gone leave nothing behind.
-func (book *Counter) forgetIdle() {
-	for index := range book.shards {
-		shard := &book.shards[index]
+// removeIdle removes the counts that have been zero since the previous call, so that deregistered
+// targets do not use memory forever.
+func (counter *Counter) removeIdle() {
+	for index := range counter.shards {
+		shard := &counter.shards[index]
 		shard.lock.Lock()
-		for token, known := range shard.counts {
-			if known.own == 0 && known.others == 0 && known.coming == 0 && !known.used {
+		for token, count := range shard.counts {
+			if count.local == 0 && count.remote == 0 && count.pending == 0 && !count.usedSinceSweep {
 				delete(shard.counts, token)
 			}
-			known.used = false
+			count.usedSinceSweep = false
 		}
 		shard.lock.Unlock()
 	}
--- a/internal/direct/load/collector.go
+++ b/internal/direct/load/collector.go
@@ -12,74 +12,71 @@
 )
 
 const (
-	// pauseEachBalancer is the least time between two reports for each balancer
-	// that a collector hears and tells: it bounds the messages of a collector to
-	// 1/pauseEachBalancer a second each way.
-	pauseEachBalancer = time.Millisecond
-	// entryBytes is about the size of an entry in a report.
+	// intervalPerBalancer is the minimum time between two reports for each balancer that a
+	// collector serves. It bounds the messages of a collector to 1/intervalPerBalancer a second
+	// in each direction.
+	intervalPerBalancer = time.Millisecond
+	// entryBytes is the approximate size of an entry in a report.
 	entryBytes = 3
-	// systemBytesPerSecond bounds what a balancer is told of all others.
-	systemBytesPerSecond = 10 << 10
-	// longestPause bounds the time between two reports; counts that are older say
-	// nothing.
-	longestPause = 2 * time.Second
+	// totalsBytesPerSecond bounds the bytes of totals that are sent to each balancer.
+	totalsBytesPerSecond = 10 << 10
+	// maxReportInterval bounds the time between two reports. Older counts carry no information.
+	maxReportInterval = 2 * time.Second
 )
 
-// CollectorOptions are what a collector works with.
+// CollectorOptions configures a Collector.
 type CollectorOptions struct {
-	// Interval is the least time between two reports; zero collects nothing.
+	// Interval is the minimum time between two reports; zero disables the collector.
 	Interval time.Duration
 	// Members returns the names of all members of the control group.
 	Members func() []model.NodeName
-	// Capacities is asked for the capacity of the targets of a service in a zone.
+	// Capacities looks up the capacity of the targets of a service in a zone.
 	Capacities PoolCapacities
-	// OnChange, when it is not nil, is called when the load begins to be shared, and
-	// when it ends.
+	// OnChange, if not nil, is called when load sharing starts and when it ends.
 	OnChange func(sharing SharingState)
 }
 
-// PoolCapacities tells what the targets of a service in one zone can bear.
+// PoolCapacities looks up the capacity of pools, a pool being the targets of a service in one zone.
 type PoolCapacities interface {
-	// PoolCapacity returns the pool of a target, and the number of requests that the
-	// pool's targets together work on at once.
+	// PoolCapacity returns the pool of a target and the number of requests that the pool's
+	// targets together can serve at once.
 	PoolCapacity(token directory.Token) (pool directory.Pool, capacity int)
 }
 
-// Collector is the controller that adds up, at a member of the control group of a
-// large system, the open requests of the balancers that report to it, exchanges
-// sums with the other members, and tells its balancers the sum of all while the
-// load is worth sharing.
+// Collector is the controller of a member of the control group in a large system. It sums the
+// open requests of the balancers that report to it, exchanges the sums with the other members,
+// and sends the totals to its balancers while load sharing is active.
 //
-// Each balancer reports to one member at a time. One that moves on counts twice
-// until its former member forgets it.
+// Each balancer reports to one member at a time. A balancer that switches to another member is
+// counted twice until its report at the previous member expires.
 type Collector struct {
 	self    model.NodeName
 	options CollectorOptions
-	outlet  Sender
+	sender  Sender
 	reports *board.Queue[protocol.Envelope]
 	demand  demand
-	// announced tells of changes of demand.
-	announced announcer
-	// balancers and members are what those told last.
-	balancers map[model.NodeName]heard
-	members   map[model.NodeName]heard
-	toldAt    time.Time
-	// servingToldAt is when balancers were last told serving times.
-	servingToldAt time.Time
-	// own and all are the sums of the balancers here and everywhere. Their memory
-	// is used again.
-	own map[directory.Token]int
-	all map[directory.Token]int
+	// notifier calls OnChange when demand changes.
+	notifier changeNotifier
+	// balancers and members hold the last report of each balancer and member.
+	balancers map[model.NodeName]peerReport
+	members   map[model.NodeName]peerReport
+	sentAt    time.Time
+	// servingTimesSentAt is when serving times were last sent to balancers.
+	servingTimesSentAt time.Time
+	// localSums and totalSums are the open requests by target of this member's balancers and of
+	// all balancers. The maps are reused between rounds.
+	localSums map[directory.Token]int
+	totalSums map[directory.Token]int
 }
 
-// NewCollector returns the controller of the member named self, which takes
-// reports from a queue.
-func NewCollector(self model.NodeName, options CollectorOptions, outlet Sender, reports *board.Queue[protocol.Envelope]) *Collector {
+// NewCollector returns the controller of the member named self. It receives reports from the
+// given queue.
+func NewCollector(self model.NodeName, options CollectorOptions, sender Sender, reports *board.Queue[protocol.Envelope]) *Collector {
 	return &Collector{
-		self: self, options: options, outlet: outlet, reports: reports,
-		balancers: make(map[model.NodeName]heard), members: make(map[model.NodeName]heard),
-		own: make(map[directory.Token]int), all: make(map[directory.Token]int),
-		announced: announcer{onChange: options.OnChange},
+		self: self, options: options, sender: sender, reports: reports,
+		balancers: make(map[model.NodeName]peerReport), members: make(map[model.NodeName]peerReport),
+		localSums: make(map[directory.Token]int), totalSums: make(map[directory.Token]int),
+		notifier: changeNotifier{onChange: options.OnChange},
 	}
 }
 
@@ -93,71 +90,72 @@
 		return
 	}
 	for _, received := range reports {
-		collector.take(received.From, received.Message, now)
+		collector.applyReport(received.From, received.Message, now)
 	}
-	dropSilent(collector.balancers, now)
-	dropSilent(collector.members, now)
-	collector.announced.announce(SharingState{
-		Active: collector.demand.high(now), Utilization: collector.demand.average,
+	dropExpired(collector.balancers, now)
+	dropExpired(collector.members, now)
+	collector.notifier.notify(SharingState{
+		Active: collector.demand.wanted(now), Utilization: collector.demand.averageUtilization,
 		Nodes: len(collector.balancers) + len(collector.members),
 	})
-	if len(collector.balancers) == 0 || now.Sub(collector.toldAt) < collector.pause(now) {
+	if len(collector.balancers) == 0 || now.Sub(collector.sentAt) < collector.reportInterval(now) {
 		return
 	}
-	collector.toldAt = now
-	collector.addUp()
+	collector.sentAt = now
+	collector.sumReports()
 	collector.demand.observe(collector.utilization(), now)
-	collector.tell(now)
+	collector.sendSums(now)
 }
 
-// take replaces what a balancer or another member told before.
-func (collector *Collector) take(from model.NodeName, report Report, now time.Time) {
-	told := heard{entries: report.Entries.sound(), until: now.Add(silentPauses * max(calmInterval, collector.pause(now)))}
+// applyReport replaces the previous report of a balancer or another member.
+func (collector *Collector) applyReport(from model.NodeName, report Report, now time.Time) {
+	stored := peerReport{entries: report.Entries.valid(), expiresAt: now.Add(expiryIntervals * max(idleReportInterval, collector.reportInterval(now)))}
 	switch report.Scope {
 	case ScopeBalancer:
-		told.serving = report.Serving
-		if len(told.serving) == 0 {
-			told.serving = collector.balancers[from].serving
+		stored.servingTimes = report.Serving
+		if len(stored.servingTimes) == 0 {
+			stored.servingTimes = collector.balancers[from].servingTimes
 		}
-		collector.balancers[from] = told
+		collector.balancers[from] = stored
 	case ScopeFollowers:
-		collector.members[from] = told
+		collector.members[from] = stored
 		if report.Wanted {
-			collector.demand.heardAt = now
+			collector.demand.wantedRemotelyAt = now
 		}
 	}
 }
 
-func dropSilent(known map[model.NodeName]heard, now time.Time) {
-	for name, told := range known {
-		if now.After(told.until) {
-			delete(known, name)
+func dropExpired(reports map[model.NodeName]peerReport, now time.Time) {
+	for name, report := range reports {
+		if now.After(report.expiresAt) {
+			delete(reports, name)
 		}
 	}
 }
 
-// pause returns the time between two reports: short while sharing is worth it, as
-// far as messages and bytes are bounded.
-func (collector *Collector) pause(now time.Time) time.Duration {
-	if !collector.demand.high(now) {
-		return calmInterval
+// reportInterval returns the time between two reports. It is short while load sharing is active,
+// as far as the bounds on messages and bytes allow.
+func (collector *Collector) reportInterval(now time.Time) time.Duration {
+	if !collector.demand.wanted(now) {
+		return idleReportInterval
 	}
-	forMessages := pauseEachBalancer * time.Duration(len(collector.balancers))
-	forBytes := time.Duration(len(collector.all)) * entryBytes * time.Second / systemBytesPerSecond
-	return min(max(collector.options.Interval, forMessages, forBytes), longestPause)
+	forMessages := intervalPerBalancer * time.Duration(len(collector.balancers))
+	forBytes := time.Duration(len(collector.totalSums)) * entryBytes * time.Second / totalsBytesPerSecond
+	return min(max(collector.options.Interval, forMessages, forBytes), maxReportInterval)
 }
 
-func (collector *Collector) addUp() {
-	clear(collector.own)
-	clear(collector.all)
-	for _, told := range collector.balancers {
-		addEntries(collector.own, told.entries)
+// sumReports recomputes localSums and totalSums from the current reports.
+func (collector *Collector) sumReports() {
+	clear(collector.localSums)
+	clear(collector.totalSums)
+	for _, report := range collector.balancers {
+		addEntries(collector.localSums, report.entries)
 	}
-	for token, open := range collector.own {
-		collector.all[token] = open
+	for token, open := range collector.localSums {
+		collector.totalSums[token] = open
 	}
-	for _, told := range collector.members {
-		addEntries(collector.all, told.entries)
+	for _, report := range collector.members {
+		addEntries(collector.totalSums, report.entries)
 	}
 }
 
@@ -167,57 +165,58 @@
 	}
 }
 
-// utilization returns the open requests of the busiest pool by its capacity: balancers
-// prefer targets of their own zone, so that the targets of one zone may be full while the
-// service has room.
+// utilization returns the open requests of the busiest pool divided by its capacity. It looks at
+// pools rather than services because balancers prefer targets of their own zone, so the targets
+// of one zone may be full while the service as a whole has spare capacity.
 func (collector *Collector) utilization() float64 {
-	openBy := make(map[directory.Pool]int)
+	openByPool := make(map[directory.Pool]int)
 	highest := 0.0
-	for token, open := range collector.all {
+	for token, open := range collector.totalSums {
 		pool, capacity := collector.options.Capacities.PoolCapacity(token)
 		if capacity == 0 {
 			continue
 		}
-		openBy[pool] += open
-		highest = max(highest, float64(openBy[pool])/float64(capacity))
+		openByPool[pool] += open
+		highest = max(highest, float64(openByPool[pool])/float64(capacity))
 	}
 	return highest
 }
 
-// tell sends the sum of its balancers to the other members, and while sharing is
-// worth it the sum of all to its balancers.
-func (collector *Collector) tell(now time.Time) {
-	wanted := collector.demand.found(now)
+// sendSums sends the sums of this member's balancers to the other members and, while load sharing
+// is active, the totals to its balancers.
+func (collector *Collector) sendSums(now time.Time) {
+	wanted := collector.demand.wantedLocally(now)
 	var members []model.NodeName
 	for _, member := range collector.options.Members() {
 		if member != collector.self {
 			members = append(members, member)
 		}
 	}
-	collector.outlet.Send(members, Report{Scope: ScopeFollowers, Entries: entriesOf(collector.own), Wanted: wanted})
-	if !collector.demand.high(now) {
+	collector.sender.Send(members, Report{Scope: ScopeFollowers, Entries: sortedEntries(collector.localSums), Wanted: wanted})
+	if !collector.demand.wanted(now) {
 		return
 	}
-	collector.outlet.Send(slices.Sorted(maps.Keys(collector.balancers)), Report{
-		Scope: ScopeSystem, Entries: entriesOf(collector.all), Wanted: true, Pause: collector.pause(now), Serving: collector.serving(now),
+	collector.sender.Send(slices.Sorted(maps.Keys(collector.balancers)), Report{
+		Scope: ScopeSystem, Entries: sortedEntries(collector.totalSums), Wanted: true, Pause: collector.reportInterval(now), Serving: collector.servingTimesDue(now),
 	})
 }
 
-// serving returns the serving times to tell, none until they are due again.
-func (collector *Collector) serving(now time.Time) []ServingTime {
-	if now.Sub(collector.servingToldAt) < servingInterval {
+// servingTimesDue returns the serving times to send with the next report; nil if the last ones
+// were sent less than servingTimeInterval ago.
+func (collector *Collector) servingTimesDue(now time.Time) []ServingTime {
+	if now.Sub(collector.servingTimesSentAt) < servingTimeInterval {
 		return nil
 	}
-	collector.servingToldAt = now
-	told := make([][]ServingTime, 0, len(collector.balancers))
+	collector.servingTimesSentAt = now
+	reported := make([][]ServingTime, 0, len(collector.balancers))
 	for _, balancer := range collector.balancers {
-		told = append(told, balancer.serving)
+		reported = append(reported, balancer.servingTimes)
 	}
-	return medians(told)
+	return medians(reported)
 }
 
-// entriesOf returns the sums in the order of their tokens.
-func entriesOf(sums map[directory.Token]int) Entries {
+// sortedEntries returns the sums as entries sorted by token.
+func sortedEntries(sums map[directory.Token]int) Entries {
 	entries := make(Entries, 0, len(sums))
 	for token, open := range sums {
 		entries = append(entries, Entry{Token: token, Open: open})
--- a/internal/direct/load/collector_test.go
+++ b/internal/direct/load/collector_test.go
@@ -12,31 +12,33 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// site is a large system: balancers that report to members, and members that know
-// each other.
-type site struct {
+// cluster is a large system: balancers that report to members, and members that exchange sums
+// with each other.
+type cluster struct {
 	members   map[model.NodeName]*memberNode
 	balancers []*node
-	// follows has the member of each balancer.
-	follows map[model.NodeName]model.NodeName
-	// sent counts the messages of each node, and cut the nodes that are cut off.
-	sent map[model.NodeName]int
-	cut  map[model.NodeName]bool
-	now  time.Time
+	// memberOf maps each balancer to the member that it reports to.
+	memberOf map[model.NodeName]model.NodeName
+	// sentMessages counts the messages that each node sent. Messages from and to isolated
+	// nodes are dropped.
+	sentMessages map[model.NodeName]int
+	isolated     map[model.NodeName]bool
+	now          time.Time
 }
 
-// memberNode is a member with its collector.
+// memberNode is a member of the control group with its collector.
 type memberNode struct {
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
 	collector  *Collector
 }
 
-// newSite returns a system whose services have the capacity each.
-func newSite(members, balancers, capacity int) *site {
-	made := &site{
-		members: make(map[model.NodeName]*memberNode), follows: make(map[model.NodeName]model.NodeName),
-		sent: make(map[model.NodeName]int), cut: make(map[model.NodeName]bool), now: start,
+// newCluster returns a cluster in which each service has the given capacity. Balancers are spread
+// evenly over the members.
+func newCluster(members, balancers, capacity int) *cluster {
+	result := &cluster{
+		members: make(map[model.NodeName]*memberNode), memberOf: make(map[model.NodeName]model.NodeName),
+		sentMessages: make(map[model.NodeName]int), isolated: make(map[model.NodeName]bool), now: start,
 	}
 	var names []model.NodeName
 	for number := range members {
@@ -49,238 +51,242 @@
 		member.collector = NewCollector(name, CollectorOptions{
 			Interval: interval, Members: func() []model.NodeName { return names }, Capacities: capacities,
 		}, MailboxSender{Mailbox: member.mailbox}, member.dispatcher.Handle(Report{}))
-		made.members[name] = member
+		result.members[name] = member
 	}
 	for number := range balancers {
 		balancer := newNode(model.NodeName(fmt.Sprintf("b%02d", number)), interval)
-		balancer.exchange.options.Collector = func() model.NodeName { return made.follows[balancer.mailbox.Self] }
-		made.follows[balancer.mailbox.Self] = names[number%len(names)]
-		made.balancers = append(made.balancers, balancer)
+		balancer.exchange.options.Collector = func() model.NodeName { return result.memberOf[balancer.mailbox.Self] }
+		result.memberOf[balancer.mailbox.Self] = names[number%len(names)]
+		result.balancers = append(result.balancers, balancer)
 	}
-	return made
+	return result
 }
 
-// run lets time pass.
-func (site *site) run(duration time.Duration) {
-	for end := site.now.Add(duration); site.now.Before(end); site.now = site.now.Add(10 * time.Millisecond) {
-		for _, member := range site.members {
-			member.dispatcher.Reconcile(site.now)
-			member.collector.Reconcile(site.now)
-			site.deliver(member.mailbox)
+// run simulates the cluster for the duration, in steps of 10 ms.
+func (cluster *cluster) run(duration time.Duration) {
+	for end := cluster.now.Add(duration); cluster.now.Before(end); cluster.now = cluster.now.Add(10 * time.Millisecond) {
+		for _, member := range cluster.members {
+			member.dispatcher.Reconcile(cluster.now)
+			member.collector.Reconcile(cluster.now)
+			cluster.deliver(member.mailbox)
 		}
-		for _, balancer := range site.balancers {
-			balancer.dispatcher.Reconcile(site.now)
-			balancer.exchange.Reconcile(site.now)
-			site.deliver(balancer.mailbox)
+		for _, balancer := range cluster.balancers {
+			balancer.dispatcher.Reconcile(cluster.now)
+			balancer.exchange.Reconcile(cluster.now)
+			cluster.deliver(balancer.mailbox)
 		}
 	}
 }
 
-func (site *site) deliver(from *protocol.Mailbox) {
+// deliver moves the messages of an outbox to the inboxes of their recipients.
+func (cluster *cluster) deliver(from *protocol.Mailbox) {
 	for _, envelope := range from.Outbox.Drain() {
-		site.sent[from.Self]++
-		if site.cut[from.Self] || site.cut[envelope.To] {
+		cluster.sentMessages[from.Self]++
+		if cluster.isolated[from.Self] || cluster.isolated[envelope.To] {
 			continue
 		}
-		arrived := protocol.Envelope{From: from.Self, To: envelope.To, Message: envelope.Message}
-		if member := site.members[envelope.To]; member != nil {
-			member.mailbox.Inbox.Put(arrived)
+		received := protocol.Envelope{From: from.Self, To: envelope.To, Message: envelope.Message}
+		if member := cluster.members[envelope.To]; member != nil {
+			member.mailbox.Inbox.Put(received)
 		}
-		for _, balancer := range site.balancers {
+		for _, balancer := range cluster.balancers {
 			if balancer.mailbox.Self == envelope.To {
-				balancer.mailbox.Inbox.Put(arrived)
+				balancer.mailbox.Inbox.Put(received)
 			}
 		}
 	}
 }
 
 const (
-	// settled is enough for a count to reach every balancer from calm.
-	settled = 3 * calmInterval
-	// shared is enough once the load is shared.
-	shared = 5 * interval
+	// settleTime is long enough for a count to reach every balancer when sharing is not active.
+	settleTime = 3 * idleReportInterval
+	// sharedSettleTime is long enough once load sharing is active.
+	sharedSettleTime = 5 * interval
 )
 
-func TestBalancersOfALargeSystemKnowTheOpenRequestsOfAll(t *testing.T) {
-	site := newSite(3, 20, 10)
-	for _, balancer := range site.balancers {
+func TestCollectorsSendEveryBalancerTheTotalCounts(t *testing.T) {
+	cluster := newCluster(3, 20, 10)
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	begin(site.balancers[4], 8, 2)
-	site.run(settled)
-	for _, balancer := range site.balancers {
+	begin(cluster.balancers[4], 8, 2)
+	cluster.run(settleTime)
+	for _, balancer := range cluster.balancers {
 		require.Equal(t, 20, openAt(balancer, 7), balancer.mailbox.Self)
 		require.Equal(t, 2, openAt(balancer, 8), balancer.mailbox.Self)
 	}
-	end(site.balancers[4], 8, 2)
-	begin(site.balancers[5], 7, 3)
-	require.Equal(t, 23, openAt(site.balancers[5], 7), "own requests count at once")
-	site.run(shared)
-	for _, balancer := range site.balancers {
+	end(cluster.balancers[4], 8, 2)
+	begin(cluster.balancers[5], 7, 3)
+	require.Equal(t, 23, openAt(cluster.balancers[5], 7), "local requests are counted immediately")
+	cluster.run(sharedSettleTime)
+	for _, balancer := range cluster.balancers {
 		require.Equal(t, 23, openAt(balancer, 7), balancer.mailbox.Self)
 		require.Zero(t, openAt(balancer, 8), balancer.mailbox.Self)
 	}
 }
 
-// TestARushIsKnownWithinHalfASecond: callers come in numbers from one moment to the next,
-// at any moment between two reports. Until balancers know of each other's requests, all of
-// them take targets for idle.
-func TestARushIsKnownWithinHalfASecond(t *testing.T) {
+// TestLoadSpikeReachesAllBalancersWithinHalfASecond starts a load spike at different times between
+// two reports. Until balancers know each other's counts, all of them consider the same targets
+// idle.
+func TestLoadSpikeReachesAllBalancersWithinHalfASecond(t *testing.T) {
 	for phase := time.Duration(0); phase < 600*time.Millisecond; phase += 50 * time.Millisecond {
-		site := newSite(3, 20, 100)
-		for _, balancer := range site.balancers {
+		cluster := newCluster(3, 20, 100)
+		for _, balancer := range cluster.balancers {
 			begin(balancer, 8, 1)
 		}
-		site.run(10*time.Second + phase)
-		for _, balancer := range site.balancers {
+		cluster.run(10*time.Second + phase)
+		for _, balancer := range cluster.balancers {
 			begin(balancer, 7, 5)
 		}
-		site.run(500 * time.Millisecond)
-		for _, balancer := range site.balancers {
+		cluster.run(500 * time.Millisecond)
+		for _, balancer := range cluster.balancers {
 			require.Equal(t, 100, openAt(balancer, 7), "%s, %s after a report", balancer.mailbox.Self, phase)
 		}
 	}
 }
 
-func TestACalmLargeSystemSaysLittle(t *testing.T) {
-	site := newSite(3, 20, 1000)
-	begin(site.balancers[0], 7, 10)
-	site.run(time.Minute)
-	require.Zero(t, openAt(site.balancers[1], 7), "not worth sharing")
-	require.LessOrEqual(t, site.sent["b00"], int(time.Minute/calmInterval)+1)
-	require.LessOrEqual(t, site.sent["m0"], 2*int(time.Minute/calmInterval)+2)
-	require.Zero(t, site.sent["b01"])
+func TestIdleLargeSystemSendsFewReports(t *testing.T) {
+	cluster := newCluster(3, 20, 1000)
+	begin(cluster.balancers[0], 7, 10)
+	cluster.run(time.Minute)
+	require.Zero(t, openAt(cluster.balancers[1], 7), "load is too low to be shared")
+	require.LessOrEqual(t, cluster.sentMessages["b00"], int(time.Minute/idleReportInterval)+1)
+	require.LessOrEqual(t, cluster.sentMessages["m0"], 2*int(time.Minute/idleReportInterval)+2)
+	require.Zero(t, cluster.sentMessages["b01"])
 }
 
-// A balancer that moves on to another member counts twice there for a while only.
-func TestABalancerThatMovesOnIsForgottenByItsFormerMember(t *testing.T) {
-	site := newSite(2, 20, 10)
-	for _, balancer := range site.balancers {
+// TestBalancerThatSwitchesMembersIsCountedOnceAfterExpiry: both members count the balancer's
+// requests until the report at the previous member expires.
+func TestBalancerThatSwitchesMembersIsCountedOnceAfterExpiry(t *testing.T) {
+	cluster := newCluster(2, 20, 10)
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	site.run(settled)
-	site.follows["b00"] = "m1"
-	site.run(silentPauses*calmInterval + shared)
-	for _, balancer := range site.balancers {
+	cluster.run(settleTime)
+	cluster.memberOf["b00"] = "m1"
+	cluster.run(expiryIntervals*idleReportInterval + sharedSettleTime)
+	for _, balancer := range cluster.balancers {
 		require.Equal(t, 20, openAt(balancer, 7), balancer.mailbox.Self)
 	}
 }
 
-func TestWithoutItsMemberABalancerGoesByItsOwnRequests(t *testing.T) {
-	site := newSite(2, 20, 10)
-	for _, balancer := range site.balancers {
+func TestBalancerCutOffFromItsMemberUsesLocalCounts(t *testing.T) {
+	cluster := newCluster(2, 20, 10)
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	site.run(settled)
-	site.cut["m0"] = true
-	site.run(silentPauses*calmInterval + shared)
-	require.Equal(t, 1, openAt(site.balancers[0], 7), "its member is cut off")
-	require.Equal(t, 10, openAt(site.balancers[1], 7), "the other member no longer counts what it cannot hear of")
-	site.cut["m0"] = false
-	site.run(settled)
-	require.Equal(t, 20, openAt(site.balancers[0], 7))
+	cluster.run(settleTime)
+	cluster.isolated["m0"] = true
+	cluster.run(expiryIntervals*idleReportInterval + sharedSettleTime)
+	require.Equal(t, 1, openAt(cluster.balancers[0], 7), "its member is isolated")
+	require.Equal(t, 10, openAt(cluster.balancers[1], 7), "the other member drops the counts of the isolated member")
+	cluster.isolated["m0"] = false
+	cluster.run(settleTime)
+	require.Equal(t, 20, openAt(cluster.balancers[0], 7))
 }
 
-func TestSharingEndsWithTheLoad(t *testing.T) {
-	site := newSite(2, 20, 10)
+func TestSharingEndsWhenLoadDrops(t *testing.T) {
+	cluster := newCluster(2, 20, 10)
 	var atMember, atBalancer []bool
-	site.members["m0"].collector.announced.onChange = func(sharing SharingState) { atMember = append(atMember, sharing.Active) }
-	site.balancers[0].exchange.announced.onChange = func(sharing SharingState) { atBalancer = append(atBalancer, sharing.Active) }
-	for _, balancer := range site.balancers {
+	cluster.members["m0"].collector.notifier.onChange = func(sharing SharingState) { atMember = append(atMember, sharing.Active) }
+	cluster.balancers[0].exchange.notifier.onChange = func(sharing SharingState) { atBalancer = append(atBalancer, sharing.Active) }
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	site.run(settled)
-	for _, balancer := range site.balancers {
+	cluster.run(settleTime)
+	for _, balancer := range cluster.balancers {
 		end(balancer, 7, 1)
 	}
-	site.run(2 * demandLasts)
-	clear(site.sent)
-	site.run(time.Minute)
-	require.Empty(t, site.sent)
-	require.Equal(t, []bool{true, false}, atMember, "each change is announced once")
+	cluster.run(2 * sharingHoldTime)
+	clear(cluster.sentMessages)
+	cluster.run(time.Minute)
+	require.Empty(t, cluster.sentMessages)
+	require.Equal(t, []bool{true, false}, atMember, "OnChange is called once per change")
 	require.Equal(t, []bool{true, false}, atBalancer)
 }
 
-// Counts of the two ways to share never add up.
-func TestASystemThatGrowsOrShrinksForgetsTheFormerWay(t *testing.T) {
-	site := newSite(1, 4, 2)
-	for _, balancer := range site.balancers {
+// TestSwitchBetweenPeersAndCollectorDropsOldReports checks that counts received from peers and
+// totals received from a collector are never added together.
+func TestSwitchBetweenPeersAndCollectorDropsOldReports(t *testing.T) {
+	cluster := newCluster(1, 4, 2)
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	site.run(settled)
-	require.Equal(t, 4, openAt(site.balancers[0], 7))
-	for index, balancer := range site.balancers {
-		for other := range site.balancers {
+	cluster.run(settleTime)
+	require.Equal(t, 4, openAt(cluster.balancers[0], 7))
+	for index, balancer := range cluster.balancers {
+		for other := range cluster.balancers {
 			if other != index {
-				balancer.neighbours = append(balancer.neighbours, site.balancers[other].mailbox.Self)
+				balancer.neighbours = append(balancer.neighbours, cluster.balancers[other].mailbox.Self)
 			}
 		}
 	}
-	site.run(silentAfter)
-	require.Equal(t, 4, openAt(site.balancers[0], 7))
-	for _, balancer := range site.balancers {
+	cluster.run(minReportExpiry)
+	require.Equal(t, 4, openAt(cluster.balancers[0], 7))
+	for _, balancer := range cluster.balancers {
 		balancer.neighbours = nil
 	}
-	site.run(settled)
-	require.Equal(t, 4, openAt(site.balancers[0], 7))
+	cluster.run(settleTime)
+	require.Equal(t, 4, openAt(cluster.balancers[0], 7))
 }
 
-func TestCollectorsBoundTheirMessagesAndBytes(t *testing.T) {
+func TestCollectorReportIntervalBoundsMessagesAndBytes(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		balancers, targets int
 		least              time.Duration
 	}{
 		{"few of both", 10, 10, interval},
-		{"many balancers", 300, 10, 300 * pauseEachBalancer},
-		{"many targets", 10, 2000, 2000 * entryBytes * time.Second / systemBytesPerSecond},
-		{"far too many targets", 10, 100_000, longestPause},
+		{"many balancers", 300, 10, 300 * intervalPerBalancer},
+		{"many targets", 10, 2000, 2000 * entryBytes * time.Second / totalsBytesPerSecond},
+		{"far too many targets", 10, 100_000, maxReportInterval},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			collector := newSite(1, 0, 1).members["m0"].collector
-			collector.demand.foundAt = start
+			collector := newCluster(1, 0, 1).members["m0"].collector
+			collector.demand.wantedLocallyAt = start
 			for number := range test.balancers {
 				var entries Entries
 				for token := range test.targets / 10 {
 					entries = append(entries, Entry{Token: directory.Token(number%10*test.targets + token + 1), Open: 1})
 				}
-				collector.take(model.NodeName(fmt.Sprint(number)), Report{Entries: entries}, start)
+				collector.applyReport(model.NodeName(fmt.Sprint(number)), Report{Entries: entries}, start)
 			}
-			collector.addUp()
-			require.Equal(t, test.least, collector.pause(start))
+			collector.sumReports()
+			require.Equal(t, test.least, collector.reportInterval(start))
 		})
 	}
 }
 
-func TestNoIntervalCollectsNothing(t *testing.T) {
-	site := newSite(1, 2, 1)
-	site.members["m0"].collector.options.Interval = 0
-	begin(site.balancers[0], 7, 5)
-	site.run(settled)
-	require.Zero(t, site.sent["m0"])
-	require.Zero(t, openAt(site.balancers[1], 7))
+func TestZeroIntervalDisablesCollector(t *testing.T) {
+	cluster := newCluster(1, 2, 1)
+	cluster.members["m0"].collector.options.Interval = 0
+	begin(cluster.balancers[0], 7, 5)
+	cluster.run(settleTime)
+	require.Zero(t, cluster.sentMessages["m0"])
+	require.Zero(t, openAt(cluster.balancers[1], 7))
 }
 
-// outletOf keeps the nodes of the reports that it is given.
-type outletOf struct{ told [][]model.NodeName }
+// recordingSender records the recipients of each report.
+type recordingSender struct{ recipients [][]model.NodeName }
 
-// Tell implements Outlet.
-func (outlet *outletOf) Send(nodes []model.NodeName, _ Report) {
-	outlet.told = append(outlet.told, nodes)
+// Send implements Sender.
+func (sender *recordingSender) Send(nodes []model.NodeName, _ Report) {
+	sender.recipients = append(sender.recipients, nodes)
 }
 
-// Simulations repeat exactly only when nodes are told in an order of their own.
-func TestACollectorTellsInOrder(t *testing.T) {
-	collector := newSite(2, 0, 1).members["m0"].collector
-	outlet := &outletOf{}
-	collector.outlet = outlet
-	collector.demand.foundAt = start
+// TestCollectorSendsToBalancersInNameOrder: simulations are only reproducible if reports are sent
+// in a deterministic order.
+func TestCollectorSendsToBalancersInNameOrder(t *testing.T) {
+	collector := newCluster(2, 0, 1).members["m0"].collector
+	sender := &recordingSender{}
+	collector.sender = sender
+	collector.demand.wantedLocallyAt = start
 	var want []model.NodeName
 	for number := range 50 {
 		name := model.NodeName(fmt.Sprintf("b%02d", number))
 		want = append(want, name)
-		collector.take(name, Report{Entries: Entries{{Token: 1, Open: 1}}}, start)
+		collector.applyReport(name, Report{Entries: Entries{{Token: 1, Open: 1}}}, start)
 	}
 	collector.Reconcile(start)
-	require.Equal(t, [][]model.NodeName{{"m1"}, want}, outlet.told)
+	require.Equal(t, [][]model.NodeName{{"m1"}, want}, sender.recipients)
 }
--- a/internal/direct/load/datagram/socket.go
+++ b/internal/direct/load/datagram/socket.go
@@ -1,9 +1,9 @@
-// Package datagram carries load reports between balancers as UDP datagrams, one
-// gob stream each. Reports are small, sent often and soon outdated, so a lost one
-// needs no repetition, and no connection is kept for them.
+// Package datagram carries load reports between balancers as UDP datagrams. Each datagram is a
+// complete gob stream. Reports are small, frequent and quickly outdated, so lost ones are not
+// retransmitted and no connection is kept.
 //
-// Datagrams prove nothing about their sender. Where processes have keys, reports
-// go over their links instead.
+// Datagrams do not authenticate their sender. Where processes have keys, reports are sent over
+// their authenticated links instead.
 package datagram
 
 import (
@@ -23,14 +23,14 @@
 )
 
 const (
-	// maximumReport is the largest datagram, in bytes.
-	maximumReport = 16 << 10
-	// waitingReports bounds the reports that wait to be taken.
-	waitingReports = 1024
+	// maxDatagram is the size limit of a datagram, in bytes.
+	maxDatagram = 16 << 10
+	// maxQueuedReports bounds the received reports that wait to be processed.
+	maxQueuedReports = 1024
 )
 
-// Socket sends and receives reports. A node's name is its address. It implements
-// load.Outlet.
+// Socket sends and receives reports. Nodes are named by their UDP address. It implements
+// load.Sender.
 type Socket struct {
 	socket   *net.UDPConn
 	encoders *gobstream.Encoders
@@ -41,11 +41,12 @@
 
 var _ load.Sender = (*Socket)(nil)
 
-// Listen opens a socket at the node's own address. What fails later is counted.
+// Listen opens a socket at the given address, which is the node's name. Later failures are counted
+// in failures.
 func Listen(address string, failures *socketfault.Counter) (*Socket, error) {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, faults.New(faults.PacketSocket, "load reports: %v", err)
+		return nil, faults.New(faults.PacketSocket, "load reports: parse listen address: %v", err)
 	}
 	opened, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(parsed))
 	if err != nil {
@@ -55,7 +56,7 @@
 		socket:   opened,
 		encoders: gobstream.NewEncoders(),
 		decoders: gobstream.NewDecoders(),
-		reports:  board.NewQueue[protocol.Envelope]("load reports", waitingReports),
+		reports:  board.NewQueue[protocol.Envelope]("load reports", maxQueuedReports),
 		failures: failures,
 	}, nil
 }
@@ -68,12 +69,12 @@
 	return socket.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Tell implements load.Outlet. A report that cannot be sent is lost, like one
-// that gets lost on its way.
+// Send implements load.Sender. A report that cannot be sent is counted as a failure and dropped,
+// as if the network had lost it.
 func (socket *Socket) Send(nodes []model.NodeName, report load.Report) {
 	content, err := socket.encoders.Encode(report)
-	if err == nil && len(content) > maximumReport {
-		err = faults.New(faults.PacketSocket, "load report: %d targets take %d bytes, more than %d", len(report.Entries), len(content), maximumReport)
+	if err == nil && len(content) > maxDatagram {
+		err = faults.New(faults.PacketSocket, "load report: %d targets take %d bytes, the limit is %d", len(report.Entries), len(content), maxDatagram)
 	}
 	if err != nil {
 		socket.failures.Note(socketfault.Encode, err)
@@ -88,11 +89,11 @@
 	}
 }
 
-// Run receives reports until ctx ends, and closes the socket.
+// Run receives reports until ctx is done, then closes the socket.
 func (socket *Socket) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = socket.socket.Close() })
 	defer stop()
-	buffer := make([]byte, maximumReport)
+	buffer := make([]byte, maxDatagram)
 	for {
 		size, from, err := socket.socket.ReadFromUDPAddrPort(buffer)
 		switch {
@@ -104,12 +105,12 @@
 			socket.failures.Note(socketfault.Read, err)
 			continue
 		}
-		socket.take(buffer[:size], from)
+		socket.enqueue(buffer[:size], from)
 	}
 }
 
-// take queues a report. What is no report is dropped.
-func (socket *Socket) take(content []byte, from netip.AddrPort) {
+// enqueue decodes a datagram and queues its report. Malformed datagrams are counted and dropped.
+func (socket *Socket) enqueue(content []byte, from netip.AddrPort) {
 	var report load.Report
 	if err := socket.decoders.Decode(content, reflect.ValueOf(&report)); err != nil {
 		socket.failures.Note(socketfault.Decode, err)
--- a/internal/direct/load/datagram/socket_test.go
+++ b/internal/direct/load/datagram/socket_test.go
@@ -20,13 +20,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout bounds waits for a condition; it is no measure of speed.
+// conditionTimeout bounds how long tests wait for a condition. It is not a performance target.
 const conditionTimeout = 20 * time.Second
 
 func newFailures() *socketfault.Counter {
 	return socketfault.New(prometheus.NewRegistry(), zap.NewNop(), "load")
 }
 
+// listen returns a socket on a free port that runs until the end of the test.
 func listen(t *testing.T) *Socket {
 	t.Helper()
 	socket, err := Listen("127.0.0.1:0", newFailures())
@@ -43,7 +44,7 @@
 
 func nameOf(socket *Socket) model.NodeName { return model.NodeName(socket.Address().String()) }
 
-func TestReportsReachTheirNodes(t *testing.T) {
+func TestReportsReachTheirRecipients(t *testing.T) {
 	one, other := listen(t), listen(t)
 	sent := load.Report{Entries: []load.Entry{{Token: 7, Open: 3}, {Token: 9, Open: 1}}, Wanted: true}
 	one.Send([]model.NodeName{"no address", nameOf(other)}, sent)
@@ -55,13 +56,13 @@
 	require.Equal(t, []protocol.Envelope{{From: nameOf(one), Message: sent}}, received)
 }
 
-func TestWhatIsNoReportIsDropped(t *testing.T) {
+func TestMalformedDatagramsAreDropped(t *testing.T) {
 	one, other := listen(t), listen(t)
-	stranger, err := net.Dial("udp4", other.Address().String())
+	client, err := net.Dial("udp4", other.Address().String())
 	require.NoError(t, err)
-	defer stranger.Close()
-	for _, content := range [][]byte{{}, {1}, []byte("no report at all"), make([]byte, maximumReport)} {
-		_, err := stranger.Write(content)
+	defer client.Close()
+	for _, content := range [][]byte{{}, {1}, []byte("no report at all"), make([]byte, maxDatagram)} {
+		_, err := client.Write(content)
 		require.NoError(t, err)
 	}
 	one.Send([]model.NodeName{nameOf(other)}, load.Report{Wanted: true})
@@ -69,9 +70,9 @@
 	require.Len(t, other.Reports().Drain(), 1)
 }
 
-func TestAddressInUseIsSaid(t *testing.T) {
-	taken := listen(t)
-	_, err := Listen(taken.Address().String(), newFailures())
+func TestListenFailsOnUnusableAddress(t *testing.T) {
+	occupied := listen(t)
+	_, err := Listen(occupied.Address().String(), newFailures())
 	require.Equal(t, faults.PacketSocket, faults.CodeOf(err))
 	_, err = Listen("no address", newFailures())
 	require.Equal(t, faults.PacketSocket, faults.CodeOf(err))
--- a/internal/direct/load/demand.go
+++ b/internal/direct/load/demand.go
@@ -6,79 +6,80 @@
 )
 
 const (
-	// sharedFrom is the utilization of a service from which balancers share its
-	// load: below, a target by hash has room nearly always, and sharing costs
-	// more than it brings.
-	sharedFrom = 0.5
-	// sharedAtOnceFrom is the utilization from which load is shared without averaging:
-	// requests wait already, and each moment in which balancers do not know of each other
-	// sends more to full targets.
-	sharedAtOnceFrom = 1.0
-	// demandSpan is the time over which the utilization is averaged.
-	demandSpan = 400 * time.Millisecond
-	// demandLasts is how long balancers go on sharing after the last sign that
-	// it is worth it.
-	demandLasts = 3 * time.Second
+	// sharingThreshold is the average utilization of a service from which balancers share load.
+	// Below it, a target chosen by hashing nearly always has a free slot, and sharing costs more
+	// than it gains.
+	sharingThreshold = 0.5
+	// immediateThreshold is the utilization from which load is shared without averaging:
+	// requests already queue, and until balancers know each other's counts they send more
+	// requests to full targets.
+	immediateThreshold = 1.0
+	// averagingTime is the time constant of the utilization's exponential average.
+	averagingTime = 400 * time.Millisecond
+	// sharingHoldTime is how long balancers keep sharing after it was last found worthwhile.
+	sharingHoldTime = 3 * time.Second
 )
 
-// Sharing tells whether a node shares the load of targets, and what it knows of it.
+// SharingState describes whether and with whom a node shares load counts.
 type SharingState struct {
-	// Shared tells whether reports are sent often.
+	// Active reports whether reports are sent frequently.
 	Active bool
-	// Utilization is the average use of the busiest service by its capacity, as far
-	// as the node itself looks.
+	// Utilization is the average utilization of the busiest service (at a member: pool), from
+	// 0 for idle to 1 for full and above. A balancer that reports to a collector does not
+	// update it.
 	Utilization float64
-	// Nodes is the number of other nodes whose counts are known.
+	// Nodes is the number of other nodes whose counts are currently known.
 	Nodes int
 }
 
-// announcer calls a function with each change of whether load is shared.
-type announcer struct {
+// changeNotifier calls a function each time load sharing starts or ends.
+type changeNotifier struct {
 	onChange func(sharing SharingState)
-	shared   bool
+	active   bool
 }
 
-func (announcer *announcer) announce(sharing SharingState) {
-	if sharing.Active == announcer.shared {
+func (notifier *changeNotifier) notify(sharing SharingState) {
+	if sharing.Active == notifier.active {
 		return
 	}
-	announcer.shared = sharing.Active
-	if announcer.onChange != nil {
-		announcer.onChange(sharing)
+	notifier.active = sharing.Active
+	if notifier.onChange != nil {
+		notifier.onChange(sharing)
 	}
 }
 
-// demand decides whether sharing the load is worth its messages. A balancer
-// shares while it finds so itself, or hears from one that does; what it merely
-// heard it does not pass on, so that sharing ends once nobody finds it worth it.
+// demand decides whether load sharing is worth its messages. A node shares load while its own
+// utilization calls for it, or while a report from a node with such a utilization is recent. It
+// does not relay what other nodes want, so sharing ends once no node's own utilization calls
+// for it.
 type demand struct {
-	average    float64
-	observedAt time.Time
-	// foundAt is when this balancer last found sharing worth it, heardAt when
-	// another one last said so.
-	foundAt time.Time
-	heardAt time.Time
+	averageUtilization float64
+	observedAt         time.Time
+	// wantedLocallyAt is when this node's own utilization last called for sharing,
+	// wantedRemotelyAt when another node last reported that its utilization did.
+	wantedLocallyAt  time.Time
+	wantedRemotelyAt time.Time
 }
 
-// observe takes the present utilization in.
+// observe updates the average with the current utilization.
 func (demand *demand) observe(utilization float64, now time.Time) {
-	passed := now.Sub(demand.observedAt)
+	elapsed := now.Sub(demand.observedAt)
 	demand.observedAt = now
-	if passed > 0 {
-		kept := math.Exp(-float64(passed) / float64(demandSpan))
-		demand.average = kept*demand.average + (1-kept)*utilization
+	if elapsed > 0 {
+		decay := math.Exp(-float64(elapsed) / float64(averagingTime))
+		demand.averageUtilization = decay*demand.averageUtilization + (1-decay)*utilization
 	}
-	if demand.average >= sharedFrom || utilization >= sharedAtOnceFrom {
-		demand.foundAt = now
+	if demand.averageUtilization >= sharingThreshold || utilization >= immediateThreshold {
+		demand.wantedLocallyAt = now
 	}
 }
 
-// found tells whether this balancer itself finds that sharing is worth it.
-func (demand *demand) found(now time.Time) bool { return lately(demand.foundAt, now) }
+// wantedLocally reports whether this node's own utilization calls for sharing.
+func (demand *demand) wantedLocally(now time.Time) bool { return isRecent(demand.wantedLocallyAt, now) }
 
-// high tells whether the load is to be shared.
-func (demand *demand) high(now time.Time) bool {
-	return lately(demand.foundAt, now) || lately(demand.heardAt, now)
+// wanted reports whether load is to be shared.
+func (demand *demand) wanted(now time.Time) bool {
+	return isRecent(demand.wantedLocallyAt, now) || isRecent(demand.wantedRemotelyAt, now)
 }
 
-func lately(at, now time.Time) bool { return !at.IsZero() && now.Sub(at) < demandLasts }
+func isRecent(at, now time.Time) bool { return !at.IsZero() && now.Sub(at) < sharingHoldTime }
--- a/internal/direct/load/evidence_test.go
+++ b/internal/direct/load/evidence_test.go
@@ -10,19 +10,19 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// TestEvidenceTellsWhatCountsRestOn: a refusal is explained by whose requests were counted,
-// how old what others told is, and how many cases the shares of gaps and misses are of.
-func TestEvidenceTellsWhatCountsRestOn(t *testing.T) {
+// TestEvidenceDescribesTheCounts: the log line of a refusal states whose requests were counted, how
+// old the remote counts are, and how many samples the shares of gaps and unanswered requests have.
+func TestEvidenceDescribesTheCounts(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
-	require.Equal(t, steer.Evidence{HeardAgo: steer.NeverHeard}, one.book.Evidence(7, start))
+	require.Equal(t, steer.Evidence{HeardAgo: steer.NeverHeard}, one.counter.Evidence(7, start))
 	begin(one, 7, 3)
 	begin(other, 7, 2)
 	now := run(start, 3*interval, nil, one, other)
-	one.book.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
-	one.book.Continued(false)
-	one.book.Continued(true)
+	one.counter.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
+	one.counter.Continued(false)
+	one.counter.Continued(true)
 
-	evidence := one.book.Evidence(7, now)
+	evidence := one.counter.Evidence(7, now)
 	require.Equal(t, 2, evidence.Own)
 	require.Equal(t, 2, evidence.Others)
 	require.Positive(t, evidence.HeardAgo)
--- a/internal/direct/load/exchange.go
+++ b/internal/direct/load/exchange.go
@@ -11,109 +11,105 @@
 )
 
 const (
-	// pauseEach is the least time between two reports for each balancer that
-	// gets them: it bounds the messages of a balancer to 1/pauseEach a second.
-	pauseEach = 10 * time.Millisecond
-	// keepaliveInterval is the time between two reports while nothing changes.
+	// intervalPerPeer is the minimum time between two reports for each balancer that receives
+	// them. It bounds the messages of a balancer to 1/intervalPerPeer a second.
+	intervalPerPeer = 10 * time.Millisecond
+	// keepaliveInterval is the time between two reports while the counts do not change.
 	keepaliveInterval = 250 * time.Millisecond
-	// silentAfter is how long after its last report the counts of a balancer
-	// are forgotten, and silentPauses how many pauses between reports that takes
-	// at the least.
-	silentAfter  = 700 * time.Millisecond
-	silentPauses = 3
-	// calmInterval is the time between two reports to a collector while sharing
-	// the load is not worth more. A rush is seen within two of them, and a report of a
-	// few open requests takes some 60 bytes, so that they cost 0.6 KB a second.
-	calmInterval = 200 * time.Millisecond
-	// servingInterval is the time between two reports with serving times, which take some
-	// 30 bytes for a service.
-	servingInterval = time.Second
-	// forgetInterval is the time between two searches for idle targets.
-	forgetInterval = 10 * time.Second
+	// The counts of a node expire when no report has arrived for minReportExpiry or for
+	// expiryIntervals report intervals, whichever is longer.
+	minReportExpiry = 700 * time.Millisecond
+	expiryIntervals = 3
+	// idleReportInterval is the time between two reports to a collector while load sharing is
+	// not active. A load spike is noticed within two of them. A report of a few open requests
+	// takes about 60 bytes, so the reports cost 0.6 KB a second.
+	idleReportInterval = 200 * time.Millisecond
+	// servingTimeInterval is the time between two reports that include serving times, which take
+	// about 30 bytes per service.
+	servingTimeInterval = time.Second
+	// idleSweepInterval is the time between two sweeps for idle targets.
+	idleSweepInterval = 10 * time.Second
 )
 
-// Outlet sends reports to other nodes. Reports may be lost.
+// Sender sends reports to other nodes. Reports may be lost.
 type Sender interface {
-	// Tell sends the report to the nodes. It must return at once, and keep
-	// nothing of the report.
+	// Send sends the report to the nodes. It must not block, and must not retain any part of
+	// the report.
 	Send(nodes []model.NodeName, report Report)
 }
 
-// Capacities tells what services can bear.
+// Capacities looks up the capacity of services.
 type Capacities interface {
-	// ServiceCapacity returns the service of a target, and the number of
-	// requests that its targets together work on at once.
+	// ServiceCapacity returns the service of a target and the number of requests that the
+	// service's targets together can serve at once.
 	ServiceCapacity(token directory.Token) (service string, capacity int)
 }
 
-// Options are what an exchange works with.
+// ExchangeOptions configures an Exchange.
 type ExchangeOptions struct {
-	// Interval is the least time between two reports; zero tells nobody and
-	// hears nobody.
+	// Interval is the minimum time between two reports; zero disables sending and receiving.
 	Interval time.Duration
-	// Neighbours returns the balancers to tell; none in a large system, whose
-	// balancers tell a collector.
+	// Neighbours returns the balancers to send reports to. It returns none in a large system,
+	// whose balancers report to a collector.
 	Neighbours func() []model.NodeName
-	// Collector returns the member that collects this balancer's reports, or the
-	// empty name when it reaches none. It may be nil.
+	// Collector returns the member that collects this balancer's reports, or the empty name if
+	// none is reachable. It may be nil.
 	Collector func() model.NodeName
-	// Capacities is asked for the capacity of services.
+	// Capacities looks up the capacity of services.
 	Capacities Capacities
-	// OnChange, when it is not nil, is called when the load begins to be shared, and
-	// when it ends.
+	// OnChange, if not nil, is called when load sharing starts and when it ends.
 	OnChange func(sharing SharingState)
 }
 
-// heard is what another node told last, which counts until a while later.
-type heard struct {
-	entries Entries
-	until   time.Time
-	// serving has the serving times that the node told last.
-	serving []ServingTime
+// peerReport is the last report of another node. It is used until it expires.
+type peerReport struct {
+	entries   Entries
+	expiresAt time.Time
+	// servingTimes holds the serving times that the node last reported.
+	servingTimes []ServingTime
 }
 
-// Exchange is the controller that tells other balancers of this one's open
-// requests, and takes theirs into the book. In a small system balancers tell each
-// other; in a large one each tells a collector, which answers with the open
-// requests of all.
+// Exchange is the controller that reports a balancer's open requests to other nodes and adds
+// their counts to the Counter. In a small system balancers report to each other. In a large
+// system each reports to a collector, which replies with the open requests of all balancers.
 type Exchange struct {
 	options ExchangeOptions
-	book    *Counter
-	outlet  Sender
-	// reports has the envelopes with reports of other balancers.
+	counter *Counter
+	sender  Sender
+	// reports is the queue of received envelopes with reports.
 	reports *board.Queue[protocol.Envelope]
 	demand  demand
-	// announced tells of changes of demand.
-	announced announcer
-	heard     map[model.NodeName]*heard
-	// collects tells that the system is large, and pause how long the collector
-	// wants balancers to wait between two reports.
-	collects bool
-	pause    time.Duration
-	// entries are this balancer's open requests, and told those that were sent
-	// last, at toldAt. Their memory is used again, so that looking costs none.
-	entries     Entries
-	told        Entries
-	openBy      map[string]int
-	toldAt      time.Time
-	forgottenAt time.Time
-	// servingToldAt is when a collector was last told serving times.
-	servingToldAt time.Time
+	// notifier calls OnChange when demand changes.
+	notifier    changeNotifier
+	peerReports map[model.NodeName]*peerReport
+	// usesCollector is set in a large system. collectorInterval is the time between two reports
+	// that the collector asked for.
+	usesCollector     bool
+	collectorInterval time.Duration
+	// entries are this balancer's open requests, sentEntries those last sent, at sentAt. The two
+	// slices swap on each send so that their memory is reused.
+	entries       Entries
+	sentEntries   Entries
+	openByService map[string]int
+	sentAt        time.Time
+	sweptAt       time.Time
+	// servingTimesSentAt is when serving times were last sent to a collector.
+	servingTimesSentAt time.Time
 }
 
-// NewExchange returns the controller that takes reports from a queue.
-func NewExchange(options ExchangeOptions, book *Counter, outlet Sender, reports *board.Queue[protocol.Envelope]) *Exchange {
+// NewExchange returns an Exchange that receives reports from the given queue.
+func NewExchange(options ExchangeOptions, counter *Counter, sender Sender, reports *board.Queue[protocol.Envelope]) *Exchange {
 	return &Exchange{
-		options: options, book: book, outlet: outlet, reports: reports,
-		heard: make(map[model.NodeName]*heard), openBy: make(map[string]int),
-		announced: announcer{onChange: options.OnChange},
+		options: options, counter: counter, sender: sender, reports: reports,
+		peerReports: make(map[model.NodeName]*peerReport), openByService: make(map[string]int),
+		notifier: changeNotifier{onChange: options.OnChange},
 	}
 }
 
 // Name implements board.Controller.
 func (exchange *Exchange) Name() string { return "load" }
 
-// Sources returns the channels whose notices call for a Reconcile.
+// Sources returns the channels that signal that Reconcile has work to do.
 func (exchange *Exchange) Sources() []<-chan struct{} {
 	return []<-chan struct{}{exchange.reports.Watch()}
 }
@@ -121,9 +117,9 @@
 // Reconcile implements board.Controller.
 func (exchange *Exchange) Reconcile(now time.Time) {
 	reports := protocol.Receive[Report](exchange.reports)
-	if now.Sub(exchange.forgottenAt) >= forgetInterval {
-		exchange.forgottenAt = now
-		exchange.book.forgetIdle()
+	if now.Sub(exchange.sweptAt) >= idleSweepInterval {
+		exchange.sweptAt = now
+		exchange.counter.removeIdle()
 	}
 	if exchange.options.Interval == 0 {
 		return
@@ -131,75 +127,76 @@
 	neighbours := exchange.options.Neighbours()
 	exchange.setMode(len(neighbours) == 0)
 	for _, received := range reports {
-		exchange.takeReport(received.From, received.Message, now)
+		exchange.handleReport(received.From, received.Message, now)
 	}
-	exchange.dropSilent(now)
-	exchange.book.partial.Store(exchange.collects && exchange.demand.high(now) && len(exchange.heard) == 0)
-	exchange.entries = exchange.book.appendOwn(exchange.entries[:0])
-	if exchange.collects {
-		exchange.tellCollector(now)
+	exchange.dropExpired(now)
+	exchange.counter.remoteCountsMissing.Store(exchange.usesCollector && exchange.demand.wanted(now) && len(exchange.peerReports) == 0)
+	exchange.entries = exchange.counter.appendLocal(exchange.entries[:0])
+	if exchange.usesCollector {
+		exchange.sendToCollector(now)
 	} else {
-		exchange.tellNeighbours(neighbours, now)
+		exchange.sendToNeighbours(neighbours, now)
 	}
-	exchange.announced.announce(SharingState{
-		Active: exchange.demand.high(now), Utilization: exchange.demand.average, Nodes: len(exchange.heard),
+	exchange.notifier.notify(SharingState{
+		Active: exchange.demand.wanted(now), Utilization: exchange.demand.averageUtilization, Nodes: len(exchange.peerReports),
 	})
 }
 
-// tellNeighbours tells the other balancers of a small system while it is worth it.
-func (exchange *Exchange) tellNeighbours(neighbours []model.NodeName, now time.Time) {
+// sendToNeighbours sends reports to the other balancers of a small system while load sharing is
+// active.
+func (exchange *Exchange) sendToNeighbours(neighbours []model.NodeName, now time.Time) {
 	exchange.demand.observe(exchange.utilization(len(neighbours)+1), now)
-	if exchange.demand.high(now) {
-		exchange.tell(neighbours, now)
+	if exchange.demand.wanted(now) {
+		exchange.sendWhenDue(neighbours, now)
 	}
 }
 
-// setMode forgets all that others told when the system becomes large or small:
-// a collector's report has the counts of the others too.
-func (exchange *Exchange) setMode(collects bool) {
-	if collects == exchange.collects {
+// setMode drops all received reports when the system becomes large or small: a collector's report
+// includes the counts of the other balancers, which would otherwise be added twice.
+func (exchange *Exchange) setMode(usesCollector bool) {
+	if usesCollector == exchange.usesCollector {
 		return
 	}
-	exchange.collects = collects
-	exchange.forgetOthers("")
+	exchange.usesCollector = usesCollector
+	exchange.dropReportsExcept("")
 }
 
-// forgetOthers forgets what nodes told, but for the one with the name.
-func (exchange *Exchange) forgetOthers(kept model.NodeName) {
-	for name, known := range exchange.heard {
+// dropReportsExcept removes the reports of all nodes but the given one.
+func (exchange *Exchange) dropReportsExcept(kept model.NodeName) {
+	for name, report := range exchange.peerReports {
 		if name != kept {
-			exchange.replace(known.entries, nil)
-			delete(exchange.heard, name)
+			exchange.replaceRemote(report.entries, nil)
+			delete(exchange.peerReports, name)
 		}
 	}
 }
 
-// takeReport takes a report in when it is of the kind that counts now.
-func (exchange *Exchange) takeReport(from model.NodeName, report Report, now time.Time) {
+// handleReport applies a report if its scope fits the current mode, and ignores it otherwise.
+func (exchange *Exchange) handleReport(from model.NodeName, report Report, now time.Time) {
 	switch {
-	case report.Scope == ScopeBalancer && !exchange.collects:
-		exchange.take(from, report.Entries.sound(), now.Add(silentAfter))
-	case report.Scope == ScopeSystem && exchange.collects:
-		exchange.pause = min(report.Pause, longestPause)
-		exchange.forgetOthers(from)
-		silent := max(silentAfter, silentPauses*exchange.pause)
-		exchange.take(from, report.Entries.sound().without(exchange.told), now.Add(silent))
+	case report.Scope == ScopeBalancer && !exchange.usesCollector:
+		exchange.applyReport(from, report.Entries.valid(), now.Add(minReportExpiry))
+	case report.Scope == ScopeSystem && exchange.usesCollector:
+		exchange.collectorInterval = min(report.Pause, maxReportInterval)
+		exchange.dropReportsExcept(from)
+		expiry := max(minReportExpiry, expiryIntervals*exchange.collectorInterval)
+		exchange.applyReport(from, report.Entries.valid().subtract(exchange.sentEntries), now.Add(expiry))
 		if len(report.Serving) > 0 {
-			exchange.book.services.hear(report.Serving)
+			exchange.counter.servingTimes.setReported(report.Serving)
 		}
 	default:
 		return
 	}
-	exchange.book.heard(now)
+	exchange.counter.noteRemoteReport(now)
 	if report.Wanted {
-		exchange.demand.heardAt = now
+		exchange.demand.wantedRemotelyAt = now
 	}
 }
 
-// utilization estimates the open requests of the busiest service by its
-// capacity, as if all balancers had as many as this one.
+// utilization estimates the open requests of the busiest service divided by its capacity. It
+// assumes that every balancer has as many open requests as this one.
 func (exchange *Exchange) utilization(balancers int) float64 {
-	open := exchange.openBy
+	open := exchange.openByService
 	clear(open)
 	highest := 0.0
 	for _, entry := range exchange.entries {
@@ -213,77 +210,78 @@
 	return highest
 }
 
-// take replaces what a node told before.
-func (exchange *Exchange) take(from model.NodeName, entries Entries, until time.Time) {
-	known := exchange.heard[from]
-	if known == nil {
-		known = &heard{}
-		exchange.heard[from] = known
+// applyReport replaces the previous report of a node.
+func (exchange *Exchange) applyReport(from model.NodeName, entries Entries, expiresAt time.Time) {
+	report := exchange.peerReports[from]
+	if report == nil {
+		report = &peerReport{}
+		exchange.peerReports[from] = report
 	}
-	exchange.replace(known.entries, entries)
-	known.entries = entries
-	known.until = until
+	exchange.replaceRemote(report.entries, entries)
+	report.entries = entries
+	report.expiresAt = expiresAt
 }
 
-// replace takes former counts out of the book and puts new ones in.
-func (exchange *Exchange) replace(former, entries Entries) {
+// replaceRemote removes the previous counts from the Counter and adds the new ones.
+func (exchange *Exchange) replaceRemote(previous, entries Entries) {
 	for _, entry := range entries {
-		exchange.book.add(entry.Token, 0, entry.Open)
+		exchange.counter.add(entry.Token, 0, entry.Open)
 	}
-	for _, entry := range former {
-		exchange.book.add(entry.Token, 0, -entry.Open)
+	for _, entry := range previous {
+		exchange.counter.add(entry.Token, 0, -entry.Open)
 	}
 }
 
-// dropSilent forgets the counts of nodes that tell nothing any more.
-func (exchange *Exchange) dropSilent(now time.Time) {
-	for name, known := range exchange.heard {
-		if now.After(known.until) {
-			exchange.replace(known.entries, nil)
-			delete(exchange.heard, name)
+// dropExpired removes the counts of nodes whose last report has expired.
+func (exchange *Exchange) dropExpired(now time.Time) {
+	for name, report := range exchange.peerReports {
+		if now.After(report.expiresAt) {
+			exchange.replaceRemote(report.entries, nil)
+			delete(exchange.peerReports, name)
 		}
 	}
 }
 
-// tell sends the open requests when they changed, and now and then else.
-func (exchange *Exchange) tell(neighbours []model.NodeName, now time.Time) {
-	pause := max(exchange.options.Interval, pauseEach*time.Duration(len(neighbours)))
-	since := now.Sub(exchange.toldAt)
-	if since < pause || len(neighbours) == 0 {
+// sendWhenDue sends the open requests if they changed, or as a keepalive, and not more often than
+// the interval allows.
+func (exchange *Exchange) sendWhenDue(neighbours []model.NodeName, now time.Time) {
+	interval := max(exchange.options.Interval, intervalPerPeer*time.Duration(len(neighbours)))
+	since := now.Sub(exchange.sentAt)
+	if since < interval || len(neighbours) == 0 {
 		return
 	}
 	exchange.entries.sort()
-	same := slices.Equal(exchange.entries, exchange.told)
-	if same && (since < keepaliveInterval || len(exchange.entries) == 0) {
+	unchanged := slices.Equal(exchange.entries, exchange.sentEntries)
+	if unchanged && (since < keepaliveInterval || len(exchange.entries) == 0) {
 		return
 	}
-	exchange.told, exchange.entries = exchange.entries, exchange.told
-	exchange.toldAt = now
-	exchange.outlet.Send(neighbours, Report{Entries: exchange.told, Wanted: exchange.demand.found(now)})
+	exchange.sentEntries, exchange.entries = exchange.entries, exchange.sentEntries
+	exchange.sentAt = now
+	exchange.sender.Send(neighbours, Report{Entries: exchange.sentEntries, Wanted: exchange.demand.wantedLocally(now)})
 }
 
-// tellCollector sends the open requests to the collector, now and then while the
-// load is low, and as often as it wants while sharing is worth it.
-func (exchange *Exchange) tellCollector(now time.Time) {
+// sendToCollector sends the open requests to the collector: every idleReportInterval while load is
+// low, and at the interval that the collector asked for while load sharing is active.
+func (exchange *Exchange) sendToCollector(now time.Time) {
 	if exchange.options.Collector == nil {
 		return
 	}
 	collector := exchange.options.Collector()
-	pause := calmInterval
-	if exchange.demand.high(now) {
-		pause = max(exchange.options.Interval, exchange.pause)
+	interval := idleReportInterval
+	if exchange.demand.wanted(now) {
+		interval = max(exchange.options.Interval, exchange.collectorInterval)
 	}
-	nothing := len(exchange.entries) == 0 && len(exchange.told) == 0
-	if collector == "" || nothing || now.Sub(exchange.toldAt) < pause {
+	nothingToReport := len(exchange.entries) == 0 && len(exchange.sentEntries) == 0
+	if collector == "" || nothingToReport || now.Sub(exchange.sentAt) < interval {
 		return
 	}
 	exchange.entries.sort()
-	exchange.told, exchange.entries = exchange.entries, exchange.told
-	exchange.toldAt = now
-	report := Report{Entries: exchange.told}
-	if now.Sub(exchange.servingToldAt) >= servingInterval {
-		exchange.servingToldAt = now
-		report.Serving = exchange.book.services.all()
+	exchange.sentEntries, exchange.entries = exchange.entries, exchange.sentEntries
+	exchange.sentAt = now
+	report := Report{Entries: exchange.sentEntries}
+	if now.Sub(exchange.servingTimesSentAt) >= servingTimeInterval {
+		exchange.servingTimesSentAt = now
+		report.Serving = exchange.counter.servingTimes.observedTimes()
 	}
-	exchange.outlet.Send([]model.NodeName{collector}, report)
+	exchange.sender.Send([]model.NodeName{collector}, report)
 }
--- a/internal/direct/load/links.go
+++ b/internal/direct/load/links.go
@@ -7,71 +7,72 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Connector makes and closes connections to other balancers.
+// Connector opens and closes connections to other balancers.
 type Connector interface {
-	// Connect keeps a connection to the node from now on.
+	// Connect opens a connection to the node and keeps it open.
 	Connect(node model.NodeName)
-	// Disconnect gives up the connection.
+	// Disconnect closes the connection to the node.
 	Disconnect(node model.NodeName)
 }
 
-// LinkOutlet sends reports over the links between processes, which prove who
-// sends. It is for one goroutine.
+// LinkSender sends reports over the authenticated links between processes. It opens the links
+// that it needs. It must not be used by more than one goroutine.
 type LinkSender struct {
 	mailbox   *protocol.Mailbox
 	connector Connector
-	// connected are the nodes that were told last.
+	// connected are the recipients of the last report.
 	connected []model.NodeName
 }
 
 var _ Sender = (*LinkSender)(nil)
 
-// NewLinkOutlet returns an outlet that makes its connections by connector.
+// NewLinkSender returns a LinkSender that opens its connections with connector.
 func NewLinkSender(mailbox *protocol.Mailbox, connector Connector) *LinkSender {
 	return &LinkSender{mailbox: mailbox, connector: connector}
 }
 
-// Tell implements Outlet.
-func (outlet *LinkSender) Send(nodes []model.NodeName, report Report) {
-	if !slices.Equal(nodes, outlet.connected) {
-		outlet.connect(nodes)
+// Send implements Sender.
+func (sender *LinkSender) Send(nodes []model.NodeName, report Report) {
+	if !slices.Equal(nodes, sender.connected) {
+		sender.connect(nodes)
 	}
 	report.Entries = slices.Clone(report.Entries)
 	for _, node := range nodes {
-		outlet.mailbox.Send(node, report)
+		sender.mailbox.Send(node, report)
 	}
 }
 
-// connect keeps connections to the nodes. Of two nodes that tell each other, the
-// one with the lower name connects.
-func (outlet *LinkSender) connect(nodes []model.NodeName) {
-	for _, node := range outlet.connected {
-		if outlet.dials(node) && !slices.Contains(nodes, node) {
-			outlet.connector.Disconnect(node)
+// connect opens and closes connections so that they match the nodes. Of two nodes that report to
+// each other, the one with the lower name connects.
+func (sender *LinkSender) connect(nodes []model.NodeName) {
+	for _, node := range sender.connected {
+		if sender.dials(node) && !slices.Contains(nodes, node) {
+			sender.connector.Disconnect(node)
 		}
 	}
 	for _, node := range nodes {
-		if outlet.dials(node) && !slices.Contains(outlet.connected, node) {
-			outlet.connector.Connect(node)
+		if sender.dials(node) && !slices.Contains(sender.connected, node) {
+			sender.connector.Connect(node)
 		}
 	}
-	outlet.connected = slices.Clone(nodes)
+	sender.connected = slices.Clone(nodes)
 }
 
-func (outlet *LinkSender) dials(node model.NodeName) bool { return outlet.mailbox.Self < node }
+// dials reports whether this node, rather than the other one, opens the connection.
+func (sender *LinkSender) dials(node model.NodeName) bool { return sender.mailbox.Self < node }
 
-// MailboxOutlet sends reports over links that stand for other reasons, as those of
-// members with each other and with their balancers do.
+// MailboxSender sends reports over links that other components keep open, such as those between
+// members and from members to their balancers.
 type MailboxSender struct {
 	Mailbox *protocol.Mailbox
 }
 
 var _ Sender = MailboxSender{}
 
-// Tell implements Outlet.
-func (outlet MailboxSender) Send(nodes []model.NodeName, report Report) {
+// Send implements Sender.
+func (sender MailboxSender) Send(nodes []model.NodeName, report Report) {
 	report.Entries = slices.Clone(report.Entries)
 	for _, node := range nodes {
-		outlet.Mailbox.Send(node, report)
+		sender.Mailbox.Send(node, report)
 	}
 }
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -17,15 +17,15 @@
 
 const interval = 100 * time.Millisecond
 
-// node is one balancer's book with its exchange.
+// node is a balancer's Counter with its Exchange.
 type node struct {
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
-	book       *Counter
+	counter    *Counter
 	exchange   *Exchange
 	neighbours []model.NodeName
 	connected  map[model.NodeName]bool
-	// capacity is that of each service.
+	// capacity is the capacity of each service.
 	capacity int
 }
 
@@ -35,20 +35,21 @@
 // Disconnect implements Connector.
 func (node *node) Disconnect(name model.NodeName) { delete(node.connected, name) }
 
+// newNode returns a balancer that exchanges reports with the given neighbours.
 func newNode(name model.NodeName, interval time.Duration, neighbours ...model.NodeName) *node {
-	made := &node{mailbox: protocol.NewMailbox(name), book: NewCounter(), neighbours: neighbours, connected: make(map[model.NodeName]bool)}
-	made.dispatcher = protocol.NewDispatcher(made.mailbox)
-	made.exchange = NewExchange(ExchangeOptions{
+	result := &node{mailbox: protocol.NewMailbox(name), counter: NewCounter(), neighbours: neighbours, connected: make(map[model.NodeName]bool)}
+	result.dispatcher = protocol.NewDispatcher(result.mailbox)
+	result.exchange = NewExchange(ExchangeOptions{
 		Interval:   interval,
-		Neighbours: func() []model.NodeName { return made.neighbours },
-		Capacities: made,
-	}, made.book, NewLinkSender(made.mailbox, made), made.dispatcher.Handle(Report{}))
-	made.capacity = 1
-	return made
+		Neighbours: func() []model.NodeName { return result.neighbours },
+		Capacities: result,
+	}, result.counter, NewLinkSender(result.mailbox, result), result.dispatcher.Handle(Report{}))
+	result.capacity = 1
+	return result
 }
 
-// ServiceCapacity implements Capacities. Tokens from 100 on are those of a second
-// service.
+// ServiceCapacity implements Capacities. Tokens below 100 belong to the service "first", all others
+// to the service "second".
 func (node *node) ServiceCapacity(token directory.Token) (string, int) {
 	if token >= 100 {
 		return "second", node.capacity
@@ -56,55 +57,58 @@
 	return "first", node.capacity
 }
 
-// PoolCapacity implements PoolCapacities: each service has a pool.
+// PoolCapacity implements PoolCapacities. Each service has one pool.
 func (node *node) PoolCapacity(token directory.Token) (directory.Pool, int) {
 	service, capacity := node.ServiceCapacity(token)
 	return directory.Pool{Service: service}, capacity
 }
 
-// run lets time pass at nodes that reach each other, but for those that are cut
-// off.
-func run(from time.Time, duration time.Duration, cut map[model.NodeName]bool, nodes ...*node) time.Time {
+// run simulates the nodes for the duration, in steps of 10 ms, and returns the time at the end.
+// Messages from and to isolated nodes are dropped.
+func run(from time.Time, duration time.Duration, isolated map[model.NodeName]bool, nodes ...*node) time.Time {
 	now := from
 	for ; now.Before(from.Add(duration)); now = now.Add(10 * time.Millisecond) {
 		for _, node := range nodes {
 			node.dispatcher.Reconcile(now)
 			node.exchange.Reconcile(now)
-			deliver(node, cut, nodes)
+			deliver(node, isolated, nodes)
 		}
 	}
 	return now
 }
 
-func deliver(from *node, cut map[model.NodeName]bool, nodes []*node) {
+// deliver moves the messages of a node's outbox to the inboxes of their recipients.
+func deliver(from *node, isolated map[model.NodeName]bool, nodes []*node) {
 	for _, envelope := range from.mailbox.Outbox.Drain() {
 		for _, node := range nodes {
-			if node.mailbox.Self == envelope.To && !cut[envelope.To] && !cut[from.mailbox.Self] {
+			if node.mailbox.Self == envelope.To && !isolated[envelope.To] && !isolated[from.mailbox.Self] {
 				node.mailbox.Inbox.Put(protocol.Envelope{From: from.mailbox.Self, To: envelope.To, Message: envelope.Message})
 			}
 		}
 	}
 }
 
+// begin starts count requests at the target.
 func begin(node *node, token directory.Token, count int) {
 	for range count {
-		node.book.Began(requests.Target{Token: token}, start)
+		node.counter.Began(requests.Target{Token: token}, start)
 	}
 }
 
+// end ends count requests at the target with an answer.
 func end(node *node, token directory.Token, count int) {
 	for range count {
-		node.book.Ended(requests.Target{Token: token}, requests.Answered, time.Millisecond)
+		node.counter.Ended(requests.Target{Token: token}, requests.Answered, time.Millisecond)
 	}
 }
 
-// openAt returns the open requests that a node knows of at a target.
+// openAt returns the node's estimate of the open requests at a target.
 func openAt(node *node, token directory.Token) int {
-	open, _ := node.book.Load(token)
+	open, _ := node.counter.Load(token)
 	return open
 }
 
-func TestBalancersKnowTheOpenRequestsOfOthers(t *testing.T) {
+func TestBalancersExchangeOpenRequestCounts(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
 	begin(one, 7, 3)
 	begin(other, 7, 1)
@@ -114,36 +118,36 @@
 	require.Equal(t, 2, openAt(one, 8))
 	require.Equal(t, 4, openAt(other, 7))
 	require.Zero(t, openAt(one, 9))
-	own, others := one.book.Totals()
-	require.Equal(t, 3, own)
-	require.Equal(t, 3, others)
+	local, remote := one.counter.Totals()
+	require.Equal(t, 3, local)
+	require.Equal(t, 3, remote)
 	end(other, 8, 2)
 	end(one, 7, 2)
-	require.Equal(t, 2, openAt(one, 7), "own requests count at once")
+	require.Equal(t, 2, openAt(one, 7), "local requests are counted immediately")
 	run(now, 2*interval, nil, one, other)
 	require.Zero(t, openAt(one, 8))
 	require.Equal(t, 2, openAt(other, 7))
 }
 
-func TestCountsOfSilentBalancersAreForgotten(t *testing.T) {
+func TestCountsOfUnresponsiveBalancersExpire(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
 	begin(other, 7, 5)
 	now := run(start, 2*interval, nil, one, other)
 	require.Equal(t, 5, openAt(one, 7))
-	now = run(now, silentAfter+keepaliveInterval, map[model.NodeName]bool{"b": true}, one, other)
-	require.Zero(t, openAt(one, 7), "the other one is cut off")
+	now = run(now, minReportExpiry+keepaliveInterval, map[model.NodeName]bool{"b": true}, one, other)
+	require.Zero(t, openAt(one, 7), "the other balancer is isolated")
 	run(now, 2*keepaliveInterval, nil, one, other)
-	require.Equal(t, 5, openAt(one, 7), "unchanged counts are told again")
+	require.Equal(t, 5, openAt(one, 7), "unchanged counts are sent again as a keepalive")
 }
 
-func TestCountsStayWhileTheyDoNotChange(t *testing.T) {
+func TestUnchangedCountsAreKeptAlive(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
 	begin(other, 7, 5)
-	run(start, 10*silentAfter, nil, one, other)
+	run(start, 10*minReportExpiry, nil, one, other)
 	require.Equal(t, 5, openAt(one, 7))
 }
 
-func TestIdleBalancersSayNothing(t *testing.T) {
+func TestIdleBalancersSendNoReports(t *testing.T) {
 	one := newNode("a", interval, "b")
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(interval) {
 		one.exchange.Reconcile(now)
@@ -151,7 +155,7 @@
 	require.Empty(t, one.mailbox.Outbox.Drain())
 }
 
-func TestReportsAreBounded(t *testing.T) {
+func TestReportRateIsBounded(t *testing.T) {
 	for _, count := range []int{2, 16, 50} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			var neighbours []model.NodeName
@@ -164,13 +168,13 @@
 				one.exchange.Reconcile(now)
 			}
 			sent := len(one.mailbox.Outbox.Drain())
-			require.LessOrEqual(t, sent, min(count*int(time.Second/interval), int(time.Second/pauseEach))+count)
+			require.LessOrEqual(t, sent, min(count*int(time.Second/interval), int(time.Second/intervalPerPeer))+count)
 			require.NotZero(t, sent)
 		})
 	}
 }
 
-func TestNothingIsSharedWithoutAnInterval(t *testing.T) {
+func TestZeroIntervalDisablesExchange(t *testing.T) {
 	one, other := newNode("a", 0, "b"), newNode("b", interval, "a")
 	begin(one, 7, 3)
 	begin(other, 7, 2)
@@ -179,21 +183,21 @@
 	require.Equal(t, 2, openAt(other, 7))
 }
 
-// TestOneOfTwoConnects: a connection carries both ways, so the one with the
-// lower name makes it.
-func TestOneOfTwoConnects(t *testing.T) {
+// TestNodeWithLowerNameConnects: a connection carries reports in both directions, so only the node
+// with the lower name opens one.
+func TestNodeWithLowerNameConnects(t *testing.T) {
 	node := newNode("b", interval)
-	outlet := NewLinkSender(node.mailbox, node)
-	outlet.Send([]model.NodeName{"a", "c", "d"}, Report{})
+	sender := NewLinkSender(node.mailbox, node)
+	sender.Send([]model.NodeName{"a", "c", "d"}, Report{})
 	require.Equal(t, map[model.NodeName]bool{"c": true, "d": true}, node.connected)
-	outlet.Send([]model.NodeName{"d", "e"}, Report{})
+	sender.Send([]model.NodeName{"d", "e"}, Report{})
 	require.Equal(t, map[model.NodeName]bool{"d": true, "e": true}, node.connected)
 }
 
-func TestCountsThatNobodyCanMeanAreDropped(t *testing.T) {
+func TestInvalidCountsAreDropped(t *testing.T) {
 	node := newNode("b", interval, "a")
 	node.exchange.reports.Put(protocol.Envelope{From: "a", Message: Report{Entries: []Entry{
-		{Token: 7, Open: 2}, {Token: 8, Open: -3}, {Token: 9, Open: maximumOpen + 1}, {Open: 1},
+		{Token: 7, Open: 2}, {Token: 8, Open: -3}, {Token: 9, Open: maxOpen + 1}, {Open: 1},
 	}}})
 	node.exchange.Reconcile(start)
 	require.Equal(t, 2, openAt(node, 7))
@@ -202,21 +206,21 @@
 	require.Zero(t, openAt(node, 0))
 }
 
-// TestCountsAreNotUsedWhereFlowsAreSprayed: a balancer that sees requests, and
-// not the acknowledgements of their answers, neither uses nor tells its counts.
+// TestCountsAreNotUsedWhereFlowsAreSprayed: a balancer that sees requests but not the
+// acknowledgements of their answers neither uses nor reports its counts.
 func TestCountsAreNotUsedWhereFlowsAreSprayed(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
 	begin(one, 7, 50)
 	run(start, 3*interval, nil, one, other)
 	require.Equal(t, 50, openAt(other, 7))
 	for range 10 {
-		one.book.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
+		one.counter.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
 	}
 	require.Zero(t, openAt(one, 7))
 	now := run(start.Add(3*interval), 3*interval, nil, one, other)
 	require.Zero(t, openAt(other, 7))
 	end(one, 7, 20)
-	require.Equal(t, 20, openAt(one, 7), "flows that are whole again count again")
+	require.Equal(t, 20, openAt(one, 7), "counts are used again once answers are seen")
 	run(now, 3*interval, nil, one, other)
 	require.Equal(t, 20, openAt(other, 7))
 }
@@ -225,29 +229,29 @@
 	node := newNode("a", interval, "b")
 	begin(node, 7, 5)
 	for range 100 {
-		node.book.Continued(true)
+		node.counter.Continued(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 	for range 10 {
-		node.book.Continued(false)
+		node.counter.Continued(false)
 	}
 	require.Zero(t, openAt(node, 7))
 	for range 100 {
-		node.book.Continued(true)
+		node.counter.Continued(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 }
 
 func TestServingTimeIsLearned(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
-	answer := func(book *Counter, open int, took time.Duration, ending requests.Ending) {
+	answer := func(counter *Counter, open int, took time.Duration, ending requests.Ending) {
 		for range open {
-			book.Began(target, start)
+			counter.Began(target, start)
 		}
 		for range open - 1 {
-			book.Ended(target, requests.Withdrawn, 0)
+			counter.Ended(target, requests.Withdrawn, 0)
 		}
-		book.Ended(target, ending, took)
+		counter.Ended(target, ending, took)
 	}
 	cases := []struct {
 		name   string
@@ -256,149 +260,150 @@
 		ending requests.Ending
 		want   time.Duration
 	}{
-		{"alone", 1, 40 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
-		{"as many as its capacity", 2, 40 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
-		{"some wait", 4, 80 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
-		{"full, where an answer may be a refusal", 10, 30 * time.Millisecond, requests.Answered, 0},
+		{"one request", 1, 40 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
+		{"as many requests as slots", 2, 40 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
+		{"some requests wait", 4, 80 * time.Millisecond, requests.Answered, 40 * time.Millisecond},
+		{"saturated, so the answer may be a refusal", 10, 30 * time.Millisecond, requests.Answered, 0},
 		{"unanswered", 1, time.Second, requests.Unanswered, 0},
 		{"withdrawn", 1, time.Millisecond, requests.Withdrawn, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := NewCounter()
-			for answers := range leastAnswers {
-				_, serving := book.Load(7)
-				require.Zero(t, serving, "%d answers say too little", answers)
-				answer(book, test.open, test.took, test.ending)
+			counter := NewCounter()
+			for answers := range minAnswers {
+				_, serving := counter.Load(7)
+				require.Zero(t, serving, "%d answers are too few", answers)
+				answer(counter, test.open, test.took, test.ending)
 			}
-			open, serving := book.Load(7)
+			open, serving := counter.Load(7)
 			require.Zero(t, open)
 			require.Equal(t, test.want, serving)
-			require.InDelta(t, test.want, book.Typical("feed"), 1, "the only target is its service's typical one")
-			require.Zero(t, book.Typical("ledger"))
+			require.InDelta(t, test.want, counter.Typical("feed"), 1, "the service has a single target")
+			require.Zero(t, counter.Typical("ledger"))
 		})
 	}
-	book := NewCounter()
-	answer(book, 1, 40*time.Millisecond, requests.Answered)
+	counter := NewCounter()
+	answer(counter, 1, 40*time.Millisecond, requests.Answered)
 	for range 100 {
-		answer(book, 1, 80*time.Millisecond, requests.Answered)
+		answer(counter, 1, 80*time.Millisecond, requests.Answered)
 	}
-	_, serving := book.Load(7)
-	require.InDelta(t, 80*time.Millisecond, serving, float64(time.Millisecond), "it follows a target that turns slow")
+	_, serving := counter.Load(7)
+	require.InDelta(t, 80*time.Millisecond, serving, float64(time.Millisecond), "the average follows a target that becomes slow")
 	fresh := requests.Target{Token: 8, Service: "feed", Capacity: 2}
-	book.Began(fresh, start)
-	book.Ended(fresh, requests.Answered, time.Millisecond)
-	_, serving = book.Load(8)
-	require.Zero(t, serving, "one answer of a new target")
-	require.Greater(t, book.Typical("feed"), 70*time.Millisecond, "its service is known well enough")
+	counter.Began(fresh, start)
+	counter.Ended(fresh, requests.Answered, time.Millisecond)
+	_, serving = counter.Load(8)
+	require.Zero(t, serving, "the new target has only one answer")
+	require.Greater(t, counter.Typical("feed"), 70*time.Millisecond, "one answer hardly changes the service's average")
 }
 
-// TestTheEndOfARushTeachesNoLongServingTimes: ten requests came at once to a target that
-// works on two, and each took as long as those before it; the last ones are answered while
-// next to nothing is open any more. By what is left then, they would take 146 ms.
-func TestTheEndOfARushTeachesNoLongServingTimes(t *testing.T) {
+// TestEndOfALoadSpikeDoesNotRaiseServingTime sends ten requests at once to a target that serves two
+// at a time, so each waits for those before it, and the last ones are answered when hardly any
+// request is open. Judged by the occupancy at their end, requests would seem to take 146 ms.
+func TestEndOfALoadSpikeDoesNotRaiseServingTime(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
-	book := NewCounter()
-	const rush, each = 10, 40 * time.Millisecond
-	for range leastAnswers {
-		for range rush {
-			book.Began(target, start)
+	counter := NewCounter()
+	const spike, each = 10, 40 * time.Millisecond
+	for range minAnswers {
+		for range spike {
+			counter.Began(target, start)
 		}
-		for answered := range rush {
-			book.Ended(target, requests.Answered, each*time.Duration(answered/2+1))
+		for answered := range spike {
+			counter.Ended(target, requests.Answered, each*time.Duration(answered/2+1))
 		}
 	}
-	require.InDelta(t, each, book.Typical("feed"), float64(10*time.Millisecond))
+	require.InDelta(t, each, counter.Typical("feed"), float64(10*time.Millisecond))
 }
 
-func TestIdleTargetsLeaveNothingBehind(t *testing.T) {
+func TestCountsOfIdleTargetsAreRemoved(t *testing.T) {
 	one := newNode("a", interval, "b")
 	begin(one, 7, 1)
 	begin(one, 8, 1)
 	end(one, 8, 1)
 	one.exchange.Reconcile(start)
-	require.Len(t, one.book.shard(8).counts, 1, "it was used a moment ago")
-	one.exchange.Reconcile(start.Add(forgetInterval))
-	require.Len(t, one.book.shard(7).counts, 1)
-	require.Empty(t, one.book.shard(8).counts)
+	require.Len(t, one.counter.shard(8).counts, 1, "used since the previous sweep")
+	one.exchange.Reconcile(start.Add(idleSweepInterval))
+	require.Len(t, one.counter.shard(7).counts, 1)
+	require.Empty(t, one.counter.shard(8).counts)
 }
 
 func BenchmarkLoad(b *testing.B) {
-	book := NewCounter()
-	book.Began(requests.Target{Token: 7}, start)
+	counter := NewCounter()
+	counter.Began(requests.Target{Token: 7}, start)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, _ = book.Load(7)
+		_, _ = counter.Load(7)
 	}
 }
 
-// learner is an estimate of serving times.
-type learner interface {
-	time() time.Duration
+// estimator is an estimate of serving times.
+type estimator interface {
+	estimate() time.Duration
 }
 
-// The first answers weigh alike: one that is out of the ordinary must not last.
-func TestTheFirstAnswersWeighAlike(t *testing.T) {
+// TestFirstAnswersHaveEqualWeight checks that an early outlier does not persist in the average.
+func TestFirstAnswersHaveEqualWeight(t *testing.T) {
 	target, service := &average{}, &average{}
-	for name, learned := range map[string]struct {
-		estimate learner
-		learn    func(alone time.Duration)
+	for name, test := range map[string]struct {
+		average estimator
+		learn   func(idleTime time.Duration)
 	}{
-		"target":  {target, func(alone time.Duration) { target.learn(float64(alone), targetWeight) }},
-		"service": {service, func(alone time.Duration) { service.learn(float64(alone), serviceWeight) }},
+		"target":  {target, func(idleTime time.Duration) { target.add(float64(idleTime), targetWeight) }},
+		"service": {service, func(idleTime time.Duration) { service.add(float64(idleTime), serviceWeight) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			learned.learn(240 * time.Millisecond)
-			for range leastAnswers - 1 {
-				learned.learn(40 * time.Millisecond)
+			test.learn(240 * time.Millisecond)
+			for range minAnswers - 1 {
+				test.learn(40 * time.Millisecond)
 			}
-			require.InDelta(t, 65*time.Millisecond, learned.estimate.time(), float64(time.Millisecond), "their mean")
+			require.InDelta(t, 65*time.Millisecond, test.average.estimate(), float64(time.Millisecond), "the mean of the first answers")
 			for range 30 {
-				learned.learn(40 * time.Millisecond)
+				test.learn(40 * time.Millisecond)
 			}
-			require.Less(t, learned.estimate.time(), 50*time.Millisecond)
+			require.Less(t, test.average.estimate(), 50*time.Millisecond)
 		})
 	}
 }
 
-// TestARushThatNobodyCountsDoesNotTeach: while the members are away, balancers do not know
-// how crowded targets are, and answers that waited for others seem to be those of slow ones.
-func TestARushThatNobodyCountsDoesNotTeach(t *testing.T) {
-	site := newSite(1, 20, 10)
+// TestServingTimeIsNotLearnedWithoutRemoteCounts: while the members are unreachable, balancers do
+// not know the occupancy of targets, and answers that waited for other requests would look like
+// those of slow targets.
+func TestServingTimeIsNotLearnedWithoutRemoteCounts(t *testing.T) {
+	cluster := newCluster(1, 20, 10)
 	target := requests.Target{Token: 8, Service: "first", Capacity: 2}
 	answers := func(took time.Duration) {
-		for range 4 * leastAnswers {
-			site.balancers[0].book.Began(target, start)
-			site.balancers[0].book.Ended(target, requests.Answered, took)
+		for range 4 * minAnswers {
+			cluster.balancers[0].counter.Began(target, start)
+			cluster.balancers[0].counter.Ended(target, requests.Answered, took)
 		}
 	}
 	answers(40 * time.Millisecond)
-	for _, balancer := range site.balancers {
+	for _, balancer := range cluster.balancers {
 		begin(balancer, 7, 1)
 	}
-	site.run(settled)
-	require.Equal(t, 20, openAt(site.balancers[0], 7))
-	site.cut["m0"] = true
-	site.run(silentAfter + 100*time.Millisecond)
+	cluster.run(settleTime)
+	require.Equal(t, 20, openAt(cluster.balancers[0], 7))
+	cluster.isolated["m0"] = true
+	cluster.run(minReportExpiry + 100*time.Millisecond)
 	answers(200 * time.Millisecond)
-	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.Typical("first"), 1)
+	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.Typical("first"), 1)
 }
 
-// TestABalancerThatStartsUnderLoadHearsServingTimes: all that it sees itself are answers of
-// crowded targets.
-func TestABalancerThatStartsUnderLoadHearsServingTimes(t *testing.T) {
-	site := newSite(3, 20, 10)
+// TestBalancerStartedUnderLoadReceivesServingTimes: such a balancer only observes answers of
+// saturated targets itself.
+func TestBalancerStartedUnderLoadReceivesServingTimes(t *testing.T) {
+	cluster := newCluster(3, 20, 10)
 	target := requests.Target{Token: 7, Service: "first", Capacity: 2}
-	for _, balancer := range site.balancers[1:] {
-		for range leastAnswers {
-			balancer.book.Began(target, start)
-			balancer.book.Ended(target, requests.Answered, 40*time.Millisecond)
+	for _, balancer := range cluster.balancers[1:] {
+		for range minAnswers {
+			balancer.counter.Began(target, start)
+			balancer.counter.Ended(target, requests.Answered, 40*time.Millisecond)
 		}
 		begin(balancer, 7, 1)
 	}
-	begin(site.balancers[0], 7, 1)
-	require.Zero(t, site.balancers[0].book.Typical("first"))
-	site.run(settled + 2*servingInterval)
-	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.Typical("first"), 1)
-	require.Zero(t, site.balancers[0].book.Typical("second"))
+	begin(cluster.balancers[0], 7, 1)
+	require.Zero(t, cluster.balancers[0].counter.Typical("first"))
+	cluster.run(settleTime + 2*servingTimeInterval)
+	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.Typical("first"), 1)
+	require.Zero(t, cluster.balancers[0].counter.Typical("second"))
 }
--- a/internal/direct/load/report.go
+++ b/internal/direct/load/report.go
@@ -11,65 +11,66 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Scope tells whose open requests a report has.
+// Scope identifies whose open requests a report contains.
 type Scope uint8
 
 // The scopes.
 const (
 	// ScopeBalancer: those of the balancer that sends the report.
 	ScopeBalancer Scope = iota
-	// ScopeFollowers: those of the balancers that report to the member which
-	// sends the report to other members.
+	// ScopeFollowers: those of all balancers that report to the sending member. Members send
+	// these reports to each other.
 	ScopeFollowers
-	// ScopeSystem: those of all balancers that are known to the member which
-	// sends the report to its balancers.
+	// ScopeSystem: those of all balancers known to the sending member. Members send these
+	// reports to their balancers.
 	ScopeSystem
 )
 
-// Report tells another node of open requests. It replaces the sender's report
-// before it; targets that it does not name have none.
+// Report contains open requests by target. It replaces the sender's previous report; targets that
+// it does not list have no open requests.
 type Report struct {
 	Scope   Scope
 	Entries Entries
-	// Wanted tells that the sender itself finds that the load should be shared.
+	// Wanted reports whether the sender's own utilization calls for load sharing.
 	Wanted bool
-	// Serving has the serving times of services, as the balancer saw them or as the
-	// member's balancers did in the median; none in most reports, which changes nothing.
+	// Serving holds serving times by service: those that a balancer observed, or the medians
+	// over a member's balancers. It is empty in most reports; the receiver then keeps the
+	// previous ones.
 	Serving []ServingTime
-	// Pause is how long balancers are to wait between two reports; set with
+	// Pause is the time that balancers are to leave between two reports. Set only with
 	// ScopeSystem.
 	Pause time.Duration
 }
 
 func init() { protocol.RegisterAs("dl", Report{}) }
 
-// Entry has the open requests at one target.
+// Entry is the number of open requests at one target.
 type Entry struct {
 	Token directory.Token
 	Open  int
 }
 
-// Entries are the open requests at targets. In reports they are in the ascending
-// order of their tokens.
+// Entries are the open requests by target. In reports they are sorted by token in ascending
+// order.
 type Entries []Entry
 
 func (entries Entries) sort() {
 	slices.SortFunc(entries, func(left, right Entry) int { return cmp.Compare(left.Token, right.Token) })
 }
 
-// maximumOpen is the largest count that is believed.
-const maximumOpen = 1 << 20
+// maxOpen is the largest count that is accepted from another node.
+const maxOpen = 1 << 20
 
-// sound returns the entries that another node can mean.
-func (entries Entries) sound() Entries {
+// valid removes the entries that no correct node sends. It modifies entries in place.
+func (entries Entries) valid() Entries {
 	return slices.DeleteFunc(entries, func(entry Entry) bool {
-		return entry.Token == 0 || entry.Open <= 0 || entry.Open > maximumOpen
+		return entry.Token == 0 || entry.Open <= 0 || entry.Open > maxOpen
 	})
 }
 
-// without returns the entries less those of a part of them. Both are in the order
-// of their tokens. The part may be newer, so that no count falls below zero.
-func (entries Entries) without(part Entries) Entries {
+// subtract returns entries minus the counts in part. Both must be sorted by token. Because part
+// may be more recent than entries, counts are limited to zero.
+func (entries Entries) subtract(part Entries) Entries {
 	rest := make(Entries, 0, len(entries))
 	for _, entry := range entries {
 		for len(part) > 0 && part[0].Token < entry.Token {
@@ -85,21 +86,21 @@
 	return rest
 }
 
-var errEntries = errors.New("the entries cannot be read")
+var errInvalidEntries = errors.New("load report entries are out of order, out of range or truncated")
 
-// MarshalBinary implements encoding.BinaryMarshaler, which gob uses: for each
-// entry the distance of its token from the one before, and the count, as
-// variable-length numbers. It takes about two bytes a target.
+// MarshalBinary implements encoding.BinaryMarshaler, which gob uses. Each entry is encoded as two
+// unsigned varints: the difference between its token and the previous token, and the count. That
+// takes about two bytes per target.
 func (entries Entries) MarshalBinary() ([]byte, error) {
 	content := make([]byte, 0, 2*len(entries))
-	before := directory.Token(0)
+	previous := directory.Token(0)
 	for _, entry := range entries {
-		if entry.Token < before || entry.Open < 0 {
-			return nil, errEntries
+		if entry.Token < previous || entry.Open < 0 {
+			return nil, errInvalidEntries
 		}
-		content = binary.AppendUvarint(content, uint64(entry.Token-before))
+		content = binary.AppendUvarint(content, uint64(entry.Token-previous))
 		content = binary.AppendUvarint(content, uint64(entry.Open))
-		before = entry.Token
+		previous = entry.Token
 	}
 	return content, nil
 }
@@ -111,12 +112,12 @@
 	for len(content) > 0 {
 		gap, gapBytes := binary.Uvarint(content)
 		if gapBytes <= 0 {
-			return errEntries
+			return errInvalidEntries
 		}
 		open, openBytes := binary.Uvarint(content[gapBytes:])
 		token += gap
-		if openBytes <= 0 || open > maximumOpen || gap > maximumToken || token > maximumToken {
-			return errEntries
+		if openBytes <= 0 || open > maxOpen || gap > maxToken || token > maxToken {
+			return errInvalidEntries
 		}
 		content = content[gapBytes+openBytes:]
 		*entries = append(*entries, Entry{Token: directory.Token(token), Open: int(open)})
@@ -124,5 +125,5 @@
 	return nil
 }
 
-// maximumToken is the largest token.
-const maximumToken = uint64(^directory.Token(0))
+// maxToken is the largest token.
+const maxToken = uint64(^directory.Token(0))
--- a/internal/direct/load/serving.go
+++ b/internal/direct/load/serving.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// targetWeight and serviceWeight are the weights of one more answer in the
-	// average serving time of a target and of a service, which has the answers of
+	// targetWeight and serviceWeight are the weights of a new answer in the average serving time
+	// of a target and of a service. The latter is lower because a service gets the answers of
 	// many targets.
 	targetWeight  = 0.1
 	serviceWeight = 0.02
-	// leastAnswers is the number of answers from which an average is used: single
-	// requests differ, and a service that is overloaded from its start on shows no
-	// more than the first few on idle targets.
-	leastAnswers = 8
+	// minAnswers is the number of answers from which an average is used. Single requests vary;
+	// and with a service that is overloaded from its start, only the first few answers come from
+	// idle targets.
+	minAnswers = 8
 )
 
 // average is a running average of serving times on idle targets.
@@ -25,17 +25,17 @@
 	answers int
 }
 
-// learn takes one more answer in. The first answers weigh alike, so that one of them
-// that is out of the ordinary does not last.
-func (average *average) learn(alone, weight float64) {
+// add updates the average with a sample, in nanoseconds. The first samples have equal weight, so
+// that an early outlier does not persist.
+func (average *average) add(sample, weight float64) {
 	average.answers++
 	weight = max(weight, 1/float64(average.answers))
-	average.value += weight * (alone - average.value)
+	average.value += weight * (sample - average.value)
 }
 
-// time returns the average, or zero while too few answers came.
-func (average *average) time() time.Duration {
-	if average.answers < leastAnswers {
+// estimate returns the average, or zero while there are too few answers.
+func (average *average) estimate() time.Duration {
+	if average.answers < minAnswers {
 		return 0
 	}
 	return time.Duration(average.value)
@@ -47,62 +47,64 @@
 	Time    time.Duration
 }
 
-// serviceTimes has the serving time of each service: what this balancer saw, and what
-// others told. Services are few, and stay.
+// serviceTimes holds the serving time of each service, both as observed by this balancer and as
+// reported by other nodes. Entries are never removed because services are few and long-lived.
 type serviceTimes struct {
-	lock  sync.RWMutex
-	seen  map[string]*average
-	heard map[string]time.Duration
+	lock     sync.RWMutex
+	observed map[string]*average
+	reported map[string]time.Duration
 }
 
-// learn takes in how long a request would have taken on an idle target.
-func (times *serviceTimes) learn(service string, alone float64) {
+// add updates the observed average of the service with the time that a request would have taken on
+// an idle target, in nanoseconds.
+func (times *serviceTimes) add(service string, idleTime float64) {
 	times.lock.Lock()
 	defer times.lock.Unlock()
-	if times.seen == nil {
-		times.seen = make(map[string]*average)
+	if times.observed == nil {
+		times.observed = make(map[string]*average)
 	}
-	known := times.seen[service]
-	if known == nil {
-		known = &average{}
-		times.seen[service] = known
+	observed := times.observed[service]
+	if observed == nil {
+		observed = &average{}
+		times.observed[service] = observed
 	}
-	known.learn(alone, serviceWeight)
+	observed.add(idleTime, serviceWeight)
 }
 
-// hear replaces what others told.
-func (times *serviceTimes) hear(told []ServingTime) {
+// setReported replaces the serving times reported by other nodes.
+func (times *serviceTimes) setReported(reported []ServingTime) {
 	times.lock.Lock()
 	defer times.lock.Unlock()
-	times.heard = make(map[string]time.Duration, len(told))
-	for _, serving := range told {
+	times.reported = make(map[string]time.Duration, len(reported))
+	for _, serving := range reported {
 		if serving.Time > 0 {
-			times.heard[serving.Service] = serving.Time
+			times.reported[serving.Service] = serving.Time
 		}
 	}
 }
 
-// typical returns what others told, or else what this balancer saw; zero when neither is
-// known. A balancer that started under load saw crowded targets alone.
+// typical returns the reported serving time, or else the one that this balancer observed; zero if
+// neither is known. The reported one comes first because a balancer that started under load has
+// only observed saturated targets.
 func (times *serviceTimes) typical(service string) time.Duration {
 	times.lock.RLock()
 	defer times.lock.RUnlock()
-	if heard := times.heard[service]; heard > 0 {
-		return heard
+	if reported := times.reported[service]; reported > 0 {
+		return reported
 	}
-	if known := times.seen[service]; known != nil {
-		return known.time()
+	if observed := times.observed[service]; observed != nil {
+		return observed.estimate()
 	}
 	return 0
 }
 
-// all returns what this balancer saw, by the names of services.
-func (times *serviceTimes) all() []ServingTime {
+// observedTimes returns the serving times that this balancer observed, sorted by service name.
+func (times *serviceTimes) observedTimes() []ServingTime {
 	times.lock.RLock()
 	defer times.lock.RUnlock()
 	var all []ServingTime
-	for service, known := range times.seen {
-		if serving := known.time(); serving > 0 {
+	for service, observed := range times.observed {
+		if serving := observed.estimate(); serving > 0 {
 			all = append(all, ServingTime{Service: service, Time: serving})
 		}
 	}
@@ -120,19 +122,19 @@
 	return 0
 }
 
-// medians returns the median time of each service over what balancers told: a few that
-// started under load know only crowded targets.
-func medians(told [][]ServingTime) []ServingTime {
+// medians returns the median serving time of each service over the reports of balancers. A few
+// balancers that started under load and only observed saturated targets don't affect a median.
+func medians(reports [][]ServingTime) []ServingTime {
 	times := make(map[string][]time.Duration)
-	for _, servings := range told {
+	for _, servings := range reports {
 		for _, serving := range servings {
 			times[serving.Service] = append(times[serving.Service], serving.Time)
 		}
 	}
 	var all []ServingTime
-	for service, known := range times {
-		slices.Sort(known)
-		all = append(all, ServingTime{Service: service, Time: known[len(known)/2]})
+	for service, samples := range times {
+		slices.Sort(samples)
+		all = append(all, ServingTime{Service: service, Time: samples[len(samples)/2]})
 	}
 	slices.SortFunc(all, compareServices)
 	return all
--- a/internal/direct/load/size_bench_test.go
+++ b/internal/direct/load/size_bench_test.go
@@ -9,78 +9,78 @@
 	"merlinpaddle/internal/model"
 )
 
-// openAtEach is the number of targets at which a balancer of the benchmarks has open
+// targetsPerBalancer is the number of targets at which each balancer of the benchmark has open
 // requests.
-const openAtEach = 10
+const targetsPerBalancer = 10
 
-// capacityOf has the same capacity for every service.
-type capacityOf int
+// fixedCapacity gives every service and pool the same capacity.
+type fixedCapacity int
 
 // ServiceCapacity implements Capacities.
-func (capacity capacityOf) ServiceCapacity(directory.Token) (string, int) {
+func (capacity fixedCapacity) ServiceCapacity(directory.Token) (string, int) {
 	return "feed", int(capacity)
 }
 
 // PoolCapacity implements PoolCapacities.
-func (capacity capacityOf) PoolCapacity(directory.Token) (directory.Pool, int) {
+func (capacity fixedCapacity) PoolCapacity(directory.Token) (directory.Pool, int) {
 	return directory.Pool{Service: "feed"}, int(capacity)
 }
 
-// discard counts the bytes of reports as datagrams carry them.
-type discard struct {
+// countingSender counts the bytes that reports take as datagrams.
+type countingSender struct {
 	encoders *gobstream.Encoders
 	bytes    int
 	messages int
 }
 
-// Tell implements Outlet.
-func (outlet *discard) Send(nodes []model.NodeName, report Report) {
-	content, err := outlet.encoders.Encode(report)
+// Send implements Sender.
+func (sender *countingSender) Send(nodes []model.NodeName, report Report) {
+	content, err := sender.encoders.Encode(report)
 	if err != nil {
 		return
 	}
-	outlet.bytes += len(content) * len(nodes)
-	outlet.messages += len(nodes)
+	sender.bytes += len(content) * len(nodes)
+	sender.messages += len(nodes)
 }
 
-// BenchmarkCollectorRound shows what one round costs a member, whose balancers
-// report and are told, without the sockets.
+// BenchmarkCollectorRound measures one round of a member: receiving the reports of its balancers and
+// sending sums and totals, without the sockets.
 func BenchmarkCollectorRound(b *testing.B) {
 	for _, size := range []struct{ balancers, targets int }{{15, 150}, {50, 600}, {50, 3000}} {
 		b.Run(fmt.Sprintf("balancers=%d/targets=%d", size.balancers, size.targets), func(b *testing.B) {
-			outlet := &discard{encoders: gobstream.NewEncoders()}
+			sender := &countingSender{encoders: gobstream.NewEncoders()}
 			members := []model.NodeName{"m0", "m1", "m2", "m3", "m4", "m5"}
 			collector := NewCollector("m0", CollectorOptions{
-				Interval: interval, Members: func() []model.NodeName { return members }, Capacities: capacityOf(1),
-			}, outlet, nil)
-			collector.demand.foundAt = start
+				Interval: interval, Members: func() []model.NodeName { return members }, Capacities: fixedCapacity(1),
+			}, sender, nil)
+			collector.demand.wantedLocallyAt = start
 			report := func(from, targets int) Report {
-				var told Report
+				var result Report
 				for token := range targets {
-					told.Entries = append(told.Entries, Entry{Token: directory.Token((from*7+token)%size.targets + 1), Open: 2})
+					result.Entries = append(result.Entries, Entry{Token: directory.Token((from*7+token)%size.targets + 1), Open: 2})
 				}
-				told.Entries.sort()
-				return told
+				result.Entries.sort()
+				return result
 			}
 			for member := range members[1:] {
 				part := report(member, size.targets)
 				part.Scope = ScopeFollowers
-				collector.take(members[member+1], part, start)
+				collector.applyReport(members[member+1], part, start)
 			}
 			reports := make([]Report, size.balancers)
 			for balancer := range reports {
-				reports[balancer] = report(balancer, openAtEach)
+				reports[balancer] = report(balancer, targetsPerBalancer)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				for balancer, told := range reports {
-					collector.take(model.NodeName(fmt.Sprint("b", balancer)), told, start)
+				for balancer, sent := range reports {
+					collector.applyReport(model.NodeName(fmt.Sprint("b", balancer)), sent, start)
 				}
-				collector.addUp()
+				collector.sumReports()
 				collector.demand.observe(collector.utilization(), start)
-				collector.tell(start)
+				collector.sendSums(start)
 			}
-			b.ReportMetric(float64(outlet.bytes)/float64(outlet.messages), "bytes/message")
+			b.ReportMetric(float64(sender.bytes)/float64(sender.messages), "bytes/message")
 		})
 	}
 }
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -9,51 +9,54 @@
 )
 
 const (
-	// missedMost is the largest share of unanswered requests with which counts are
-	// used.
-	missedMost = 0.3
-	// provenAfter is how long after the first request counts prove nothing. Answers are seen
-	// at once and misses after requests.HangAfter alone, so that before then no request seems
-	// to go unanswered; as long again lets the misses weigh in the average.
-	provenAfter = 2 * requests.HangAfter
+	// maxUnansweredShare is the largest share of unanswered requests at which counts are used.
+	maxUnansweredShare = 0.3
+	// minObservationTime is how long after the first request the counts become sufficient
+	// evidence. Answers are seen at once, but unanswered requests only after requests.HangAfter,
+	// so before then no request seems unanswered. The same time again lets unanswered requests
+	// take effect in the average.
+	minObservationTime = 2 * requests.HangAfter
 )
 
-// trust tells whether a balancer sees enough of its flows to count their
-// requests. Where it does not, requests seem to stay open for long, and counts
-// say nothing of what targets have to do.
-type trust struct {
-	flows requests.Continuity
-	// missed is the share of requests that went unanswered, as far as was seen.
-	missed requests.Share
-	// begunAt is when the first request began, in Unix nanoseconds; zero without one.
-	begunAt atomic.Int64
+// reliability decides whether a balancer sees enough packets of its flows to count their
+// requests. Where it does not, requests seem to stay open too long, and the counts do not
+// reflect the load of targets.
+type reliability struct {
+	continuity requests.Continuity
+	// unanswered is the share of requests for which this balancer saw no answer.
+	unanswered requests.Share
+	// firstRequestAt is when the first request began, in Unix nanoseconds; zero before it.
+	firstRequestAt atomic.Int64
 }
 
-// began takes in that a request began.
-func (trust *trust) began(now time.Time) {
-	if trust.begunAt.Load() == 0 {
-		trust.begunAt.CompareAndSwap(0, now.UnixNano())
+// noteRequest records that a request began.
+func (reliability *reliability) noteRequest(now time.Time) {
+	if reliability.firstRequestAt.Load() == 0 {
+		reliability.firstRequestAt.CompareAndSwap(0, now.UnixNano())
 	}
 }
 
-// holds tells whether nothing speaks against the counts, so that a choice may go by them.
-// A balancer that has just started has nothing that does.
-func (trust *trust) holds() bool { return trust.missed.Value() <= missedMost && trust.flows.Whole() }
+// usable reports whether there is no evidence against the counts, so that they may be used to
+// choose a target. This is so for a balancer that has just started.
+func (reliability *reliability) usable() bool {
+	return reliability.unanswered.Value() <= maxUnansweredShare && reliability.continuity.Whole()
+}
 
-// proven tells whether enough speaks for the counts to refuse a flow by them: even if all
-// requests before the first one had been missed, few enough are.
-func (trust *trust) proven(now time.Time) bool {
-	begunAt := trust.begunAt.Load()
-	if begunAt == 0 || now.UnixNano()-begunAt < int64(provenAfter) {
+// sufficientEvidence reports whether there is enough evidence for the counts to refuse a flow based
+// on them: the share of unanswered requests would be low enough even if all requests before the
+// first observed one had been unanswered.
+func (reliability *reliability) sufficientEvidence(now time.Time) bool {
+	firstRequestAt := reliability.firstRequestAt.Load()
+	if firstRequestAt == 0 || now.UnixNano()-firstRequestAt < int64(minObservationTime) {
 		return false
 	}
-	return trust.missed.Most() <= missedMost && trust.flows.Whole()
+	return reliability.unanswered.Most() <= maxUnansweredShare && reliability.continuity.Whole()
 }
 
-// proportions returns what the trust rests on: the share of data behind a gap, and that of
-// requests whose answer was not seen.
-func (trust *trust) proportions() (gaps, missed steer.Proportion) {
-	gaps.Share, gaps.Cases = trust.flows.Gaps()
-	missed = steer.Proportion{Share: trust.missed.Value(), Cases: trust.missed.Cases()}
-	return gaps, missed
+// proportions returns the figures behind the decision: the share of data behind a gap, and the
+// share of requests whose answer was not seen.
+func (reliability *reliability) proportions() (gaps, unanswered steer.Proportion) {
+	gaps.Share, gaps.Cases = reliability.continuity.Gaps()
+	unanswered = steer.Proportion{Share: reliability.unanswered.Value(), Cases: reliability.unanswered.Cases()}
+	return gaps, unanswered
 }
