--- a/internal/direct/outcome/judge.go
+++ b/internal/direct/outcome/judge.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// windowSteps times stepLength is how far back outcomes count.
+	// Outcomes are counted over the last windowSteps steps of stepLength each.
 	windowSteps = 6
 	stepLength  = 500 * time.Millisecond
-	// timesWorse is how much worse than the middle one of its service a target must
-	// be to be set aside: when most are bad, the cause is elsewhere.
-	timesWorse = 5
-	// mostShare is the largest share of a service's targets that are set aside
-	// at a time; one may be when there are smallPool or more.
-	mostShare = 0.2
-	smallPool = 3
-	// firstAside is how long a target is set aside at first. Each further time
-	// doubles it up to longestAside; calmAfter without one forgets it.
-	firstAside   = 3 * time.Second
-	longestAside = 30 * time.Second
-	calmAfter    = time.Minute
+	// outlierFactor is the multiple of the median share of failed requests of its service that a
+	// target must reach to be ejected. When most targets fail, the cause is not a single target.
+	outlierFactor = 5
+	// maxEjectedShare is the largest share of a service's targets that are ejected at a time.
+	// From minPoolSize targets on, at least one may be ejected; below that none.
+	maxEjectedShare = 0.2
+	minPoolSize     = 3
+	// firstEjection is the length of a target's first ejection. Each further one is twice as
+	// long, up to maxEjection. A target that was not ejected for ejectionResetAfter starts again
+	// with firstEjection.
+	firstEjection      = 3 * time.Second
+	maxEjection        = 30 * time.Second
+	ejectionResetAfter = time.Minute
 )
 
-// counts are requests by their outcome.
+// counts are numbers of requests by outcome.
 type counts struct {
 	answered, unanswered float64
-	// hasty are those of the answered ones that were answered as errors are.
+	// hasty are the answered requests whose answers look like errors; see the package comment.
 	hasty float64
 }
 
@@ -40,7 +41,7 @@
 	sum.hasty += other.hasty
 }
 
-// Cause tells why a target is set aside.
+// Cause states why a target is ejected.
 type Cause string
 
 // The causes.
@@ -49,245 +50,250 @@
 	CauseHasty      Cause = "it answers far sooner and shorter than others, as with errors"
 )
 
-// fault is one way in which a target may be bad.
+// fault is one way in which a target may fail its requests.
 type fault struct {
 	cause Cause
-	// bad returns the requests that show it.
-	bad func(sum counts) float64
-	// least is the number of them in the window, and leastShare their share of all
-	// requests, below which no target is set aside.
-	least, leastShare float64
+	// failed returns the number of requests that show the fault.
+	failed func(sum counts) float64
+	// A target is only ejected if at least minFailed requests in the window, and at least the
+	// share minShare of all its requests, show the fault.
+	minFailed, minShare float64
 }
 
-// faults are the ways in which a target may be bad. Single answers are hasty by chance,
-// and some requests of any service are answered by errors, so that those must be most of
-// a target's answers.
+// faults are the ways in which a target may fail its requests. Single answers are hasty by chance,
+// and any service answers some requests with errors, so hasty answers must be most of a target's
+// answers.
 var faults = []fault{
-	{cause: CauseUnanswered, bad: func(sum counts) float64 { return sum.unanswered }, least: 4, leastShare: 0.1},
-	{cause: CauseHasty, bad: func(sum counts) float64 { return sum.hasty }, least: 6, leastShare: 0.5},
+	{cause: CauseUnanswered, failed: func(sum counts) float64 { return sum.unanswered }, minFailed: 4, minShare: 0.1},
+	{cause: CauseHasty, failed: func(sum counts) float64 { return sum.hasty }, minFailed: 6, minShare: 0.5},
 }
 
-// share returns the part of the requests that show a fault.
+// share returns the share of the requests that show the fault, from 0 to 1.
 func (fault *fault) share(sum counts) float64 {
 	if total := sum.answered + sum.unanswered; total > 0 {
-		return fault.bad(sum) / total
+		return fault.failed(sum) / total
 	}
 	return 0
 }
 
-// record is what the judge remembers of a target.
-type record struct {
+// targetRecord holds the recent outcomes and the ejections of a target.
+type targetRecord struct {
 	steps [windowSteps]counts
-	// step is the number of the step that the latest counts belong to.
+	// step is the number of the current step.
 	step int64
-	// until is when a target that is set aside returns; aside is how long it is
-	// set aside this time.
-	until time.Time
-	aside time.Duration
-	// calmFrom is when the last time aside ended.
-	calmFrom time.Time
+	// ejectedUntil is when the current ejection ends, zero if the target is not ejected by this
+	// Ejector. ejection is the length of the current or last ejection.
+	ejectedUntil time.Time
+	ejection     time.Duration
+	// restoredAt is when the last ejection ended.
+	restoredAt time.Time
 }
 
-// Judge decides which targets are set aside. It is pure: it has no clock, and
-// its decisions are the caller's to carry out. It is for one goroutine.
+// Ejector decides which targets are ejected, that is, get no new flows for some time. It has no
+// clock and no side effects; the caller applies its decisions. It must not be used by more than
+// one goroutine.
 type Ejector struct {
-	records map[directory.Token]*record
+	records map[directory.Token]*targetRecord
 }
 
-// NewJudge returns a judge that knows nothing yet.
-func NewEjector() *Ejector { return &Ejector{records: make(map[directory.Token]*record)} }
+// NewEjector returns an Ejector without recorded outcomes.
+func NewEjector() *Ejector { return &Ejector{records: make(map[directory.Token]*targetRecord)} }
 
 func stepOf(now time.Time) int64 { return now.UnixNano() / int64(stepLength) }
 
-func (judge *Ejector) record(token directory.Token) *record {
-	known := judge.records[token]
-	if known == nil {
-		known = &record{}
-		judge.records[token] = known
+func (ejector *Ejector) recordFor(token directory.Token) *targetRecord {
+	record := ejector.records[token]
+	if record == nil {
+		record = &targetRecord{}
+		ejector.records[token] = record
 	}
-	return known
+	return record
 }
 
-// forward drops the steps that are too old.
-func (known *record) forward(now time.Time) {
+// advance moves the window to the current step and clears the steps that have left it.
+func (record *targetRecord) advance(now time.Time) {
 	step := stepOf(now)
-	for passed := min(step-known.step, windowSteps); passed > 0; passed-- {
-		known.steps[(step-passed+1)%windowSteps] = counts{}
+	for elapsed := min(step-record.step, windowSteps); elapsed > 0; elapsed-- {
+		record.steps[(step-elapsed+1)%windowSteps] = counts{}
 	}
-	known.step = step
+	record.step = step
 }
 
-func (known *record) sum(now time.Time) counts {
-	known.forward(now)
+// sum returns the counts of the whole window.
+func (record *targetRecord) sum(now time.Time) counts {
+	record.advance(now)
 	var total counts
-	for _, step := range known.steps {
+	for _, step := range record.steps {
 		total.add(step)
 	}
 	return total
 }
 
-// Take takes a balancer's counts in.
-func (judge *Ejector) AddReport(report feed.OutcomeReport, now time.Time) {
+// AddReport adds a balancer's counts.
+func (ejector *Ejector) AddReport(report feed.OutcomeReport, now time.Time) {
 	for _, counted := range report.Counts {
-		known := judge.record(counted.Token)
-		known.forward(now)
-		known.steps[known.step%windowSteps].add(counts{
+		record := ejector.recordFor(counted.Token)
+		record.advance(now)
+		record.steps[record.step%windowSteps].add(counts{
 			answered: float64(counted.Answered), unanswered: float64(counted.Unanswered), hasty: float64(counted.Hasty),
 		})
 	}
 }
 
-// Verdict is what the judge decided.
+// Changes are the targets to eject and to restore.
 type Changes struct {
-	// Aside are targets that get no new flows from now on, Back those that do
-	// again.
+	// Eject lists the targets that get no new flows from now on, Restore those that get new flows
+	// again. Both are sorted.
 	Eject, Restore []directory.Token
-	// Causes has why each of Aside is set aside.
+	// Causes states why each target in Eject is ejected.
 	Causes map[directory.Token]Cause
 }
 
-// add takes in that a target is set aside.
-func (verdict *Changes) add(bad suspect) {
-	if verdict.Causes == nil {
-		verdict.Causes = make(map[directory.Token]Cause)
+// eject adds a target to eject.
+func (changes *Changes) eject(found outlier) {
+	if changes.Causes == nil {
+		changes.Causes = make(map[directory.Token]Cause)
 	}
-	verdict.Eject = append(verdict.Eject, bad.token)
-	verdict.Causes[bad.token] = bad.cause
+	changes.Eject = append(changes.Eject, found.token)
+	changes.Causes[found.token] = found.cause
 }
 
-// Decide returns what is to change among the targets.
-func (judge *Ejector) Decide(targets []directory.Target, now time.Time) Changes {
-	var verdict Changes
+// Decide returns the changes to apply to the targets. Targets must be all registered ones. Only
+// ready targets are ejected, and ejected targets that stop being ready are restored.
+func (ejector *Ejector) Decide(targets []directory.Target, now time.Time) Changes {
+	var changes Changes
 	services := make(map[string][]*directory.Target)
 	for index := range targets {
 		target := &targets[index]
 		if target.State == directory.TargetReady {
 			services[target.Service] = append(services[target.Service], target)
 		} else if target.Aside {
-			verdict.Restore = append(verdict.Restore, target.Token)
+			changes.Restore = append(changes.Restore, target.Token)
 		}
 	}
-	for _, members := range services {
-		judge.decideService(members, now, &verdict)
+	for _, serviceTargets := range services {
+		ejector.decideService(serviceTargets, now, &changes)
 	}
-	slices.Sort(verdict.Eject)
-	slices.Sort(verdict.Restore)
-	judge.forget(targets)
-	return verdict
+	slices.Sort(changes.Eject)
+	slices.Sort(changes.Restore)
+	ejector.removeStaleRecords(targets)
+	return changes
 }
 
-func (judge *Ejector) decideService(targets []*directory.Target, now time.Time, verdict *Changes) {
-	aside := 0
+// decideService adds the changes for the ready targets of one service.
+func (ejector *Ejector) decideService(targets []*directory.Target, now time.Time, changes *Changes) {
+	ejected := 0
 	for _, target := range targets {
 		if target.Aside {
-			aside++
-			judge.decideReturn(target.Token, now, verdict)
+			ejected++
+			ejector.decideRestore(target.Token, now, changes)
 		}
 	}
-	suspects := judge.worse(targets, now)
-	room := roomFor(len(targets)) - aside
-	for _, one := range suspects[:min(max(room, 0), len(suspects))] {
-		judge.record(one.token).setAside(now)
-		verdict.add(one)
+	outliers := ejector.outliers(targets, now)
+	available := maxEjected(len(targets)) - ejected
+	for _, outlier := range outliers[:min(max(available, 0), len(outliers))] {
+		ejector.recordFor(outlier.token).eject(now)
+		changes.eject(outlier)
 	}
 }
 
-// roomFor returns how many of a number of targets may be set aside.
-func roomFor(targets int) int {
-	if targets < smallPool {
+// maxEjected returns how many targets of a service with this many ready targets may be ejected at
+// the same time.
+func maxEjected(targets int) int {
+	if targets < minPoolSize {
 		return 0
 	}
-	return max(1, int(mostShare*float64(targets)))
+	return max(1, int(maxEjectedShare*float64(targets)))
 }
 
-// decideReturn brings a target back after its time. One that another leader set
-// aside gets the first time from now on.
-func (judge *Ejector) decideReturn(token directory.Token, now time.Time, verdict *Changes) {
-	known := judge.record(token)
+// decideRestore restores a target whose ejection has ended. A target that a previous leader ejected
+// has no known end, so its first ejection starts now.
+func (ejector *Ejector) decideRestore(token directory.Token, now time.Time, changes *Changes) {
+	record := ejector.recordFor(token)
 	switch {
-	case known.until.IsZero():
-		known.setAside(now)
-	case !now.Before(known.until):
-		known.until = time.Time{}
-		known.calmFrom = now
-		known.steps = [windowSteps]counts{}
-		verdict.Restore = append(verdict.Restore, token)
+	case record.ejectedUntil.IsZero():
+		record.eject(now)
+	case !now.Before(record.ejectedUntil):
+		record.ejectedUntil = time.Time{}
+		record.restoredAt = now
+		record.steps = [windowSteps]counts{}
+		changes.Restore = append(changes.Restore, token)
 	}
 }
 
-func (known *record) setAside(now time.Time) {
-	known.aside *= 2
-	if known.aside == 0 || now.Sub(known.calmFrom) > calmAfter {
-		known.aside = firstAside
+// eject starts an ejection.
+func (record *targetRecord) eject(now time.Time) {
+	record.ejection *= 2
+	if record.ejection == 0 || now.Sub(record.restoredAt) > ejectionResetAfter {
+		record.ejection = firstEjection
 	}
-	known.aside = min(known.aside, longestAside)
-	known.until = now.Add(known.aside)
+	record.ejection = min(record.ejection, maxEjection)
+	record.ejectedUntil = now.Add(record.ejection)
 }
 
-// suspect is a target with the share of its requests that show a fault.
-type suspect struct {
+// outlier is a target whose share of failed requests is far above the median of its service.
+type outlier struct {
 	token directory.Token
 	share float64
 	cause Cause
 }
 
-// worse returns the targets that are far worse than the middle one, each once, the worst
-// of each fault first.
-func (judge *Ejector) worse(targets []*directory.Target, now time.Time) []suspect {
-	var found []suspect
+// outliers returns the outliers by any fault, each target once, in the order of faults and for
+// each fault the worst one first.
+func (ejector *Ejector) outliers(targets []*directory.Target, now time.Time) []outlier {
+	var found []outlier
 	for index := range faults {
-		for _, one := range judge.worseBy(&faults[index], targets, now) {
-			if !slices.ContainsFunc(found, func(other suspect) bool { return other.token == one.token }) {
-				found = append(found, one)
+		for _, candidate := range ejector.outliersBy(&faults[index], targets, now) {
+			if !slices.ContainsFunc(found, func(other outlier) bool { return other.token == candidate.token }) {
+				found = append(found, candidate)
 			}
 		}
 	}
 	return found
 }
 
-// worseBy returns the targets that are far worse than the middle one by one fault, the
-// worst first.
-func (judge *Ejector) worseBy(fault *fault, targets []*directory.Target, now time.Time) []suspect {
+// outliersBy returns the outliers by one fault, the worst one first.
+func (ejector *Ejector) outliersBy(fault *fault, targets []*directory.Target, now time.Time) []outlier {
 	var shares []float64
-	var suspects []suspect
+	var outliers []outlier
 	for _, target := range targets {
 		if target.Aside {
 			continue
 		}
-		own := judge.record(target.Token).sum(now)
-		share := fault.share(own)
+		total := ejector.recordFor(target.Token).sum(now)
+		share := fault.share(total)
 		shares = append(shares, share)
-		if fault.bad(own) >= fault.least && share >= fault.leastShare {
-			suspects = append(suspects, suspect{token: target.Token, share: share, cause: fault.cause})
+		if fault.failed(total) >= fault.minFailed && share >= fault.minShare {
+			outliers = append(outliers, outlier{token: target.Token, share: share, cause: fault.cause})
 		}
 	}
-	if len(suspects) == 0 {
+	if len(outliers) == 0 {
 		return nil
 	}
 	slices.Sort(shares)
-	middle := shares[len(shares)/2]
-	suspects = slices.DeleteFunc(suspects, func(one suspect) bool { return one.share < timesWorse*middle })
-	slices.SortFunc(suspects, func(left, right suspect) int {
+	median := shares[len(shares)/2]
+	outliers = slices.DeleteFunc(outliers, func(candidate outlier) bool { return candidate.share < outlierFactor*median })
+	slices.SortFunc(outliers, func(left, right outlier) int {
 		return cmp.Or(cmp.Compare(right.share, left.share), cmp.Compare(left.token, right.token))
 	})
-	return suspects
+	return outliers
 }
 
-// recordsSlack is how many records of forgotten targets are left alone.
+// recordsSlack is the number of stale records that are tolerated before a cleanup.
 const recordsSlack = 64
 
-// forget drops the records of targets that are gone.
-func (judge *Ejector) forget(targets []directory.Target) {
-	if len(judge.records) <= 2*len(targets)+recordsSlack {
+// removeStaleRecords drops the records of targets that no longer exist.
+func (ejector *Ejector) removeStaleRecords(targets []directory.Target) {
+	if len(ejector.records) <= 2*len(targets)+recordsSlack {
 		return
 	}
 	present := make(map[directory.Token]bool, len(targets))
 	for index := range targets {
 		present[targets[index].Token] = true
 	}
-	for token := range judge.records {
+	for token := range ejector.records {
 		if !present[token] {
-			delete(judge.records, token)
+			delete(ejector.records, token)
 		}
 	}
 }
--- a/internal/direct/outcome/tracker.go
+++ b/internal/direct/outcome/tracker.go
@@ -1,11 +1,12 @@
-// Package outcome finds targets that take requests and do not answer them, or answer
-// them with errors, although their port and their health check are well, from what
-// balancers see of open flows. An error is no work: it comes far sooner than other
-// answers of its route, and is far shorter.
+// Package outcome detects targets that accept requests but do not answer them, or answer them with
+// errors, although their port and their health check are fine. It uses what balancers see of open
+// flows. Balancers do not see the content of answers, so errors are recognized by their time and
+// size: an error takes no work, so it comes much sooner than the usual answer of its route and is
+// much shorter. Such answers are called hasty.
 //
-// Tracker counts the requests of a balancer's flows by how they ended (package
-// requests), and Judge, at the leader of the control group, sets targets aside
-// that are far worse than the rest of their service.
+// Tracker counts the requests of a balancer's flows by outcome (package requests). Ejector runs at
+// the leader of the control group and ejects targets that do far worse than the rest of their
+// service.
 package outcome
 
 import (
@@ -24,18 +25,18 @@
 // reportInterval is the time between two reports.
 const reportInterval = 500 * time.Millisecond
 
-// Tracker is the controller that counts answered and unanswered requests of a
-// balancer's flows and reports them, while the balancer sees its flows whole. It
-// is a requests.Listener.
+// Tracker is the controller that counts the answered, unanswered and hastily answered requests of a
+// balancer's flows. It reports them while the balancer sees all packets of its flows. It implements
+// requests.Listener and requests.AnswerObserver.
 type Tracker struct {
-	mailbox *protocol.Mailbox
-	follows func() model.NodeName
-	flows   requests.Continuity
-
-	lock   sync.Mutex
-	counts map[directory.Token]feed.OutcomeCount
-	usual  usualAnswers
-	toldAt time.Time
+	mailbox    *protocol.Mailbox
+	reportTo   func() model.NodeName
+	continuity requests.Continuity
+
+	lock       sync.Mutex
+	counts     map[directory.Token]feed.OutcomeCount
+	baselines  baselines
+	reportedAt time.Time
 }
 
 var (
@@ -43,14 +44,14 @@
 	_ requests.AnswerObserver = (*Tracker)(nil)
 )
 
-// NewTracker returns the controller. follows returns the node that gets the
-// reports.
-func NewTracker(mailbox *protocol.Mailbox, follows func() model.NodeName) *Tracker {
+// NewTracker returns a Tracker. reportTo returns the node that receives the reports, or the empty
+// name if there is none.
+func NewTracker(mailbox *protocol.Mailbox, reportTo func() model.NodeName) *Tracker {
 	return &Tracker{
-		mailbox: mailbox,
-		follows: follows,
-		counts:  make(map[directory.Token]feed.OutcomeCount),
-		usual:   make(usualAnswers),
+		mailbox:   mailbox,
+		reportTo:  reportTo,
+		counts:    make(map[directory.Token]feed.OutcomeCount),
+		baselines: make(baselines),
 	}
 }
 
@@ -78,7 +79,7 @@
 func (tracker *Tracker) Came(answer requests.Answer) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
-	if !tracker.usual.learn(answer) {
+	if !tracker.baselines.observe(answer) {
 		return
 	}
 	counted := tracker.counts[answer.Target.Token]
@@ -94,7 +95,7 @@
 func (tracker *Tracker) Waiting(requests.Target, bool) {}
 
 // Continued implements requests.Listener.
-func (tracker *Tracker) Continued(whole bool) { tracker.flows.Note(whole) }
+func (tracker *Tracker) Continued(whole bool) { tracker.continuity.Note(whole) }
 
 // Name implements board.Controller.
 func (tracker *Tracker) Name() string { return "outcomes" }
@@ -103,27 +104,27 @@
 func (tracker *Tracker) Reconcile(now time.Time) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
-	if now.Sub(tracker.toldAt) < reportInterval {
+	if now.Sub(tracker.reportedAt) < reportInterval {
 		return
 	}
-	tracker.toldAt = now
-	if report, worth := tracker.report(); worth && tracker.flows.Whole() {
-		if node := tracker.follows(); node != "" {
+	tracker.reportedAt = now
+	if report, noteworthy := tracker.report(); noteworthy && tracker.continuity.Whole() {
+		if node := tracker.reportTo(); node != "" {
 			tracker.mailbox.Send(node, report)
 		}
 	}
 	clear(tracker.counts)
 }
 
-// report returns the counts, and whether they say anything: while every request
-// is answered as usual, nothing is told.
+// report returns the counts, and whether they are worth sending: while all requests are answered as
+// usual, no report is sent.
 func (tracker *Tracker) report() (feed.OutcomeReport, bool) {
 	var report feed.OutcomeReport
-	worth := false
+	noteworthy := false
 	for _, counted := range tracker.counts {
 		report.Counts = append(report.Counts, counted)
-		worth = worth || counted.Unanswered > 0 || counted.Hasty > 0
+		noteworthy = noteworthy || counted.Unanswered > 0 || counted.Hasty > 0
 	}
 	slices.SortFunc(report.Counts, func(left, right feed.OutcomeCount) int { return cmp.Compare(left.Token, right.Token) })
-	return report, worth
+	return report, noteworthy
 }
--- a/internal/direct/probe/probe.go
+++ b/internal/direct/probe/probe.go
@@ -54,12 +54,12 @@
 	// one lost packet must not look like a dead machine, and waiting for the
 	// packet to be sent again by the operating system takes a second.
 	dialTimeout = 90 * time.Millisecond
-	attempts    = 2
+	maxAttempts = 2
 	// concurrent bounds the probes that run at once; others are left out, and
 	// asked for again by whoever wants them.
-	concurrent = 32
+	maxConcurrent = 32
 	// resultsKept bounds the results that wait to be read.
-	resultsKept = 1024
+	maxResults = 1024
 )
 
 // Dial opens a connection to an address or returns why it cannot.
@@ -92,14 +92,14 @@
 // New returns a prober that probes with dial, each probe on a goroutine.
 func New(dial Dial) *Prober {
 	return NewWithStarter(func(address netip.AddrPort, done func(Outcome)) {
-		go func() { done(attempt(dial, address)) }()
+		go func() { done(dialWithRetry(dial, address)) }()
 	})
 }
 
 // NewWith returns a prober whose probes are begun by start.
 func NewWithStarter(start Starter) *Prober {
 	return &Prober{
-		Results: board.NewQueue[Result]("probe results", resultsKept),
+		Results: board.NewQueue[Result]("probe results", maxResults),
 		start:   start,
 		running: make(map[uint64]bool),
 	}
@@ -108,7 +108,7 @@
 // Start probes address and puts the outcome into Results. A second probe of
 // the same key at the same time is left out.
 func (prober *Prober) Start(key uint64, address netip.AddrPort) {
-	if !prober.occupy(key) {
+	if !prober.reserve(key) {
 		return
 	}
 	prober.start(address, func(outcome Outcome) {
@@ -121,19 +121,19 @@
 
 // occupy notes that a probe of key runs; false when one does already, or too
 // many do.
-func (prober *Prober) occupy(key uint64) bool {
+func (prober *Prober) reserve(key uint64) bool {
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
-	if prober.running[key] || len(prober.running) >= concurrent {
+	if prober.running[key] || len(prober.running) >= maxConcurrent {
 		return false
 	}
 	prober.running[key] = true
 	return true
 }
 
-func attempt(dial Dial, address netip.AddrPort) Outcome {
+func dialWithRetry(dial Dial, address netip.AddrPort) Outcome {
 	outcome := Silent
-	for count := 0; count < attempts && outcome == Silent; count++ {
+	for count := 0; count < maxAttempts && outcome == Silent; count++ {
 		outcome = dialOnce(dial, address)
 	}
 	return outcome
--- a/internal/direct/probe/probe_test.go
+++ b/internal/direct/probe/probe_test.go
@@ -12,33 +12,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestListeningAndDeadPortsAreToldApart(t *testing.T) {
+func TestListeningAndClosedPortsAreDistinguished(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
-	require.Equal(t, Answered, attempt(DialTCP, address))
+	require.Equal(t, Answered, dialWithRetry(DialTCP, address))
 	require.NoError(t, listener.Close())
-	require.Equal(t, Refused, attempt(DialTCP, address))
+	require.Equal(t, Refused, dialWithRetry(DialTCP, address))
 }
 
-func TestMachineThatDoesNotAnswerIsSilentAfterTwoAttempts(t *testing.T) {
+func TestUnresponsiveHostIsSilentAfterAllAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
 		begin := time.Now()
-		outcome := attempt(func(ctx context.Context, _ netip.AddrPort) error {
+		outcome := dialWithRetry(func(ctx context.Context, _ netip.AddrPort) error {
 			dials++
 			<-ctx.Done()
 			return ctx.Err()
 		}, netip.AddrPort{})
 		require.Equal(t, Silent, outcome)
-		require.Equal(t, attempts, dials)
-		require.Equal(t, attempts*dialTimeout, time.Since(begin))
+		require.Equal(t, maxAttempts, dials)
+		require.Equal(t, maxAttempts*dialTimeout, time.Since(begin))
 	})
 }
 
-func TestOneLostPacketIsNoSilence(t *testing.T) {
+func TestOneLostPacketIsRetried(t *testing.T) {
 	dials := 0
-	outcome := attempt(func(context.Context, netip.AddrPort) error {
+	outcome := dialWithRetry(func(context.Context, netip.AddrPort) error {
 		dials++
 		if dials == 1 {
 			return errors.New("lost")
@@ -48,7 +48,7 @@
 	require.Equal(t, Answered, outcome)
 }
 
-func TestProbesAreBounded(t *testing.T) {
+func TestConcurrentProbesAreBounded(t *testing.T) {
 	started := 0
 	var finish []func(Outcome)
 	prober := NewWithStarter(func(_ netip.AddrPort, done func(Outcome)) {
@@ -58,12 +58,12 @@
 	prober.Start(1, netip.AddrPort{})
 	prober.Start(1, netip.AddrPort{})
 	require.Equal(t, 1, started, "one probe of a key at a time")
-	for key := range uint64(2 * concurrent) {
+	for key := range uint64(2 * maxConcurrent) {
 		prober.Start(key, netip.AddrPort{})
 	}
-	require.Equal(t, concurrent, started)
+	require.Equal(t, maxConcurrent, started)
 	finish[0](Refused)
 	require.Equal(t, []Result{{Key: 1, Outcome: Refused}}, prober.Results.Drain())
 	prober.Start(1, netip.AddrPort{})
-	require.Equal(t, concurrent+1, started)
+	require.Equal(t, maxConcurrent+1, started)
 }
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -34,20 +34,20 @@
 
 // Admission decides about new flows. It is safe for many goroutines.
 type Admission struct {
-	options Options
-	sizes   *Sizes
-	open    VisitOpen
-	link    Link
+	options   Options
+	sizes     *Sizes
+	visitOpen VisitOpen
+	link      Link
 	// refused is the share of long requests that were refused lately.
-	refused requests.Share
+	refusedShare requests.Share
 }
 
 // New returns an admission that goes by the requests that open visits.
-func NewAdmission(options Options, sizes *Sizes, open VisitOpen) *Admission {
+func NewAdmission(options Options, sizes *Sizes, visitOpen VisitOpen) *Admission {
 	return &Admission{
-		options: options, sizes: sizes, open: open,
-		link:    unknownLink{},
-		refused: requests.Share{Weight: refusedWeight},
+		options: options, sizes: sizes, visitOpen: visitOpen,
+		link:         unknownLink{},
+		refusedShare: requests.Share{Weight: refusedWeight},
 	}
 }
 
@@ -86,11 +86,11 @@
 // gives a new flow a target. A copy of an opening packet that was sent on is not
 // refused, because the answer to that one may be under way.
 func (admission *Admission) Review(segment steer.Segment, decision steer.Decision, now time.Time) steer.Decision {
-	opens := decision.Action == steer.Forward && decision.Reason == steer.ReasonChosen
-	if !opens || segment.Seen {
+	assignsTarget := decision.Action == steer.Forward && decision.Reason == steer.ReasonChosen
+	if !assignsTarget || segment.Seen {
 		return decision
 	}
-	if wait := admission.link.ShortWait(); admission.options.ObjectiveShare > 0 && wait > shortWaitMost {
+	if wait := admission.link.ShortWait(); admission.options.ObjectiveShare > 0 && wait > maxShortWait {
 		return decision.RefuseForLink(wait)
 	}
 	verdict := admission.Decide(segment.Service, decision.Objective, now)
@@ -108,41 +108,41 @@
 		return verdict
 	}
 	idle := admission.link.Idle()
-	admission.open(func(progress requests.Progress) {
-		if idle && now.Sub(progress.LastAt) > quietAfter {
+	admission.visitOpen(func(progress requests.Progress) {
+		if idle && now.Sub(progress.LastAt) > inactiveAfter {
 			return
 		}
 		verdict.BytesAhead += admission.remaining(progress)
 	})
-	verdict.ExpectedTime = admission.carries(verdict.BytesAhead + verdict.TypicalSize)
-	wait := admission.carries(verdict.BytesAhead)
+	verdict.ExpectedTime = admission.transmissionTime(verdict.BytesAhead + verdict.TypicalSize)
+	wait := admission.transmissionTime(verdict.BytesAhead)
 	verdict.Refused = wait > 0 && wait > admission.allowedWait(verdict.TypicalSize, objective)
-	admission.refused.Note(verdict.Refused)
+	admission.refusedShare.Note(verdict.Refused)
 	return verdict
 }
 
 // allowedWait returns how long a long request of a size may wait for others: what its
 // objective allows while few are refused, and less the more are, down to roomFrom. A
-// caller that is refused finds another balancer as long as most have room. Where most
+// caller that is refused finds another balancer as long as objectiveWait have room. Where objectiveWait
 // are full, a link that takes several at once carries much of their data twice, makes
 // all of them late, and refuses the next ones all the same. Where uploads ask for nine
 // tenths of what all links carry, this serves 821 to 955 of some 1,600 uploads in their
 // objective instead of 694 to 801 (docs/design/shifted-work.md, round 3).
 func (admission *Admission) allowedWait(size int, objective time.Duration) time.Duration {
-	most := time.Duration(admission.options.ObjectiveShare*float64(objective)) - admission.carries(size)
-	patience := (refusedMost - admission.refused.Value()) / (refusedMost - refusedFew)
-	patience = min(max(patience, 0), 1)
-	return max(time.Duration(patience*float64(most)), min(roomFrom, most))
+	objectiveWait := time.Duration(admission.options.ObjectiveShare*float64(objective)) - admission.transmissionTime(size)
+	factor := (highRefusedShare - admission.refusedShare.Value()) / (highRefusedShare - lowRefusedShare)
+	factor = min(max(factor, 0), 1)
+	return max(time.Duration(factor*float64(objectiveWait)), min(minAllowedWait, objectiveWait))
 }
 
 // shortWaitMost is how long datagrams of short flows may wait for the link before it takes no
 // new flows: half of the time after which senders repeat what is not acknowledged. From
 // there on the link would carry everything twice, and what is open suffers with what is new.
 // A refusal costs it one small datagram, a flow some ten.
-const shortWaitMost = 100 * time.Millisecond
+const maxShortWait = 100 * time.Millisecond
 
 // carries returns how long the link takes for a number of bytes.
-func (admission *Admission) carries(bytes int) time.Duration {
+func (admission *Admission) transmissionTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / admission.options.BytesPerSecond * float64(time.Second))
 }
 
@@ -150,16 +150,16 @@
 // the link no more, if nothing waits in front of it: its sender has repeated by then what
 // was not acknowledged, so that its caller is gone, or its packets take another way
 // because the routers changed their mind. Counting it on refused uploads on an idle link
-// for up to two seconds; without it some 7 of 100 uploads fewer are served where most
+// for up to two seconds; without it some 7 of 100 uploads fewer are served where objectiveWait
 // links are full (docs/design/shifted-work.md, round 3).
-const quietAfter = 300 * time.Millisecond
+const inactiveAfter = 300 * time.Millisecond
 
 const (
 	// roomFrom is the time in which the link has carried all long requests that are
 	// open, from which on it always has room for the next one: about the window of one
 	// sender, 16 full packets, on a link of 2 Mbit/s, so that the link does not stand idle
 	// until the next request's data comes.
-	roomFrom = 80 * time.Millisecond
+	minAllowedWait = 80 * time.Millisecond
 	// refusedWeight is the weight of one more long request in the share of refused ones.
 	// A balancer on a full link hears of some five a second, so that the share follows
 	// the load within two seconds.
@@ -167,18 +167,18 @@
 	// refusedFew is the share of long requests that were refused lately up to which a link
 	// takes what their objective allows, and refusedMost that from which on it takes the
 	// next one only when it has room.
-	refusedFew  = 0.2
-	refusedMost = 0.4
+	lowRefusedShare  = 0.2
+	highRefusedShare = 0.4
 )
 
 // leastRemaining is what a long request is assumed to bring still when it has
 // brought as much as others of its route: half a window of a sender.
-const leastRemaining = requests.LongFrom
+const minRemaining = requests.LongFrom
 
 func (admission *Admission) remaining(progress requests.Progress) int {
 	typical := admission.sizes.Typical(progress.Route)
 	if progress.Complete || max(typical, progress.Brought) <= requests.LongFrom {
 		return 0
 	}
-	return max(typical-progress.Brought, leastRemaining)
+	return max(typical-progress.Brought, minRemaining)
 }
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -26,7 +26,7 @@
 // objective is in which an upload alone takes two fifths of what is allowed.
 const objective = 2 * time.Second
 
-func learned() *Sizes {
+func learnedSizes() *Sizes {
 	sizes := NewSizes()
 	sizes.Whole(uploads, 40_000)
 	sizes.Whole(calls, 900)
@@ -57,11 +57,11 @@
 	}
 }
 
-func TestConsider(t *testing.T) {
+func TestDecide(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
 	half := requests.Progress{Route: uploads, Brought: 20_000}
 	long := requests.Progress{Route: uploads, Brought: 200_000}
-	whole := requests.Progress{Route: uploads, Brought: 40_000, Complete: true}
+	complete := requests.Progress{Route: uploads, Brought: 40_000, Complete: true}
 	unknown := requests.Progress{Route: other, Brought: 30_000}
 	call := requests.Progress{Route: calls, Brought: 900}
 	cases := []struct {
@@ -76,9 +76,9 @@
 		{"room for both", []requests.Progress{half}, uploads, objective, 20_000, false},
 		{"room for both, to the byte", []requests.Progress{begun, half}, uploads, objective, 60_000, false},
 		{"one too many", []requests.Progress{begun, begun}, uploads, objective, 80_000, true},
-		{"those that came whole do not count", []requests.Progress{whole, whole, whole, half}, uploads, objective, 20_000, false},
-		{"longer than usual", []requests.Progress{long}, uploads, objective, leastRemaining, false},
-		{"long on a route whose size is not known", []requests.Progress{unknown}, uploads, objective, leastRemaining, false},
+		{"those that came complete do not count", []requests.Progress{complete, complete, complete, half}, uploads, objective, 20_000, false},
+		{"longer than usual", []requests.Progress{long}, uploads, objective, minRemaining, false},
+		{"long on a route whose size is not known", []requests.Progress{unknown}, uploads, objective, minRemaining, false},
 		{"short requests do not count", []requests.Progress{call, call, call}, uploads, objective, 0, false},
 		{"a short request passes", []requests.Progress{begun, begun, begun}, calls, objective, 0, false},
 		{"a request of unknown size passes", []requests.Progress{begun, begun, begun}, other, objective, 0, false},
@@ -87,7 +87,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(test.open...))
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(test.open...))
 			verdict := admission.Decide(test.route, test.objective, start)
 			require.Equal(t, test.refused, verdict.Refused)
 			require.Equal(t, test.ahead, verdict.BytesAhead)
@@ -95,16 +95,16 @@
 	}
 }
 
-func TestConsiderTellsWhatDecided(t *testing.T) {
-	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
+func TestVerdictContainsItsReasons(t *testing.T) {
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
 	require.Equal(t, Verdict{TypicalSize: 40_000, BytesAhead: 30_000, ExpectedTime: 700 * time.Millisecond}, admission.Decide(uploads, objective, start))
 }
 
 // TestReviewRefusesNewFlowsAlone: packets of open flows, copies of opening packets
 // and what the table refused stay as they were decided.
-func TestReviewRefusesNewFlowsAlone(t *testing.T) {
+func TestReviewRefusesOnlyNewFlows(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(begun, begun))
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Token: 7, Objective: objective, Revision: 5, Version: 3}
 	opening := steer.Segment{Service: uploads, Opening: true}
 	refused := steer.Decision{Action: steer.Reset, Reason: steer.ReasonLinkFull, Expected: 1200 * time.Millisecond, Revision: 5, Version: 3}
@@ -120,23 +120,23 @@
 	require.Equal(t, unknown, admission.Review(opening, unknown, start))
 }
 
-func TestAdmissionSwitchedOff(t *testing.T) {
+func TestAdmissionDisabled(t *testing.T) {
 	full := visiting(requests.Progress{Route: uploads}, requests.Progress{Route: uploads}, requests.Progress{Route: uploads})
-	require.True(t, NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), full).Decide(uploads, objective, start).Refused)
-	require.False(t, NewAdmission(Options{BytesPerSecond: rate}, learned(), full).Decide(uploads, objective, start).Refused)
-	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learned(), full).Decide(uploads, objective, start).Refused, "a link without a bound")
+	require.True(t, NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{BytesPerSecond: rate}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused, "a link without a bound")
 }
 
 // TestMoreAreRefusedWhereMostAre: with few refusals a link takes what the objective
 // allows, with many only what it has room for. A free link takes any.
-func TestMoreAreRefusedWhereMostAre(t *testing.T) {
+func TestHighRefusedShareShortensAllowedWait(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*roomFrom.Seconds())}
-	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-leastRemaining)
+	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*minAllowedWait.Seconds())}
+	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-minRemaining)
 	var open []requests.Progress
-	admission := NewAdmission(Options{BytesPerSecond: 2 * rate, ObjectiveShare: 0.5}, learned(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
-	refused := func(now ...requests.Progress) bool {
-		open = now
+	admission := NewAdmission(Options{BytesPerSecond: 2 * rate, ObjectiveShare: 0.5}, learnedSizes(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
+	refused := func(current ...requests.Progress) bool {
+		open = current
 		return admission.Decide(uploads, objective, start).Refused
 	}
 	require.False(t, refused(begun, begun))
@@ -154,21 +154,21 @@
 
 // TestRequestsThatUseTheLinkNoMore: a request that is quiet counts while data waits in
 // front of the link, perhaps its own, and no more once none does.
-func TestRequestsThatUseTheLinkNoMore(t *testing.T) {
+func TestInactiveRequestsAreNotCountedOnIdleLink(t *testing.T) {
 	cases := []struct {
 		name    string
 		idle    bool
 		quiet   time.Duration
 		refused bool
 	}{
-		{"busy link", false, 2 * quietAfter, true},
-		{"idle link, its data may be on the way", true, quietAfter, true},
-		{"idle link, and quiet for long", true, quietAfter + time.Millisecond, false},
+		{"busy link", false, 2 * inactiveAfter, true},
+		{"idle link, its data may be on the way", true, inactiveAfter, true},
+		{"idle link, and quiet for long", true, inactiveAfter + time.Millisecond, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			begun := requests.Progress{Route: uploads}
-			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), visiting(begun, begun))
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
 			admission.ObserveLink(linkState{idle: test.idle})
 			require.Equal(t, test.refused, admission.Decide(uploads, objective, start.Add(test.quiet)).Refused)
 		})
@@ -190,7 +190,7 @@
 
 // TestSizesAreGuessedUntilOneCameWhole: a link that is full from its start on lets no
 // request through for long.
-func TestSizesAreGuessedUntilOneCameWhole(t *testing.T) {
+func TestSizesAreEstimatedUntilOneRequestCompletes(t *testing.T) {
 	sizes := NewSizes()
 	sizes.Growing(uploads, 10_000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
@@ -206,17 +206,17 @@
 
 func TestSizesAreBounded(t *testing.T) {
 	sizes := NewSizes()
-	for port := range routesKept + 100 {
+	for port := range maxRoutes + 100 {
 		sizes.Whole(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
 	}
-	require.Len(t, sizes.averages, routesKept)
+	require.Len(t, sizes.averages, maxRoutes)
 	sizes.Whole(netip.AddrPortFrom(uploads.Addr(), 1), 700)
 	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "known routes go on")
 }
 
-// BenchmarkConsider decides about an upload while a watcher follows as many requests
+// BenchmarkDecide decides about an upload while a watcher follows as many requests
 // as a busy balancer has open: the most expensive decision.
-func BenchmarkConsider(b *testing.B) {
+func BenchmarkDecide(b *testing.B) {
 	const openRequests = 256
 	watcher := requests.NewWatcher()
 	for port := range uint16(openRequests) {
@@ -226,7 +226,7 @@
 		}
 		watcher.Note(segment, requests.Target{Token: 7}, start)
 	}
-	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learned(), watcher.EachOpen)
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), watcher.EachOpen)
 	b.ReportAllocs()
 	for b.Loop() {
 		admission.Decide(uploads, objective, start)
@@ -236,7 +236,7 @@
 // TestNewFlowsAreRefusedBeforeOpenOnesSuffer is a link that short datagrams alone keep full:
 // from half of the time on after which senders repeat, each new flow would make the link
 // carry more of it twice.
-func TestNewFlowsAreRefusedBeforeOpenOnesSuffer(t *testing.T) {
+func TestNewFlowsAreRefusedWhenShortFlowsSaturateTheLink(t *testing.T) {
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Objective: objective}
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner}
 	cases := []struct {
@@ -247,15 +247,15 @@
 		share   float64
 		refused bool
 	}{
-		{"a short queue", shortWaitMost, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
-		{"a long queue", shortWaitMost + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
+		{"a short queue", maxShortWait, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
+		{"a long queue", maxShortWait + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
 		{"an open flow", time.Second, steer.Segment{Service: calls}, owner, 0.5, false},
 		{"a copy of what was sent on", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
 		{"switched off", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: test.share}, learned(), visiting())
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: test.share}, learnedSizes(), visiting())
 			admission.ObserveLink(linkState{shortWait: test.wait})
 			decision := admission.Review(test.segment, test.given, start)
 			require.Equal(t, test.refused, decision.Reason == steer.ReasonLinkFull)
--- a/internal/direct/transfer/sizes.go
+++ b/internal/direct/transfer/sizes.go
@@ -12,20 +12,20 @@
 	sizeWeight = 0.1
 	// routesKept bounds the routes whose sizes are known. Beyond it, requests of
 	// others count as short.
-	routesKept = 4096
+	maxRoutes = 4096
 )
 
 // growth is by how much a request of a route of which none came whole yet is
 // assumed to exceed the longest that is known: one that has brought some is as
 // likely as not to bring as much again.
-const growth = 2
+const growthFactor = 2
 
 // average is a running average of sizes in bytes.
 type average struct {
 	value float64
 	// count is the number of requests that it is of. While it is zero, the value
 	// is a guess.
-	count int
+	samples int
 }
 
 // Sizes learns how many bytes the requests of each route bring. It is a
@@ -44,16 +44,16 @@
 // of which no request came whole: on a link that is full from its start on, it may
 // take long until one does.
 func (sizes *Sizes) Growing(route netip.AddrPort, bytes int) {
-	if known := sizes.average(route); known.count > 0 || known.value >= growth*float64(bytes) {
+	if known := sizes.average(route); known.samples > 0 || known.value >= growthFactor*float64(bytes) {
 		return
 	}
 	sizes.lock.Lock()
 	defer sizes.lock.Unlock()
 	known, exists := sizes.averages[route]
-	if known.count > 0 || !sizes.hasRoom(exists) {
+	if known.samples > 0 || !sizes.hasRoom(exists) {
 		return
 	}
-	known.value = max(known.value, growth*float64(bytes))
+	known.value = max(known.value, growthFactor*float64(bytes))
 	sizes.averages[route] = known
 }
 
@@ -65,13 +65,13 @@
 	if !sizes.hasRoom(exists) {
 		return
 	}
-	known.count++
-	weight := max(sizeWeight, 1/float64(known.count))
+	known.samples++
+	weight := max(sizeWeight, 1/float64(known.samples))
 	known.value += weight * (float64(bytes) - known.value)
 	sizes.averages[route] = known
 }
 
-func (sizes *Sizes) hasRoom(exists bool) bool { return exists || len(sizes.averages) < routesKept }
+func (sizes *Sizes) hasRoom(exists bool) bool { return exists || len(sizes.averages) < maxRoutes }
 
 func (sizes *Sizes) average(route netip.AddrPort) average {
 	sizes.lock.RLock()
