--- a/internal/direct/probe/probe.go
+++ b/internal/direct/probe/probe.go
@@ -1,6 +1,5 @@
-// Package probe finds out whether anything listens at a target's address. A
-// probe opens one TCP connection and closes it at once; it asks for nothing,
-// so it costs the target no capacity.
+// Package probe checks whether a process listens at a target's address. A probe opens a TCP
+// connection and closes it at once. It sends no request, so it uses none of the target's capacity.
 package probe
 
 import (
@@ -15,20 +14,20 @@
 	"merlinpaddle/internal/board"
 )
 
-// Outcome is what a probe found.
+// Outcome is the result of connecting to an address.
 type Outcome uint8
 
 // The outcomes.
 const (
-	// Answered: something listens at the address.
+	// Answered: a process listens at the address.
 	Answered Outcome = iota + 1
-	// Refused: the machine answers and nothing listens.
+	// Refused: the host responds, but no process listens.
 	Refused
-	// Silent: the machine does not answer.
+	// Silent: the host does not respond.
 	Silent
 )
 
-// String returns the outcome's name.
+// String returns the outcome's name as logs show it.
 func (outcome Outcome) String() string {
 	switch outcome {
 	case Answered:
@@ -42,30 +41,30 @@
 	}
 }
 
-// Result is the outcome of one probe.
+// Result is the outcome of a probe.
 type Result struct {
-	// Key is what Start was given.
+	// Key identifies the probe; it is the key that was passed to Start.
 	Key     uint64
 	Outcome Outcome
 }
 
 const (
-	// dialTimeout bounds one attempt to connect, and attempts is their number:
-	// one lost packet must not look like a dead machine, and waiting for the
-	// packet to be sent again by the operating system takes a second.
+	// A probe tries to connect up to maxAttempts times, each for dialTimeout: one lost packet
+	// must not make a host look dead, and the operating system only retransmits the packet after
+	// a second.
 	dialTimeout = 90 * time.Millisecond
 	maxAttempts = 2
-	// concurrent bounds the probes that run at once; others are left out, and
-	// asked for again by whoever wants them.
+	// maxConcurrent bounds the probes that run at once. Start ignores further ones; callers that
+	// still need them call it again later.
 	maxConcurrent = 32
-	// resultsKept bounds the results that wait to be read.
+	// maxResults bounds the results that wait to be read.
 	maxResults = 1024
 )
 
-// Dial opens a connection to an address or returns why it cannot.
+// Dial connects to an address, closes the connection and returns nil, or returns the error.
 type Dial func(ctx context.Context, address netip.AddrPort) error
 
-// DialTCP is the Dial of processes.
+// DialTCP is the Dial that uses the operating system's TCP.
 func DialTCP(ctx context.Context, address netip.AddrPort) error {
 	var dialer net.Dialer
 	connection, err := dialer.DialContext(ctx, "tcp4", address.String())
@@ -75,9 +74,9 @@
 	return connection.Close()
 }
 
-// Prober runs probes.
+// Prober runs probes. It is safe for concurrent use.
 type Prober struct {
-	// Results has the outcomes.
+	// Results is the queue of outcomes.
 	Results *board.Queue[Result]
 
 	start   Starter
@@ -85,18 +84,18 @@
 	running map[uint64]bool
 }
 
-// Starter begins one probe of an address and returns at once; done is called
-// once with the outcome.
+// Starter starts a probe of an address without blocking. It calls done exactly once with the
+// outcome.
 type Starter func(address netip.AddrPort, done func(Outcome))
 
-// New returns a prober that probes with dial, each probe on a goroutine.
+// New returns a Prober that probes with dial, each probe in a goroutine of its own.
 func New(dial Dial) *Prober {
 	return NewWithStarter(func(address netip.AddrPort, done func(Outcome)) {
 		go func() { done(dialWithRetry(dial, address)) }()
 	})
 }
 
-// NewWith returns a prober whose probes are begun by start.
+// NewWithStarter returns a Prober that starts its probes with start.
 func NewWithStarter(start Starter) *Prober {
 	return &Prober{
 		Results: board.NewQueue[Result]("probe results", maxResults),
@@ -105,8 +104,8 @@
 	}
 }
 
-// Start probes address and puts the outcome into Results. A second probe of
-// the same key at the same time is left out.
+// Start probes address and puts the outcome into Results. It does nothing if a probe of the same key
+// is running or if too many probes are.
 func (prober *Prober) Start(key uint64, address netip.AddrPort) {
 	if !prober.reserve(key) {
 		return
@@ -119,8 +118,8 @@
 	})
 }
 
-// occupy notes that a probe of key runs; false when one does already, or too
-// many do.
+// reserve marks a probe of key as running. It reports false if one is running already, or if
+// maxConcurrent probes are.
 func (prober *Prober) reserve(key uint64) bool {
 	prober.lock.Lock()
 	defer prober.lock.Unlock()
@@ -131,6 +130,7 @@
 	return true
 }
 
+// dialWithRetry dials until the host responds, up to maxAttempts times.
 func dialWithRetry(dial Dial, address netip.AddrPort) Outcome {
 	outcome := Silent
 	for count := 0; count < maxAttempts && outcome == Silent; count++ {
@@ -145,6 +145,7 @@
 	return classify(dial(ctx, address))
 }
 
+// classify returns the outcome for the error of a dial.
 func classify(err error) Outcome {
 	switch {
 	case err == nil:
--- a/internal/direct/probe/probe_test.go
+++ b/internal/direct/probe/probe_test.go
@@ -57,7 +57,7 @@
 	})
 	prober.Start(1, netip.AddrPort{})
 	prober.Start(1, netip.AddrPort{})
-	require.Equal(t, 1, started, "one probe of a key at a time")
+	require.Equal(t, 1, started, "a key has one probe at a time")
 	for key := range uint64(2 * maxConcurrent) {
 		prober.Start(key, netip.AddrPort{})
 	}
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -1,15 +1,15 @@
-// Package transfer decides whether a balancer's own link can carry a further long
-// request in time.
+// Package transfer implements admission control for long requests, such as uploads, on the link of
+// a balancer.
 //
-// A balancer on a narrow link that takes every upload it is given delays all of
-// them, while other balancers have room. A new flow is refused at once when its
-// request, by what requests of its route usually bring, would be carried later
-// than its route's objective allows, and sooner where many are refused; the caller's
-// next try comes to another balancer. Short requests pass long ones in the queue of package
-// egress; they are refused only where short ones alone are more than the link carries.
+// A balancer with a narrow link that accepted every upload would delay all of them while other
+// balancers have spare capacity. A new flow is therefore refused at once if its request, judged by
+// the usual size of requests of its route, would be transmitted later than the route's objective
+// allows, and earlier than that while many are refused. The caller's next attempt reaches another
+// balancer. Short requests overtake long ones in the queue of package egress; they are refused only
+// if short ones alone exceed the capacity of the link.
 //
-// The decision is pure: it reads what requests are open and what their routes
-// usually bring.
+// The decision has no side effects outside the package: it is based on the open requests and on the
+// usual sizes of the requests of their routes.
 package transfer
 
 import (
@@ -20,29 +20,29 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// Options are the bounds that an admission works with.
+// Options are the limits of an Admission.
 type Options struct {
-	// BytesPerSecond is what the link carries; zero means that it has no bound.
+	// BytesPerSecond is the capacity of the link; zero means unlimited.
 	BytesPerSecond float64
-	// Share is the share of its route's objective in which a long request has to
-	// be carried. Zero admits all.
+	// ObjectiveShare is the share of its route's objective, from 0 to 1, within which a long
+	// request has to be transmitted. Zero disables admission control.
 	ObjectiveShare float64
 }
 
-// Open visits the open requests, in no order.
+// VisitOpen calls visit for each open request, in no particular order.
 type VisitOpen func(visit func(progress requests.Progress))
 
-// Admission decides about new flows. It is safe for many goroutines.
+// Admission decides whether to accept new flows. It is safe for concurrent use.
 type Admission struct {
 	options   Options
 	sizes     *Sizes
 	visitOpen VisitOpen
 	link      Link
-	// refused is the share of long requests that were refused lately.
+	// refusedShare is the share of recent long requests that were refused.
 	refusedShare requests.Share
 }
 
-// New returns an admission that goes by the requests that open visits.
+// NewAdmission returns an Admission that reads the open requests with visitOpen.
 func NewAdmission(options Options, sizes *Sizes, visitOpen VisitOpen) *Admission {
 	return &Admission{
 		options: options, sizes: sizes, visitOpen: visitOpen,
@@ -51,15 +51,16 @@
 	}
 }
 
-// Link tells what waits in front of the balancer's link.
+// Link describes the queue in front of the balancer's link.
 type Link interface {
-	// Idle tells whether nothing waits.
+	// Idle reports whether the queue is empty.
 	Idle() bool
-	// ShortWait returns how long the link takes for what waits of short flows.
+	// ShortWait returns how long the link takes to transmit the queued datagrams of short flows.
 	ShortWait() time.Duration
 }
 
-// unknownLink is a link of which nothing is known.
+// unknownLink is used until ObserveLink is called. It is never idle, so that no open request is
+// taken for inactive.
 type unknownLink struct{}
 
 // Idle implements Link.
@@ -68,23 +69,23 @@
 // ShortWait implements Link.
 func (unknownLink) ShortWait() time.Duration { return 0 }
 
-// ObserveLink makes the admission look at the link. It is set before the first packet.
+// ObserveLink sets the link whose queue is considered. It must be called before the first packet.
 func (admission *Admission) ObserveLink(link Link) { admission.link = link }
 
-// Verdict is the decision about one new flow.
+// Verdict is the decision about a new flow and the figures that it is based on.
 type Verdict struct {
-	// Refused tells that the flow is to be refused.
+	// Refused reports whether the flow is refused.
 	Refused bool
-	// Size is the number of bytes that a request of the route usually brings, and
-	// Ahead how many of open long requests still come. Expected is how long the
-	// link takes for both.
+	// TypicalSize is the usual size in bytes of a request of the route; zero if unknown.
+	// BytesAhead is the number of bytes that open long requests are still expected to send.
+	// ExpectedTime is how long the link takes for both.
 	TypicalSize, BytesAhead int
 	ExpectedTime            time.Duration
 }
 
-// Review returns the decision about a packet, or a refusal in place of one that
-// gives a new flow a target. A copy of an opening packet that was sent on is not
-// refused, because the answer to that one may be under way.
+// Review turns a decision that assigns a target to a new flow into a refusal if the link is too
+// busy, and returns all other decisions unchanged. A retransmitted opening packet is not refused if
+// an earlier copy was forwarded, because the answer to that copy may be under way.
 func (admission *Admission) Review(segment steer.Segment, decision steer.Decision, now time.Time) steer.Decision {
 	assignsTarget := decision.Action == steer.Forward && decision.Reason == steer.ReasonChosen
 	if !assignsTarget || segment.Seen {
@@ -100,8 +101,8 @@
 	return decision.RefuseForLink(verdict.ExpectedTime)
 }
 
-// Consider decides about a new flow of a route, whose objective is zero when it
-// has none.
+// Decide decides about a new flow of a route. The objective is zero if the route has none; then the
+// flow is accepted.
 func (admission *Admission) Decide(route netip.AddrPort, objective time.Duration, now time.Time) Verdict {
 	verdict := Verdict{TypicalSize: admission.sizes.Typical(route)}
 	if admission.options.BytesPerSecond == 0 || admission.options.ObjectiveShare == 0 || objective == 0 || verdict.TypicalSize <= requests.LongFrom {
@@ -121,13 +122,14 @@
 	return verdict
 }
 
-// allowedWait returns how long a long request of a size may wait for others: what its
-// objective allows while few are refused, and less the more are, down to roomFrom. A
-// caller that is refused finds another balancer as long as objectiveWait have room. Where objectiveWait
-// are full, a link that takes several at once carries much of their data twice, makes
-// all of them late, and refuses the next ones all the same. Where uploads ask for nine
-// tenths of what all links carry, this serves 821 to 955 of some 1,600 uploads in their
-// objective instead of 694 to 801 (docs/design/shifted-work.md, round 3).
+// allowedWait returns how long a long request of a given size may wait for the open ones. This is
+// the rest of its objective while few requests are refused, and decreases to minAllowedWait as the
+// share of refused ones grows. A refused caller finds another balancer as long as most have spare
+// capacity. Where most links are saturated, a link that accepts several requests at once transmits
+// much of their data twice, makes all of them miss their objective, and refuses the next ones
+// anyway. With uploads at nine tenths of the capacity of all links, this rule serves 821 to 955 of
+// some 1,600 uploads within their objective instead of 694 to 801 (docs/design/shifted-work.md,
+// round 3).
 func (admission *Admission) allowedWait(size int, objective time.Duration) time.Duration {
 	objectiveWait := time.Duration(admission.options.ObjectiveShare*float64(objective)) - admission.transmissionTime(size)
 	factor := (highRefusedShare - admission.refusedShare.Value()) / (highRefusedShare - lowRefusedShare)
@@ -135,46 +137,48 @@
 	return max(time.Duration(factor*float64(objectiveWait)), min(minAllowedWait, objectiveWait))
 }
 
-// shortWaitMost is how long datagrams of short flows may wait for the link before it takes no
-// new flows: half of the time after which senders repeat what is not acknowledged. From
-// there on the link would carry everything twice, and what is open suffers with what is new.
-// A refusal costs it one small datagram, a flow some ten.
+// maxShortWait is how long datagrams of short flows may wait for the link before new flows are
+// refused. It is half of the senders' retransmission timeout. A wait as long as that timeout would
+// make the link transmit everything twice, and open flows would suffer along with new ones. A
+// refusal costs the link one small datagram, a flow about ten.
 const maxShortWait = 100 * time.Millisecond
 
-// carries returns how long the link takes for a number of bytes.
+// transmissionTime returns how long the link takes to transmit a number of bytes.
 func (admission *Admission) transmissionTime(bytes int) time.Duration {
 	return time.Duration(float64(bytes) / admission.options.BytesPerSecond * float64(time.Second))
 }
 
-// quietAfter is how long after its latest packet a long request counts as one that uses
-// the link no more, if nothing waits in front of it: its sender has repeated by then what
-// was not acknowledged, so that its caller is gone, or its packets take another way
-// because the routers changed their mind. Counting it on refused uploads on an idle link
-// for up to two seconds; without it some 7 of 100 uploads fewer are served where objectiveWait
-// links are full (docs/design/shifted-work.md, round 3).
+// inactiveAfter is how long after its latest packet a long request is considered inactive if the
+// queue of the link is empty. Its sender would have retransmitted unacknowledged data by then, so
+// either its caller is gone or routers now send its packets another way. When inactive requests
+// were still counted, uploads were refused on an idle link for up to two seconds. Without this rule
+// some 7 of 100 uploads fewer are served where most links are saturated
+// (docs/design/shifted-work.md, round 3).
 const inactiveAfter = 300 * time.Millisecond
 
 const (
-	// roomFrom is the time in which the link has carried all long requests that are
-	// open, from which on it always has room for the next one: about the window of one
-	// sender, 16 full packets, on a link of 2 Mbit/s, so that the link does not stand idle
-	// until the next request's data comes.
+	// minAllowedWait is the wait that is always allowed: if the link needs no longer than this
+	// for all open long requests, the next one is accepted, unless its objective leaves even less
+	// time. It corresponds to the window of one sender, 16 full packets, on a link of 2 Mbit/s,
+	// so that the link does not go idle before the data of the next request arrives.
 	minAllowedWait = 80 * time.Millisecond
-	// refusedWeight is the weight of one more long request in the share of refused ones.
-	// A balancer on a full link hears of some five a second, so that the share follows
-	// the load within two seconds.
+	// refusedWeight is the weight of a new long request in refusedShare. A balancer with a
+	// saturated link receives about five a second, so the share follows the load within two
+	// seconds.
 	refusedWeight = 0.15
-	// refusedFew is the share of long requests that were refused lately up to which a link
-	// takes what their objective allows, and refusedMost that from which on it takes the
-	// next one only when it has room.
+	// Up to lowRefusedShare a request may wait as long as its objective allows. From
+	// highRefusedShare on it may only wait for minAllowedWait. In between, the allowed wait
+	// decreases linearly.
 	lowRefusedShare  = 0.2
 	highRefusedShare = 0.4
 )
 
-// leastRemaining is what a long request is assumed to bring still when it has
-// brought as much as others of its route: half a window of a sender.
+// minRemaining is the number of bytes that a long request is assumed to still send once it has
+// reached the usual size of its route: half of a sender's window.
 const minRemaining = requests.LongFrom
 
+// remaining returns how many bytes an open request is expected to still send; zero if it is short or
+// complete.
 func (admission *Admission) remaining(progress requests.Progress) int {
 	typical := admission.sizes.Typical(progress.Route)
 	if progress.Complete || max(typical, progress.Brought) <= requests.LongFrom {
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -17,15 +17,16 @@
 	other   = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// start is when the open requests of the tests sent their latest packet.
+// start is when the open requests of the tests sent their latest packet, unless stated otherwise.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// rate is what the link of the tests carries, in bytes a second.
+// rate is the capacity of the link in the tests, in bytes per second.
 const rate = 100_000
 
-// objective is in which an upload alone takes two fifths of what is allowed.
+// objective is chosen so that a single upload takes two fifths of the time that is allowed for it.
 const objective = 2 * time.Second
 
+// learnedSizes returns the sizes of an upload (40,000 bytes) and of a short call (900 bytes).
 func learnedSizes() *Sizes {
 	sizes := NewSizes()
 	sizes.Whole(uploads, 40_000)
@@ -33,7 +34,7 @@
 	return sizes
 }
 
-// linkState is what waits in front of a link.
+// linkState is the state of the queue in front of a link.
 type linkState struct {
 	idle      bool
 	shortWait time.Duration
@@ -45,7 +46,7 @@
 // ShortWait implements Link.
 func (state linkState) ShortWait() time.Duration { return state.shortWait }
 
-// visiting returns an Open that visits the requests.
+// visiting returns a VisitOpen that visits the given requests.
 func visiting(open ...requests.Progress) VisitOpen {
 	return func(visit func(progress requests.Progress)) {
 		for _, progress := range open {
@@ -72,18 +73,18 @@
 		ahead     int
 		refused   bool
 	}{
-		{"a free link", nil, uploads, objective, 0, false},
-		{"room for both", []requests.Progress{half}, uploads, objective, 20_000, false},
-		{"room for both, to the byte", []requests.Progress{begun, half}, uploads, objective, 60_000, false},
+		{"idle link", nil, uploads, objective, 0, false},
+		{"capacity for both", []requests.Progress{half}, uploads, objective, 20_000, false},
+		{"exactly enough capacity", []requests.Progress{begun, half}, uploads, objective, 60_000, false},
 		{"one too many", []requests.Progress{begun, begun}, uploads, objective, 80_000, true},
-		{"those that came complete do not count", []requests.Progress{complete, complete, complete, half}, uploads, objective, 20_000, false},
-		{"longer than usual", []requests.Progress{long}, uploads, objective, minRemaining, false},
-		{"long on a route whose size is not known", []requests.Progress{unknown}, uploads, objective, minRemaining, false},
+		{"complete requests do not count", []requests.Progress{complete, complete, complete, half}, uploads, objective, 20_000, false},
+		{"open request longer than usual", []requests.Progress{long}, uploads, objective, minRemaining, false},
+		{"long open request on a route of unknown size", []requests.Progress{unknown}, uploads, objective, minRemaining, false},
 		{"short requests do not count", []requests.Progress{call, call, call}, uploads, objective, 0, false},
-		{"a short request passes", []requests.Progress{begun, begun, begun}, calls, objective, 0, false},
-		{"a request of unknown size passes", []requests.Progress{begun, begun, begun}, other, objective, 0, false},
+		{"a short request is accepted", []requests.Progress{begun, begun, begun}, calls, objective, 0, false},
+		{"a request of unknown size is accepted", []requests.Progress{begun, begun, begun}, other, objective, 0, false},
 		{"a route without an objective", []requests.Progress{begun, begun, begun}, uploads, 0, 0, false},
-		{"a long request that is late by itself", nil, uploads, objective / 4, 0, false},
+		{"a long request that misses its objective on an idle link", nil, uploads, objective / 4, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -100,8 +101,8 @@
 	require.Equal(t, Verdict{TypicalSize: 40_000, BytesAhead: 30_000, ExpectedTime: 700 * time.Millisecond}, admission.Decide(uploads, objective, start))
 }
 
-// TestReviewRefusesNewFlowsAlone: packets of open flows, copies of opening packets
-// and what the table refused stay as they were decided.
+// TestReviewRefusesOnlyNewFlows: packets of open flows, retransmissions of forwarded opening packets
+// and packets that the table refused keep their decision.
 func TestReviewRefusesOnlyNewFlows(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
 	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
@@ -111,9 +112,9 @@
 	require.Equal(t, refused, admission.Review(opening, chosen, start))
 	repeated := opening
 	repeated.Attempt = 1
-	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its former copy was lost in front of the link")
+	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its previous copy was lost in front of the link")
 	repeated.Seen = true
-	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its former copy was sent on")
+	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its previous copy was forwarded")
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner, Token: 7}
 	require.Equal(t, owner, admission.Review(steer.Segment{Service: uploads, Token: 7}, owner, start))
 	unknown := steer.Decision{Action: steer.Reset, Reason: steer.ReasonNoRoute}
@@ -124,11 +125,11 @@
 	full := visiting(requests.Progress{Route: uploads}, requests.Progress{Route: uploads}, requests.Progress{Route: uploads})
 	require.True(t, NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
 	require.False(t, NewAdmission(Options{BytesPerSecond: rate}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
-	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused, "a link without a bound")
+	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused, "a link of unlimited capacity")
 }
 
-// TestMoreAreRefusedWhereMostAre: with few refusals a link takes what the objective
-// allows, with many only what it has room for. A free link takes any.
+// TestHighRefusedShareShortensAllowedWait: while few requests are refused, one may wait as long as
+// the objective allows; while many are, only for minAllowedWait. An idle link accepts any.
 func TestHighRefusedShareShortensAllowedWait(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
 	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*minAllowedWait.Seconds())}
@@ -143,34 +144,34 @@
 	for range 10 {
 		require.True(t, refused(begun, begun, begun, begun, begun), "more than the objective allows")
 	}
-	require.True(t, refused(begun), "others are refused, too, so that one is enough")
-	require.False(t, refused(nearlyDone), "the link has room")
-	require.False(t, refused(), "a free link")
+	require.True(t, refused(begun), "the refused share is high, so one open request is enough to refuse")
+	require.False(t, refused(nearlyDone), "the wait is at most minAllowedWait")
+	require.False(t, refused(), "idle link")
 	for range 20 {
 		refused()
 	}
-	require.False(t, refused(begun, begun), "few are refused again")
+	require.False(t, refused(begun, begun), "the refused share is low again")
 }
 
-// TestRequestsThatUseTheLinkNoMore: a request that is quiet counts while data waits in
-// front of the link, perhaps its own, and no more once none does.
+// TestInactiveRequestsAreNotCountedOnIdleLink: a request without recent packets counts while the
+// queue in front of the link has data, which may be its own, but not on an idle link.
 func TestInactiveRequestsAreNotCountedOnIdleLink(t *testing.T) {
 	cases := []struct {
-		name    string
-		idle    bool
-		quiet   time.Duration
-		refused bool
+		name     string
+		idle     bool
+		inactive time.Duration
+		refused  bool
 	}{
 		{"busy link", false, 2 * inactiveAfter, true},
-		{"idle link, its data may be on the way", true, inactiveAfter, true},
-		{"idle link, and quiet for long", true, inactiveAfter + time.Millisecond, false},
+		{"idle link, the data may be under way", true, inactiveAfter, true},
+		{"idle link, inactive too long", true, inactiveAfter + time.Millisecond, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			begun := requests.Progress{Route: uploads}
 			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
 			admission.ObserveLink(linkState{idle: test.idle})
-			require.Equal(t, test.refused, admission.Decide(uploads, objective, start.Add(test.quiet)).Refused)
+			require.Equal(t, test.refused, admission.Decide(uploads, objective, start.Add(test.inactive)).Refused)
 		})
 	}
 }
@@ -180,16 +181,16 @@
 	require.Zero(t, sizes.Typical(uploads))
 	sizes.Whole(uploads, 30_000)
 	sizes.Whole(uploads, 50_000)
-	require.Equal(t, 40_000, sizes.Typical(uploads), "the first ones weigh alike")
+	require.Equal(t, 40_000, sizes.Typical(uploads), "the first requests have equal weight")
 	require.Zero(t, sizes.Typical(calls))
 	for range 200 {
 		sizes.Whole(uploads, 1000)
 	}
-	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "sizes that change are followed")
+	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "the average follows a change of sizes")
 }
 
-// TestSizesAreGuessedUntilOneCameWhole: a link that is full from its start on lets no
-// request through for long.
+// TestSizesAreEstimatedUntilOneRequestCompletes: on a link that is saturated from its start, it
+// takes long until a request completes.
 func TestSizesAreEstimatedUntilOneRequestCompletes(t *testing.T) {
 	sizes := NewSizes()
 	sizes.Growing(uploads, 10_000)
@@ -199,7 +200,7 @@
 	sizes.Growing(uploads, 30_000)
 	require.Equal(t, 60_000, sizes.Typical(uploads))
 	sizes.Whole(uploads, 40_000)
-	require.Equal(t, 40_000, sizes.Typical(uploads), "what is known replaces the guess")
+	require.Equal(t, 40_000, sizes.Typical(uploads), "the known size replaces the estimate")
 	sizes.Growing(uploads, 90_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads))
 }
@@ -211,11 +212,11 @@
 	}
 	require.Len(t, sizes.averages, maxRoutes)
 	sizes.Whole(netip.AddrPortFrom(uploads.Addr(), 1), 700)
-	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "known routes go on")
+	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "recorded routes are still updated")
 }
 
-// BenchmarkDecide decides about an upload while a watcher follows as many requests
-// as a busy balancer has open: the most expensive decision.
+// BenchmarkDecide measures the most expensive decision: about an upload, while a watcher follows as
+// many requests as a busy balancer has open.
 func BenchmarkDecide(b *testing.B) {
 	const openRequests = 256
 	watcher := requests.NewWatcher()
@@ -233,9 +234,8 @@
 	}
 }
 
-// TestNewFlowsAreRefusedBeforeOpenOnesSuffer is a link that short datagrams alone keep full:
-// from half of the time on after which senders repeat, each new flow would make the link
-// carry more of it twice.
+// TestNewFlowsAreRefusedWhenShortFlowsSaturateTheLink: from half of the senders' retransmission
+// timeout on, each new flow would make the link transmit more of its data twice.
 func TestNewFlowsAreRefusedWhenShortFlowsSaturateTheLink(t *testing.T) {
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Objective: objective}
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner}
@@ -250,8 +250,8 @@
 		{"a short queue", maxShortWait, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
 		{"a long queue", maxShortWait + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
 		{"an open flow", time.Second, steer.Segment{Service: calls}, owner, 0.5, false},
-		{"a copy of what was sent on", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
-		{"switched off", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
+		{"a retransmission of a forwarded packet", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
+		{"admission control disabled", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/direct/transfer/sizes.go
+++ b/internal/direct/transfer/sizes.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// sizeWeight is the weight of one more request in the average of its route.
+	// sizeWeight is the weight of a new request in the average size of its route.
 	sizeWeight = 0.1
-	// routesKept bounds the routes whose sizes are known. Beyond it, requests of
-	// others count as short.
+	// maxRoutes bounds the routes whose sizes are recorded. Requests of further routes are
+	// treated as short.
 	maxRoutes = 4096
 )
 
-// growth is by how much a request of a route of which none came whole yet is
-// assumed to exceed the longest that is known: one that has brought some is as
-// likely as not to bring as much again.
+// growthFactor is the assumed ratio of a request's final size to the bytes received so far, used for
+// routes without a completed request. A request that has sent a number of bytes is about as likely
+// as not to send as many again.
 const growthFactor = 2
 
-// average is a running average of sizes in bytes.
+// average is a running average of request sizes in bytes.
 type average struct {
 	value float64
-	// count is the number of requests that it is of. While it is zero, the value
-	// is a guess.
+	// samples is the number of completed requests in the average. While it is zero, value is an
+	// estimate based on incomplete requests.
 	samples int
 }
 
-// Sizes learns how many bytes the requests of each route bring. It is a
-// requests.SizeObserver and safe for many goroutines.
+// Sizes records the usual size of the requests of each route. It implements requests.SizeObserver
+// and is safe for concurrent use.
 type Sizes struct {
 	lock     sync.RWMutex
 	averages map[netip.AddrPort]average
@@ -37,12 +37,11 @@
 
 var _ requests.SizeObserver = (*Sizes)(nil)
 
-// NewSizes returns sizes of which none is known.
+// NewSizes returns Sizes without any recorded size.
 func NewSizes() *Sizes { return &Sizes{averages: make(map[netip.AddrPort]average)} }
 
-// Growing implements requests.SizeObserver. It makes a guess at the size of a route
-// of which no request came whole: on a link that is full from its start on, it may
-// take long until one does.
+// Growing implements requests.SizeObserver. It estimates the size for a route without a completed
+// request: on a link that is saturated from its start, it may take long until one completes.
 func (sizes *Sizes) Growing(route netip.AddrPort, bytes int) {
 	if known := sizes.average(route); known.samples > 0 || known.value >= growthFactor*float64(bytes) {
 		return
@@ -57,7 +56,8 @@
 	sizes.averages[route] = known
 }
 
-// Whole implements requests.SizeObserver. The first ones weigh alike.
+// Whole implements requests.SizeObserver. It adds a completed request to the average of its route.
+// The first requests of a route have equal weight.
 func (sizes *Sizes) Whole(route netip.AddrPort, bytes int) {
 	sizes.lock.Lock()
 	defer sizes.lock.Unlock()
@@ -71,6 +71,7 @@
 	sizes.averages[route] = known
 }
 
+// hasRoom reports whether a route may be recorded; exists states that it is recorded already.
 func (sizes *Sizes) hasRoom(exists bool) bool { return exists || len(sizes.averages) < maxRoutes }
 
 func (sizes *Sizes) average(route netip.AddrPort) average {
@@ -79,6 +80,5 @@
 	return sizes.averages[route]
 }
 
-// Typical returns how many bytes a request of the route usually brings; zero when
-// that is not known.
+// Typical returns the usual size in bytes of a request of the route; zero if unknown.
 func (sizes *Sizes) Typical(route netip.AddrPort) int { return int(sizes.average(route).value) }
