--- a/internal/direct/load/exchange.go
+++ b/internal/direct/load/exchange.go
@@ -80,7 +80,8 @@
 	reports *board.Queue[protocol.Envelope]
 	demand  demand
 	// notifier calls OnChange when demand changes.
-	notifier    changeNotifier
+	notifier changeNotifier
+	// peerReports holds the last report of each node, until it expires.
 	peerReports map[model.NodeName]*peerReport
 	// usesCollector is set in a large system. collectorInterval is the time between two reports
 	// that the collector asked for.
--- a/internal/direct/load/report.go
+++ b/internal/direct/load/report.go
@@ -31,7 +31,8 @@
 type Report struct {
 	Scope   Scope
 	Entries Entries
-	// Wanted reports whether the sender's own utilization calls for load sharing.
+	// Wanted reports whether the sender's own utilization calls for load sharing. It is always
+	// set with ScopeSystem, because these reports are only sent while load sharing is active.
 	Wanted bool
 	// Serving holds serving times by service: those that a balancer observed, or the medians
 	// over a member's balancers. It is empty in most reports; the receiver then keeps the
@@ -69,7 +70,7 @@
 }
 
 // subtract returns entries minus the counts in part. Both must be sorted by token. Because part
-// may be more recent than entries, counts are limited to zero.
+// may be more recent than entries, a count that would be negative becomes zero.
 func (entries Entries) subtract(part Entries) Entries {
 	rest := make(Entries, 0, len(entries))
 	for _, entry := range entries {
