--- a/internal/direct/registrar/health_outcomes.go
+++ b/internal/direct/registrar/health_outcomes.go
@@ -15,23 +15,23 @@
 func (health *HealthMonitor) ejectOutliers(now time.Time) {
 	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomeReports) {
 		report := received.Message
-		health.outlierDetector.Take(report, now)
+		health.outlierDetector.AddReport(report, now)
 	}
 	if now.Sub(health.outliersCheckedAt) < outlierCheckInterval {
 		return
 	}
 	health.outliersCheckedAt = now
 	verdict := health.outlierDetector.Decide(health.targets, now)
-	if len(verdict.Aside)+len(verdict.Back) == 0 {
+	if len(verdict.Eject)+len(verdict.Restore) == 0 {
 		return
 	}
-	for _, token := range verdict.Aside {
+	for _, token := range verdict.Eject {
 		health.logger.Info("target set aside", health.targetField(token), zap.String("cause", string(verdict.Causes[token])))
 	}
-	for _, token := range verdict.Back {
+	for _, token := range verdict.Restore {
 		health.logger.Info("target gets new flows again", health.targetField(token))
 	}
-	data, err := directory.EncodeCommand(directory.Command{TargetHealth: &directory.HealthChange{Aside: verdict.Aside, Back: verdict.Back}})
+	data, err := directory.EncodeCommand(directory.Command{TargetHealth: &directory.HealthChange{Aside: verdict.Eject, Back: verdict.Restore}})
 	if err != nil {
 		return
 	}
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -75,7 +75,7 @@
 	renewalTable := NewRenewalTable()
 	created.proposer = NewProposer(created.mailbox, created.dispatcher, created.group, created.group.directory, 0)
 	created.registrar = NewRegistrar(created.group.directory, created.proposer, created.group, renewalTable, peersInZones("x"), zap.NewNop())
-	prober := probe.NewWith(func(address netip.AddrPort, done func(probe.Outcome)) {
+	prober := probe.NewWithStarter(func(address netip.AddrPort, done func(probe.Outcome)) {
 		created.probes = append(created.probes, address)
 		done(created.probeOutcome)
 	})
