--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -247,8 +247,8 @@
 	parts.Lifecycle.Append(fx.StartStopHook(
 		func() {
 			parts.Tasks.Go("forwarder", parts.Forwarder.Run)
-			parts.Tasks.Go("parked packets", parts.Forwarder.Release)
-			parts.Tasks.Go("egress", parts.Forwarder.Drain)
+			parts.Tasks.Go("parked packets", parts.Forwarder.RunParking)
+			parts.Tasks.Go("egress", parts.Forwarder.RunEgress)
 			parts.Tasks.Go("load reports", parts.Sharing.run)
 			for _, runner := range runners {
 				parts.Tasks.Go("controller", func(ctx context.Context) error {
--- a/internal/direct/egress/egress.go
+++ b/internal/direct/egress/egress.go
@@ -47,7 +47,7 @@
 	// observe is told how long each datagram waited that did.
 	observe func(waited time.Duration)
 	// follower is told of datagrams that are to be followed.
-	follower Follower
+	follower QueueObserver
 
 	sent, waited, repeated, refused atomic.Uint64
 }
@@ -67,28 +67,28 @@
 
 // Observe makes observe be told how long each datagram waited for the link that
 // did. It is set before the first Send and must return at once.
-func (egress *Egress) Observe(observe func(waited time.Duration)) { egress.observe = observe }
+func (egress *Egress) ObserveWaits(observe func(waited time.Duration)) { egress.observe = observe }
 
 // Follower is told of datagrams with Followed that are not written at once. Its methods must
 // return at once, keep nothing of the datagram and call nothing of the egress.
-type Follower interface {
+type QueueObserver interface {
 	// Waits is told that the datagram was sent at now and has to wait. It may be lost.
-	Waits(datagram *Datagram, now time.Time)
+	Queued(datagram *Datagram, now time.Time)
 	// Left is told that a datagram that had to wait was written at now.
-	Left(datagram *Datagram, now time.Time)
+	Dequeued(datagram *Datagram, now time.Time)
 }
 
 // noFollower is the follower of an egress without one.
 type noFollower struct{}
 
 // Waits implements Follower.
-func (noFollower) Waits(*Datagram, time.Time) {}
+func (noFollower) Queued(*Datagram, time.Time) {}
 
 // Left implements Follower.
-func (noFollower) Left(*Datagram, time.Time) {}
+func (noFollower) Dequeued(*Datagram, time.Time) {}
 
 // Follow makes follower be told of datagrams. It is set before the first Send.
-func (egress *Egress) Follow(follower Follower) { egress.follower = follower }
+func (egress *Egress) ObserveQueue(follower QueueObserver) { egress.follower = follower }
 
 // Counts returns the counts since the start.
 func (egress *Egress) Counts() Counts {
@@ -131,8 +131,8 @@
 	kept := datagram
 	kept.since = now
 	kept.Content = append([]byte(nil), datagram.Content...)
-	if kept.Followed {
-		egress.follower.Waits(&kept, now)
+	if kept.Tracked {
+		egress.follower.Queued(&kept, now)
 	}
 	switch egress.queue.put(&kept) {
 	case repeated:
@@ -170,8 +170,8 @@
 		next := egress.queue.take(now)
 		egress.observe(now.Sub(next.since))
 		egress.transmit(next, now)
-		if next.Followed {
-			egress.follower.Left(next, now)
+		if next.Tracked {
+			egress.follower.Dequeued(next, now)
 		}
 	}
 	return 0
--- a/internal/direct/egress/egress_test.go
+++ b/internal/direct/egress/egress_test.go
@@ -372,7 +372,7 @@
 // that a later one includes are not carried.
 func TestWhatWaitsIsNotRepeated(t *testing.T) {
 	acknowledges := func(port int, number uint32) Datagram {
-		return Datagram{Flow: flowOf(port), To: target, Acknowledges: true, Acknowledgement: number, Content: []byte{byte(number), 0}}
+		return Datagram{Flow: flowOf(port), To: target, PureAcknowledgement: true, Acknowledgement: number, Content: []byte{byte(number), 0}}
 	}
 	opens := func(port int, to netip.AddrPort, copies byte) Datagram {
 		return Datagram{Flow: flowOf(port), To: to, Opening: true, Content: []byte{copies, 1}}
--- a/internal/direct/egress/follow_test.go
+++ b/internal/direct/egress/follow_test.go
@@ -15,20 +15,20 @@
 }
 
 // Waits implements Follower.
-func (told *told) Waits(datagram *Datagram, now time.Time) {
+func (told *told) Queued(datagram *Datagram, now time.Time) {
 	told.waits = append(told.waits, datagram.Sequence)
 	told.waitsAt = append(told.waitsAt, now.Sub(start))
 }
 
 // Left implements Follower.
-func (told *told) Left(datagram *Datagram, now time.Time) {
+func (told *told) Dequeued(datagram *Datagram, now time.Time) {
 	told.left = append(told.left, datagram.Sequence)
 	told.leftAt = append(told.leftAt, now.Sub(start))
 }
 
 func followed(port int, number uint32) Datagram {
 	datagram := data(port, number, largest)
-	datagram.Followed = true
+	datagram.Tracked = true
 	return datagram
 }
 
@@ -38,7 +38,7 @@
 func TestWaitingAndLeavingAreTold(t *testing.T) {
 	link := &link{bytesPerSecond: narrow, queue: time.Second, now: start}
 	egress, told := New(linkOf(narrow), link.write), &told{}
-	egress.Follow(told)
+	egress.ObserveQueue(told)
 	for number := range uint32(2) {
 		egress.Send(followed(1, number+1), link.now)
 	}
@@ -60,7 +60,7 @@
 
 func TestWhatNeverLeavesIsNotToldToHaveLeft(t *testing.T) {
 	egress, told := New(linkOf(1), func([]byte, netip.AddrPort) {}), &told{}
-	egress.Follow(told)
+	egress.ObserveQueue(told)
 	for number := range uint32(1000) {
 		egress.Send(followed(1, number), start)
 	}
--- a/internal/direct/egress/queue.go
+++ b/internal/direct/egress/queue.go
@@ -27,12 +27,12 @@
 	Opening bool
 	// Acknowledges tells that the datagram does nothing but acknowledge what comes before
 	// Acknowledgement. A later one of the same flow says the same and more.
-	Acknowledges    bool
-	Acknowledgement uint32
-	Content         []byte
+	PureAcknowledgement bool
+	Acknowledgement     uint32
+	Content             []byte
 	// Followed makes the egress tell its follower when the datagram begins to wait, and when
 	// it, or a repetition that took its place, is written after that.
-	Followed bool
+	Tracked bool
 	// since is when the datagram began to wait.
 	since time.Time
 }
@@ -45,8 +45,8 @@
 		return datagram.Opening && other.Opening
 	case datagram.To != other.To:
 		return false
-	case datagram.Acknowledges || other.Acknowledges:
-		return datagram.Acknowledges && other.Acknowledges && int32(other.Acknowledgement-datagram.Acknowledgement) >= 0
+	case datagram.PureAcknowledgement || other.PureAcknowledgement:
+		return datagram.PureAcknowledgement && other.PureAcknowledgement && int32(other.Acknowledgement-datagram.Acknowledgement) >= 0
 	}
 	return datagram.HasData && other.HasData && datagram.Sequence == other.Sequence
 }
@@ -163,7 +163,7 @@
 		if known.repeats(added) {
 			queue.count(waiting, len(added.Content)-len(known.Content))
 			added.since = known.since
-			added.Followed = added.Followed || known.Followed
+			added.Tracked = added.Tracked || known.Tracked
 			waiting.datagrams[index] = added
 			return true
 		}
--- a/internal/direct/forwarder/following.go
+++ b/internal/direct/forwarder/following.go
@@ -9,24 +9,24 @@
 
 // Followed tells whether a target goes on with a request once it has the packet, so that the
 // requests have to know when it leaves.
-func Followed(segment steer.Segment) bool { return segment.Opening || segment.HasData }
+func NeedsTracking(segment steer.Segment) bool { return segment.Opening || segment.HasData }
 
 // Follow returns what tells the requests of packets that wait in front of the link.
-func Follow(requests Requests) egress.Follower { return following{requests} }
+func NewQueueObserver(requests RequestWatcher) egress.QueueObserver { return following{requests} }
 
 // following passes on what becomes of datagrams to the requests that they belong to.
 type following struct {
-	requests Requests
+	requests RequestWatcher
 }
 
 // Waits implements egress.Follower.
-func (following following) Waits(datagram *egress.Datagram, now time.Time) {
-	following.requests.Waits(segmentOf(datagram), now)
+func (following following) Queued(datagram *egress.Datagram, now time.Time) {
+	following.requests.Queued(segmentOf(datagram), now)
 }
 
 // Left implements egress.Follower.
-func (following following) Left(datagram *egress.Datagram, now time.Time) {
-	following.requests.Left(segmentOf(datagram), now)
+func (following following) Dequeued(datagram *egress.Datagram, now time.Time) {
+	following.requests.Dequeued(segmentOf(datagram), now)
 }
 
 // segmentOf returns what is known of the packet in a datagram that was forwarded.
--- a/internal/direct/forwarder/forwarder.go
+++ b/internal/direct/forwarder/forwarder.go
@@ -51,19 +51,19 @@
 
 // Requests is told of the packets that were sent on to targets; its methods must
 // return at once.
-type Requests interface {
+type RequestWatcher interface {
 	// Placed takes in that an opening packet was sent on to target.
-	Placed(segment steer.Segment, target requests.Target, now time.Time)
+	OpeningForwarded(segment steer.Segment, target requests.Target, now time.Time)
 	// Tried returns the targets that the last opening packets of the segment's
 	// flow were sent on to, the latest first, as far as that is known, and whether
 	// any packet of the flow was sent on.
-	Tried(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool)
+	PreviousTargets(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool)
 	// Note takes in a packet that was sent on to the target of its flow.
-	Note(segment steer.Segment, target requests.Target, now time.Time)
+	PacketForwarded(segment steer.Segment, target requests.Target, now time.Time)
 	// Waits takes in that the packet which was placed or noted at now waits in front of
 	// the link, and Left that it left.
-	Waits(segment steer.Segment, now time.Time)
-	Left(segment steer.Segment, now time.Time)
+	Queued(segment steer.Segment, now time.Time)
+	Dequeued(segment steer.Segment, now time.Time)
 }
 
 // Admission decides whether the balancer's link has room for a new flow; it must
@@ -80,7 +80,7 @@
 	table     *steer.Table
 	suspects  *Suspects
 	observer  Observer
-	requests  Requests
+	requests  RequestWatcher
 	admission Admission
 	parking   *parking
 	// changes has a notice since the table last changed, from the forwarder's making on, so
@@ -101,7 +101,7 @@
 }
 
 // New opens the socket.
-func New(options Options, codec Codec, table *steer.Table, suspects *Suspects, requests Requests, admission Admission, observer Observer) (*Forwarder, error) {
+func New(options Options, codec Codec, table *steer.Table, suspects *Suspects, requests RequestWatcher, admission Admission, observer Observer) (*Forwarder, error) {
 	parsed, err := netip.ParseAddrPort(options.Address)
 	if err != nil {
 		return nil, faults.New(faults.PacketSocket, "direct.packets: %v", err)
@@ -115,7 +115,7 @@
 	options.Failures.Note(socketfault.Buffer, socket.SetWriteBuffer(socketBufferBytes))
 	forwarder := &Forwarder{socket: socket, codec: codec, table: table, suspects: suspects, requests: requests, admission: admission, observer: observer, parking: newParking(), changes: table.Watch(), failures: options.Failures}
 	forwarder.egress = egress.New(options.Link, forwarder.write)
-	forwarder.egress.Follow(Follow(requests))
+	forwarder.egress.ObserveQueue(NewQueueObserver(requests))
 	return forwarder, nil
 }
 
@@ -133,11 +133,11 @@
 // ObserveWaits makes observe be told how long each datagram waited for the link
 // that did. It is set before the first packet.
 func (forwarder *Forwarder) ObserveWaits(observe func(waited time.Duration)) {
-	forwarder.egress.Observe(observe)
+	forwarder.egress.ObserveWaits(observe)
 }
 
 // Drain sends the datagrams that wait for the link, until ctx ends.
-func (forwarder *Forwarder) Drain(ctx context.Context) error { return forwarder.egress.Run(ctx) }
+func (forwarder *Forwarder) RunEgress(ctx context.Context) error { return forwarder.egress.Run(ctx) }
 
 // Run carries packets until ctx ends.
 func (forwarder *Forwarder) Run(ctx context.Context) error {
@@ -174,7 +174,7 @@
 func (forwarder *Forwarder) decide(buffer []byte, headroom int, segment steer.Segment, now time.Time) {
 	packet := buffer[headroom:]
 	if segment.Opening && segment.Attempt > 0 {
-		segment.Tried, segment.Seen = forwarder.requests.Tried(segment)
+		segment.Tried, segment.Seen = forwarder.requests.PreviousTargets(segment)
 	}
 	decision := forwarder.admission.Review(segment, forwarder.table.Decide(segment, now), now)
 	if decision.Action == steer.Drop && worthParking(decision.Reason) {
@@ -204,10 +204,10 @@
 func (forwarder *Forwarder) note(segment steer.Segment, decision steer.Decision, now time.Time) {
 	target := requests.Target{Token: decision.Token, ID: decision.ID, Service: decision.Service, Capacity: decision.Capacity}
 	if segment.Opening {
-		forwarder.requests.Placed(segment, target, now)
+		forwarder.requests.OpeningForwarded(segment, target, now)
 		return
 	}
-	forwarder.requests.Note(segment, target, now)
+	forwarder.requests.PacketForwarded(segment, target, now)
 }
 
 // release decides anew about parked packets after the table changed. A copy of
@@ -225,7 +225,7 @@
 
 // Release decides anew about parked packets whenever the table changes, until
 // ctx ends.
-func (forwarder *Forwarder) Release(ctx context.Context) error {
+func (forwarder *Forwarder) RunParking(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -240,9 +240,9 @@
 func (forwarder *Forwarder) forward(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
 	datagram := datagramOf(segment, content, to)
 	datagram.Opening = segment.Opening
-	datagram.Acknowledges = segment.Acknowledges()
+	datagram.PureAcknowledgement = segment.Acknowledges()
 	datagram.Acknowledgement = segment.Acknowledgement
-	datagram.Followed = Followed(segment)
+	datagram.Tracked = NeedsTracking(segment)
 	forwarder.egress.Send(datagram, now)
 }
 
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -107,35 +107,35 @@
 }
 
 // Placed implements Requests.
-func (counter *counter) Placed(steer.Segment, requests.Target, time.Time) {
+func (counter *counter) OpeningForwarded(steer.Segment, requests.Target, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	counter.placed++
 }
 
 // Tried implements Requests.
-func (counter *counter) Tried(steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
+func (counter *counter) PreviousTargets(steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	return tried, counter.placed > 0
 }
 
 // Note implements Requests.
-func (counter *counter) Note(steer.Segment, requests.Target, time.Time) {
+func (counter *counter) PacketForwarded(steer.Segment, requests.Target, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	counter.noted++
 }
 
 // Waits implements Requests.
-func (counter *counter) Waits(steer.Segment, time.Time) {
+func (counter *counter) Queued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	counter.waits++
 }
 
 // Left implements Requests.
-func (counter *counter) Left(steer.Segment, time.Time) {
+func (counter *counter) Dequeued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	counter.left++
@@ -196,7 +196,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	made := newHoldingRig(t, egress.Link{})
-	made.start(made.forwarder.Release)
+	made.start(made.forwarder.RunParking)
 	return made
 }
 
@@ -216,7 +216,7 @@
 	var running sync.WaitGroup
 	made.start = func(run func(ctx context.Context) error) { running.Go(func() { _ = run(ctx) }) }
 	made.start(made.forwarder.Run)
-	made.start(made.forwarder.Drain)
+	made.start(made.forwarder.RunEgress)
 	t.Cleanup(func() {
 		cancel()
 		running.Wait()
@@ -335,7 +335,7 @@
 	rig := newHoldingRig(t, egress.Link{})
 	rig.learn(1, directory.TargetReady)
 	<-rig.forwarder.changes
-	rig.start(rig.forwarder.Release)
+	rig.start(rig.forwarder.RunParking)
 	data := packetOf(kindData, portOf(rig.caller), servicePort, 8)
 	rig.send(data)
 	require.Eventually(t, func() bool { return rig.counter.count(steer.ReasonUnknownToken) == 1 }, conditionTimeout, time.Millisecond)
@@ -356,7 +356,7 @@
 	rig.send(opening)
 	require.Eventually(t, func() bool { return rig.counter.count(steer.ReasonNoTable) == 1 }, conditionTimeout, time.Millisecond)
 	rig.learn(1, directory.TargetReady)
-	rig.start(rig.forwarder.Release)
+	rig.start(rig.forwarder.RunParking)
 	require.Equal(t, append([]byte{0, 0, 0, 7}, opening...), rig.receive(rig.target))
 }
 
--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -172,7 +172,7 @@
 }
 
 // Continued implements requests.Listener.
-func (book *Book) Continued(whole bool) { book.trust.flows.Note(whole) }
+func (book *Book) SequenceChecked(whole bool) { book.trust.flows.Note(whole) }
 
 const (
 	// learnedCrowd is the number of requests by capacity that a request may have met for
--- a/internal/direct/load/evidence_test.go
+++ b/internal/direct/load/evidence_test.go
@@ -19,8 +19,8 @@
 	begin(other, 7, 2)
 	now := run(start, 3*interval, nil, one, other)
 	one.book.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
-	one.book.Continued(false)
-	one.book.Continued(true)
+	one.book.SequenceChecked(false)
+	one.book.SequenceChecked(true)
 
 	evidence := one.book.Evidence(7, now)
 	require.Equal(t, 2, evidence.Own)
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -225,15 +225,15 @@
 	node := newNode("a", interval, "b")
 	begin(node, 7, 5)
 	for range 100 {
-		node.book.Continued(true)
+		node.book.SequenceChecked(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 	for range 10 {
-		node.book.Continued(false)
+		node.book.SequenceChecked(false)
 	}
 	require.Zero(t, openAt(node, 7))
 	for range 100 {
-		node.book.Continued(true)
+		node.book.SequenceChecked(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 }
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -15,7 +15,7 @@
 	// provenAfter is how long after the first request counts prove nothing. Answers are seen
 	// at once and misses after requests.HangAfter alone, so that before then no request seems
 	// to go unanswered; as long again lets the misses weigh in the average.
-	provenAfter = 2 * requests.HangAfter
+	provenAfter = 2 * requests.AnswerTimeout
 )
 
 // trust tells whether a balancer sees enough of its flows to count their
@@ -38,7 +38,7 @@
 
 // holds tells whether nothing speaks against the counts, so that a choice may go by them.
 // A balancer that has just started has nothing that does.
-func (trust *trust) holds() bool { return trust.missed.Value() <= missedMost && trust.flows.Whole() }
+func (trust *trust) holds() bool { return trust.missed.Value() <= missedMost && trust.flows.Complete() }
 
 // proven tells whether enough speaks for the counts to refuse a flow by them: even if all
 // requests before the first one had been missed, few enough are.
@@ -47,13 +47,13 @@
 	if begunAt == 0 || now.UnixNano()-begunAt < int64(provenAfter) {
 		return false
 	}
-	return trust.missed.Most() <= missedMost && trust.flows.Whole()
+	return trust.missed.UpperBound() <= missedMost && trust.flows.Complete()
 }
 
 // proportions returns what the trust rests on: the share of data behind a gap, and that of
 // requests whose answer was not seen.
 func (trust *trust) proportions() (gaps, missed steer.Proportion) {
 	gaps.Share, gaps.Cases = trust.flows.Gaps()
-	missed = steer.Proportion{Share: trust.missed.Value(), Cases: trust.missed.Cases()}
+	missed = steer.Proportion{Share: trust.missed.Value(), Cases: trust.missed.Samples()}
 	return gaps, missed
 }
--- a/internal/direct/load/trust_test.go
+++ b/internal/direct/load/trust_test.go
@@ -27,7 +27,7 @@
 	known := &trust{}
 	var pending []time.Time
 	for now := start; now.Before(start.Add(duration)); now = now.Add(10 * time.Millisecond) {
-		for len(pending) > 0 && now.Sub(pending[0]) >= requests.HangAfter {
+		for len(pending) > 0 && now.Sub(pending[0]) >= requests.AnswerTimeout {
 			known.missed.Note(true)
 			pending = pending[1:]
 		}
@@ -82,7 +82,7 @@
 	for range 100 {
 		known.missed.Note(false)
 	}
-	require.False(t, known.proven(start.Add(requests.HangAfter)), "no miss could be seen yet")
+	require.False(t, known.proven(start.Add(requests.AnswerTimeout)), "no miss could be seen yet")
 	require.True(t, known.proven(start.Add(provenAfter)))
 	for range 10 {
 		known.flows.Note(false)
--- a/internal/direct/outcome/hasty_test.go
+++ b/internal/direct/outcome/hasty_test.go
@@ -17,7 +17,7 @@
 var route = netip.MustParseAddrPort("198.18.0.1:443")
 
 func answerOf(took time.Duration, bytes int) requests.Answer {
-	return requests.Answer{Target: worked, Route: route, Took: took, Bytes: bytes}
+	return requests.Answer{Target: worked, Route: route, Latency: took, Bytes: bytes}
 }
 
 func TestAnswersThatAreFarSoonerAndShorterAreHasty(t *testing.T) {
@@ -64,7 +64,7 @@
 	mailbox := protocol.NewMailbox("balancer")
 	tracker := NewTracker(mailbox, func() model.NodeName { return "member" })
 	answered := func(took time.Duration, bytes int) {
-		tracker.Came(answerOf(took, bytes))
+		tracker.AnswerStarted(answerOf(took, bytes))
 		tracker.Ended(worked, requests.Answered, took)
 	}
 	for range usualFrom {
--- a/internal/direct/outcome/tracker.go
+++ b/internal/direct/outcome/tracker.go
@@ -75,7 +75,7 @@
 }
 
 // Came implements requests.AnswerObserver.
-func (tracker *Tracker) Came(answer requests.Answer) {
+func (tracker *Tracker) AnswerStarted(answer requests.Answer) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
 	if !tracker.usual.learn(answer) {
@@ -94,7 +94,7 @@
 func (tracker *Tracker) Waiting(requests.Target, bool) {}
 
 // Continued implements requests.Listener.
-func (tracker *Tracker) Continued(whole bool) { tracker.flows.Note(whole) }
+func (tracker *Tracker) SequenceChecked(whole bool) { tracker.flows.Note(whole) }
 
 // Name implements board.Controller.
 func (tracker *Tracker) Name() string { return "outcomes" }
@@ -107,7 +107,7 @@
 		return
 	}
 	tracker.toldAt = now
-	if report, worth := tracker.report(); worth && tracker.flows.Whole() {
+	if report, worth := tracker.report(); worth && tracker.flows.Complete() {
 		if node := tracker.follows(); node != "" {
 			tracker.mailbox.Send(node, report)
 		}
--- a/internal/direct/outcome/tracker_test.go
+++ b/internal/direct/outcome/tracker_test.go
@@ -42,7 +42,7 @@
 	mailbox := protocol.NewMailbox("balancer")
 	tracker := NewTracker(mailbox, func() model.NodeName { return "member" })
 	for range 20 {
-		tracker.Continued(false)
+		tracker.SequenceChecked(false)
 	}
 	tracker.Ended(worked, requests.Unanswered, time.Second)
 	tracker.Reconcile(start.Add(reportInterval))
--- a/internal/direct/outcome/usual.go
+++ b/internal/direct/outcome/usual.go
@@ -42,7 +42,7 @@
 	if !exists && len(known) >= routesKept {
 		return false
 	}
-	took, bytes := float64(answer.Took), float64(answer.Bytes)
+	took, bytes := float64(answer.Latency), float64(answer.Bytes)
 	hasty := route.answers >= usualFrom && took < hastyTime*route.nanoseconds && bytes < hastySize*route.bytes
 	route.answers++
 	weight := max(usualWeight, 1/float64(route.answers))
--- a/internal/direct/requests/answer.go
+++ b/internal/direct/requests/answer.go
@@ -14,22 +14,22 @@
 	// Took is the time from the latest new data of the request to the first
 	// acknowledgement of the answer, and Bytes how many bytes that one covers: all of a
 	// short answer, the first packets of a long one.
-	Took  time.Duration
-	Bytes int
+	Latency time.Duration
+	Bytes   int
 }
 
 // AnswerObserver is told of answers. Its method must return at once and must not call the
 // watcher.
 type AnswerObserver interface {
 	// Came is told that an answer began to arrive at its caller.
-	Came(answer Answer)
+	AnswerStarted(answer Answer)
 }
 
 // noAnswers is the observer of a watcher without one.
 type noAnswers struct{}
 
 // Came implements AnswerObserver.
-func (noAnswers) Came(Answer) {}
+func (noAnswers) AnswerStarted(Answer) {}
 
 // ObserveAnswers makes observer be told of answers. It is set before the first packet.
 func (watcher *Watcher) ObserveAnswers(observer AnswerObserver) { watcher.answers = observer }
--- a/internal/direct/requests/content.go
+++ b/internal/direct/requests/content.go
@@ -10,7 +10,7 @@
 // LongFrom is the number of bytes from which a request counts as long: eight full
 // datagrams. Requests without a body of their own are far below; an upload passes
 // it within its first window.
-const LongFrom = 8 * 1200
+const LongRequestBytes = 8 * 1200
 
 // content is what came of one request's data, by the numbers of its bytes.
 type content struct {
@@ -48,15 +48,17 @@
 func (content *content) brought() uint32 { return content.end - content.first }
 
 // receiving tells that the request is long and that more of it comes.
-func (content *content) receiving() bool { return !content.complete && content.brought() > LongFrom }
+func (content *content) receiving() bool {
+	return !content.complete && content.brought() > LongRequestBytes
+}
 
 // Progress is how far the data of an open request has come.
 type Progress struct {
 	// Route is the address that the caller asked.
 	Route netip.AddrPort
 	// Brought is the number of bytes that came. Complete tells that no more come.
-	Brought  int
-	Complete bool
+	ReceivedBytes int
+	Complete      bool
 	// LastAt is when its latest packet, the opening one included, was sent on.
 	LastAt time.Time
 }
@@ -69,7 +71,7 @@
 		shard.lock.Lock()
 		for key, open := range shard.requests {
 			visit(Progress{
-				Route: key.service, Brought: int(open.content.brought()), Complete: open.content.complete, LastAt: open.lastAt(),
+				Route: key.service, ReceivedBytes: int(open.content.brought()), Complete: open.content.complete, LastAt: open.lastAt(),
 			})
 		}
 		shard.lock.Unlock()
@@ -81,19 +83,19 @@
 type SizeObserver interface {
 	// Growing is told that a long request of the route has brought that many bytes
 	// so far, and that more come.
-	Growing(route netip.AddrPort, bytes int)
+	RequestGrowing(route netip.AddrPort, bytes int)
 	// Whole is told that an answered request of the route had that many bytes.
-	Whole(route netip.AddrPort, bytes int)
+	RequestCompleted(route netip.AddrPort, bytes int)
 }
 
 // noSizes is the observer of a watcher without one.
 type noSizes struct{}
 
 // Growing implements SizeObserver.
-func (noSizes) Growing(netip.AddrPort, int) {}
+func (noSizes) RequestGrowing(netip.AddrPort, int) {}
 
 // Whole implements SizeObserver.
-func (noSizes) Whole(netip.AddrPort, int) {}
+func (noSizes) RequestCompleted(netip.AddrPort, int) {}
 
 // ObserveSizes makes observer be told of sizes. It is set before the first packet.
 func (watcher *Watcher) ObserveSizes(observer SizeObserver) { watcher.sizes = observer }
--- a/internal/direct/requests/continuity.go
+++ b/internal/direct/requests/continuity.go
@@ -68,9 +68,9 @@
 func (continuity *Continuity) Note(whole bool) { continuity.gaps.Note(!whole) }
 
 // Whole tells whether flows come whole.
-func (continuity *Continuity) Whole() bool { return continuity.gaps.Value() <= gapsMost }
+func (continuity *Continuity) Complete() bool { return continuity.gaps.Value() <= gapsMost }
 
 // Gaps returns the share of data that came behind a gap, and how many cases it is of.
 func (continuity *Continuity) Gaps() (share float64, cases int) {
-	return continuity.gaps.Value(), continuity.gaps.Cases()
+	return continuity.gaps.Value(), continuity.gaps.Samples()
 }
--- a/internal/direct/requests/share.go
+++ b/internal/direct/requests/share.go
@@ -50,7 +50,7 @@
 }
 
 // Cases returns how many cases were taken in since the start.
-func (share *Share) Cases() int {
+func (share *Share) Samples() int {
 	share.lock.Lock()
 	defer share.lock.Unlock()
 	return share.cases
@@ -58,7 +58,7 @@
 
 // Most returns the most that the share can be, from 1 without a case down to Value after
 // many.
-func (share *Share) Most() float64 {
+func (share *Share) UpperBound() float64 {
 	share.lock.Lock()
 	defer share.lock.Unlock()
 	return share.value + math.Pow(1-share.weight(), float64(share.cases))
--- a/internal/direct/requests/waiting.go
+++ b/internal/direct/requests/waiting.go
@@ -52,7 +52,7 @@
 // Waits takes in that the packet which was placed or noted at now waits in front of the
 // balancer's link. Left is called for the packet, or for a later copy of it, unless it is lost.
 // A packet that is sent again changes nothing: its target may have the first copy.
-func (watcher *Watcher) Waits(segment steer.Segment, now time.Time) {
+func (watcher *Watcher) Queued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -63,7 +63,7 @@
 }
 
 // Left takes in that a packet which waited in front of the balancer's link left it at now.
-func (watcher *Watcher) Left(segment steer.Segment, now time.Time) {
+func (watcher *Watcher) Dequeued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
--- a/internal/direct/requests/waiting_test.go
+++ b/internal/direct/requests/waiting_test.go
@@ -23,25 +23,25 @@
 func TestRequestsThatWaitForTheLinkAreNotAtTheirTarget(t *testing.T) {
 	listener := newBook()
 	watcher := NewWatcher(listener)
-	watcher.Placed(opens(1), targetOf(7), start)
-	watcher.Waits(opens(1), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.Queued(opens(1), start)
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Left(opens(1), start.Add(80*time.Millisecond))
-	watcher.Left(opens(1), start.Add(90*time.Millisecond))
+	watcher.Dequeued(opens(1), start.Add(80*time.Millisecond))
+	watcher.Dequeued(opens(1), start.Add(90*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
 	require.Equal(t, 0, listener.waiting[7])
 
 	request := asks(1, 1, 1).segment
-	watcher.Note(request, targetOf(7), start.Add(100*time.Millisecond))
-	watcher.Waits(request, start.Add(100*time.Millisecond))
+	watcher.PacketForwarded(request, targetOf(7), start.Add(100*time.Millisecond))
+	watcher.Queued(request, start.Add(100*time.Millisecond))
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Left(opens(1), start.Add(110*time.Millisecond))
+	watcher.Dequeued(opens(1), start.Add(110*time.Millisecond))
 	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not bring the request")
-	watcher.Left(request, start.Add(200*time.Millisecond))
+	watcher.Dequeued(request, start.Add(200*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
-	watcher.Note(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
+	watcher.PacketForwarded(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
 	require.Equal(t, 40*time.Millisecond, listener.took, "the wait is not the target's time")
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.answered[7])
@@ -53,25 +53,25 @@
 		end  func(watcher *Watcher)
 	}{
 		{"a copy of the opening packet goes elsewhere", func(watcher *Watcher) {
-			watcher.Placed(opens(1), targetOf(7), start)
-			watcher.Waits(opens(1), start)
-			watcher.Placed(opens(1), targetOf(8), start.Add(200*time.Millisecond))
-			watcher.Note(closes(1, 1, 1).segment, targetOf(8), start.Add(250*time.Millisecond))
+			watcher.OpeningForwarded(opens(1), targetOf(7), start)
+			watcher.Queued(opens(1), start)
+			watcher.OpeningForwarded(opens(1), targetOf(8), start.Add(200*time.Millisecond))
+			watcher.PacketForwarded(closes(1, 1, 1).segment, targetOf(8), start.Add(250*time.Millisecond))
 		}},
 		{"the opening packet is lost", func(watcher *Watcher) {
-			watcher.Placed(opens(1), targetOf(7), start)
-			watcher.Waits(opens(1), start)
+			watcher.OpeningForwarded(opens(1), targetOf(7), start)
+			watcher.Queued(opens(1), start)
 			watcher.Reconcile(start.Add(placedFor))
 		}},
 		{"the request is lost", func(watcher *Watcher) {
-			watcher.Note(asks(1, 1, 1).segment, targetOf(7), start)
-			watcher.Waits(asks(1, 1, 1).segment, start)
-			watcher.Reconcile(start.Add(HangAfter))
+			watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
+			watcher.Queued(asks(1, 1, 1).segment, start)
+			watcher.Reconcile(start.Add(AnswerTimeout))
 		}},
 		{"the caller gives up", func(watcher *Watcher) {
-			watcher.Note(asks(1, 1, 1).segment, targetOf(7), start)
-			watcher.Waits(asks(1, 1, 1).segment, start)
-			watcher.Note(closes(1, 100, 1).segment, targetOf(7), start.Add(time.Millisecond))
+			watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
+			watcher.Queued(asks(1, 1, 1).segment, start)
+			watcher.PacketForwarded(closes(1, 100, 1).segment, targetOf(7), start.Add(time.Millisecond))
 		}},
 	}
 	for _, test := range cases {
@@ -91,23 +91,23 @@
 func TestWhatIsSentAgainDoesNotTakeARequestBack(t *testing.T) {
 	listener := newBook()
 	watcher := NewWatcher(listener)
-	watcher.Placed(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
 	again := start.Add(200 * time.Millisecond)
-	watcher.Placed(opens(1), targetOf(7), again)
-	watcher.Waits(opens(1), again)
+	watcher.OpeningForwarded(opens(1), targetOf(7), again)
+	watcher.Queued(opens(1), again)
 	require.Equal(t, 1, listener.open[7])
 
 	asked := start.Add(300 * time.Millisecond)
-	watcher.Note(asks(1, 1, 1).segment, targetOf(7), asked)
+	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), asked)
 	for _, later := range []time.Duration{200 * time.Millisecond, 600 * time.Millisecond} {
 		again = asked.Add(later)
-		watcher.Note(asks(1, 1, 1).segment, targetOf(7), again)
-		watcher.Waits(asks(1, 1, 1).segment, again)
+		watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), again)
+		watcher.Queued(asks(1, 1, 1).segment, again)
 		require.Equal(t, 1, listener.open[7])
 		require.Zero(t, listener.waiting[7])
-		watcher.Left(asks(1, 1, 1).segment, again.Add(50*time.Millisecond))
+		watcher.Dequeued(asks(1, 1, 1).segment, again.Add(50*time.Millisecond))
 	}
-	watcher.Reconcile(asked.Add(HangAfter))
+	watcher.Reconcile(asked.Add(AnswerTimeout))
 	require.Equal(t, 1, listener.unanswered[7])
 	require.Zero(t, listener.open[7])
 }
@@ -120,17 +120,17 @@
 	now := start
 	send := func(sequence, length uint32) {
 		now = now.Add(time.Millisecond)
-		watcher.Note(data(1, sequence, length).segment, targetOf(7), now)
-		watcher.Waits(data(1, sequence, length).segment, now)
+		watcher.PacketForwarded(data(1, sequence, length).segment, targetOf(7), now)
+		watcher.Queued(data(1, sequence, length).segment, now)
 	}
-	for number := range uint32(LongFrom/full + 2) {
+	for number := range uint32(LongRequestBytes/full + 2) {
 		send(1+number*full, full)
 		require.Zero(t, listener.open[7])
 	}
 	require.Zero(t, listener.waiting[7])
-	send(1+LongFrom+2*full, 70)
+	send(1+LongRequestBytes+2*full, 70)
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Left(data(1, 1+LongFrom+2*full, 70).segment, now.Add(time.Second))
+	watcher.Dequeued(data(1, 1+LongRequestBytes+2*full, 70).segment, now.Add(time.Second))
 	require.Zero(t, listener.waiting[7])
 	require.Equal(t, 1, listener.open[7])
 }
@@ -151,19 +151,19 @@
 			piece := data(port, sequence, full-uint32(step/504%2)*100).segment
 			switch step / 1008 % 8 {
 			case 0:
-				watcher.Placed(opens(port), target, now)
+				watcher.OpeningForwarded(opens(port), target, now)
 			case 1:
-				watcher.Waits(opens(port), now)
+				watcher.Queued(opens(port), now)
 			case 2:
-				watcher.Left(opens(port), now)
+				watcher.Dequeued(opens(port), now)
 			case 3:
-				watcher.Note(piece, target, now)
+				watcher.PacketForwarded(piece, target, now)
 			case 4:
-				watcher.Waits(piece, now)
+				watcher.Queued(piece, now)
 			case 5:
-				watcher.Left(piece, now)
+				watcher.Dequeued(piece, now)
 			case 6:
-				watcher.Note(closes(port, sequence, uint32(step%2)).segment, target, now)
+				watcher.PacketForwarded(closes(port, sequence, uint32(step%2)).segment, target, now)
 			case 7:
 				watcher.Reconcile(now)
 			}
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -29,7 +29,7 @@
 	flowsKept = 2048
 	// HangAfter is how long a request may go unanswered before it counts so. It
 	// is far above the time of a request on a busy target.
-	HangAfter = time.Second
+	AnswerTimeout = time.Second
 	// receivingRests is how long a long request may bring nothing while its data
 	// still comes: senders repeat what was not acknowledged after 1.6 s at the most.
 	receivingRests = 2 * time.Second
@@ -83,7 +83,7 @@
 	Waiting(target Target, waiting bool)
 	// Continued is told of data of a flow that this balancer knew before: whole
 	// tells that no data between went another way.
-	Continued(whole bool)
+	SequenceChecked(whole bool)
 }
 
 // flowKey names a flow by its two ends.
@@ -132,7 +132,7 @@
 	case open.content.receiving():
 		return Unanswered, now.Sub(open.seenAt) >= receivingRests || now.Sub(open.since) >= receivingHangs
 	case open.asked:
-		return open.givenUp(), now.Sub(open.since) >= HangAfter
+		return open.givenUp(), now.Sub(open.since) >= AnswerTimeout
 	}
 	return Withdrawn, now.Sub(open.since) >= placedFor
 }
@@ -173,7 +173,7 @@
 }
 
 // Placed takes in that an opening packet was sent on to target.
-func (watcher *Watcher) Placed(segment steer.Segment, target Target, now time.Time) {
+func (watcher *Watcher) OpeningForwarded(segment steer.Segment, target Target, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -195,7 +195,7 @@
 // were sent on to, the latest first, as far as that is known. seen tells that a
 // request of the flow is open here: a former copy was sent on, and the flow may have
 // opened.
-func (watcher *Watcher) Tried(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
+func (watcher *Watcher) PreviousTargets(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -208,7 +208,7 @@
 }
 
 // Note takes in a packet that was sent on to the target of an open flow.
-func (watcher *Watcher) Note(segment steer.Segment, target Target, now time.Time) {
+func (watcher *Watcher) PacketForwarded(segment steer.Segment, target Target, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -223,8 +223,8 @@
 	}
 	switch {
 	case known && open.asked && int32(segment.Acknowledgement-open.acknowledged) > 0:
-		watcher.answers.Came(Answer{
-			Target: target, Route: key.service, Took: now.Sub(open.since), Bytes: int(segment.Acknowledgement - open.acknowledged),
+		watcher.answers.AnswerStarted(Answer{
+			Target: target, Route: key.service, Latency: now.Sub(open.since), Bytes: int(segment.Acknowledgement - open.acknowledged),
 		})
 		watcher.end(shard, key, open, Answered, now)
 		known = false
@@ -281,7 +281,7 @@
 	}
 	shard.requests[key] = open
 	if open.content.receiving() {
-		watcher.sizes.Growing(key.service, int(open.content.brought()))
+		watcher.sizes.RequestGrowing(key.service, int(open.content.brought()))
 	}
 	watcher.tellMove(open.target, before, open.whereabouts())
 }
@@ -297,7 +297,7 @@
 	delete(shard.requests, key)
 	watcher.tellMove(open.target, open.whereabouts(), atTarget)
 	if ending == Answered {
-		watcher.sizes.Whole(key.service, int(open.content.brought()))
+		watcher.sizes.RequestCompleted(key.service, int(open.content.brought()))
 	}
 	for _, listener := range watcher.listeners {
 		listener.Ended(open.target, ending, now.Sub(open.since))
@@ -306,7 +306,7 @@
 
 func (watcher *Watcher) continued(whole bool) {
 	for _, listener := range watcher.listeners {
-		listener.Continued(whole)
+		listener.SequenceChecked(whole)
 	}
 }
 
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (book *book) Continued(whole bool) {
+func (book *book) SequenceChecked(whole bool) {
 	if whole {
 		book.whole++
 	} else {
@@ -121,10 +121,10 @@
 		{"answered and closed", []step{asks(1, 1, 1), closes(1, 100, 50)}, 1, 0},
 		{"two requests", []step{asks(1, 1, 1), acknowledges(1, 100, 50), asks(1, 100, 50), acknowledges(1, 200, 90)}, 2, 0},
 		{"numbers that wrap", []step{asks(1, 1, 0xFFFFFFF0), acknowledges(1, 100, 0x10)}, 1, 0},
-		{"not yet answered", []step{asks(1, 1, 1), wait(HangAfter - time.Millisecond)}, 0, 0},
-		{"hangs", []step{asks(1, 1, 1), wait(HangAfter)}, 0, 1},
-		{"long upload, answered", []step{asks(1, 1, 1), wait(HangAfter / 2), asks(1, 1201, 1), wait(HangAfter - time.Millisecond), acknowledges(1, 2401, 50)}, 1, 0},
-		{"data that is sent again does not prolong", []step{asks(1, 1, 1), wait(HangAfter / 2), asks(1, 1, 1), wait(HangAfter / 2)}, 0, 1},
+		{"not yet answered", []step{asks(1, 1, 1), wait(AnswerTimeout - time.Millisecond)}, 0, 0},
+		{"hangs", []step{asks(1, 1, 1), wait(AnswerTimeout)}, 0, 1},
+		{"long upload, answered", []step{asks(1, 1, 1), wait(AnswerTimeout / 2), asks(1, 1201, 1), wait(AnswerTimeout - time.Millisecond), acknowledges(1, 2401, 50)}, 1, 0},
+		{"data that is sent again does not prolong", []step{asks(1, 1, 1), wait(AnswerTimeout / 2), asks(1, 1, 1), wait(AnswerTimeout / 2)}, 0, 1},
 		{"caller gives up", []step{asks(1, 1, 1), closes(1, 100, 1)}, 0, 1},
 		{"caller aborts", []step{asks(1, 1, 1), packet(1, 100, 1, func(segment *steer.Segment) { segment.Abort = true })}, 0, 1},
 		{"flow without a request", []step{acknowledges(1, 1, 1), closes(1, 1, 1)}, 0, 0},
@@ -141,7 +141,7 @@
 					watcher.Reconcile(now)
 					continue
 				}
-				watcher.Note(step.segment, step.target, now)
+				watcher.PacketForwarded(step.segment, step.target, now)
 			}
 			require.Equal(t, test.answered, book.answered[7])
 			require.Equal(t, test.unanswered, book.unanswered[7])
@@ -159,19 +159,19 @@
 func TestOpeningPacketsCountUntilTheirRequestEnds(t *testing.T) {
 	book := newBook()
 	watcher := NewWatcher(book)
-	watcher.Placed(opens(1), targetOf(7), start)
-	watcher.Placed(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
 	require.Equal(t, 1, book.open[7], "a copy at the same target is one request")
 	require.Equal(t, [steer.TriesKnown]directory.Token{7}, tried(watcher))
-	watcher.Placed(opens(1), targetOf(8), start.Add(200*time.Millisecond))
+	watcher.OpeningForwarded(opens(1), targetOf(8), start.Add(200*time.Millisecond))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.open[8])
 	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, tried(watcher))
-	watcher.Note(asks(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
+	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
 	require.Equal(t, 1, book.open[7], "the flow opened at the first target after all")
 	require.Equal(t, 0, book.open[8])
 	require.Zero(t, tried(watcher), "an open flow has no former choice")
-	watcher.Note(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(250*time.Millisecond))
+	watcher.PacketForwarded(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(250*time.Millisecond))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.answered[7])
 	require.Equal(t, 1, book.withdrawn[8])
@@ -179,7 +179,7 @@
 
 // tried returns the former targets of the first flow.
 func tried(watcher *Watcher) [steer.TriesKnown]directory.Token {
-	targets, _ := watcher.Tried(opens(1))
+	targets, _ := watcher.PreviousTargets(opens(1))
 	return targets
 }
 
@@ -188,22 +188,22 @@
 func TestFlowsAreSeenWhileTheirRequestIsOpen(t *testing.T) {
 	watcher := NewWatcher(newBook())
 	seen := func() bool {
-		_, seen := watcher.Tried(opens(1))
+		_, seen := watcher.PreviousTargets(opens(1))
 		return seen
 	}
 	require.False(t, seen())
-	watcher.Placed(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
 	require.True(t, seen())
-	watcher.Note(asks(1, 1, 1).segment, targetOf(7), start)
+	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
 	require.True(t, seen())
-	watcher.Note(closes(1, 100, 1).segment, targetOf(7), start)
+	watcher.PacketForwarded(closes(1, 100, 1).segment, targetOf(7), start)
 	require.False(t, seen())
 }
 
 func TestFlowThatBringsNoRequestIsWithdrawn(t *testing.T) {
 	book := newBook()
 	watcher := NewWatcher(book)
-	watcher.Placed(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
 	watcher.Reconcile(start.Add(placedFor - time.Millisecond))
 	require.Equal(t, 1, book.open[7])
 	watcher.Reconcile(start.Add(placedFor))
@@ -246,7 +246,7 @@
 					watcher.Reconcile(now)
 					continue
 				}
-				watcher.Note(step.segment, step.target, now)
+				watcher.PacketForwarded(step.segment, step.target, now)
 			}
 			require.Equal(t, test.whole, book.whole)
 			require.Equal(t, test.gaps, book.gaps)
@@ -257,9 +257,9 @@
 // sizeBook has the sizes that an observer was told last.
 type sizeBook struct{ growing, whole map[netip.AddrPort]int }
 
-func (book *sizeBook) Growing(route netip.AddrPort, bytes int) { book.growing[route] = bytes }
+func (book *sizeBook) RequestGrowing(route netip.AddrPort, bytes int) { book.growing[route] = bytes }
 
-func (book *sizeBook) Whole(route netip.AddrPort, bytes int) { book.whole[route] = bytes }
+func (book *sizeBook) RequestCompleted(route netip.AddrPort, bytes int) { book.whole[route] = bytes }
 
 // full is the size of a full packet's data.
 const full = 1200
@@ -271,18 +271,18 @@
 	watcher := NewWatcher(listener)
 	sizes := &sizeBook{growing: make(map[netip.AddrPort]int), whole: make(map[netip.AddrPort]int)}
 	watcher.ObserveSizes(sizes)
-	watcher.Placed(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(opens(1), targetOf(7), start)
 	now := start
 	send := func(sequence, length uint32) {
 		now = now.Add(100 * time.Millisecond)
 		step := data(1, sequence, length)
-		watcher.Note(step.segment, step.target, now)
+		watcher.PacketForwarded(step.segment, step.target, now)
 	}
-	for number := range uint32(LongFrom / full) {
+	for number := range uint32(LongRequestBytes / full) {
 		send(1+number*full, full)
 		require.Equal(t, 1, listener.open[7], "a request counts until it is long")
 	}
-	send(1+LongFrom, full)
+	send(1+LongRequestBytes, full)
 	require.Zero(t, listener.open[7])
 	progress := func() Progress {
 		var found []Progress
@@ -291,18 +291,18 @@
 		return found[0]
 	}
 	route := opens(1).Service
-	require.Equal(t, Progress{Route: route, Brought: LongFrom + full, LastAt: now}, progress())
-	send(1+LongFrom, full)
-	require.Equal(t, Progress{Route: route, Brought: LongFrom + full, LastAt: now}, progress(), "data that is sent again is no further data")
-	send(1+LongFrom+full, 70)
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full, LastAt: now}, progress())
+	send(1+LongRequestBytes, full)
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full, LastAt: now}, progress(), "data that is sent again is no further data")
+	send(1+LongRequestBytes+full, 70)
 	require.Equal(t, 1, listener.open[7], "the last packet is not full")
-	require.Equal(t, Progress{Route: route, Brought: LongFrom + full + 70, Complete: true, LastAt: now}, progress())
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full + 70, Complete: true, LastAt: now}, progress())
 	now = now.Add(20 * time.Millisecond)
-	watcher.Note(acknowledges(1, LongFrom+full+71, 50).segment, targetOf(7), now)
+	watcher.PacketForwarded(acknowledges(1, LongRequestBytes+full+71, 50).segment, targetOf(7), now)
 	require.Zero(t, listener.open[7])
 	require.Equal(t, 20*time.Millisecond, listener.took, "the time of the target, without that of the link")
-	require.Equal(t, map[netip.AddrPort]int{route: LongFrom + full}, sizes.growing)
-	require.Equal(t, map[netip.AddrPort]int{route: LongFrom + full + 70}, sizes.whole)
+	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + full}, sizes.growing)
+	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + full + 70}, sizes.whole)
 }
 
 // TestLongRequestsThatEndEarlyLeaveNothing: each ending finds the request counted
@@ -312,9 +312,9 @@
 		name string
 		end  func(watcher *Watcher)
 	}{
-		{"closed", func(watcher *Watcher) { watcher.Note(closes(1, 99_999, 1).segment, targetOf(7), start) }},
+		{"closed", func(watcher *Watcher) { watcher.PacketForwarded(closes(1, 99_999, 1).segment, targetOf(7), start) }},
 		{"no more data", func(watcher *Watcher) { watcher.Reconcile(start.Add(receivingRests)) }},
-		{"at another target", func(watcher *Watcher) { watcher.Note(closes(1, 99_999, 1).segment, targetOf(8), start) }},
+		{"at another target", func(watcher *Watcher) { watcher.PacketForwarded(closes(1, 99_999, 1).segment, targetOf(8), start) }},
 	}
 	for _, test := range endings {
 		t.Run(test.name, func(t *testing.T) {
@@ -322,7 +322,7 @@
 			watcher := NewWatcher(listener)
 			for number := range uint32(12) {
 				step := data(1, 1+number*full, full)
-				watcher.Note(step.segment, step.target, start)
+				watcher.PacketForwarded(step.segment, step.target, start)
 			}
 			require.Zero(t, listener.open[7])
 			test.end(watcher)
@@ -340,7 +340,7 @@
 	watcher := NewWatcher(listener)
 	for number := range uint32(12) {
 		step := data(1, 1+number*full, full)
-		watcher.Note(step.segment, step.target, start)
+		watcher.PacketForwarded(step.segment, step.target, start)
 	}
 	open := func() (count int) {
 		watcher.EachOpen(func(Progress) { count++ })
@@ -350,7 +350,7 @@
 	for after := time.Second; after < receivingHangs; after += time.Second {
 		watcher.Reconcile(start.Add(after))
 		require.Equal(t, 1, open(), "after %s", after)
-		watcher.Note(repeated.segment, repeated.target, start.Add(after))
+		watcher.PacketForwarded(repeated.segment, repeated.target, start.Add(after))
 	}
 	watcher.Reconcile(start.Add(receivingHangs))
 	require.Zero(t, open())
@@ -362,14 +362,14 @@
 	watcher := NewWatcher(book)
 	for port := range uint16(flowsKept + 500) {
 		step := asks(port+1, 1, 1)
-		watcher.Note(step.segment, step.target, start)
-		watcher.Placed(opens(port+1), targetOf(8), start)
+		watcher.PacketForwarded(step.segment, step.target, start)
+		watcher.OpeningForwarded(opens(port+1), targetOf(8), start)
 	}
 	require.Equal(t, flowsKept, book.open[7]+book.open[8])
 	for index := range watcher.shards {
 		require.LessOrEqual(t, len(watcher.shards[index].samples), sampledFlows)
 	}
-	watcher.Reconcile(start.Add(HangAfter))
+	watcher.Reconcile(start.Add(AnswerTimeout))
 	require.Zero(t, book.open[7]+book.open[8])
 }
 
@@ -378,8 +378,8 @@
 	ask, answer := asks(1, 1, 1), acknowledges(1, 100, 50)
 	b.ReportAllocs()
 	for b.Loop() {
-		watcher.Note(ask.segment, ask.target, start)
-		watcher.Note(answer.segment, answer.target, start)
+		watcher.PacketForwarded(ask.segment, ask.target, start)
+		watcher.PacketForwarded(answer.segment, answer.target, start)
 	}
 }
 
@@ -392,19 +392,19 @@
 	watcher := NewWatcher(book)
 	const flows = 20
 	for port := uint16(1); port <= flows; port++ {
-		watcher.Placed(opens(port), targetOf(7), start)
-		watcher.Note(asks(port, 1, 1).segment, targetOf(7), start)
+		watcher.OpeningForwarded(opens(port), targetOf(7), start)
+		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), start)
 	}
 	moved := start.Add(200 * time.Millisecond)
 	for port := uint16(101); port <= 100+flows; port++ {
-		watcher.Note(asks(port, 1, 1).segment, targetOf(7), moved)
+		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), moved)
 	}
 	watcher.Reconcile(moved.Add(time.Millisecond))
 	require.Equal(t, flows, book.open[7], "what came since the move is open here")
 	require.Equal(t, flows, book.withdrawn[7])
 	require.Zero(t, book.unanswered[7])
 	for port := uint16(101); port <= 100+flows; port++ {
-		watcher.Note(acknowledges(port, 100, 50).segment, targetOf(7), moved)
+		watcher.PacketForwarded(acknowledges(port, 100, 50).segment, targetOf(7), moved)
 	}
 	require.Equal(t, flows, book.answered[7])
 }
@@ -415,12 +415,12 @@
 	watcher := NewWatcher(book)
 	for port := uint16(1); port <= 60; port++ {
 		if port%3 > 0 {
-			watcher.Placed(opens(port), targetOf(7), start)
+			watcher.OpeningForwarded(opens(port), targetOf(7), start)
 		}
-		watcher.Note(asks(port, 1, 1).segment, targetOf(7), start)
+		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), start)
 	}
-	watcher.Reconcile(start.Add(HangAfter - time.Millisecond))
+	watcher.Reconcile(start.Add(AnswerTimeout - time.Millisecond))
 	require.Equal(t, 60, book.open[7])
-	watcher.Reconcile(start.Add(HangAfter))
+	watcher.Reconcile(start.Add(AnswerTimeout))
 	require.Equal(t, 60, book.unanswered[7], "they hang")
 }
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -104,7 +104,7 @@
 // has none.
 func (admission *Admission) Consider(route netip.AddrPort, objective time.Duration, now time.Time) Verdict {
 	verdict := Verdict{Size: admission.sizes.Typical(route)}
-	if admission.options.BytesPerSecond == 0 || admission.options.Share == 0 || objective == 0 || verdict.Size <= requests.LongFrom {
+	if admission.options.BytesPerSecond == 0 || admission.options.Share == 0 || objective == 0 || verdict.Size <= requests.LongRequestBytes {
 		return verdict
 	}
 	idle := admission.link.Idle()
@@ -173,12 +173,12 @@
 
 // leastRemaining is what a long request is assumed to bring still when it has
 // brought as much as others of its route: half a window of a sender.
-const leastRemaining = requests.LongFrom
+const leastRemaining = requests.LongRequestBytes
 
 func (admission *Admission) remaining(progress requests.Progress) int {
 	typical := admission.sizes.Typical(progress.Route)
-	if progress.Complete || max(typical, progress.Brought) <= requests.LongFrom {
+	if progress.Complete || max(typical, progress.ReceivedBytes) <= requests.LongRequestBytes {
 		return 0
 	}
-	return max(typical-progress.Brought, leastRemaining)
+	return max(typical-progress.ReceivedBytes, leastRemaining)
 }
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -28,8 +28,8 @@
 
 func learned() *Sizes {
 	sizes := NewSizes()
-	sizes.Whole(uploads, 40_000)
-	sizes.Whole(calls, 900)
+	sizes.RequestCompleted(uploads, 40_000)
+	sizes.RequestCompleted(calls, 900)
 	return sizes
 }
 
@@ -59,11 +59,11 @@
 
 func TestConsider(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	half := requests.Progress{Route: uploads, Brought: 20_000}
-	long := requests.Progress{Route: uploads, Brought: 200_000}
-	whole := requests.Progress{Route: uploads, Brought: 40_000, Complete: true}
-	unknown := requests.Progress{Route: other, Brought: 30_000}
-	call := requests.Progress{Route: calls, Brought: 900}
+	half := requests.Progress{Route: uploads, ReceivedBytes: 20_000}
+	long := requests.Progress{Route: uploads, ReceivedBytes: 200_000}
+	whole := requests.Progress{Route: uploads, ReceivedBytes: 40_000, Complete: true}
+	unknown := requests.Progress{Route: other, ReceivedBytes: 30_000}
+	call := requests.Progress{Route: calls, ReceivedBytes: 900}
 	cases := []struct {
 		name      string
 		open      []requests.Progress
@@ -96,7 +96,7 @@
 }
 
 func TestConsiderTellsWhatDecided(t *testing.T) {
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
+	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(requests.Progress{Route: uploads, ReceivedBytes: 10_000}))
 	require.Equal(t, Verdict{Size: 40_000, Ahead: 30_000, Expected: 700 * time.Millisecond}, admission.Consider(uploads, objective, start))
 }
 
@@ -131,8 +131,8 @@
 // allows, with many only what it has room for. A free link takes any.
 func TestMoreAreRefusedWhereMostAre(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*roomFrom.Seconds())}
-	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-leastRemaining)
+	nearlyDone := requests.Progress{Route: uploads, ReceivedBytes: 40_000 - int(rate*roomFrom.Seconds())}
+	nearlyDone.ReceivedBytes = min(nearlyDone.ReceivedBytes, 40_000-leastRemaining)
 	var open []requests.Progress
 	admission := New(Options{BytesPerSecond: 2 * rate, Share: 0.5}, learned(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
 	refused := func(now ...requests.Progress) bool {
@@ -178,12 +178,12 @@
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	sizes := NewSizes()
 	require.Zero(t, sizes.Typical(uploads))
-	sizes.Whole(uploads, 30_000)
-	sizes.Whole(uploads, 50_000)
+	sizes.RequestCompleted(uploads, 30_000)
+	sizes.RequestCompleted(uploads, 50_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads), "the first ones weigh alike")
 	require.Zero(t, sizes.Typical(calls))
 	for range 200 {
-		sizes.Whole(uploads, 1000)
+		sizes.RequestCompleted(uploads, 1000)
 	}
 	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "sizes that change are followed")
 }
@@ -192,25 +192,25 @@
 // request through for long.
 func TestSizesAreGuessedUntilOneCameWhole(t *testing.T) {
 	sizes := NewSizes()
-	sizes.Growing(uploads, 10_000)
+	sizes.RequestGrowing(uploads, 10_000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 8000)
+	sizes.RequestGrowing(uploads, 8000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 30_000)
+	sizes.RequestGrowing(uploads, 30_000)
 	require.Equal(t, 60_000, sizes.Typical(uploads))
-	sizes.Whole(uploads, 40_000)
+	sizes.RequestCompleted(uploads, 40_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads), "what is known replaces the guess")
-	sizes.Growing(uploads, 90_000)
+	sizes.RequestGrowing(uploads, 90_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads))
 }
 
 func TestSizesAreBounded(t *testing.T) {
 	sizes := NewSizes()
 	for port := range routesKept + 100 {
-		sizes.Whole(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
+		sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
 	}
 	require.Len(t, sizes.averages, routesKept)
-	sizes.Whole(netip.AddrPortFrom(uploads.Addr(), 1), 700)
+	sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), 1), 700)
 	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "known routes go on")
 }
 
@@ -224,7 +224,7 @@
 			Caller:  netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port+1024),
 			Service: calls, HasData: true, Length: 900, Sequence: 1,
 		}
-		watcher.Note(segment, requests.Target{Token: 7}, start)
+		watcher.PacketForwarded(segment, requests.Target{Token: 7}, start)
 	}
 	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), watcher.EachOpen)
 	b.ReportAllocs()
--- a/internal/direct/transfer/sizes.go
+++ b/internal/direct/transfer/sizes.go
@@ -43,7 +43,7 @@
 // Growing implements requests.SizeObserver. It makes a guess at the size of a route
 // of which no request came whole: on a link that is full from its start on, it may
 // take long until one does.
-func (sizes *Sizes) Growing(route netip.AddrPort, bytes int) {
+func (sizes *Sizes) RequestGrowing(route netip.AddrPort, bytes int) {
 	if known := sizes.average(route); known.count > 0 || known.value >= growth*float64(bytes) {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Whole implements requests.SizeObserver. The first ones weigh alike.
-func (sizes *Sizes) Whole(route netip.AddrPort, bytes int) {
+func (sizes *Sizes) RequestCompleted(route netip.AddrPort, bytes int) {
 	sizes.lock.Lock()
 	defer sizes.lock.Unlock()
 	known, exists := sizes.averages[route]
--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -147,7 +147,7 @@
 	now := balancer.process.LocalNow()
 	segment := packet.segment()
 	if segment.Opening && segment.Attempt > 0 {
-		segment.Tried, segment.Seen = balancer.watcher.Tried(segment)
+		segment.Tried, segment.Seen = balancer.watcher.PreviousTargets(segment)
 	}
 	decision := balancer.admission.Review(segment, world.options.Parts.Decide(balancer.table, segment, now), now)
 	world.checks.decided(balancer, packet, decision)
@@ -159,9 +159,9 @@
 	case steer.Forward:
 		target := requests.Target{Token: decision.Token, ID: decision.ID, Service: decision.Service, Capacity: decision.Capacity}
 		if segment.Opening {
-			balancer.watcher.Placed(segment, target, now)
+			balancer.watcher.OpeningForwarded(segment, target, now)
 		} else {
-			balancer.watcher.Note(segment, target, now)
+			balancer.watcher.PacketForwarded(segment, target, now)
 		}
 		balancer.forward(packet, decision)
 	case steer.Reset:
--- a/internal/sim/directworld/links.go
+++ b/internal/sim/directworld/links.go
@@ -41,7 +41,7 @@
 func newLink(world *World, balancer *balancer) *link {
 	created := &link{world: world, bytesPerSecond: world.options.LinkRate, leaving: make(map[uint64]func())}
 	created.egress = egress.New(egress.Link{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, DatagramOverhead: datagramOverhead}, created.write)
-	created.egress.Follow(forwarder.Follow(balancer.watcher))
+	created.egress.ObserveQueue(forwarder.NewQueueObserver(balancer.watcher))
 	return created
 }
 
@@ -70,7 +70,7 @@
 	link.egress.Send(egress.Datagram{
 		Flow: egress.Flow{Caller: segment.Caller, Service: segment.Service}, To: to,
 		Sequence: segment.Sequence, HasData: segment.HasData, Opening: segment.Opening,
-		Content: content, Followed: forwarder.Followed(segment),
+		Content: content, Tracked: forwarder.NeedsTracking(segment),
 	}, link.world.Now())
 	if !link.flushing {
 		link.flush()
