--- a/internal/direct/balancernode/connector.go
+++ b/internal/direct/balancernode/connector.go
@@ -13,20 +13,20 @@
 type connections struct {
 	links *transport.Links
 
-	lock  sync.Mutex
-	users map[model.NodeName]int
+	lock       sync.Mutex
+	references map[model.NodeName]int
 }
 
 func newConnections(links *transport.Links) *connections {
-	return &connections{links: links, users: make(map[model.NodeName]int)}
+	return &connections{links: links, references: make(map[model.NodeName]int)}
 }
 
 // Connect implements feed.Connector and load.Connector.
 func (connections *connections) Connect(node model.NodeName) {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
-	connections.users[node]++
-	if connections.users[node] == 1 {
+	connections.references[node]++
+	if connections.references[node] == 1 {
 		connections.links.Dial(direct.Peer(node))
 	}
 }
@@ -40,12 +40,12 @@
 func (connections *connections) Disconnect(node model.NodeName) {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
-	switch connections.users[node] {
+	switch connections.references[node] {
 	case 0:
 	case 1:
-		delete(connections.users, node)
+		delete(connections.references, node)
 		connections.links.Hangup(node)
 	default:
-		connections.users[node]--
+		connections.references[node]--
 	}
 }
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -65,7 +65,7 @@
 		fx.Provide(newTable, provideSubscriber, provideReplica, providePublisher, provideReports, provideRelay, provideTracker,
 			load.NewBook, provideWatcher, provideAdmission, provideSharing, newConnections, provideSuspects, provideForwarder, newMetrics, newObserver),
 		fx.Provide(newChangeListeners),
-		fx.Invoke(reportChanges, run),
+		fx.Invoke(reportTableChanges, registerTasks),
 	)
 }
 
@@ -126,7 +126,7 @@
 }
 
 // reportChanges says in the log and in the readiness what changed.
-func reportChanges(changed *changeListeners, table *steer.Table, readiness *process.Readiness, logger *zap.Logger) {
+func reportTableChanges(changed *changeListeners, table *steer.Table, readiness *process.Readiness, logger *zap.Logger) {
 	logger = logger.Named("table")
 	changed.add(func(changes directory.Changes, from model.NodeName) {
 		readiness.Set(readinessPart, table.Serving())
@@ -201,7 +201,7 @@
 }
 
 // parts are what run needs; fx fills it.
-type parts struct {
+type dependencies struct {
 	fx.In
 
 	Lifecycle  fx.Lifecycle
@@ -217,16 +217,16 @@
 	Relay      *renewal.Relay
 	Tracker    *outcome.Tracker
 	Watcher    *requests.Watcher
-	Sharing    sharing
+	Sharing    loadSharing
 	Suspects   *forwarder.Suspects
 	Forwarder  *forwarder.Forwarder
 	Admission  *transfer.Admission
 	Reloads    *process.Reloads
 }
 
-func run(parts parts) {
+func registerTasks(parts dependencies) {
 	parts.Readiness.Set(readinessPart, false)
-	parts.Metrics.counts = parts.Forwarder.Counts
+	parts.Metrics.egressCounts = parts.Forwarder.Counts
 	parts.Admission.ObserveLink(parts.Forwarder.Egress())
 	parts.Forwarder.ObserveWaits(func(waited time.Duration) { parts.Metrics.egressWait.Observe(waited.Seconds()) })
 	parts.Registry.MustRegister(parts.Metrics, parts.Metrics.tableAge, parts.Metrics.egressWait)
@@ -257,13 +257,13 @@
 				})
 			}
 		},
-		func(ctx context.Context) { leave(ctx, parts.Readiness, parts.Settings.Direct.StopGrace) },
+		func(ctx context.Context) { drain(ctx, parts.Readiness, parts.Settings.Direct.StopGrace) },
 	))
 }
 
 // leave stops being ready and keeps forwarding for grace, so that the routers
 // send elsewhere before the socket closes.
-func leave(ctx context.Context, readiness *process.Readiness, grace time.Duration) {
+func drain(ctx context.Context, readiness *process.Readiness, grace time.Duration) {
 	readiness.Set("running", false)
 	timer := time.NewTimer(grace)
 	defer timer.Stop()
--- a/internal/direct/balancernode/observer.go
+++ b/internal/direct/balancernode/observer.go
@@ -31,7 +31,7 @@
 		return
 	}
 	if decision.Reason == steer.ReasonChosen {
-		observer.metrics.observeAge(decision.ConfirmedAgo)
+		observer.metrics.observeTableAge(decision.ConfirmedAgo)
 		observer.metrics.places[decision.Place].Add(1)
 	}
 	message := "packet dropped"
--- a/internal/direct/balancernode/sharing.go
+++ b/internal/direct/balancernode/sharing.go
@@ -17,7 +17,7 @@
 
 // sharing is the exchange of load with other balancers, and what receives their
 // reports.
-type sharing struct {
+type loadSharing struct {
 	exchange *load.Exchange
 	// run receives until ctx ends.
 	run func(ctx context.Context) error
@@ -27,7 +27,7 @@
 // have keys, because a datagram proves nothing about its sender.
 func provideSharing(chosen settings.Settings, book *load.Book, table *steer.Table, subscriber *feed.Subscriber,
 	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, connections *connections,
-	registry *prometheus.Registry, logger *zap.Logger) (sharing, error) {
+	registry *prometheus.Registry, logger *zap.Logger) (loadSharing, error) {
 	options := load.Options{
 		Interval:   chosen.Direct.LoadInterval,
 		Neighbours: subscriber.Neighbours,
@@ -38,11 +38,11 @@
 	if chosen.Keys != "" || chosen.Listen == "" {
 		outlet := load.NewLinkOutlet(mailbox, connections)
 		exchange := load.NewExchange(options, book, outlet, dispatcher.Handle(load.Report{}))
-		return sharing{exchange: exchange, run: func(context.Context) error { return nil }}, nil
+		return loadSharing{exchange: exchange, run: func(context.Context) error { return nil }}, nil
 	}
 	socket, err := datagram.Listen(chosen.Listen, socketfault.New(registry, logger.Named("load"), "load"))
 	if err != nil {
-		return sharing{}, err
+		return loadSharing{}, err
 	}
-	return sharing{exchange: load.NewExchange(options, book, socket, socket.Reports()), run: socket.Run}, nil
+	return loadSharing{exchange: load.NewExchange(options, book, socket, socket.Reports()), run: socket.Run}, nil
 }
--- a/internal/direct/egress/egress.go
+++ b/internal/direct/egress/egress.go
@@ -18,7 +18,7 @@
 )
 
 // queueLimit bounds the datagrams that wait, in bytes.
-const queueLimit = 512 << 10
+const queueLimitBytes = 512 << 10
 
 // Write sends one datagram at once. A lost one is repeated by its sender.
 type Write func(content []byte, to netip.AddrPort)
@@ -45,9 +45,9 @@
 	pacer pacer
 
 	// observe is told how long each datagram waited that did.
-	observe func(waited time.Duration)
+	observeWait func(waited time.Duration)
 	// follower is told of datagrams that are to be followed.
-	follower QueueObserver
+	queueObserver QueueObserver
 
 	sent, waited, repeated, refused atomic.Uint64
 }
@@ -57,17 +57,17 @@
 	return &Egress{
 		write:  write,
 		notice: make(chan struct{}, 1),
-		queue:  newFairQueue(queueLimit),
+		queue:  newFairQueue(queueLimitBytes),
 		pacer:  pacer{link: link},
 
-		observe:  func(time.Duration) {},
-		follower: noFollower{},
+		observeWait:   func(time.Duration) {},
+		queueObserver: noQueueObserver{},
 	}
 }
 
 // Observe makes observe be told how long each datagram waited for the link that
 // did. It is set before the first Send and must return at once.
-func (egress *Egress) ObserveWaits(observe func(waited time.Duration)) { egress.observe = observe }
+func (egress *Egress) ObserveWaits(observe func(waited time.Duration)) { egress.observeWait = observe }
 
 // Follower is told of datagrams with Followed that are not written at once. Its methods must
 // return at once, keep nothing of the datagram and call nothing of the egress.
@@ -79,16 +79,16 @@
 }
 
 // noFollower is the follower of an egress without one.
-type noFollower struct{}
+type noQueueObserver struct{}
 
 // Waits implements Follower.
-func (noFollower) Queued(*Datagram, time.Time) {}
+func (noQueueObserver) Queued(*Datagram, time.Time) {}
 
 // Left implements Follower.
-func (noFollower) Dequeued(*Datagram, time.Time) {}
+func (noQueueObserver) Dequeued(*Datagram, time.Time) {}
 
 // Follow makes follower be told of datagrams. It is set before the first Send.
-func (egress *Egress) ObserveQueue(follower QueueObserver) { egress.follower = follower }
+func (egress *Egress) ObserveQueue(follower QueueObserver) { egress.queueObserver = follower }
 
 // Counts returns the counts since the start.
 func (egress *Egress) Counts() Counts {
@@ -116,7 +116,7 @@
 	if rate == 0 {
 		return 0
 	}
-	return time.Duration(float64(egress.queue.short()) / rate * float64(time.Second))
+	return time.Duration(float64(egress.queue.shortBytes()) / rate * float64(time.Second))
 }
 
 // Send writes the datagram, at once when the link is free. It keeps a copy of
@@ -129,12 +129,12 @@
 		return
 	}
 	kept := datagram
-	kept.since = now
+	kept.queuedAt = now
 	kept.Content = append([]byte(nil), datagram.Content...)
 	if kept.Tracked {
-		egress.follower.Queued(&kept, now)
+		egress.queueObserver.Queued(&kept, now)
 	}
-	switch egress.queue.put(&kept) {
+	switch egress.queue.enqueue(&kept) {
 	case repeated:
 		egress.repeated.Add(1)
 	case refused:
@@ -167,11 +167,11 @@
 		if wait := egress.pacer.wait(now); wait > 0 {
 			return wait
 		}
-		next := egress.queue.take(now)
-		egress.observe(now.Sub(next.since))
+		next := egress.queue.dequeue(now)
+		egress.observeWait(now.Sub(next.queuedAt))
 		egress.transmit(next, now)
 		if next.Tracked {
-			egress.follower.Dequeued(next, now)
+			egress.queueObserver.Dequeued(next, now)
 		}
 	}
 	return 0
--- a/internal/direct/egress/egress_test.go
+++ b/internal/direct/egress/egress_test.go
@@ -72,7 +72,7 @@
 func linkOf(rate float64) Link { return Link{BytesPerSecond: rate, DatagramOverhead: datagramOverhead} }
 
 // narrow is 2.6 Mbit/s in bytes a second.
-const narrow = 2.6e6 / 8
+const narrowRate = 2.6e6 / 8
 
 // drain flushes at the times that the egress asks for.
 func drain(egress *Egress, link *link) {
@@ -85,10 +85,10 @@
 // once; the link's own queue holds a few of them.
 func TestBurstIsNotLostOnANarrowLink(t *testing.T) {
 	for _, paced := range []bool{false, true} {
-		link := &link{bytesPerSecond: narrow, queue: 10 * time.Millisecond, now: start}
+		link := &link{bytesPerSecond: narrowRate, queue: 10 * time.Millisecond, now: start}
 		rate := 0.0
 		if paced {
-			rate = narrow
+			rate = narrowRate
 		}
 		egress := New(linkOf(rate), link.write)
 		for number := range uint32(16) {
@@ -101,7 +101,7 @@
 		}
 		require.Zero(t, link.lost)
 		require.Len(t, link.carried, 16)
-		require.InDelta(t, 16*(largest+datagramOverhead)/narrow, link.now.Sub(start).Seconds(), 0.01)
+		require.InDelta(t, 16*(largest+datagramOverhead)/narrowRate, link.now.Sub(start).Seconds(), 0.01)
 		require.Equal(t, Counts{Sent: 16, Waited: 14}, egress.Counts())
 	}
 }
@@ -118,21 +118,21 @@
 		seconds       = 2
 	)
 	onWire := 0
-	egress := New(Link{BytesPerSecond: share * narrow, DatagramOverhead: settings.Default().Direct.LinkOverhead},
+	egress := New(Link{BytesPerSecond: share * narrowRate, DatagramOverhead: settings.Default().Direct.LinkOverhead},
 		func(content []byte, _ netip.AddrPort) { onWire += len(content) + ethernetBytes })
 	for at := time.Duration(0); at < seconds*time.Second; at += 250 * time.Microsecond {
 		now := start.Add(at)
 		egress.Flush(now)
 		egress.Send(Datagram{Flow: flowOf(int(at / (250 * time.Microsecond))), To: target, Content: make([]byte, small)}, now)
 	}
-	burst := narrow * burstTime.Seconds()
-	require.LessOrEqual(t, float64(onWire), share*narrow*seconds+burst)
-	require.GreaterOrEqual(t, float64(onWire), 0.99*share*narrow*seconds, "the link is used")
+	burst := narrowRate * burstTolerance.Seconds()
+	require.LessOrEqual(t, float64(onWire), share*narrowRate*seconds+burst)
+	require.GreaterOrEqual(t, float64(onWire), 0.99*share*narrowRate*seconds, "the link is used")
 }
 
 func TestShortFlowsDoNotWaitForLongOnes(t *testing.T) {
 	var order []byte
-	egress := New(linkOf(narrow), func(content []byte, _ netip.AddrPort) { order = append(order, content[0]) })
+	egress := New(linkOf(narrowRate), func(content []byte, _ netip.AddrPort) { order = append(order, content[0]) })
 	for number := range uint32(16) {
 		egress.Send(data(1, number, largest), start)
 	}
@@ -159,40 +159,40 @@
 // sender, so that of long flows the oldest one goes first, and a younger one while
 // that has nothing to send.
 func TestLongFlowsGoOneAfterTheOther(t *testing.T) {
-	queue := newFairQueue(queueLimit)
+	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(12) {
 		for port := 1; port <= 3; port++ {
 			added := data(port, number, largest)
-			require.Equal(t, admitted, queue.put(&added))
+			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
 	for port := 1; port <= 3; port++ {
 		for number := range uint32(12) {
-			taken := queue.take(start)
+			taken := queue.dequeue(start)
 			require.Equal(t, flowOf(port), taken.Flow)
 			require.Equal(t, number, taken.Sequence)
 		}
 	}
 	for _, port := range []int{3, 1} {
 		added := data(port, 12, largest)
-		require.Equal(t, admitted, queue.put(&added))
+		require.Equal(t, admitted, queue.enqueue(&added))
 	}
-	require.Equal(t, flowOf(1), queue.take(start).Flow, "the oldest flow keeps its place while it has nothing to send")
-	require.Equal(t, flowOf(3), queue.take(start).Flow)
+	require.Equal(t, flowOf(1), queue.dequeue(start).Flow, "the oldest flow keeps its place while it has nothing to send")
+	require.Equal(t, flowOf(3), queue.dequeue(start).Flow)
 }
 
 // TestShortFlowsShareTheLink: flows that are not long take turns.
 func TestShortFlowsShareTheLink(t *testing.T) {
-	queue := newFairQueue(queueLimit)
+	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(7) {
 		for port := 1; port <= 3; port++ {
 			added := data(port, number, largest)
-			require.Equal(t, admitted, queue.put(&added))
+			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
 	counts := make(map[Flow]int)
 	for range 15 {
-		counts[queue.take(start).Flow]++
+		counts[queue.dequeue(start).Flow]++
 	}
 	for port := 1; port <= 3; port++ {
 		require.InDelta(t, 5, counts[flowOf(port)], 1, "flow %d", port)
@@ -202,53 +202,53 @@
 // TestShortFlowsGoBeforeLongOnes: a short flow waits for one datagram at the most,
 // however much long flows have waiting.
 func TestShortFlowsGoBeforeLongOnes(t *testing.T) {
-	queue := newFairQueue(queueLimit)
+	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(16) {
 		for port := 1; port <= 5; port++ {
 			added := data(port, number, largest)
-			require.Equal(t, admitted, queue.put(&added))
+			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
 	for range 20 {
-		require.NotNil(t, queue.take(start))
+		require.NotNil(t, queue.dequeue(start))
 	}
 	for round := range uint32(5) {
 		for number := range uint32(3) {
 			added := data(9, 3*round+number, 100)
-			require.Equal(t, admitted, queue.put(&added))
+			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 		for range 3 {
-			require.Equal(t, flowOf(9), queue.take(start).Flow, "round %d", round)
+			require.Equal(t, flowOf(9), queue.dequeue(start).Flow, "round %d", round)
 		}
-		require.NotEqual(t, flowOf(9), queue.take(start).Flow)
+		require.NotEqual(t, flowOf(9), queue.dequeue(start).Flow)
 	}
 }
 
 // TestRestedLongFlowsAreForgotten: a flow that sends now and then is not long.
 func TestRestedLongFlowsAreForgotten(t *testing.T) {
-	queue := newFairQueue(queueLimit)
+	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(100) {
 		added := data(1, number, 200)
-		require.Equal(t, admitted, queue.put(&added))
-		require.NotNil(t, queue.take(start))
+		require.Equal(t, admitted, queue.enqueue(&added))
+		require.NotNil(t, queue.dequeue(start))
 	}
 	require.Empty(t, queue.flows, "what a flow sent while nothing else waited does not add up")
 	for number := range uint32(12) {
 		added := data(2, number, largest)
-		require.Equal(t, admitted, queue.put(&added))
+		require.Equal(t, admitted, queue.enqueue(&added))
 	}
 	for range 12 {
-		require.NotNil(t, queue.take(start))
+		require.NotNil(t, queue.dequeue(start))
 	}
-	require.Nil(t, queue.take(start.Add(longRests-time.Millisecond)))
+	require.Nil(t, queue.dequeue(start.Add(longFlowIdleTimeout-time.Millisecond)))
 	require.Len(t, queue.flows, 1, "a long flow keeps its place")
-	require.Nil(t, queue.take(start.Add(longRests)))
+	require.Nil(t, queue.dequeue(start.Add(longFlowIdleTimeout)))
 	require.Empty(t, queue.flows)
 }
 
 func TestRepeatedDataIsSentOnce(t *testing.T) {
-	link := &link{bytesPerSecond: narrow, queue: time.Second, now: start}
-	egress := New(linkOf(narrow), link.write)
+	link := &link{bytesPerSecond: narrowRate, queue: time.Second, now: start}
+	egress := New(linkOf(narrowRate), link.write)
 	for number := range uint32(16) {
 		egress.Send(data(1, number, largest), link.now)
 	}
@@ -279,11 +279,11 @@
 	}
 	counts := egress.Counts()
 	require.Equal(t, uint64(1000), counts.Sent+counts.Waited+counts.Refused)
-	require.Equal(t, uint64(queueLimit/largest), counts.Waited)
+	require.Equal(t, uint64(queueLimitBytes/largest), counts.Waited)
 }
 
 func TestWithoutARateNothingWaits(t *testing.T) {
-	link := &link{bytesPerSecond: narrow, queue: time.Hour, now: start}
+	link := &link{bytesPerSecond: narrowRate, queue: time.Hour, now: start}
 	egress := New(linkOf(0), link.write)
 	for number := range uint32(100) {
 		egress.Send(data(1, number, largest), start)
@@ -298,11 +298,11 @@
 	parameters := gopter.DefaultTestParametersWithSeed(4711)
 	properties := gopter.NewProperties(parameters)
 	properties.Property("order", prop.ForAll(func(steps []int) bool {
-		queue := newFairQueue(queueLimit)
+		queue := newFairQueue(queueLimitBytes)
 		next, seen, waiting := make(map[int]uint32), make(map[Flow]uint32), 0
 		for _, step := range steps {
 			if step >= 5 {
-				if taken := queue.take(start); taken != nil {
+				if taken := queue.dequeue(start); taken != nil {
 					waiting--
 					if taken.Sequence != seen[taken.Flow] {
 						return false
@@ -314,21 +314,21 @@
 			added := data(step, next[step], 40+300*step)
 			next[step]++
 			waiting++
-			if queue.put(&added) != admitted {
+			if queue.enqueue(&added) != admitted {
 				return false
 			}
 		}
-		for taken := queue.take(start); taken != nil; taken = queue.take(start) {
+		for taken := queue.dequeue(start); taken != nil; taken = queue.dequeue(start) {
 			waiting--
 			if taken.Sequence != seen[taken.Flow] {
 				return false
 			}
 			seen[taken.Flow]++
 		}
-		if waiting != 0 || queue.bytes != 0 || len(queue.flows) != queue.long.Len() {
+		if waiting != 0 || queue.bytes != 0 || len(queue.flows) != queue.longFlows.Len() {
 			return false
 		}
-		queue.take(start.Add(longRests))
+		queue.dequeue(start.Add(longFlowIdleTimeout))
 		return len(queue.flows) == 0
 	}, gen.SliceOfN(200, gen.IntRange(0, 9))))
 	properties.TestingRun(t)
@@ -395,7 +395,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			var carried []byte
-			egress := New(linkOf(narrow), func(content []byte, _ netip.AddrPort) {
+			egress := New(linkOf(narrowRate), func(content []byte, _ netip.AddrPort) {
 				if len(content) == 2 {
 					carried = append(carried, content[0])
 				}
@@ -417,7 +417,7 @@
 // TestShortWaitCountsShortFlowsAlone: an upload in front of the link is none of it, from the
 // moment on at which it counts as long.
 func TestShortWaitCountsShortFlowsAlone(t *testing.T) {
-	egress := New(linkOf(narrow), func([]byte, netip.AddrPort) {})
+	egress := New(linkOf(narrowRate), func([]byte, netip.AddrPort) {})
 	for number := range uint32(20) {
 		egress.Send(data(1, number, largest), start)
 	}
--- a/internal/direct/egress/pacer.go
+++ b/internal/direct/egress/pacer.go
@@ -3,7 +3,7 @@
 import "time"
 
 // burstTime is how far sending may run ahead of the link.
-const burstTime = 4 * time.Millisecond
+const burstTolerance = 4 * time.Millisecond
 
 // Link is what an egress sends by.
 type Link struct {
@@ -22,7 +22,7 @@
 type pacer struct {
 	link Link
 	// clearAt is when the link has carried all that was sent.
-	clearAt time.Time
+	idleAt time.Time
 }
 
 // wait returns how long the next datagram has to wait at now.
@@ -30,7 +30,7 @@
 	if pacer.link.BytesPerSecond == 0 {
 		return 0
 	}
-	return max(pacer.clearAt.Add(-burstTime).Sub(now), 0)
+	return max(pacer.idleAt.Add(-burstTolerance).Sub(now), 0)
 }
 
 // sent records that a datagram of size bytes was sent at now.
@@ -38,9 +38,9 @@
 	if pacer.link.BytesPerSecond == 0 {
 		return
 	}
-	if pacer.clearAt.Before(now) {
-		pacer.clearAt = now
+	if pacer.idleAt.Before(now) {
+		pacer.idleAt = now
 	}
 	seconds := float64(size+pacer.link.DatagramOverhead) / pacer.link.BytesPerSecond
-	pacer.clearAt = pacer.clearAt.Add(time.Duration(seconds * float64(time.Second)))
+	pacer.idleAt = pacer.idleAt.Add(time.Duration(seconds * float64(time.Second)))
 }
--- a/internal/direct/egress/queue.go
+++ b/internal/direct/egress/queue.go
@@ -34,12 +34,12 @@
 	// it, or a repetition that took its place, is written after that.
 	Tracked bool
 	// since is when the datagram began to wait.
-	since time.Time
+	queuedAt time.Time
 }
 
 // repeats tells whether other makes the datagram, of the same flow, needless: it carries the
 // same data to the same place, opens the flow again, or acknowledges as much or more.
-func (datagram *Datagram) repeats(other *Datagram) bool {
+func (datagram *Datagram) supersededBy(other *Datagram) bool {
 	switch {
 	case datagram.Opening || other.Opening:
 		return datagram.Opening && other.Opening
@@ -58,15 +58,15 @@
 	// longFrom is the number of bytes from which a flow that waits counts as long:
 	// eight full datagrams. Requests without a body of their own are far below; an
 	// upload passes it within its first window.
-	longFrom = 8 * quantum
+	longFlowBytes = 8 * quantum
 	// longTurns is the number of long flows, the oldest first, that share by turns
 	// what short flows leave of the link. One alone fills it; beside two or more
 	// others its data would wait longer than senders do before they repeat it
 	// (docs/LARGE-FLEETS.md, round 4).
-	longTurns = 1
+	activeLongFlows = 1
 	// longRests is how long a long flow may have nothing to send before it loses
 	// its place: senders repeat what was not acknowledged after 1.6 s at the most.
-	longRests = 2 * time.Second
+	longFlowIdleTimeout = 2 * time.Second
 )
 
 // flowQueue is one flow's datagrams in the order of their arrival.
@@ -76,15 +76,15 @@
 	// credit is the number of bytes that the flow may still send in its turn.
 	credit int
 	// attained is the number of bytes that the flow has put into the queue.
-	attained int
+	enqueuedBytes int
 	// long tells that the flow is in the list of long ones, and emptiedAt since
 	// when it has nothing to send there.
-	long      bool
+	isLong    bool
 	emptiedAt time.Time
 }
 
 // bytes returns the sum of the contents that wait.
-func (waiting *flowQueue) bytes() int {
+func (waiting *flowQueue) queuedBytes() int {
 	sum := 0
 	for _, datagram := range waiting.datagrams {
 		sum += len(datagram.Content)
@@ -108,21 +108,21 @@
 	bytes     int
 	longBytes int
 	flows     map[Flow]*flowQueue
-	fresh     *list.List
-	old       *list.List
-	long      *list.List
+	newFlows  *list.List
+	oldFlows  *list.List
+	longFlows *list.List
 }
 
 func newFairQueue(limit int) *fairQueue {
-	return &fairQueue{limit: limit, flows: make(map[Flow]*flowQueue), fresh: list.New(), old: list.New(), long: list.New()}
+	return &fairQueue{limit: limit, flows: make(map[Flow]*flowQueue), newFlows: list.New(), oldFlows: list.New(), longFlows: list.New()}
 }
 
 // admission is what became of a datagram that was put into the queue.
-type admission uint8
+type enqueueResult uint8
 
 const (
 	// admitted: the datagram waits for its turn.
-	admitted admission = iota
+	admitted enqueueResult = iota
 	// repeated: its data waited already, and the newer copy took that place.
 	repeated
 	// refused: the queue is full.
@@ -130,7 +130,7 @@
 )
 
 // put adds a datagram.
-func (queue *fairQueue) put(added *Datagram) admission {
+func (queue *fairQueue) enqueue(added *Datagram) enqueueResult {
 	waiting, exists := queue.flows[added.Flow]
 	if exists && queue.replace(waiting, added) {
 		return repeated
@@ -141,18 +141,18 @@
 	if !exists {
 		waiting = &flowQueue{flow: added.Flow, credit: quantum}
 		queue.flows[added.Flow] = waiting
-		queue.fresh.PushBack(waiting)
+		queue.newFlows.PushBack(waiting)
 	}
 	waiting.datagrams = append(waiting.datagrams, added)
-	waiting.attained += len(added.Content)
-	queue.count(waiting, len(added.Content))
+	waiting.enqueuedBytes += len(added.Content)
+	queue.addBytes(waiting, len(added.Content))
 	return admitted
 }
 
 // count adds bytes of a flow to what waits, or takes them off.
-func (queue *fairQueue) count(waiting *flowQueue, bytes int) {
+func (queue *fairQueue) addBytes(waiting *flowQueue, bytes int) {
 	queue.bytes += bytes
-	if waiting.long {
+	if waiting.isLong {
 		queue.longBytes += bytes
 	}
 }
@@ -160,9 +160,9 @@
 // replace puts added into the place of the datagram that it repeats.
 func (queue *fairQueue) replace(waiting *flowQueue, added *Datagram) bool {
 	for index, known := range waiting.datagrams {
-		if known.repeats(added) {
-			queue.count(waiting, len(added.Content)-len(known.Content))
-			added.since = known.since
+		if known.supersededBy(added) {
+			queue.addBytes(waiting, len(added.Content)-len(known.Content))
+			added.queuedAt = known.queuedAt
 			added.Tracked = added.Tracked || known.Tracked
 			waiting.datagrams[index] = added
 			return true
@@ -172,30 +172,30 @@
 }
 
 // short returns the number of bytes of short flows that wait.
-func (queue *fairQueue) short() int { return queue.bytes - queue.longBytes }
+func (queue *fairQueue) shortBytes() int { return queue.bytes - queue.longBytes }
 
 // empty tells whether nothing waits.
 func (queue *fairQueue) empty() bool { return queue.bytes == 0 }
 
 // take removes and returns the next datagram, or nil when nothing waits.
-func (queue *fairQueue) take(now time.Time) *Datagram {
+func (queue *fairQueue) dequeue(now time.Time) *Datagram {
 	for {
 		from, element := queue.nextShort()
 		if element == nil {
-			return queue.takeLong(now)
+			return queue.dequeueLong(now)
 		}
 		waiting := element.Value.(*flowQueue)
 		switch {
-		case waiting.attained >= longFrom:
+		case waiting.enqueuedBytes >= longFlowBytes:
 			from.Remove(element)
-			waiting.long = true
-			queue.longBytes += waiting.bytes()
+			waiting.isLong = true
+			queue.longBytes += waiting.queuedBytes()
 			waiting.emptiedAt = now
-			queue.long.PushBack(waiting)
+			queue.longFlows.PushBack(waiting)
 		case waiting.credit <= 0:
 			waiting.credit += quantum
 			from.Remove(element)
-			queue.old.PushBack(waiting)
+			queue.oldFlows.PushBack(waiting)
 		case len(waiting.datagrams) == 0:
 			queue.retire(from, element)
 		default:
@@ -207,26 +207,26 @@
 // nextShort returns the list and the place of the short flow whose turn it is;
 // the place is nil without one.
 func (queue *fairQueue) nextShort() (*list.List, *list.Element) {
-	if front := queue.fresh.Front(); front != nil {
-		return queue.fresh, front
+	if front := queue.newFlows.Front(); front != nil {
+		return queue.newFlows, front
 	}
-	return queue.old, queue.old.Front()
+	return queue.oldFlows, queue.oldFlows.Front()
 }
 
 // takeLong removes and returns the next datagram of the oldest long flows. It
 // forgets long flows that have rested.
-func (queue *fairQueue) takeLong(now time.Time) *Datagram {
-	var turns [longTurns]*flowQueue
+func (queue *fairQueue) dequeueLong(now time.Time) *Datagram {
+	var turns [activeLongFlows]*flowQueue
 	count := 0
-	for element := queue.long.Front(); element != nil && count < longTurns; {
+	for element := queue.longFlows.Front(); element != nil && count < activeLongFlows; {
 		waiting := element.Value.(*flowQueue)
 		following := element.Next()
 		switch {
 		case len(waiting.datagrams) > 0:
 			turns[count] = waiting
 			count++
-		case now.Sub(waiting.emptiedAt) >= longRests:
-			queue.long.Remove(element)
+		case now.Sub(waiting.emptiedAt) >= longFlowIdleTimeout:
+			queue.longFlows.Remove(element)
 			delete(queue.flows, waiting.flow)
 		}
 		element = following
@@ -260,8 +260,8 @@
 func (queue *fairQueue) retire(from *list.List, element *list.Element) {
 	waiting := element.Value.(*flowQueue)
 	from.Remove(element)
-	if from == queue.fresh && queue.old.Len() > 0 {
-		queue.old.PushBack(waiting)
+	if from == queue.newFlows && queue.oldFlows.Len() > 0 {
+		queue.oldFlows.PushBack(waiting)
 		return
 	}
 	delete(queue.flows, waiting.flow)
@@ -272,17 +272,17 @@
 	waiting.datagrams[0] = nil
 	waiting.datagrams = waiting.datagrams[1:]
 	waiting.credit -= len(taken.Content)
-	queue.count(waiting, -len(taken.Content))
+	queue.addBytes(waiting, -len(taken.Content))
 	if queue.empty() {
-		queue.forgetShort()
+		queue.removeShortFlows()
 	}
 	return taken
 }
 
 // forgetShort forgets short flows when nothing waits, so that what a flow sends
 // now and then does not add up to a long one.
-func (queue *fairQueue) forgetShort() {
-	for _, short := range []*list.List{queue.fresh, queue.old} {
+func (queue *fairQueue) removeShortFlows() {
+	for _, short := range []*list.List{queue.newFlows, queue.oldFlows} {
 		for element := short.Front(); element != nil; element = element.Next() {
 			delete(queue.flows, element.Value.(*flowQueue).flow)
 		}
--- a/internal/direct/forwarder/following.go
+++ b/internal/direct/forwarder/following.go
@@ -12,20 +12,20 @@
 func NeedsTracking(segment steer.Segment) bool { return segment.Opening || segment.HasData }
 
 // Follow returns what tells the requests of packets that wait in front of the link.
-func NewQueueObserver(requests RequestWatcher) egress.QueueObserver { return following{requests} }
+func NewQueueObserver(requests RequestWatcher) egress.QueueObserver { return queueObserver{requests} }
 
 // following passes on what becomes of datagrams to the requests that they belong to.
-type following struct {
+type queueObserver struct {
 	requests RequestWatcher
 }
 
 // Waits implements egress.Follower.
-func (following following) Queued(datagram *egress.Datagram, now time.Time) {
+func (following queueObserver) Queued(datagram *egress.Datagram, now time.Time) {
 	following.requests.Queued(segmentOf(datagram), now)
 }
 
 // Left implements egress.Follower.
-func (following following) Dequeued(datagram *egress.Datagram, now time.Time) {
+func (following queueObserver) Dequeued(datagram *egress.Datagram, now time.Time) {
 	following.requests.Dequeued(segmentOf(datagram), now)
 }
 
--- a/internal/direct/forwarder/forwarder.go
+++ b/internal/direct/forwarder/forwarder.go
@@ -85,9 +85,9 @@
 	parking   *parking
 	// changes has a notice since the table last changed, from the forwarder's making on, so
 	// that no change is missed while its goroutines start.
-	changes  <-chan struct{}
-	egress   *egress.Egress
-	failures *socketfault.Counter
+	tableChanges <-chan struct{}
+	egress       *egress.Egress
+	failures     *socketfault.Counter
 }
 
 // Options are what a forwarder works with.
@@ -113,7 +113,7 @@
 	// A smaller buffer than asked for loses packets earlier; nothing else.
 	options.Failures.Note(socketfault.Buffer, socket.SetReadBuffer(socketBufferBytes))
 	options.Failures.Note(socketfault.Buffer, socket.SetWriteBuffer(socketBufferBytes))
-	forwarder := &Forwarder{socket: socket, codec: codec, table: table, suspects: suspects, requests: requests, admission: admission, observer: observer, parking: newParking(), changes: table.Watch(), failures: options.Failures}
+	forwarder := &Forwarder{socket: socket, codec: codec, table: table, suspects: suspects, requests: requests, admission: admission, observer: observer, parking: newParking(), tableChanges: table.Watch(), failures: options.Failures}
 	forwarder.egress = egress.New(options.Link, forwarder.write)
 	forwarder.egress.ObserveQueue(NewQueueObserver(requests))
 	return forwarder, nil
@@ -156,52 +156,52 @@
 			forwarder.failures.Note(socketfault.Read, err)
 			continue
 		}
-		forwarder.carry(buffer[:headroom+size], headroom, time.Now())
+		forwarder.handle(buffer[:headroom+size], headroom, time.Now())
 	}
 }
 
 // carry handles one packet, which begins after headroom bytes.
-func (forwarder *Forwarder) carry(buffer []byte, headroom int, now time.Time) {
+func (forwarder *Forwarder) handle(buffer []byte, headroom int, now time.Time) {
 	segment, err := forwarder.codec.Parse(buffer[headroom:])
 	if err != nil {
 		forwarder.observer.Malformed(err)
 		return
 	}
-	forwarder.decide(buffer, headroom, segment, now)
+	forwarder.process(buffer, headroom, segment, now)
 }
 
 // decide does with a packet what the table says.
-func (forwarder *Forwarder) decide(buffer []byte, headroom int, segment steer.Segment, now time.Time) {
+func (forwarder *Forwarder) process(buffer []byte, headroom int, segment steer.Segment, now time.Time) {
 	packet := buffer[headroom:]
 	if segment.Opening && segment.Attempt > 0 {
 		segment.Tried, segment.Seen = forwarder.requests.PreviousTargets(segment)
 	}
 	decision := forwarder.admission.Review(segment, forwarder.table.Decide(segment, now), now)
-	if decision.Action == steer.Drop && worthParking(decision.Reason) {
+	if decision.Action == steer.Drop && shouldPark(decision.Reason) {
 		forwarder.parking.put(packet, segment, now)
 	}
-	forwarder.carryOut(buffer, headroom, segment, decision, now)
+	forwarder.execute(buffer, headroom, segment, decision, now)
 }
 
 // carryOut does what was decided about a packet.
-func (forwarder *Forwarder) carryOut(buffer []byte, headroom int, segment steer.Segment, decision steer.Decision, now time.Time) {
+func (forwarder *Forwarder) execute(buffer []byte, headroom int, segment steer.Segment, decision steer.Decision, now time.Time) {
 	forwarder.observer.Decided(segment, decision)
 	if decision.Suspect != 0 {
 		forwarder.suspects.Note(decision.Suspect)
 	}
 	switch decision.Action {
 	case steer.Forward:
-		forwarder.note(segment, decision, now)
-		forwarder.forward(segment, forwarder.codec.Deliver(buffer, decision), decision.Target, now)
+		forwarder.notifyRequests(segment, decision, now)
+		forwarder.sendToTarget(segment, forwarder.codec.Deliver(buffer, decision), decision.Target, now)
 	case steer.Reset:
 		reset, to := forwarder.codec.Reset(buffer[headroom:], segment)
-		forwarder.answer(segment, reset, to, now)
+		forwarder.sendReset(segment, reset, to, now)
 	}
 }
 
 // note tells of a packet that goes to a target. It is told before the packet is sent, because
 // the requests are told next if it has to wait for the link.
-func (forwarder *Forwarder) note(segment steer.Segment, decision steer.Decision, now time.Time) {
+func (forwarder *Forwarder) notifyRequests(segment steer.Segment, decision steer.Decision, now time.Time) {
 	target := requests.Target{Token: decision.Token, ID: decision.ID, Service: decision.Service, Capacity: decision.Capacity}
 	if segment.Opening {
 		forwarder.requests.OpeningForwarded(segment, target, now)
@@ -213,13 +213,13 @@
 // release decides anew about parked packets after the table changed. A copy of
 // an opening packet is treated as the first: its former copies were not placed
 // either.
-func (forwarder *Forwarder) release(now time.Time) {
+func (forwarder *Forwarder) retryParked(now time.Time) {
 	headroom := forwarder.codec.Headroom()
 	for _, parked := range forwarder.parking.take(now) {
 		parked.segment.Attempt = 0
 		buffer := make([]byte, headroom+len(parked.packet))
 		copy(buffer[headroom:], parked.packet)
-		forwarder.decide(buffer, headroom, parked.segment, now)
+		forwarder.process(buffer, headroom, parked.segment, now)
 	}
 }
 
@@ -230,14 +230,14 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-forwarder.changes:
-			forwarder.release(time.Now())
+		case <-forwarder.tableChanges:
+			forwarder.retryParked(time.Now())
 		}
 	}
 }
 
 // forward hands the segment's packet to the link on its way to a target.
-func (forwarder *Forwarder) forward(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
+func (forwarder *Forwarder) sendToTarget(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
 	datagram := datagramOf(segment, content, to)
 	datagram.Opening = segment.Opening
 	datagram.PureAcknowledgement = segment.Acknowledges()
@@ -247,7 +247,7 @@
 }
 
 // answer hands a packet to the link that answers the segment in its target's place.
-func (forwarder *Forwarder) answer(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
+func (forwarder *Forwarder) sendReset(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
 	forwarder.egress.Send(datagramOf(segment, content, to), now)
 }
 
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -96,7 +96,7 @@
 	noted     int
 	placed    int
 	// waits and left count packets that waited for the link, and that left it.
-	waits, left int
+	queued, dequeued int
 }
 
 // Decided implements Observer.
@@ -131,14 +131,14 @@
 func (counter *counter) Queued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
-	counter.waits++
+	counter.queued++
 }
 
 // Left implements Requests.
 func (counter *counter) Dequeued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
-	counter.left++
+	counter.dequeued++
 }
 
 // Malformed implements Observer.
@@ -166,7 +166,7 @@
 }
 
 // rig is a running forwarder with sockets of one caller and one target.
-type rig struct {
+type fixture struct {
 	t *testing.T
 	// start runs a part of the forwarder until the test ends.
 	start     func(run func(ctx context.Context) error)
@@ -193,17 +193,17 @@
 	return socketfault.New(prometheus.NewRegistry(), zap.NewNop(), "packets")
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	made := newHoldingRig(t, egress.Link{})
+	made := newFixtureWithoutParking(t, egress.Link{})
 	made.start(made.forwarder.RunParking)
 	return made
 }
 
 // newHoldingRig returns a rig on a link that does not decide anew about parked packets.
-func newHoldingRig(t *testing.T, link egress.Link) *rig {
+func newFixtureWithoutParking(t *testing.T, link egress.Link) *fixture {
 	t.Helper()
-	made := &rig{
+	made := &fixture{
 		t: t, table: steer.NewTable(steer.DefaultOptions()), counter: &counter{reasons: make(map[steer.Reason]int)},
 		link: &admission{}, caller: socket(t), target: socket(t),
 	}
@@ -227,7 +227,7 @@
 const servicePort = 443
 
 // learn gives the forwarder a table with the target in a state.
-func (rig *rig) learn(revision model.Revision, state directory.TargetState) {
+func (rig *fixture) applyTable(revision model.Revision, state directory.TargetState) {
 	changes := directory.Changes{
 		Whole: true, To: revision, Version: 1,
 		Routes: []directory.RouteEntry{{Address: loopback(servicePort), Pool: []declared.PoolPart{{Service: "feed", Weight: 1}}}},
@@ -239,13 +239,13 @@
 	rig.table.Confirm(time.Now())
 }
 
-func (rig *rig) send(packet []byte) {
+func (rig *fixture) send(packet []byte) {
 	rig.t.Helper()
 	_, err := rig.caller.WriteToUDPAddrPort(packet, rig.forwarder.Address())
 	require.NoError(rig.t, err)
 }
 
-func (rig *rig) receive(socket *net.UDPConn) []byte {
+func (rig *fixture) receive(socket *net.UDPConn) []byte {
 	rig.t.Helper()
 	buffer := make([]byte, 100)
 	size, _, err := socket.ReadFromUDPAddrPort(buffer)
@@ -254,8 +254,8 @@
 }
 
 func TestPacketsGoToTheirTargets(t *testing.T) {
-	rig := newRig(t)
-	rig.learn(1, directory.TargetReady)
+	rig := newFixture(t)
+	rig.applyTable(1, directory.TargetReady)
 	caller := portOf(rig.caller)
 	opening := packetOf(kindOpen, caller, servicePort, 0)
 	rig.send(opening)
@@ -266,8 +266,8 @@
 }
 
 func TestFlowsOfDeadTargetsAndMissingRoutesAreReset(t *testing.T) {
-	rig := newRig(t)
-	rig.learn(1, directory.TargetFailed)
+	rig := newFixture(t)
+	rig.applyTable(1, directory.TargetFailed)
 	caller := portOf(rig.caller)
 	rig.send(packetOf(kindData, caller, servicePort, 7))
 	require.Equal(t, packetOf(kindReset, caller, servicePort, 0), rig.receive(rig.caller))
@@ -279,8 +279,8 @@
 // target; a copy of an opening packet that was sent on, whose flow may have opened,
 // and packets of open flows go on.
 func TestFlowsAreRefusedWhileTheLinkIsFull(t *testing.T) {
-	rig := newRig(t)
-	rig.learn(1, directory.TargetReady)
+	rig := newFixture(t)
+	rig.applyTable(1, directory.TargetReady)
 	rig.link.full.Store(true)
 	caller := portOf(rig.caller)
 	rig.send(packetOf(kindOpen, caller, servicePort, 0))
@@ -302,8 +302,8 @@
 }
 
 func TestMalformedPacketsAreCounted(t *testing.T) {
-	rig := newRig(t)
-	rig.learn(1, directory.TargetReady)
+	rig := newFixture(t)
+	rig.applyTable(1, directory.TargetReady)
 	rig.send([]byte{1, 2, 3})
 	rig.send(packetOf(kindOpen, portOf(rig.caller), servicePort, 0))
 	rig.receive(rig.target)
@@ -313,14 +313,14 @@
 }
 
 func TestPacketsWaitForTheTable(t *testing.T) {
-	rig := newRig(t)
+	rig := newFixture(t)
 	opening := packetOf(kindOpen, portOf(rig.caller), servicePort, 0)
 	for range 3 {
 		rig.send(opening)
 	}
 	rig.send(packetOf(kindData, portOf(rig.caller), servicePort, 7))
 	require.Eventually(t, func() bool { return rig.counter.count(steer.ReasonNoTable) == 4 }, conditionTimeout, time.Millisecond)
-	rig.learn(1, directory.TargetReady)
+	rig.applyTable(1, directory.TargetReady)
 	require.Equal(t, append([]byte{0, 0, 0, 7}, opening...), rig.receive(rig.target), "copies of an opening packet count as one")
 	require.Equal(t, byte(kindData), rig.receive(rig.target)[headroom])
 	require.Equal(t, 1, rig.counter.count(steer.ReasonChosen))
@@ -332,9 +332,9 @@
 // the packet comes: when it was noticed after the packet, there was a third decision, in 7 of
 // 360 runs beside load.
 func TestPacketsWaitForATargetThatIsNotKnownYet(t *testing.T) {
-	rig := newHoldingRig(t, egress.Link{})
-	rig.learn(1, directory.TargetReady)
-	<-rig.forwarder.changes
+	rig := newFixtureWithoutParking(t, egress.Link{})
+	rig.applyTable(1, directory.TargetReady)
+	<-rig.forwarder.tableChanges
 	rig.start(rig.forwarder.RunParking)
 	data := packetOf(kindData, portOf(rig.caller), servicePort, 8)
 	rig.send(data)
@@ -351,11 +351,11 @@
 // TestAChangeWhileGoroutinesStartReleasesPackets: the table may change between a packet that
 // is parked and the start of what releases it; the packet must not wait for a further change.
 func TestAChangeWhileGoroutinesStartReleasesPackets(t *testing.T) {
-	rig := newHoldingRig(t, egress.Link{})
+	rig := newFixtureWithoutParking(t, egress.Link{})
 	opening := packetOf(kindOpen, portOf(rig.caller), servicePort, 0)
 	rig.send(opening)
 	require.Eventually(t, func() bool { return rig.counter.count(steer.ReasonNoTable) == 1 }, conditionTimeout, time.Millisecond)
-	rig.learn(1, directory.TargetReady)
+	rig.applyTable(1, directory.TargetReady)
 	rig.start(rig.forwarder.RunParking)
 	require.Equal(t, append([]byte{0, 0, 0, 7}, opening...), rig.receive(rig.target))
 }
@@ -367,16 +367,16 @@
 		return steer.Segment{Caller: loopback(uint16(port)), Service: loopback(servicePort), Opening: opening}
 	}
 	parking.put([]byte{1}, segment(1, true), begin)
-	parking.put([]byte{2}, segment(2, true), begin.Add(parkedFor/2))
-	parking.put([]byte{3}, segment(1, true), begin.Add(parkedFor/2))
-	kept := parking.take(begin.Add(parkedFor + time.Millisecond))
+	parking.put([]byte{2}, segment(2, true), begin.Add(parkingTimeout/2))
+	parking.put([]byte{3}, segment(1, true), begin.Add(parkingTimeout/2))
+	kept := parking.take(begin.Add(parkingTimeout + time.Millisecond))
 	require.Len(t, kept, 2)
 	require.Equal(t, []byte{3}, kept[0].packet, "the latest copy stays")
 	require.Empty(t, parking.take(begin))
-	for port := range 2 * parkedPackets {
+	for port := range 2 * maxParkedPackets {
 		parking.put([]byte{4}, segment(port, port%2 == 0), begin)
 	}
-	require.Len(t, parking.take(begin), parkedPackets)
+	require.Len(t, parking.take(begin), maxParkedPackets)
 }
 
 func TestSuspectsAreProbedAndReported(t *testing.T) {
@@ -424,8 +424,8 @@
 // TestRequestsLearnWhenTheirPacketsLeave: on a narrow link an opening packet that waits is told
 // of before it is sent, and once more when it left.
 func TestRequestsLearnWhenTheirPacketsLeave(t *testing.T) {
-	rig := newHoldingRig(t, egress.Link{BytesPerSecond: 500})
-	rig.learn(1, directory.TargetReady)
+	rig := newFixtureWithoutParking(t, egress.Link{BytesPerSecond: 500})
+	rig.applyTable(1, directory.TargetReady)
 	const flows = 4
 	for flow := range flows {
 		rig.send(packetOf(kindOpen, uint16(1000+flow), servicePort, 0))
@@ -437,7 +437,7 @@
 	require.Eventually(t, func() bool {
 		rig.counter.lock.Lock()
 		defer rig.counter.lock.Unlock()
-		return rig.counter.waits > 0 && rig.counter.left == rig.counter.waits
+		return rig.counter.queued > 0 && rig.counter.dequeued == rig.counter.queued
 	}, conditionTimeout, time.Millisecond)
 	require.Equal(t, flows, rig.counter.count(steer.ReasonChosen))
 }
--- a/internal/direct/forwarder/parking.go
+++ b/internal/direct/forwarder/parking.go
@@ -10,10 +10,10 @@
 
 const (
 	// parkedPackets bounds the packets that wait for a table.
-	parkedPackets = 1024
+	maxParkedPackets = 1024
 	// parkedFor is how long a packet may wait. Its sender has given it up by
 	// then, or sent it again.
-	parkedFor = 900 * time.Millisecond
+	parkingTimeout = 900 * time.Millisecond
 )
 
 // flowKey names a flow by its two ends.
@@ -24,9 +24,9 @@
 
 // parkedPacket is a packet that this balancer could not place when it came.
 type parkedPacket struct {
-	packet  []byte
-	segment steer.Segment
-	at      time.Time
+	packet   []byte
+	segment  steer.Segment
+	parkedAt time.Time
 }
 
 // parking keeps packets that the table could not place: it has not come yet,
@@ -42,7 +42,7 @@
 func newParking() *parking { return &parking{openings: make(map[flowKey]int)} }
 
 // worthParking tells whether a changed table may place the packet.
-func worthParking(reason steer.Reason) bool {
+func shouldPark(reason steer.Reason) bool {
 	switch reason {
 	case steer.ReasonNoTable, steer.ReasonUnknownToken, steer.ReasonNoRouteStale, steer.ReasonNoTarget, steer.ReasonEvacuated:
 		return true
@@ -55,13 +55,13 @@
 func (parking *parking) put(packet []byte, segment steer.Segment, now time.Time) {
 	parking.lock.Lock()
 	defer parking.lock.Unlock()
-	parked := parkedPacket{packet: append([]byte(nil), packet...), segment: segment, at: now}
+	parked := parkedPacket{packet: append([]byte(nil), packet...), segment: segment, parkedAt: now}
 	key := flowKey{caller: segment.Caller, service: segment.Service}
 	if place, exists := parking.openings[key]; exists && segment.Opening {
 		parking.packets[place] = parked
 		return
 	}
-	if len(parking.packets) >= parkedPackets {
+	if len(parking.packets) >= maxParkedPackets {
 		return
 	}
 	if segment.Opening {
@@ -82,7 +82,7 @@
 	clear(parking.openings)
 	fresh := packets[:0]
 	for _, parked := range packets {
-		if now.Sub(parked.at) < parkedFor {
+		if now.Sub(parked.parkedAt) < parkingTimeout {
 			fresh = append(fresh, parked)
 		}
 	}
--- a/internal/direct/forwarder/suspects.go
+++ b/internal/direct/forwarder/suspects.go
@@ -16,12 +16,12 @@
 
 const (
 	// suspectsKept bounds the suspicions that wait to be looked into.
-	suspectsKept = 256
+	maxQueuedSuspects = 256
 	// probePause is the least time between two probes of one target by this
 	// balancer.
-	probePause = 500 * time.Millisecond
+	minProbeInterval = 500 * time.Millisecond
 	// probedKept bounds the targets whose last probe is remembered.
-	probedKept = 4096
+	maxProbedTargets = 4096
 )
 
 // Suspects is the controller that probes targets which did not answer an
@@ -29,70 +29,70 @@
 // them to the followed member. Silence alone proves nothing: a target that is
 // full is silent too.
 type Suspects struct {
-	notes   *board.Queue[directory.Token]
-	table   *steer.Table
-	prober  *probe.Prober
-	mailbox *protocol.Mailbox
-	follows func() model.NodeName
-	logger  *zap.Logger
-	probed  map[directory.Token]time.Time
+	queue          *board.Queue[directory.Token]
+	table          *steer.Table
+	prober         *probe.Prober
+	mailbox        *protocol.Mailbox
+	followedMember func() model.NodeName
+	logger         *zap.Logger
+	probedAt       map[directory.Token]time.Time
 }
 
 // NewSuspects returns the controller. follows returns the member that gets
 // the reports.
 func NewSuspects(table *steer.Table, prober *probe.Prober, mailbox *protocol.Mailbox, follows func() model.NodeName, logger *zap.Logger) *Suspects {
 	return &Suspects{
-		notes:   board.NewQueue[directory.Token]("suspects", suspectsKept),
-		table:   table,
-		prober:  prober,
-		mailbox: mailbox,
-		follows: follows,
-		logger:  logger,
-		probed:  make(map[directory.Token]time.Time),
+		queue:          board.NewQueue[directory.Token]("suspects", maxQueuedSuspects),
+		table:          table,
+		prober:         prober,
+		mailbox:        mailbox,
+		followedMember: follows,
+		logger:         logger,
+		probedAt:       make(map[directory.Token]time.Time),
 	}
 }
 
 // Note records that a target did not answer in time. It may be called from
 // any goroutine.
-func (suspects *Suspects) Note(token directory.Token) { suspects.notes.Put(token) }
+func (suspects *Suspects) Note(token directory.Token) { suspects.queue.Put(token) }
 
 // Name implements board.Controller.
 func (suspects *Suspects) Name() string { return "suspects" }
 
 // Sources returns the channels whose notices call for a Reconcile.
 func (suspects *Suspects) Sources() []<-chan struct{} {
-	return []<-chan struct{}{suspects.notes.Watch(), suspects.prober.Results.Watch()}
+	return []<-chan struct{}{suspects.queue.Watch(), suspects.prober.Results.Watch()}
 }
 
 // Reconcile implements board.Controller.
 func (suspects *Suspects) Reconcile(now time.Time) {
-	for _, token := range suspects.notes.Drain() {
+	for _, token := range suspects.queue.Drain() {
 		suspects.probe(now, token)
 	}
 	for _, result := range suspects.prober.Results.Drain() {
-		suspects.take(now, result)
+		suspects.handleResult(now, result)
 	}
 }
 
 func (suspects *Suspects) probe(now time.Time, token directory.Token) {
 	target, known := suspects.table.Lookup(token)
-	if !known || target.State == directory.TargetFailed || now.Sub(suspects.probed[token]) < probePause {
+	if !known || target.State == directory.TargetFailed || now.Sub(suspects.probedAt[token]) < minProbeInterval {
 		return
 	}
-	if len(suspects.probed) >= probedKept {
-		clear(suspects.probed)
+	if len(suspects.probedAt) >= maxProbedTargets {
+		clear(suspects.probedAt)
 	}
-	suspects.probed[token] = now
+	suspects.probedAt[token] = now
 	suspects.prober.Start(uint64(token), target.Address)
 }
 
-func (suspects *Suspects) take(now time.Time, result probe.Result) {
+func (suspects *Suspects) handleResult(now time.Time, result probe.Result) {
 	token := directory.Token(result.Key)
 	target, known := suspects.table.Lookup(token)
 	if !known {
 		return
 	}
-	member := suspects.follows()
+	member := suspects.followedMember()
 	suspects.logger.Info("suspected target probed",
 		zap.Uint64("target", uint64(target.ID)),
 		zap.Uint32("token", uint32(token)),
--- a/internal/direct/requests/content.go
+++ b/internal/direct/requests/content.go
@@ -17,39 +17,39 @@
 	// first is the number of the first byte, and end that after the last one.
 	first, end uint32
 	// latest is the highest number of a packet's first byte.
-	latest uint32
+	latestSequence uint32
 	// largest is the size of the largest packet, and complete tells that a
 	// smaller one came after it: senders fill all packets but the last.
-	largest  uint32
-	complete bool
+	largestSegment uint32
+	complete       bool
 }
 
 func newContent(segment steer.Segment) content {
 	return content{
 		first: segment.Sequence, end: segment.Sequence + segment.Length,
-		latest: segment.Sequence, largest: segment.Length,
+		latestSequence: segment.Sequence, largestSegment: segment.Length,
 	}
 }
 
 // add takes a packet in. It returns false for one that is not newer than all
 // before.
 func (content *content) add(segment steer.Segment) bool {
-	if int32(segment.Sequence-content.latest) <= 0 {
+	if int32(segment.Sequence-content.latestSequence) <= 0 {
 		return false
 	}
-	content.latest = segment.Sequence
+	content.latestSequence = segment.Sequence
 	content.end = segment.Sequence + segment.Length
-	content.complete = segment.Length < content.largest
-	content.largest = max(content.largest, segment.Length)
+	content.complete = segment.Length < content.largestSegment
+	content.largestSegment = max(content.largestSegment, segment.Length)
 	return true
 }
 
 // brought returns the number of bytes that came.
-func (content *content) brought() uint32 { return content.end - content.first }
+func (content *content) received() uint32 { return content.end - content.first }
 
 // receiving tells that the request is long and that more of it comes.
 func (content *content) receiving() bool {
-	return !content.complete && content.brought() > LongRequestBytes
+	return !content.complete && content.received() > LongRequestBytes
 }
 
 // Progress is how far the data of an open request has come.
@@ -71,7 +71,7 @@
 		shard.lock.Lock()
 		for key, open := range shard.requests {
 			visit(Progress{
-				Route: key.service, ReceivedBytes: int(open.content.brought()), Complete: open.content.complete, LastAt: open.lastAt(),
+				Route: key.service, ReceivedBytes: int(open.content.received()), Complete: open.content.complete, LastAt: open.lastAt(),
 			})
 		}
 		shard.lock.Unlock()
--- a/internal/direct/requests/moves.go
+++ b/internal/direct/requests/moves.go
@@ -10,57 +10,57 @@
 	// strangerWeight is the weight of one more request in the share of those whose flow
 	// this balancer did not know: seven in a row make a move, which is less than a tenth
 	// of a second's requests at a balancer under load.
-	strangerWeight = 0.1
+	unknownFlowWeight = 0.1
 	// movedFrom is the share of requests on unknown flows from which routers count as having
 	// moved the flows. Single flows whose opening went another way stay far below.
-	movedFrom = 0.5
+	moveThreshold = 0.5
 	// moveLag is how long before it is noticed a move may have happened, and movesApart the
 	// least time between two: balancers that are restarted one after the other move all
 	// flows each time.
-	moveLag    = 100 * time.Millisecond
-	movesApart = 200 * time.Millisecond
+	moveDetectionLag = 100 * time.Millisecond
+	minMoveInterval  = 200 * time.Millisecond
 	// flowsRemembered is the number of places for known flows in a shard; a power of two.
 	// A flow that takes another one's place makes that one look unknown, so that there are
 	// several times as many as a balancer's open flows.
-	flowsRemembered = 1024
+	fingerprintSlots = 1024
 )
 
 // moves notices that routers bring this balancer other flows than before, as they do when a
 // balancer comes or goes. The requests that were under way then are acknowledged through
 // other balancers: here they would seem open until HangAfter, and unanswered.
-type moves struct {
-	lock      sync.Mutex
-	strangers float64
-	at        time.Time
+type moveDetector struct {
+	lock         sync.Mutex
+	unknownShare float64
+	detectedAt   time.Time
 }
 
 // note takes in whether a request came on a flow that was not known.
-func (moves *moves) note(stranger bool, now time.Time) {
+func (moves *moveDetector) record(stranger bool, now time.Time) {
 	moves.lock.Lock()
 	defer moves.lock.Unlock()
-	moves.strangers *= 1 - strangerWeight
+	moves.unknownShare *= 1 - unknownFlowWeight
 	if stranger {
-		moves.strangers += strangerWeight
+		moves.unknownShare += unknownFlowWeight
 	}
-	if moves.strangers >= movedFrom && now.Sub(moves.at) >= movesApart {
-		moves.at = now
+	if moves.unknownShare >= moveThreshold && now.Sub(moves.detectedAt) >= minMoveInterval {
+		moves.detectedAt = now
 	}
 }
 
 // last returns when the latest move happened at the latest, zero without one.
-func (moves *moves) last() time.Time {
+func (moves *moveDetector) lastMove() time.Time {
 	moves.lock.Lock()
 	defer moves.lock.Unlock()
-	if moves.at.IsZero() {
+	if moves.detectedAt.IsZero() {
 		return time.Time{}
 	}
-	return moves.at.Add(-moveLag)
+	return moves.detectedAt.Add(-moveDetectionLag)
 }
 
 // remember notes a flow as known, and returns whether it was.
-func (shard *shard) remember(key flowKey) bool {
+func (shard *shard) rememberFlow(key flowKey) bool {
 	print := key.fingerprint()
-	place := &shard.remembered[print%flowsRemembered]
+	place := &shard.fingerprints[print%fingerprintSlots]
 	known := *place == print
 	*place = print
 	return known
--- a/internal/direct/requests/share.go
+++ b/internal/direct/requests/share.go
@@ -6,7 +6,7 @@
 )
 
 // usualWeight is the weight of one more case in a share that states none.
-const usualWeight = 0.05
+const defaultWeight = 0.05
 
 // Share is the share of late cases in which something held, an exponential
 // average. While cases are few the share lies anywhere between Value, as if it had
@@ -25,7 +25,7 @@
 // weight returns the weight of one more case.
 func (share *Share) weight() float64 {
 	if share.Weight == 0 {
-		return usualWeight
+		return defaultWeight
 	}
 	return share.Weight
 }
--- a/internal/direct/requests/waiting.go
+++ b/internal/direct/requests/waiting.go
@@ -7,43 +7,43 @@
 )
 
 // whereabouts tells how far a request has come on its way to its target.
-type whereabouts uint8
+type stage uint8
 
 // The whereabouts.
 const (
 	// atTarget: the target has all of it that came.
-	atTarget whereabouts = iota
+	atTarget stage = iota
 	// inFrontOfLink: its latest packet waits in front of the balancer's link.
-	inFrontOfLink
+	inLinkQueue
 	// stillComing: it is long, and more of its data comes.
-	stillComing
+	receivingData
 )
 
-func (open *request) whereabouts() whereabouts {
+func (open *request) stage() stage {
 	switch {
 	case open.content.receiving():
-		return stillComing
-	case open.waiting:
-		return inFrontOfLink
+		return receivingData
+	case open.queued:
+		return inLinkQueue
 	}
 	return atTarget
 }
 
 // tellMove tells the listeners that a request at a target moved on.
-func (watcher *Watcher) tellMove(target Target, before, after whereabouts) {
+func (watcher *Watcher) notifyTransition(target Target, before, after stage) {
 	if before == after {
 		return
 	}
-	watcher.tellWhereabouts(target, before, false)
-	watcher.tellWhereabouts(target, after, true)
+	watcher.notifyStage(target, before, false)
+	watcher.notifyStage(target, after, true)
 }
 
-func (watcher *Watcher) tellWhereabouts(target Target, place whereabouts, there bool) {
+func (watcher *Watcher) notifyStage(target Target, place stage, there bool) {
 	for _, listener := range watcher.listeners {
 		switch place {
-		case inFrontOfLink:
+		case inLinkQueue:
 			listener.Waiting(target, there)
-		case stillComing:
+		case receivingData:
 			listener.Receiving(target, there)
 		}
 	}
@@ -57,8 +57,8 @@
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if open, known := shard.requests[key]; known && open.since.Equal(now) && open.hangsOn(segment) {
-		watcher.setWaiting(shard, key, open, true)
+	if open, known := shard.requests[key]; known && open.progressAt.Equal(now) && open.dependsOn(segment) {
+		watcher.setQueued(shard, key, open, true)
 	}
 }
 
@@ -68,24 +68,24 @@
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if open, known := shard.requests[key]; known && open.waiting && open.hangsOn(segment) {
-		open.since = now
-		watcher.setWaiting(shard, key, open, false)
+	if open, known := shard.requests[key]; known && open.queued && open.dependsOn(segment) {
+		open.progressAt = now
+		watcher.setQueued(shard, key, open, false)
 	}
 }
 
-func (watcher *Watcher) setWaiting(shard *shard, key flowKey, open request, waiting bool) {
-	before := open.whereabouts()
-	open.waiting = waiting
+func (watcher *Watcher) setQueued(shard *shard, key flowKey, open request, waiting bool) {
+	before := open.stage()
+	open.queued = waiting
 	shard.requests[key] = open
-	watcher.tellMove(open.target, before, open.whereabouts())
+	watcher.notifyTransition(open.target, before, open.stage())
 }
 
 // hangsOn tells whether the target can go on with the request once it has the packet: the
 // opening packet, or the latest new data.
-func (open *request) hangsOn(segment steer.Segment) bool {
-	if open.asked {
-		return segment.HasData && segment.Sequence == open.content.latest
+func (open *request) dependsOn(segment steer.Segment) bool {
+	if open.hasData {
+		return segment.HasData && segment.Sequence == open.content.latestSequence
 	}
 	return segment.Opening
 }
--- a/internal/direct/requests/waiting_test.go
+++ b/internal/direct/requests/waiting_test.go
@@ -21,28 +21,28 @@
 // that waited there for a second counted as unanswered by a target that never got it.
 
 func TestRequestsThatWaitForTheLinkAreNotAtTheirTarget(t *testing.T) {
-	listener := newBook()
+	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
-	watcher.Queued(opens(1), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
+	watcher.Queued(openingSegment(1), start)
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Dequeued(opens(1), start.Add(80*time.Millisecond))
-	watcher.Dequeued(opens(1), start.Add(90*time.Millisecond))
+	watcher.Dequeued(openingSegment(1), start.Add(80*time.Millisecond))
+	watcher.Dequeued(openingSegment(1), start.Add(90*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
 	require.Equal(t, 0, listener.waiting[7])
 
-	request := asks(1, 1, 1).segment
+	request := requestPacket(1, 1, 1).segment
 	watcher.PacketForwarded(request, targetOf(7), start.Add(100*time.Millisecond))
 	watcher.Queued(request, start.Add(100*time.Millisecond))
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Dequeued(opens(1), start.Add(110*time.Millisecond))
+	watcher.Dequeued(openingSegment(1), start.Add(110*time.Millisecond))
 	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not bring the request")
 	watcher.Dequeued(request, start.Add(200*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
-	watcher.PacketForwarded(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
-	require.Equal(t, 40*time.Millisecond, listener.took, "the wait is not the target's time")
+	watcher.PacketForwarded(acknowledgement(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
+	require.Equal(t, 40*time.Millisecond, listener.lastDuration, "the wait is not the target's time")
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.answered[7])
 }
@@ -53,30 +53,30 @@
 		end  func(watcher *Watcher)
 	}{
 		{"a copy of the opening packet goes elsewhere", func(watcher *Watcher) {
-			watcher.OpeningForwarded(opens(1), targetOf(7), start)
-			watcher.Queued(opens(1), start)
-			watcher.OpeningForwarded(opens(1), targetOf(8), start.Add(200*time.Millisecond))
-			watcher.PacketForwarded(closes(1, 1, 1).segment, targetOf(8), start.Add(250*time.Millisecond))
+			watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
+			watcher.Queued(openingSegment(1), start)
+			watcher.OpeningForwarded(openingSegment(1), targetOf(8), start.Add(200*time.Millisecond))
+			watcher.PacketForwarded(closingPacket(1, 1, 1).segment, targetOf(8), start.Add(250*time.Millisecond))
 		}},
 		{"the opening packet is lost", func(watcher *Watcher) {
-			watcher.OpeningForwarded(opens(1), targetOf(7), start)
-			watcher.Queued(opens(1), start)
-			watcher.Reconcile(start.Add(placedFor))
+			watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
+			watcher.Queued(openingSegment(1), start)
+			watcher.Reconcile(start.Add(openingTimeout))
 		}},
 		{"the request is lost", func(watcher *Watcher) {
-			watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
-			watcher.Queued(asks(1, 1, 1).segment, start)
+			watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start)
+			watcher.Queued(requestPacket(1, 1, 1).segment, start)
 			watcher.Reconcile(start.Add(AnswerTimeout))
 		}},
 		{"the caller gives up", func(watcher *Watcher) {
-			watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
-			watcher.Queued(asks(1, 1, 1).segment, start)
-			watcher.PacketForwarded(closes(1, 100, 1).segment, targetOf(7), start.Add(time.Millisecond))
+			watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start)
+			watcher.Queued(requestPacket(1, 1, 1).segment, start)
+			watcher.PacketForwarded(closingPacket(1, 100, 1).segment, targetOf(7), start.Add(time.Millisecond))
 		}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			listener := newBook()
+			listener := newListenerRecorder()
 			test.end(NewWatcher(listener))
 			require.Zero(t, listener.open[7])
 			require.Zero(t, listener.waiting[7])
@@ -89,23 +89,23 @@
 // TestWhatIsSentAgainDoesNotTakeARequestBack: the target has the first copy, whether a further
 // one waits or not, and a target that hangs does so since it got that one.
 func TestWhatIsSentAgainDoesNotTakeARequestBack(t *testing.T) {
-	listener := newBook()
+	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	again := start.Add(200 * time.Millisecond)
-	watcher.OpeningForwarded(opens(1), targetOf(7), again)
-	watcher.Queued(opens(1), again)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), again)
+	watcher.Queued(openingSegment(1), again)
 	require.Equal(t, 1, listener.open[7])
 
 	asked := start.Add(300 * time.Millisecond)
-	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), asked)
+	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), asked)
 	for _, later := range []time.Duration{200 * time.Millisecond, 600 * time.Millisecond} {
 		again = asked.Add(later)
-		watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), again)
-		watcher.Queued(asks(1, 1, 1).segment, again)
+		watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), again)
+		watcher.Queued(requestPacket(1, 1, 1).segment, again)
 		require.Equal(t, 1, listener.open[7])
 		require.Zero(t, listener.waiting[7])
-		watcher.Dequeued(asks(1, 1, 1).segment, again.Add(50*time.Millisecond))
+		watcher.Dequeued(requestPacket(1, 1, 1).segment, again.Add(50*time.Millisecond))
 	}
 	watcher.Reconcile(asked.Add(AnswerTimeout))
 	require.Equal(t, 1, listener.unanswered[7])
@@ -115,22 +115,22 @@
 // TestLongRequestsDoNotWaitTwice: a request whose data still comes takes no place, whether its
 // latest packet waits or not; once all came, it waits until the last packet left.
 func TestLongRequestsDoNotWaitTwice(t *testing.T) {
-	listener := newBook()
+	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	now := start
 	send := func(sequence, length uint32) {
 		now = now.Add(time.Millisecond)
-		watcher.PacketForwarded(data(1, sequence, length).segment, targetOf(7), now)
-		watcher.Queued(data(1, sequence, length).segment, now)
+		watcher.PacketForwarded(dataPacket(1, sequence, length).segment, targetOf(7), now)
+		watcher.Queued(dataPacket(1, sequence, length).segment, now)
 	}
-	for number := range uint32(LongRequestBytes/full + 2) {
-		send(1+number*full, full)
+	for number := range uint32(LongRequestBytes/fullPacketBytes + 2) {
+		send(1+number*fullPacketBytes, fullPacketBytes)
 		require.Zero(t, listener.open[7])
 	}
 	require.Zero(t, listener.waiting[7])
-	send(1+LongRequestBytes+2*full, 70)
+	send(1+LongRequestBytes+2*fullPacketBytes, 70)
 	require.Equal(t, 1, listener.waiting[7])
-	watcher.Dequeued(data(1, 1+LongRequestBytes+2*full, 70).segment, now.Add(time.Second))
+	watcher.Dequeued(dataPacket(1, 1+LongRequestBytes+2*fullPacketBytes, 70).segment, now.Add(time.Second))
 	require.Zero(t, listener.waiting[7])
 	require.Equal(t, 1, listener.open[7])
 }
@@ -140,22 +140,22 @@
 func TestWhatWaitsIsAlwaysTakenBack(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(36))
 	properties.Property("counts return to zero", prop.ForAll(func(steps []uint) bool {
-		listener := newBook()
+		listener := newListenerRecorder()
 		watcher := NewWatcher(listener)
 		now := start
 		for _, step := range steps {
 			now = now.Add(time.Duration(step%7) * 40 * time.Millisecond)
 			port := uint16(step / 7 % 3)
 			target := targetOf(7 + int(step/21%2))
-			sequence := uint32(step/42%12) * full
-			piece := data(port, sequence, full-uint32(step/504%2)*100).segment
+			sequence := uint32(step/42%12) * fullPacketBytes
+			piece := dataPacket(port, sequence, fullPacketBytes-uint32(step/504%2)*100).segment
 			switch step / 1008 % 8 {
 			case 0:
-				watcher.OpeningForwarded(opens(port), target, now)
+				watcher.OpeningForwarded(openingSegment(port), target, now)
 			case 1:
-				watcher.Queued(opens(port), now)
+				watcher.Queued(openingSegment(port), now)
 			case 2:
-				watcher.Dequeued(opens(port), now)
+				watcher.Dequeued(openingSegment(port), now)
 			case 3:
 				watcher.PacketForwarded(piece, target, now)
 			case 4:
@@ -163,12 +163,12 @@
 			case 5:
 				watcher.Dequeued(piece, now)
 			case 6:
-				watcher.PacketForwarded(closes(port, sequence, uint32(step%2)).segment, target, now)
+				watcher.PacketForwarded(closingPacket(port, sequence, uint32(step%2)).segment, target, now)
 			case 7:
 				watcher.Reconcile(now)
 			}
 		}
-		watcher.Reconcile(now.Add(receivingHangs))
+		watcher.Reconcile(now.Add(receiveStallTimeout))
 		for _, token := range []directory.Token{7, 8} {
 			if listener.open[token] != 0 || listener.waiting[token] != 0 {
 				return false
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -26,20 +26,20 @@
 	shardCount = 16
 	// flowsKept bounds the flows with an open request that are watched at a
 	// time; others are not followed.
-	flowsKept = 2048
+	maxWatchedFlows = 2048
 	// HangAfter is how long a request may go unanswered before it counts so. It
 	// is far above the time of a request on a busy target.
 	AnswerTimeout = time.Second
 	// receivingRests is how long a long request may bring nothing while its data
 	// still comes: senders repeat what was not acknowledged after 1.6 s at the most.
-	receivingRests = 2 * time.Second
+	receiveIdleTimeout = 2 * time.Second
 	// receivingHangs is how long it may bring nothing new. Long requests wait for
 	// each other on a narrow link, so that this is longer than for others.
-	receivingHangs = 5 * time.Second
+	receiveStallTimeout = 5 * time.Second
 	// placedFor is how long after its opening packet a flow may bring no data
 	// before its request counts as withdrawn: the last copy of the opening packet
 	// was sent by then.
-	placedFor = 700 * time.Millisecond
+	openingTimeout = 700 * time.Millisecond
 )
 
 // Target names the target that a request is at.
@@ -101,28 +101,28 @@
 	target Target
 	// before is the target of an earlier opening packet of the flow; zero
 	// without one.
-	before directory.Token
+	previousTarget directory.Token
 	// asked tells that data was sent; until then the flow is only opening.
-	asked bool
+	hasData bool
 	// acknowledged is the caller's acknowledgement when it asked.
 	acknowledged uint32
 	// content is what was sent so far.
 	content content
 	// since is when the opening packet, or the latest new data, was sent on, and
 	// seenAt when the latest data was, new or not.
-	since  time.Time
-	seenAt time.Time
+	progressAt time.Time
+	lastDataAt time.Time
 	// waiting tells that the opening packet, or the latest new data, waits in front of the
 	// balancer's link. since is when it left, once it did.
-	waiting bool
+	queued bool
 }
 
 // lastAt returns when the latest packet of the request was sent on.
 func (open *request) lastAt() time.Time {
-	if open.seenAt.After(open.since) {
-		return open.seenAt
+	if open.lastDataAt.After(open.progressAt) {
+		return open.lastDataAt
 	}
-	return open.since
+	return open.progressAt
 }
 
 // overdue tells whether the request has been open for too long, and how it ends
@@ -130,11 +130,11 @@
 func (open *request) overdue(now time.Time) (Ending, bool) {
 	switch {
 	case open.content.receiving():
-		return Unanswered, now.Sub(open.seenAt) >= receivingRests || now.Sub(open.since) >= receivingHangs
-	case open.asked:
-		return open.givenUp(), now.Sub(open.since) >= AnswerTimeout
+		return Unanswered, now.Sub(open.lastDataAt) >= receiveIdleTimeout || now.Sub(open.progressAt) >= receiveStallTimeout
+	case open.hasData:
+		return open.abandonedEnding(), now.Sub(open.progressAt) >= AnswerTimeout
 	}
-	return Withdrawn, now.Sub(open.since) >= placedFor
+	return Withdrawn, now.Sub(open.progressAt) >= openingTimeout
 }
 
 // shard has a part of the flows.
@@ -143,7 +143,7 @@
 	requests map[flowKey]request
 	samples  map[flowKey]sample
 	// remembered has the fingerprints of known flows.
-	remembered [flowsRemembered]uint32
+	fingerprints [fingerprintSlots]uint32
 }
 
 // Watcher is the controller that follows requests.
@@ -152,7 +152,7 @@
 	shards    [shardCount]shard
 	sizes     SizeObserver
 	answers   AnswerObserver
-	moves     moves
+	moves     moveDetector
 }
 
 // NewWatcher returns a watcher that tells the listeners.
@@ -178,17 +178,17 @@
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	shard.remember(key)
+	shard.rememberFlow(key)
 	open, known := shard.requests[key]
 	switch {
 	case known && open.target == target:
 		return
 	case known:
 		watcher.end(shard, key, open, Withdrawn, now)
-	case len(shard.requests) >= flowsKept/shardCount:
+	case len(shard.requests) >= maxWatchedFlows/shardCount:
 		return
 	}
-	watcher.begin(shard, key, request{target: target, before: open.target.Token, since: now}, now)
+	watcher.begin(shard, key, request{target: target, previousTarget: open.target.Token, progressAt: now}, now)
 }
 
 // Tried returns the targets that the last opening packets of the segment's flow
@@ -201,10 +201,10 @@
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	open, known := shard.requests[key]
-	if !known || open.asked {
+	if !known || open.hasData {
 		return tried, known
 	}
-	return [steer.TriesKnown]directory.Token{open.target.Token, open.before}, true
+	return [steer.TriesKnown]directory.Token{open.target.Token, open.previousTarget}, true
 }
 
 // Note takes in a packet that was sent on to the target of an open flow.
@@ -213,8 +213,8 @@
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if whole, told := shard.check(key, segment, now); told {
-		watcher.continued(whole)
+	if whole, told := shard.checkSequence(key, segment, now); told {
+		watcher.notifySequence(whole)
 	}
 	open, known := shard.requests[key]
 	if known && open.target != target {
@@ -222,49 +222,49 @@
 		known = false
 	}
 	switch {
-	case known && open.asked && int32(segment.Acknowledgement-open.acknowledged) > 0:
+	case known && open.hasData && int32(segment.Acknowledgement-open.acknowledged) > 0:
 		watcher.answers.AnswerStarted(Answer{
-			Target: target, Route: key.service, Latency: now.Sub(open.since), Bytes: int(segment.Acknowledgement - open.acknowledged),
+			Target: target, Route: key.service, Latency: now.Sub(open.progressAt), Bytes: int(segment.Acknowledgement - open.acknowledged),
 		})
 		watcher.end(shard, key, open, Answered, now)
 		known = false
 	case known && (segment.Abort || segment.Closing):
-		watcher.end(shard, key, open, open.givenUp(), now)
+		watcher.end(shard, key, open, open.abandonedEnding(), now)
 		return
 	}
 	if segment.HasData && !segment.Abort {
-		watcher.ask(shard, key, open, known, target, segment, now)
+		watcher.recordData(shard, key, open, known, target, segment, now)
 	}
 }
 
 // givenUp returns the ending of a request that is not waited for any longer. One that never
 // left the balancer says nothing of its target.
-func (open *request) givenUp() Ending {
-	if open.asked && !open.waiting {
+func (open *request) abandonedEnding() Ending {
+	if open.hasData && !open.queued {
 		return Unanswered
 	}
 	return Withdrawn
 }
 
 // ask notes data of a request. Data that is sent again changes nothing.
-func (watcher *Watcher) ask(shard *shard, key flowKey, open request, known bool, target Target, segment steer.Segment, now time.Time) {
-	if known && open.asked {
-		watcher.askMore(shard, key, open, segment, now)
+func (watcher *Watcher) recordData(shard *shard, key flowKey, open request, known bool, target Target, segment steer.Segment, now time.Time) {
+	if known && open.hasData {
+		watcher.recordMoreData(shard, key, open, segment, now)
 		return
 	}
-	if familiar := shard.remember(key); !known {
-		watcher.moves.note(!familiar, now)
+	if familiar := shard.rememberFlow(key); !known {
+		watcher.moves.record(!familiar, now)
 	}
-	if !known && len(shard.requests) >= flowsKept/shardCount {
+	if !known && len(shard.requests) >= maxWatchedFlows/shardCount {
 		return
 	}
 	asked := request{
-		target: target, asked: true, acknowledged: segment.Acknowledgement, content: newContent(segment),
-		since: now, seenAt: now,
+		target: target, hasData: true, acknowledged: segment.Acknowledgement, content: newContent(segment),
+		progressAt: now, lastDataAt: now,
 	}
 	if known {
 		shard.requests[key] = asked
-		watcher.tellMove(open.target, open.whereabouts(), asked.whereabouts())
+		watcher.notifyTransition(open.target, open.stage(), asked.stage())
 		return
 	}
 	watcher.begin(shard, key, asked, now)
@@ -272,18 +272,18 @@
 
 // askMore notes further data of a request. Data that is sent again was not taken
 // and changes nothing.
-func (watcher *Watcher) askMore(shard *shard, key flowKey, open request, segment steer.Segment, now time.Time) {
-	before := open.whereabouts()
-	open.seenAt = now
+func (watcher *Watcher) recordMoreData(shard *shard, key flowKey, open request, segment steer.Segment, now time.Time) {
+	before := open.stage()
+	open.lastDataAt = now
 	if open.content.add(segment) {
-		open.since = now
-		open.waiting = false
+		open.progressAt = now
+		open.queued = false
 	}
 	shard.requests[key] = open
 	if open.content.receiving() {
-		watcher.sizes.RequestGrowing(key.service, int(open.content.brought()))
+		watcher.sizes.RequestGrowing(key.service, int(open.content.received()))
 	}
-	watcher.tellMove(open.target, before, open.whereabouts())
+	watcher.notifyTransition(open.target, before, open.stage())
 }
 
 func (watcher *Watcher) begin(shard *shard, key flowKey, open request, now time.Time) {
@@ -295,16 +295,16 @@
 
 func (watcher *Watcher) end(shard *shard, key flowKey, open request, ending Ending, now time.Time) {
 	delete(shard.requests, key)
-	watcher.tellMove(open.target, open.whereabouts(), atTarget)
+	watcher.notifyTransition(open.target, open.stage(), atTarget)
 	if ending == Answered {
-		watcher.sizes.RequestCompleted(key.service, int(open.content.brought()))
+		watcher.sizes.RequestCompleted(key.service, int(open.content.received()))
 	}
 	for _, listener := range watcher.listeners {
-		listener.Ended(open.target, ending, now.Sub(open.since))
+		listener.Ended(open.target, ending, now.Sub(open.progressAt))
 	}
 }
 
-func (watcher *Watcher) continued(whole bool) {
+func (watcher *Watcher) notifySequence(whole bool) {
 	for _, listener := range watcher.listeners {
 		listener.SequenceChecked(whole)
 	}
@@ -316,7 +316,7 @@
 // Reconcile implements board.Controller. It ends requests that are overdue, and withdraws
 // those that went on through other balancers since routers moved their flows.
 func (watcher *Watcher) Reconcile(now time.Time) {
-	movedAt := watcher.moves.last()
+	movedAt := watcher.moves.lastMove()
 	for index := range watcher.shards {
 		watcher.sweep(&watcher.shards[index], movedAt, now)
 	}
@@ -325,7 +325,7 @@
 func (watcher *Watcher) sweep(shard *shard, movedAt, now time.Time) {
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	shard.dropRested(now)
+	shard.removeIdleSamples(now)
 	for key, open := range shard.requests {
 		if open.lastAt().Before(movedAt) {
 			watcher.end(shard, key, open, Withdrawn, now)
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -37,25 +37,25 @@
 }
 
 // book counts what a listener is told.
-type book struct {
+type listenerRecorder struct {
 	open, answered, unanswered, withdrawn, waiting map[directory.Token]int
 	// took is the time of the request that ended last.
-	took time.Duration
+	lastDuration time.Duration
 	// whole and gaps count data that followed what was seen before, or did not.
-	whole, gaps int
+	contiguous, gaps int
 }
 
-func newBook() *book {
-	return &book{
+func newListenerRecorder() *listenerRecorder {
+	return &listenerRecorder{
 		open: make(map[directory.Token]int), waiting: make(map[directory.Token]int), answered: make(map[directory.Token]int),
 		unanswered: make(map[directory.Token]int), withdrawn: make(map[directory.Token]int),
 	}
 }
 
-func (book *book) Began(target Target, _ time.Time) { book.open[target.Token]++ }
+func (book *listenerRecorder) Began(target Target, _ time.Time) { book.open[target.Token]++ }
 
-func (book *book) Ended(target Target, ending Ending, took time.Duration) {
-	book.took = took
+func (book *listenerRecorder) Ended(target Target, ending Ending, took time.Duration) {
+	book.lastDuration = took
 	book.open[target.Token]--
 	switch ending {
 	case Answered:
@@ -67,7 +67,7 @@
 	}
 }
 
-func (book *book) Receiving(target Target, receiving bool) {
+func (book *listenerRecorder) Receiving(target Target, receiving bool) {
 	if receiving {
 		book.open[target.Token]--
 	} else {
@@ -76,7 +76,7 @@
 }
 
 // Waiting implements Listener.
-func (book *book) Waiting(target Target, waiting bool) {
+func (book *listenerRecorder) Waiting(target Target, waiting bool) {
 	if waiting {
 		book.open[target.Token]--
 		book.waiting[target.Token]++
@@ -86,53 +86,53 @@
 	}
 }
 
-func (book *book) SequenceChecked(whole bool) {
+func (book *listenerRecorder) SequenceChecked(whole bool) {
 	if whole {
-		book.whole++
+		book.contiguous++
 	} else {
 		book.gaps++
 	}
 }
 
-func asks(port uint16, sequence, acknowledgement uint32) step {
+func requestPacket(port uint16, sequence, acknowledgement uint32) step {
 	return packet(port, sequence, acknowledgement, func(segment *steer.Segment) { segment.HasData = true })
 }
 
-func acknowledges(port uint16, sequence, acknowledgement uint32) step {
+func acknowledgement(port uint16, sequence, acknowledgement uint32) step {
 	return packet(port, sequence, acknowledgement, nil)
 }
 
-func closes(port uint16, sequence, acknowledgement uint32) step {
+func closingPacket(port uint16, sequence, acknowledgement uint32) step {
 	return packet(port, sequence, acknowledgement, func(segment *steer.Segment) { segment.Closing = true })
 }
 
 func wait(duration time.Duration) step { return step{wait: duration} }
 
 func TestRequestsAreCountedByTheirOutcome(t *testing.T) {
-	other := asks(1, 1, 1)
+	other := requestPacket(1, 1, 1)
 	other.target = targetOf(8)
 	cases := []struct {
 		name                 string
 		steps                []step
 		answered, unanswered int
 	}{
-		{"answered", []step{asks(1, 1, 1), acknowledges(1, 100, 50)}, 1, 0},
-		{"answered by the next request's acknowledgement", []step{asks(1, 1, 1), asks(1, 100, 50)}, 1, 0},
-		{"answered and closed", []step{asks(1, 1, 1), closes(1, 100, 50)}, 1, 0},
-		{"two requests", []step{asks(1, 1, 1), acknowledges(1, 100, 50), asks(1, 100, 50), acknowledges(1, 200, 90)}, 2, 0},
-		{"numbers that wrap", []step{asks(1, 1, 0xFFFFFFF0), acknowledges(1, 100, 0x10)}, 1, 0},
-		{"not yet answered", []step{asks(1, 1, 1), wait(AnswerTimeout - time.Millisecond)}, 0, 0},
-		{"hangs", []step{asks(1, 1, 1), wait(AnswerTimeout)}, 0, 1},
-		{"long upload, answered", []step{asks(1, 1, 1), wait(AnswerTimeout / 2), asks(1, 1201, 1), wait(AnswerTimeout - time.Millisecond), acknowledges(1, 2401, 50)}, 1, 0},
-		{"data that is sent again does not prolong", []step{asks(1, 1, 1), wait(AnswerTimeout / 2), asks(1, 1, 1), wait(AnswerTimeout / 2)}, 0, 1},
-		{"caller gives up", []step{asks(1, 1, 1), closes(1, 100, 1)}, 0, 1},
-		{"caller aborts", []step{asks(1, 1, 1), packet(1, 100, 1, func(segment *steer.Segment) { segment.Abort = true })}, 0, 1},
-		{"flow without a request", []step{acknowledges(1, 1, 1), closes(1, 1, 1)}, 0, 0},
-		{"address taken by another flow", []step{other, closes(1, 5, 5)}, 0, 0},
+		{"answered", []step{requestPacket(1, 1, 1), acknowledgement(1, 100, 50)}, 1, 0},
+		{"answered by the next request's acknowledgement", []step{requestPacket(1, 1, 1), requestPacket(1, 100, 50)}, 1, 0},
+		{"answered and closed", []step{requestPacket(1, 1, 1), closingPacket(1, 100, 50)}, 1, 0},
+		{"two requests", []step{requestPacket(1, 1, 1), acknowledgement(1, 100, 50), requestPacket(1, 100, 50), acknowledgement(1, 200, 90)}, 2, 0},
+		{"numbers that wrap", []step{requestPacket(1, 1, 0xFFFFFFF0), acknowledgement(1, 100, 0x10)}, 1, 0},
+		{"not yet answered", []step{requestPacket(1, 1, 1), wait(AnswerTimeout - time.Millisecond)}, 0, 0},
+		{"hangs", []step{requestPacket(1, 1, 1), wait(AnswerTimeout)}, 0, 1},
+		{"long upload, answered", []step{requestPacket(1, 1, 1), wait(AnswerTimeout / 2), requestPacket(1, 1201, 1), wait(AnswerTimeout - time.Millisecond), acknowledgement(1, 2401, 50)}, 1, 0},
+		{"data that is sent again does not prolong", []step{requestPacket(1, 1, 1), wait(AnswerTimeout / 2), requestPacket(1, 1, 1), wait(AnswerTimeout / 2)}, 0, 1},
+		{"caller gives up", []step{requestPacket(1, 1, 1), closingPacket(1, 100, 1)}, 0, 1},
+		{"caller aborts", []step{requestPacket(1, 1, 1), packet(1, 100, 1, func(segment *steer.Segment) { segment.Abort = true })}, 0, 1},
+		{"flow without a request", []step{acknowledgement(1, 1, 1), closingPacket(1, 1, 1)}, 0, 0},
+		{"address taken by another flow", []step{other, closingPacket(1, 5, 5)}, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := newBook()
+			book := newListenerRecorder()
 			watcher := NewWatcher(book)
 			now := start
 			for _, step := range test.steps {
@@ -150,70 +150,70 @@
 }
 
 // opens is an opening packet of the flow.
-func opens(port uint16) steer.Segment {
+func openingSegment(port uint16) steer.Segment {
 	segment := packet(port, 0, 0, nil).segment
 	segment.Opening = true
 	return segment
 }
 
 func TestOpeningPacketsCountUntilTheirRequestEnds(t *testing.T) {
-	book := newBook()
+	book := newListenerRecorder()
 	watcher := NewWatcher(book)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	require.Equal(t, 1, book.open[7], "a copy at the same target is one request")
-	require.Equal(t, [steer.TriesKnown]directory.Token{7}, tried(watcher))
-	watcher.OpeningForwarded(opens(1), targetOf(8), start.Add(200*time.Millisecond))
+	require.Equal(t, [steer.TriesKnown]directory.Token{7}, previousTargets(watcher))
+	watcher.OpeningForwarded(openingSegment(1), targetOf(8), start.Add(200*time.Millisecond))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.open[8])
-	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, tried(watcher))
-	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
+	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, previousTargets(watcher))
+	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
 	require.Equal(t, 1, book.open[7], "the flow opened at the first target after all")
 	require.Equal(t, 0, book.open[8])
-	require.Zero(t, tried(watcher), "an open flow has no former choice")
-	watcher.PacketForwarded(acknowledges(1, 100, 50).segment, targetOf(7), start.Add(250*time.Millisecond))
+	require.Zero(t, previousTargets(watcher), "an open flow has no former choice")
+	watcher.PacketForwarded(acknowledgement(1, 100, 50).segment, targetOf(7), start.Add(250*time.Millisecond))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.answered[7])
 	require.Equal(t, 1, book.withdrawn[8])
 }
 
 // tried returns the former targets of the first flow.
-func tried(watcher *Watcher) [steer.TriesKnown]directory.Token {
-	targets, _ := watcher.PreviousTargets(opens(1))
+func previousTargets(watcher *Watcher) [steer.TriesKnown]directory.Token {
+	targets, _ := watcher.PreviousTargets(openingSegment(1))
 	return targets
 }
 
 // TestFlowsAreSeenWhileTheirRequestIsOpen: an opening packet that comes late must not
 // be refused once its flow may be open.
 func TestFlowsAreSeenWhileTheirRequestIsOpen(t *testing.T) {
-	watcher := NewWatcher(newBook())
+	watcher := NewWatcher(newListenerRecorder())
 	seen := func() bool {
-		_, seen := watcher.PreviousTargets(opens(1))
+		_, seen := watcher.PreviousTargets(openingSegment(1))
 		return seen
 	}
 	require.False(t, seen())
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	require.True(t, seen())
-	watcher.PacketForwarded(asks(1, 1, 1).segment, targetOf(7), start)
+	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start)
 	require.True(t, seen())
-	watcher.PacketForwarded(closes(1, 100, 1).segment, targetOf(7), start)
+	watcher.PacketForwarded(closingPacket(1, 100, 1).segment, targetOf(7), start)
 	require.False(t, seen())
 }
 
 func TestFlowThatBringsNoRequestIsWithdrawn(t *testing.T) {
-	book := newBook()
+	book := newListenerRecorder()
 	watcher := NewWatcher(book)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
-	watcher.Reconcile(start.Add(placedFor - time.Millisecond))
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
+	watcher.Reconcile(start.Add(openingTimeout - time.Millisecond))
 	require.Equal(t, 1, book.open[7])
-	watcher.Reconcile(start.Add(placedFor))
+	watcher.Reconcile(start.Add(openingTimeout))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.withdrawn[7])
 	require.Zero(t, book.unanswered[7], "a silent target left no request unanswered")
 }
 
 // data is a packet with data of a number and a length.
-func data(port uint16, sequence, length uint32) step {
+func dataPacket(port uint16, sequence, length uint32) step {
 	return packet(port, sequence, 1, func(segment *steer.Segment) {
 		segment.HasData = true
 		segment.Length = length
@@ -226,18 +226,18 @@
 		steps       []step
 		whole, gaps int
 	}{
-		{"first data says nothing", []step{data(1, 100, 50)}, 0, 0},
-		{"data that follows", []step{data(1, 100, 50), data(1, 150, 50), data(1, 200, 10)}, 2, 0},
-		{"data sent again", []step{data(1, 100, 50), data(1, 100, 50)}, 1, 0},
-		{"data out of order", []step{data(1, 100, 50), data(1, 200, 50), data(1, 150, 50), data(1, 250, 50)}, 2, 1},
-		{"data that went another way", []step{data(1, 100, 50), data(1, 200, 50), data(1, 300, 50)}, 0, 2},
-		{"numbers that wrap", []step{data(1, 0xFFFFFFF0, 32), data(1, 16, 50)}, 1, 0},
-		{"a flow that rested", []step{data(1, 100, 50), wait(sampledFor), data(1, 300, 50)}, 0, 0},
-		{"another flow of the same port", []step{data(1, 100, 50), closes(1, 150, 1), data(1, 900, 50)}, 0, 0},
+		{"first data says nothing", []step{dataPacket(1, 100, 50)}, 0, 0},
+		{"data that follows", []step{dataPacket(1, 100, 50), dataPacket(1, 150, 50), dataPacket(1, 200, 10)}, 2, 0},
+		{"data sent again", []step{dataPacket(1, 100, 50), dataPacket(1, 100, 50)}, 1, 0},
+		{"data out of order", []step{dataPacket(1, 100, 50), dataPacket(1, 200, 50), dataPacket(1, 150, 50), dataPacket(1, 250, 50)}, 2, 1},
+		{"data that went another way", []step{dataPacket(1, 100, 50), dataPacket(1, 200, 50), dataPacket(1, 300, 50)}, 0, 2},
+		{"numbers that wrap", []step{dataPacket(1, 0xFFFFFFF0, 32), dataPacket(1, 16, 50)}, 1, 0},
+		{"a flow that rested", []step{dataPacket(1, 100, 50), wait(sampleIdleTimeout), dataPacket(1, 300, 50)}, 0, 0},
+		{"another flow of the same port", []step{dataPacket(1, 100, 50), closingPacket(1, 150, 1), dataPacket(1, 900, 50)}, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := newBook()
+			book := newListenerRecorder()
 			watcher := NewWatcher(book)
 			now := start
 			for _, step := range test.steps {
@@ -248,41 +248,45 @@
 				}
 				watcher.PacketForwarded(step.segment, step.target, now)
 			}
-			require.Equal(t, test.whole, book.whole)
+			require.Equal(t, test.whole, book.contiguous)
 			require.Equal(t, test.gaps, book.gaps)
 		})
 	}
 }
 
 // sizeBook has the sizes that an observer was told last.
-type sizeBook struct{ growing, whole map[netip.AddrPort]int }
+type sizeRecorder struct{ growing, completed map[netip.AddrPort]int }
 
-func (book *sizeBook) RequestGrowing(route netip.AddrPort, bytes int) { book.growing[route] = bytes }
+func (book *sizeRecorder) RequestGrowing(route netip.AddrPort, bytes int) {
+	book.growing[route] = bytes
+}
 
-func (book *sizeBook) RequestCompleted(route netip.AddrPort, bytes int) { book.whole[route] = bytes }
+func (book *sizeRecorder) RequestCompleted(route netip.AddrPort, bytes int) {
+	book.completed[route] = bytes
+}
 
 // full is the size of a full packet's data.
-const full = 1200
+const fullPacketBytes = 1200
 
 // TestLongRequestsTakeNoPlaceWhileTheirDataComes: the target begins to work once all
 // data came, and the link takes the time until then.
 func TestLongRequestsTakeNoPlaceWhileTheirDataComes(t *testing.T) {
-	listener := newBook()
+	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
-	sizes := &sizeBook{growing: make(map[netip.AddrPort]int), whole: make(map[netip.AddrPort]int)}
+	sizes := &sizeRecorder{growing: make(map[netip.AddrPort]int), completed: make(map[netip.AddrPort]int)}
 	watcher.ObserveSizes(sizes)
-	watcher.OpeningForwarded(opens(1), targetOf(7), start)
+	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	now := start
 	send := func(sequence, length uint32) {
 		now = now.Add(100 * time.Millisecond)
-		step := data(1, sequence, length)
+		step := dataPacket(1, sequence, length)
 		watcher.PacketForwarded(step.segment, step.target, now)
 	}
-	for number := range uint32(LongRequestBytes / full) {
-		send(1+number*full, full)
+	for number := range uint32(LongRequestBytes / fullPacketBytes) {
+		send(1+number*fullPacketBytes, fullPacketBytes)
 		require.Equal(t, 1, listener.open[7], "a request counts until it is long")
 	}
-	send(1+LongRequestBytes, full)
+	send(1+LongRequestBytes, fullPacketBytes)
 	require.Zero(t, listener.open[7])
 	progress := func() Progress {
 		var found []Progress
@@ -290,19 +294,19 @@
 		require.Len(t, found, 1)
 		return found[0]
 	}
-	route := opens(1).Service
-	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full, LastAt: now}, progress())
-	send(1+LongRequestBytes, full)
-	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full, LastAt: now}, progress(), "data that is sent again is no further data")
-	send(1+LongRequestBytes+full, 70)
+	route := openingSegment(1).Service
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes, LastAt: now}, progress())
+	send(1+LongRequestBytes, fullPacketBytes)
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes, LastAt: now}, progress(), "data that is sent again is no further data")
+	send(1+LongRequestBytes+fullPacketBytes, 70)
 	require.Equal(t, 1, listener.open[7], "the last packet is not full")
-	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + full + 70, Complete: true, LastAt: now}, progress())
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes + 70, Complete: true, LastAt: now}, progress())
 	now = now.Add(20 * time.Millisecond)
-	watcher.PacketForwarded(acknowledges(1, LongRequestBytes+full+71, 50).segment, targetOf(7), now)
+	watcher.PacketForwarded(acknowledgement(1, LongRequestBytes+fullPacketBytes+71, 50).segment, targetOf(7), now)
 	require.Zero(t, listener.open[7])
-	require.Equal(t, 20*time.Millisecond, listener.took, "the time of the target, without that of the link")
-	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + full}, sizes.growing)
-	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + full + 70}, sizes.whole)
+	require.Equal(t, 20*time.Millisecond, listener.lastDuration, "the time of the target, without that of the link")
+	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + fullPacketBytes}, sizes.growing)
+	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + fullPacketBytes + 70}, sizes.completed)
 }
 
 // TestLongRequestsThatEndEarlyLeaveNothing: each ending finds the request counted
@@ -312,16 +316,20 @@
 		name string
 		end  func(watcher *Watcher)
 	}{
-		{"closed", func(watcher *Watcher) { watcher.PacketForwarded(closes(1, 99_999, 1).segment, targetOf(7), start) }},
-		{"no more data", func(watcher *Watcher) { watcher.Reconcile(start.Add(receivingRests)) }},
-		{"at another target", func(watcher *Watcher) { watcher.PacketForwarded(closes(1, 99_999, 1).segment, targetOf(8), start) }},
+		{"closed", func(watcher *Watcher) {
+			watcher.PacketForwarded(closingPacket(1, 99_999, 1).segment, targetOf(7), start)
+		}},
+		{"no more data", func(watcher *Watcher) { watcher.Reconcile(start.Add(receiveIdleTimeout)) }},
+		{"at another target", func(watcher *Watcher) {
+			watcher.PacketForwarded(closingPacket(1, 99_999, 1).segment, targetOf(8), start)
+		}},
 	}
 	for _, test := range endings {
 		t.Run(test.name, func(t *testing.T) {
-			listener := newBook()
+			listener := newListenerRecorder()
 			watcher := NewWatcher(listener)
 			for number := range uint32(12) {
-				step := data(1, 1+number*full, full)
+				step := dataPacket(1, 1+number*fullPacketBytes, fullPacketBytes)
 				watcher.PacketForwarded(step.segment, step.target, start)
 			}
 			require.Zero(t, listener.open[7])
@@ -336,38 +344,38 @@
 // TestLongRequestsMayWaitForTheLink: data that is sent again shows that a long request
 // goes on, for a while.
 func TestLongRequestsMayWaitForTheLink(t *testing.T) {
-	listener := newBook()
+	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	for number := range uint32(12) {
-		step := data(1, 1+number*full, full)
+		step := dataPacket(1, 1+number*fullPacketBytes, fullPacketBytes)
 		watcher.PacketForwarded(step.segment, step.target, start)
 	}
 	open := func() (count int) {
 		watcher.EachOpen(func(Progress) { count++ })
 		return count
 	}
-	repeated := data(1, 1+11*full, full)
-	for after := time.Second; after < receivingHangs; after += time.Second {
+	repeated := dataPacket(1, 1+11*fullPacketBytes, fullPacketBytes)
+	for after := time.Second; after < receiveStallTimeout; after += time.Second {
 		watcher.Reconcile(start.Add(after))
 		require.Equal(t, 1, open(), "after %s", after)
 		watcher.PacketForwarded(repeated.segment, repeated.target, start.Add(after))
 	}
-	watcher.Reconcile(start.Add(receivingHangs))
+	watcher.Reconcile(start.Add(receiveStallTimeout))
 	require.Zero(t, open())
 	require.Equal(t, 1, listener.unanswered[7])
 }
 
 func TestWatchedFlowsAreBounded(t *testing.T) {
-	book := newBook()
+	book := newListenerRecorder()
 	watcher := NewWatcher(book)
-	for port := range uint16(flowsKept + 500) {
-		step := asks(port+1, 1, 1)
+	for port := range uint16(maxWatchedFlows + 500) {
+		step := requestPacket(port+1, 1, 1)
 		watcher.PacketForwarded(step.segment, step.target, start)
-		watcher.OpeningForwarded(opens(port+1), targetOf(8), start)
+		watcher.OpeningForwarded(openingSegment(port+1), targetOf(8), start)
 	}
-	require.Equal(t, flowsKept, book.open[7]+book.open[8])
+	require.Equal(t, maxWatchedFlows, book.open[7]+book.open[8])
 	for index := range watcher.shards {
-		require.LessOrEqual(t, len(watcher.shards[index].samples), sampledFlows)
+		require.LessOrEqual(t, len(watcher.shards[index].samples), maxSampledFlows)
 	}
 	watcher.Reconcile(start.Add(AnswerTimeout))
 	require.Zero(t, book.open[7]+book.open[8])
@@ -375,7 +383,7 @@
 
 func BenchmarkNote(b *testing.B) {
 	watcher := NewWatcher()
-	ask, answer := asks(1, 1, 1), acknowledges(1, 100, 50)
+	ask, answer := requestPacket(1, 1, 1), acknowledgement(1, 100, 50)
 	b.ReportAllocs()
 	for b.Loop() {
 		watcher.PacketForwarded(ask.segment, ask.target, start)
@@ -388,36 +396,36 @@
 // the requests under way this one never sees the end; those that come then are of flows that
 // it did not open.
 func TestRequestsOfMovedFlowsAreNotTakenForUnanswered(t *testing.T) {
-	book := newBook()
+	book := newListenerRecorder()
 	watcher := NewWatcher(book)
 	const flows = 20
 	for port := uint16(1); port <= flows; port++ {
-		watcher.OpeningForwarded(opens(port), targetOf(7), start)
-		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), start)
+		watcher.OpeningForwarded(openingSegment(port), targetOf(7), start)
+		watcher.PacketForwarded(requestPacket(port, 1, 1).segment, targetOf(7), start)
 	}
 	moved := start.Add(200 * time.Millisecond)
 	for port := uint16(101); port <= 100+flows; port++ {
-		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), moved)
+		watcher.PacketForwarded(requestPacket(port, 1, 1).segment, targetOf(7), moved)
 	}
 	watcher.Reconcile(moved.Add(time.Millisecond))
 	require.Equal(t, flows, book.open[7], "what came since the move is open here")
 	require.Equal(t, flows, book.withdrawn[7])
 	require.Zero(t, book.unanswered[7])
 	for port := uint16(101); port <= 100+flows; port++ {
-		watcher.PacketForwarded(acknowledges(port, 100, 50).segment, targetOf(7), moved)
+		watcher.PacketForwarded(acknowledgement(port, 100, 50).segment, targetOf(7), moved)
 	}
 	require.Equal(t, flows, book.answered[7])
 }
 
 // TestAFewUnknownFlowsAreNoMove: callers whose opening packet went another way.
 func TestAFewUnknownFlowsAreNoMove(t *testing.T) {
-	book := newBook()
+	book := newListenerRecorder()
 	watcher := NewWatcher(book)
 	for port := uint16(1); port <= 60; port++ {
 		if port%3 > 0 {
-			watcher.OpeningForwarded(opens(port), targetOf(7), start)
+			watcher.OpeningForwarded(openingSegment(port), targetOf(7), start)
 		}
-		watcher.PacketForwarded(asks(port, 1, 1).segment, targetOf(7), start)
+		watcher.PacketForwarded(requestPacket(port, 1, 1).segment, targetOf(7), start)
 	}
 	watcher.Reconcile(start.Add(AnswerTimeout - time.Millisecond))
 	require.Equal(t, 60, book.open[7])
