--- a/internal/direct/requests/content.go
+++ b/internal/direct/requests/content.go
@@ -7,19 +7,19 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// LongFrom is the number of bytes from which a request counts as long: eight full
-// datagrams. Requests without a body of their own are far below; an upload passes
-// it within its first window.
+// LongRequestBytes is the number of bytes above which a request counts as long: eight full
+// datagrams. Requests without a body are far below it; an upload exceeds it within its first
+// window.
 const LongRequestBytes = 8 * 1200
 
-// content is what came of one request's data, by the numbers of its bytes.
+// content tracks the data of one request by sequence numbers.
 type content struct {
-	// first is the number of the first byte, and end that after the last one.
+	// first is the sequence number of the first byte, end the one after the last byte.
 	first, end uint32
-	// latest is the highest number of a packet's first byte.
+	// latestSequence is the highest sequence number of a packet's first byte.
 	latestSequence uint32
-	// largest is the size of the largest packet, and complete tells that a
-	// smaller one came after it: senders fill all packets but the last.
+	// largestSegment is the size of the largest packet. complete is true when a smaller packet
+	// followed it: senders fill all packets but the last.
 	largestSegment uint32
 	complete       bool
 }
@@ -31,8 +31,8 @@
 	}
 }
 
-// add takes a packet in. It returns false for one that is not newer than all
-// before.
+// add records a packet. It reports whether the packet is newer than all previous ones; older
+// packets and retransmissions change nothing.
 func (content *content) add(segment steer.Segment) bool {
 	if int32(segment.Sequence-content.latestSequence) <= 0 {
 		return false
@@ -44,27 +44,28 @@
 	return true
 }
 
-// brought returns the number of bytes that came.
+// received returns the number of bytes received so far.
 func (content *content) received() uint32 { return content.end - content.first }
 
-// receiving tells that the request is long and that more of it comes.
+// receiving reports whether the request is long and more of its data is expected.
 func (content *content) receiving() bool {
 	return !content.complete && content.received() > LongRequestBytes
 }
 
-// Progress is how far the data of an open request has come.
+// Progress is the state of an open request's data.
 type Progress struct {
-	// Route is the address that the caller asked.
+	// Route is the service address that the caller sent the request to.
 	Route netip.AddrPort
-	// Brought is the number of bytes that came. Complete tells that no more come.
+	// ReceivedBytes is the number of bytes received so far. Complete is true when no more are
+	// expected.
 	ReceivedBytes int
 	Complete      bool
-	// LastAt is when its latest packet, the opening one included, was sent on.
+	// LastAt is when the latest packet, the opening packet included, was forwarded.
 	LastAt time.Time
 }
 
-// EachOpen calls visit with each open request, in no order. Visit must return at
-// once and must not call the watcher.
+// EachOpen calls visit for each open request, in no particular order. visit must return at once
+// and must not call the watcher.
 func (watcher *Watcher) EachOpen(visit func(progress Progress)) {
 	for index := range watcher.shards {
 		shard := &watcher.shards[index]
@@ -78,24 +79,24 @@
 	}
 }
 
-// SizeObserver is told how many bytes requests bring. Its methods must return at
-// once and must not call the watcher.
+// SizeObserver is notified of the sizes of requests. Its methods must return at once and must not
+// call the watcher.
 type SizeObserver interface {
-	// Growing is told that a long request of the route has brought that many bytes
-	// so far, and that more come.
+	// RequestGrowing reports the number of bytes that a long request of the route has sent so
+	// far while more are expected.
 	RequestGrowing(route netip.AddrPort, bytes int)
-	// Whole is told that an answered request of the route had that many bytes.
+	// RequestCompleted reports the total number of bytes of an answered request of the route.
 	RequestCompleted(route netip.AddrPort, bytes int)
 }
 
-// noSizes is the observer of a watcher without one.
+// noSizes is the observer of a watcher for which none was set.
 type noSizes struct{}
 
-// Growing implements SizeObserver.
+// RequestGrowing implements SizeObserver.
 func (noSizes) RequestGrowing(netip.AddrPort, int) {}
 
-// Whole implements SizeObserver.
+// RequestCompleted implements SizeObserver.
 func (noSizes) RequestCompleted(netip.AddrPort, int) {}
 
-// ObserveSizes makes observer be told of sizes. It is set before the first packet.
+// ObserveSizes sets the observer of request sizes. It must be called before the first packet.
 func (watcher *Watcher) ObserveSizes(observer SizeObserver) { watcher.sizes = observer }
--- a/internal/direct/requests/continuity.go
+++ b/internal/direct/requests/continuity.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// sampledFlows bounds the flows of one shard whose data is checked for gaps.
+	// maxSampledFlows bounds the flows of one shard whose data is checked for gaps.
 	maxSampledFlows = 32
-	// sampledFor is how long a flow that rests stays in the sample.
+	// sampleIdleTimeout is how long an idle flow stays in the sample.
 	sampleIdleTimeout = 5 * time.Second
 )
 
-// sample is a flow whose data is checked for gaps: where a balancer gets all
-// packets of a flow, the numbers of its data have none, but for lost packets.
+// sample is a flow whose data is checked for gaps. If a balancer receives all packets of a flow,
+// the sequence numbers of its data have no gaps except for lost packets.
 type sample struct {
-	// next is the number that follows the highest data seen.
+	// nextSequence is the sequence number that follows the highest data seen.
 	nextSequence uint32
 	seenAt       time.Time
 }
 
-// check takes a packet of an open flow into the sample. It returns whether the
-// packet follows the one before, and whether that can be told.
-func (shard *shard) checkSequence(key flowKey, segment steer.Segment, now time.Time) (whole, told bool) {
+// checkSequence records a packet of an open flow in the sample. checked reports whether the packet
+// could be compared with earlier ones, and contiguous whether it then leaves no gap after them.
+func (shard *shard) checkSequence(key flowKey, segment steer.Segment, now time.Time) (contiguous, checked bool) {
 	known, sampled := shard.samples[key]
 	if segment.Closing || segment.Abort {
 		delete(shard.samples, key)
@@ -42,7 +42,7 @@
 	return !ahead, sampled && segment.HasData
 }
 
-// dropRested takes flows that rest out of the sample.
+// removeIdleSamples removes idle flows from the sample.
 func (shard *shard) removeIdleSamples(now time.Time) {
 	for key, known := range shard.samples {
 		if now.Sub(known.seenAt) >= sampleIdleTimeout {
@@ -51,26 +51,25 @@
 	}
 }
 
-// gapsMost is the largest share of data behind a gap with which flows count as
-// whole.
+// maxGapShare is the largest share of data packets after a gap with which a balancer still counts
+// as receiving its flows completely.
 const maxGapShare = 0.2
 
-// Continuity tells whether a balancer gets all packets of its flows. Where
-// routers spray the packets of one flow over balancers, one sees the request and
-// another one the acknowledgement of its answer, and what each sees of a request
-// says little. The zero value takes flows for whole. It is safe for many
-// goroutines.
+// Continuity estimates whether a balancer receives all packets of its flows. If routers spray the
+// packets of one flow over several balancers, one balancer sees the request and another the
+// acknowledgement of its answer, so what each observes of a request is unreliable. The zero value
+// assumes that flows are received completely. It is safe for concurrent use.
 type Continuity struct {
 	gaps Share
 }
 
-// Note takes in whether data followed what was seen of its flow before.
-func (continuity *Continuity) Note(whole bool) { continuity.gaps.Note(!whole) }
+// Note records whether a data packet was contiguous with the earlier data of its flow.
+func (continuity *Continuity) Note(contiguous bool) { continuity.gaps.Note(!contiguous) }
 
-// Whole tells whether flows come whole.
+// Complete reports whether the balancer receives its flows completely.
 func (continuity *Continuity) Complete() bool { return continuity.gaps.Value() <= maxGapShare }
 
-// Gaps returns the share of data that came behind a gap, and how many cases it is of.
-func (continuity *Continuity) Gaps() (share float64, cases int) {
+// Gaps returns the share of data packets that came after a gap, and the number of samples.
+func (continuity *Continuity) Gaps() (share float64, samples int) {
 	return continuity.gaps.Value(), continuity.gaps.Samples()
 }
--- a/internal/direct/requests/moves.go
+++ b/internal/direct/requests/moves.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	// strangerWeight is the weight of one more request in the share of those whose flow
-	// this balancer did not know: seven in a row make a move, which is less than a tenth
-	// of a second's requests at a balancer under load.
+	// unknownFlowWeight is the weight of one more request in the share of requests whose flow
+	// is unknown to this balancer. Seven such requests in a row indicate a move, which is less
+	// than a tenth of a second's requests at a balancer under load.
 	unknownFlowWeight = 0.1
-	// movedFrom is the share of requests on unknown flows from which routers count as having
-	// moved the flows. Single flows whose opening went another way stay far below.
+	// moveThreshold is the share of requests on unknown flows from which on routers are assumed
+	// to have moved flows. Single flows whose opening packet took another path stay far below.
 	moveThreshold = 0.5
-	// moveLag is how long before it is noticed a move may have happened, and movesApart the
-	// least time between two: balancers that are restarted one after the other move all
-	// flows each time.
+	// moveDetectionLag is how long before its detection a move may have happened.
+	// minMoveInterval is the least time between two moves: a rolling restart of balancers moves
+	// all flows once for each balancer.
 	moveDetectionLag = 100 * time.Millisecond
 	minMoveInterval  = 200 * time.Millisecond
-	// flowsRemembered is the number of places for known flows in a shard; a power of two.
-	// A flow that takes another one's place makes that one look unknown, so that there are
-	// several times as many as a balancer's open flows.
+	// fingerprintSlots is the number of slots for known flows in a shard; a power of two. A flow
+	// that overwrites the slot of another makes the other look unknown, so there are several
+	// times as many slots as a balancer has open flows.
 	fingerprintSlots = 1024
 )
 
-// moves notices that routers bring this balancer other flows than before, as they do when a
-// balancer comes or goes. The requests that were under way then are acknowledged through
-// other balancers: here they would seem open until HangAfter, and unanswered.
+// moveDetector detects that routers have moved flows between balancers, as they do when a balancer
+// is added or removed. Requests in flight at that moment are acknowledged through other balancers;
+// here they would seem to stay open until AnswerTimeout and to remain unanswered.
 type moveDetector struct {
 	lock         sync.Mutex
 	unknownShare float64
 	detectedAt   time.Time
 }
 
-// note takes in whether a request came on a flow that was not known.
-func (moves *moveDetector) record(stranger bool, now time.Time) {
+// record counts a request and whether its flow was unknown.
+func (moves *moveDetector) record(unknown bool, now time.Time) {
 	moves.lock.Lock()
 	defer moves.lock.Unlock()
 	moves.unknownShare *= 1 - unknownFlowWeight
-	if stranger {
+	if unknown {
 		moves.unknownShare += unknownFlowWeight
 	}
 	if moves.unknownShare >= moveThreshold && now.Sub(moves.detectedAt) >= minMoveInterval {
@@ -47,7 +47,8 @@
 	}
 }
 
-// last returns when the latest move happened at the latest, zero without one.
+// lastMove returns the earliest time at which the latest detected move may have happened, or zero
+// if none was detected.
 func (moves *moveDetector) lastMove() time.Time {
 	moves.lock.Lock()
 	defer moves.lock.Unlock()
@@ -57,17 +58,17 @@
 	return moves.detectedAt.Add(-moveDetectionLag)
 }
 
-// remember notes a flow as known, and returns whether it was.
+// rememberFlow marks a flow as known and reports whether it was known before.
 func (shard *shard) rememberFlow(key flowKey) bool {
-	print := key.fingerprint()
-	place := &shard.fingerprints[print%fingerprintSlots]
-	known := *place == print
-	*place = print
+	fingerprint := key.fingerprint()
+	slot := &shard.fingerprints[fingerprint%fingerprintSlots]
+	known := *slot == fingerprint
+	*slot = fingerprint
 	return known
 }
 
-// fingerprint returns a number that hardly two flows share. Callers' ports and addresses
-// and the routes' last bytes tell flows apart.
+// fingerprint returns a hash of the flow; collisions are rare, and it is never zero. It mixes the
+// last four bytes of both addresses and both ports.
 func (key flowKey) fingerprint() uint32 {
 	caller, service := key.caller.Addr().As16(), key.service.Addr().As16()
 	value := uint64(binary.BigEndian.Uint32(caller[12:]))<<32 | uint64(key.caller.Port())<<16 | uint64(key.service.Port())
--- a/internal/direct/requests/waiting.go
+++ b/internal/direct/requests/waiting.go
@@ -6,16 +6,16 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// whereabouts tells how far a request has come on its way to its target.
+// stage is how far the data of a request has come on the way to its target.
 type stage uint8
 
-// The whereabouts.
+// The stages.
 const (
-	// atTarget: the target has all of it that came.
+	// atTarget: all data received so far was sent to the target.
 	atTarget stage = iota
-	// inFrontOfLink: its latest packet waits in front of the balancer's link.
+	// inLinkQueue: the latest packet waits in the queue for the balancer's link.
 	inLinkQueue
-	// stillComing: it is long, and more of its data comes.
+	// receivingData: the request is long and more of its data is expected.
 	receivingData
 )
 
@@ -29,7 +29,7 @@
 	return atTarget
 }
 
-// tellMove tells the listeners that a request at a target moved on.
+// notifyTransition notifies the listeners that a request at a target changed its stage.
 func (watcher *Watcher) notifyTransition(target Target, before, after stage) {
 	if before == after {
 		return
@@ -38,20 +38,21 @@
 	watcher.notifyStage(target, after, true)
 }
 
-func (watcher *Watcher) notifyStage(target Target, place stage, there bool) {
+// notifyStage notifies the listeners that a request entered or left a stage.
+func (watcher *Watcher) notifyStage(target Target, stage stage, entered bool) {
 	for _, listener := range watcher.listeners {
-		switch place {
+		switch stage {
 		case inLinkQueue:
-			listener.Waiting(target, there)
+			listener.Waiting(target, entered)
 		case receivingData:
-			listener.Receiving(target, there)
+			listener.Receiving(target, entered)
 		}
 	}
 }
 
-// Waits takes in that the packet which was placed or noted at now waits in front of the
-// balancer's link. Left is called for the packet, or for a later copy of it, unless it is lost.
-// A packet that is sent again changes nothing: its target may have the first copy.
+// Queued records that the packet which was forwarded at now waits in the queue for the balancer's
+// link. Dequeued follows for the packet or for a later copy of it, unless it is lost. A
+// retransmission changes nothing, because its target may have received the first copy.
 func (watcher *Watcher) Queued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
@@ -62,7 +63,7 @@
 	}
 }
 
-// Left takes in that a packet which waited in front of the balancer's link left it at now.
+// Dequeued records that a packet which waited in the queue for the balancer's link was sent at now.
 func (watcher *Watcher) Dequeued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
@@ -74,15 +75,15 @@
 	}
 }
 
-func (watcher *Watcher) setQueued(shard *shard, key flowKey, open request, waiting bool) {
+func (watcher *Watcher) setQueued(shard *shard, key flowKey, open request, queued bool) {
 	before := open.stage()
-	open.queued = waiting
+	open.queued = queued
 	shard.requests[key] = open
 	watcher.notifyTransition(open.target, before, open.stage())
 }
 
-// hangsOn tells whether the target can go on with the request once it has the packet: the
-// opening packet, or the latest new data.
+// dependsOn reports whether the target needs the packet to continue with the request: whether it
+// is the opening packet, or the latest new data.
 func (open *request) dependsOn(segment steer.Segment) bool {
 	if open.hasData {
 		return segment.HasData && segment.Sequence == open.content.latestSequence
--- a/internal/direct/requests/waiting_test.go
+++ b/internal/direct/requests/waiting_test.go
@@ -12,15 +12,15 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// The story of requests that wait in front of the link. A flow counted at its target from the
-// decision on, while its packets waited in the balancer's own link, which uploads fill. On
-// narrow links at a quarter of the targets' load, balancers refused calls as overloaded: the
-// lines of the refusals had three to eleven open requests and an expected time of a request
-// above 0.6 of the objective, at targets that worked on 0.4 requests in the mean. The wait went
-// into the serving time that the balancer learned, 63 ms where targets take 42; and a request
-// that waited there for a second counted as unanswered by a target that never got it.
+// These tests guard against counting a request at its target while its packets still wait in the
+// queue for the balancer's own link, which uploads can fill. That happened on narrow links at a
+// quarter of the targets' capacity: balancers refused calls as overloaded with three to eleven open
+// requests and an expected request time above 0.6 of the objective, at targets that served 0.4
+// requests on average. The wait also went into the serving time that the balancer learned (63 ms
+// where targets take 42 ms), and a request that waited for a second counted as unanswered by a
+// target that had never received it.
 
-func TestRequestsThatWaitForTheLinkAreNotAtTheirTarget(t *testing.T) {
+func TestRequestsInTheLinkQueueDoNotCountAtTheirTarget(t *testing.T) {
 	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
@@ -38,21 +38,21 @@
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
 	watcher.Dequeued(openingSegment(1), start.Add(110*time.Millisecond))
-	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not bring the request")
+	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not carry the request")
 	watcher.Dequeued(request, start.Add(200*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
 	watcher.PacketForwarded(acknowledgement(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
-	require.Equal(t, 40*time.Millisecond, listener.lastDuration, "the wait is not the target's time")
+	require.Equal(t, 40*time.Millisecond, listener.lastDuration, "the time in the queue does not count as the target's")
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.answered[7])
 }
 
-func TestRequestsThatNeverLeaveAreTakenBack(t *testing.T) {
+func TestRequestsThatNeverLeaveTheQueueAreWithdrawn(t *testing.T) {
 	cases := []struct {
 		name string
 		end  func(watcher *Watcher)
 	}{
-		{"a copy of the opening packet goes elsewhere", func(watcher *Watcher) {
+		{"a copy of the opening packet goes to another target", func(watcher *Watcher) {
 			watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 			watcher.Queued(openingSegment(1), start)
 			watcher.OpeningForwarded(openingSegment(1), targetOf(8), start.Add(200*time.Millisecond))
@@ -80,15 +80,15 @@
 			test.end(NewWatcher(listener))
 			require.Zero(t, listener.open[7])
 			require.Zero(t, listener.waiting[7])
-			require.Zero(t, listener.unanswered[7], "a target that never got a request did not leave it unanswered")
+			require.Zero(t, listener.unanswered[7], "a target that never received a request did not leave it unanswered")
 			require.Equal(t, 1, listener.withdrawn[7])
 		})
 	}
 }
 
-// TestWhatIsSentAgainDoesNotTakeARequestBack: the target has the first copy, whether a further
-// one waits or not, and a target that hangs does so since it got that one.
-func TestWhatIsSentAgainDoesNotTakeARequestBack(t *testing.T) {
+// TestQueuedRetransmissionsDoNotWithdrawARequest: the target has received the first copy, whether
+// or not a further one is queued, and the timeout of an unresponsive target runs from that copy.
+func TestQueuedRetransmissionsDoNotWithdrawARequest(t *testing.T) {
 	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
@@ -112,9 +112,10 @@
 	require.Zero(t, listener.open[7])
 }
 
-// TestLongRequestsDoNotWaitTwice: a request whose data still comes takes no place, whether its
-// latest packet waits or not; once all came, it waits until the last packet left.
-func TestLongRequestsDoNotWaitTwice(t *testing.T) {
+// TestLongRequestsCountAsQueuedOnlyOnceReceived: a request whose data is still being received does
+// not count at its target, whether its latest packet is queued or not. Once all data was received,
+// it counts as queued until its last packet was sent.
+func TestLongRequestsCountAsQueuedOnlyOnceReceived(t *testing.T) {
 	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	now := start
@@ -135,9 +136,9 @@
 	require.Equal(t, 1, listener.open[7])
 }
 
-// TestWhatWaitsIsAlwaysTakenBack: whatever is placed, sent on, waits, leaves or is lost, in any
-// order, each request ends once, and nothing is left open or waiting.
-func TestWhatWaitsIsAlwaysTakenBack(t *testing.T) {
+// TestListenerCountsReturnToZero: in whatever order packets are forwarded, queued, dequeued or lost,
+// each request ends once, and no request remains counted as open or waiting.
+func TestListenerCountsReturnToZero(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(36))
 	properties.Property("counts return to zero", prop.ForAll(func(steps []uint) bool {
 		listener := newListenerRecorder()
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -1,15 +1,15 @@
-// Package requests follows the requests of a balancer's flows from the packets
-// of their callers, which are all that a balancer sees.
+// Package requests tracks the requests on a balancer's flows. It derives them from the packets of
+// the callers, because the packets of the targets bypass the balancer.
 //
-// A request begins at a target when an opening packet goes there, because a
-// request follows soon, or with the first data of an open flow. It is answered
-// when the caller acknowledges data of the target after it. A caller that ends
-// the flow before, or that hears nothing for long, was not answered.
+// A request begins when an opening packet is forwarded to a target, because a request follows soon,
+// or with the first data of an open flow. It is answered when the caller acknowledges data that the
+// target sent after the request. It is unanswered when the caller ends the flow before that or
+// receives no answer within a timeout.
 //
-// Watcher is safe for many goroutines: flows are kept in shards, each under its
-// own lock. Listeners learn of each beginning and of exactly one ending for it, and
-// of long requests whether their data still comes, and of those whose packet waits in front
-// of the balancer's link until it leaves.
+// Watcher is safe for concurrent use: flows are kept in shards, each under its own lock. Listeners
+// are notified of each request's beginning and of exactly one ending for it. In between they are
+// notified while more data of a long request is expected, and while a request's latest packet waits
+// in the queue for the balancer's link.
 package requests
 
 import (
@@ -24,69 +24,69 @@
 const (
 	// shardCount is the number of shards; a power of two.
 	shardCount = 16
-	// flowsKept bounds the flows with an open request that are watched at a
-	// time; others are not followed.
+	// maxWatchedFlows bounds the flows with an open request that are tracked at a time. Requests
+	// of further flows are not tracked.
 	maxWatchedFlows = 2048
-	// HangAfter is how long a request may go unanswered before it counts so. It
-	// is far above the time of a request on a busy target.
+	// AnswerTimeout is how long a request may stay open before it counts as unanswered. It is far
+	// above the time of a request at a busy target.
 	AnswerTimeout = time.Second
-	// receivingRests is how long a long request may bring nothing while its data
-	// still comes: senders repeat what was not acknowledged after 1.6 s at the most.
+	// receiveIdleTimeout is how long a long request may send no data at all while more is
+	// expected: senders retransmit unacknowledged data after 1.6 s at the most.
 	receiveIdleTimeout = 2 * time.Second
-	// receivingHangs is how long it may bring nothing new. Long requests wait for
-	// each other on a narrow link, so that this is longer than for others.
+	// receiveStallTimeout is how long it may send no new data. It is longer than AnswerTimeout,
+	// because long requests wait for each other on a narrow link.
 	receiveStallTimeout = 5 * time.Second
-	// placedFor is how long after its opening packet a flow may bring no data
-	// before its request counts as withdrawn: the last copy of the opening packet
-	// was sent by then.
+	// openingTimeout is how long after its opening packet a flow may send no data before its
+	// request counts as withdrawn: the last copy of the opening packet was sent by then.
 	openingTimeout = 700 * time.Millisecond
 )
 
-// Target names the target that a request is at.
+// Target identifies the target that a request was forwarded to.
 type Target struct {
 	Token directory.Token
 	ID    directory.TargetID
-	// Service is the target's service.
+	// Service is the name of the target's service.
 	Service string
-	// Capacity is the number of requests that the target works on at once.
+	// Capacity is the number of requests that the target serves concurrently.
 	Capacity int
 }
 
-// Ending tells how a request ended.
+// Ending is how a request ended.
 type Ending uint8
 
 // The endings.
 const (
 	// Answered: the caller acknowledged data of the target.
 	Answered Ending = iota
-	// Unanswered: the caller gave up, or heard nothing for HangAfter.
+	// Unanswered: the caller gave up, or acknowledged no answer within AnswerTimeout.
 	Unanswered
-	// Withdrawn: the request went to another target, or the flow did not open.
+	// Withdrawn: the request was forwarded to another target, the flow did not open, or the
+	// request never left the balancer. It says nothing about the target.
 	Withdrawn
 )
 
-// Listener is told of requests. Its methods must return at once and must not
-// call the watcher.
+// Listener is notified of requests. Its methods must return at once and must not call the watcher.
 type Listener interface {
-	// Began is told that a request is at the target from now on, or comes soon.
+	// Began reports that a request was forwarded to the target, or will be soon because its flow
+	// opens.
 	Began(target Target, now time.Time)
-	// Ended is told how a request ended, once for each that began. took is the
-	// time since its latest new data, or since its opening packet when none came:
-	// while data still comes, it is the link that takes time and not the target.
+	// Ended reports how a request ended, exactly once for each that began. took is the time since
+	// its latest new data, or since its opening packet if it sent none: while data is still being
+	// received, the link takes the time and not the target.
 	Ended(target Target, ending Ending, took time.Duration)
-	// Receiving is told that the data of a request which began still comes, so
-	// that the target does not work on it yet, or that all of it came.
+	// Receiving reports that more data of a request that began is expected, so that the target
+	// does not work on it yet, or that this no longer holds.
 	Receiving(target Target, receiving bool)
-	// Waiting is told that the latest packet of a request which began waits in front of
-	// the balancer's link, so that the target has not got it, or that it left. It is
-	// not told of requests whose data still comes.
+	// Waiting reports that the latest packet of a request that began waits in the queue for the
+	// balancer's link, so that the target has not received it, or that this no longer holds. It
+	// is not called while more data of the request is expected.
 	Waiting(target Target, waiting bool)
-	// Continued is told of data of a flow that this balancer knew before: whole
-	// tells that no data between went another way.
-	SequenceChecked(whole bool)
+	// SequenceChecked reports whether a data packet of a known flow was contiguous with the
+	// earlier ones. If it was not, data in between may have passed through another balancer.
+	SequenceChecked(contiguous bool)
 }
 
-// flowKey names a flow by its two ends.
+// flowKey identifies a flow by its two ends.
 type flowKey struct {
 	caller  netip.AddrPort
 	service netip.AddrPort
@@ -96,28 +96,28 @@
 	return flowKey{caller: segment.Caller, service: segment.Service}
 }
 
-// request is the open request of a watched flow.
+// request is the open request of a tracked flow.
 type request struct {
 	target Target
-	// before is the target of an earlier opening packet of the flow; zero
-	// without one.
+	// previousTarget is the target of an earlier opening packet of the flow; zero without one.
 	previousTarget directory.Token
-	// asked tells that data was sent; until then the flow is only opening.
+	// hasData is true once data was forwarded; until then the flow is only opening.
 	hasData bool
-	// acknowledged is the caller's acknowledgement when it asked.
+	// acknowledged is the caller's acknowledgement number in the first data packet.
 	acknowledged uint32
-	// content is what was sent so far.
+	// content is the data forwarded so far.
 	content content
-	// since is when the opening packet, or the latest new data, was sent on, and
-	// seenAt when the latest data was, new or not.
+	// progressAt is when the opening packet or the latest new data was forwarded, or left the
+	// queue for the balancer's link if it had to wait. lastDataAt is when the latest data was
+	// forwarded, including retransmissions.
 	progressAt time.Time
 	lastDataAt time.Time
-	// waiting tells that the opening packet, or the latest new data, waits in front of the
-	// balancer's link. since is when it left, once it did.
+	// queued is true while the opening packet or the latest new data waits in the queue for the
+	// balancer's link.
 	queued bool
 }
 
-// lastAt returns when the latest packet of the request was sent on.
+// lastAt returns when the latest packet of the request was forwarded.
 func (open *request) lastAt() time.Time {
 	if open.lastDataAt.After(open.progressAt) {
 		return open.lastDataAt
@@ -125,8 +125,7 @@
 	return open.progressAt
 }
 
-// overdue tells whether the request has been open for too long, and how it ends
-// then.
+// overdue reports whether the request has timed out, and returns how it ends in that case.
 func (open *request) overdue(now time.Time) (Ending, bool) {
 	switch {
 	case open.content.receiving():
@@ -137,16 +136,16 @@
 	return Withdrawn, now.Sub(open.progressAt) >= openingTimeout
 }
 
-// shard has a part of the flows.
+// shard holds a part of the flows.
 type shard struct {
 	lock     sync.Mutex
 	requests map[flowKey]request
 	samples  map[flowKey]sample
-	// remembered has the fingerprints of known flows.
+	// fingerprints holds the fingerprints of known flows, in the slots of their low bits.
 	fingerprints [fingerprintSlots]uint32
 }
 
-// Watcher is the controller that follows requests.
+// Watcher is the controller that tracks requests.
 type Watcher struct {
 	listeners []Listener
 	shards    [shardCount]shard
@@ -155,7 +154,7 @@
 	moves     moveDetector
 }
 
-// NewWatcher returns a watcher that tells the listeners.
+// NewWatcher returns a watcher that notifies the listeners.
 func NewWatcher(listeners ...Listener) *Watcher {
 	watcher := &Watcher{listeners: listeners, sizes: noSizes{}, answers: noAnswers{}}
 	for index := range watcher.shards {
@@ -165,14 +164,14 @@
 	return watcher
 }
 
-// shard returns the shard of a flow. Callers take ports in turn, so that their
-// low bits spread.
+// shard returns the shard of a flow. Callers use ports in sequence, so the low bits are evenly
+// distributed.
 func (watcher *Watcher) shard(key flowKey) *shard {
 	address := key.caller.Addr().As16()
 	return &watcher.shards[(uint(key.caller.Port())+uint(address[15]))%shardCount]
 }
 
-// Placed takes in that an opening packet was sent on to target.
+// OpeningForwarded records that an opening packet was forwarded to target.
 func (watcher *Watcher) OpeningForwarded(segment steer.Segment, target Target, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
@@ -191,30 +190,29 @@
 	watcher.begin(shard, key, request{target: target, previousTarget: open.target.Token, progressAt: now}, now)
 }
 
-// Tried returns the targets that the last opening packets of the segment's flow
-// were sent on to, the latest first, as far as that is known. seen tells that a
-// request of the flow is open here: a former copy was sent on, and the flow may have
-// opened.
-func (watcher *Watcher) PreviousTargets(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
+// PreviousTargets returns the targets that the last opening packets of the segment's flow were
+// forwarded to, the latest first, as far as they are known. seen reports whether a request of the
+// flow is open here: an earlier copy was forwarded, and the flow may have opened.
+func (watcher *Watcher) PreviousTargets(segment steer.Segment) (targets [steer.TriesKnown]directory.Token, seen bool) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	open, known := shard.requests[key]
 	if !known || open.hasData {
-		return tried, known
+		return targets, known
 	}
 	return [steer.TriesKnown]directory.Token{open.target.Token, open.previousTarget}, true
 }
 
-// Note takes in a packet that was sent on to the target of an open flow.
+// PacketForwarded records that a packet was forwarded to the target of an open flow.
 func (watcher *Watcher) PacketForwarded(segment steer.Segment, target Target, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if whole, told := shard.checkSequence(key, segment, now); told {
-		watcher.notifySequence(whole)
+	if contiguous, checked := shard.checkSequence(key, segment, now); checked {
+		watcher.notifySequence(contiguous)
 	}
 	open, known := shard.requests[key]
 	if known && open.target != target {
@@ -237,8 +235,8 @@
 	}
 }
 
-// givenUp returns the ending of a request that is not waited for any longer. One that never
-// left the balancer says nothing of its target.
+// abandonedEnding returns the ending of a request that is no longer waited for. A request that
+// never left the balancer says nothing about its target.
 func (open *request) abandonedEnding() Ending {
 	if open.hasData && !open.queued {
 		return Unanswered
@@ -246,32 +244,33 @@
 	return Withdrawn
 }
 
-// ask notes data of a request. Data that is sent again changes nothing.
+// recordData records data of a request, which begins with the first data unless the opening packet
+// began it already.
 func (watcher *Watcher) recordData(shard *shard, key flowKey, open request, known bool, target Target, segment steer.Segment, now time.Time) {
 	if known && open.hasData {
 		watcher.recordMoreData(shard, key, open, segment, now)
 		return
 	}
-	if familiar := shard.rememberFlow(key); !known {
-		watcher.moves.record(!familiar, now)
+	if remembered := shard.rememberFlow(key); !known {
+		watcher.moves.record(!remembered, now)
 	}
 	if !known && len(shard.requests) >= maxWatchedFlows/shardCount {
 		return
 	}
-	asked := request{
+	updated := request{
 		target: target, hasData: true, acknowledged: segment.Acknowledgement, content: newContent(segment),
 		progressAt: now, lastDataAt: now,
 	}
 	if known {
-		shard.requests[key] = asked
-		watcher.notifyTransition(open.target, open.stage(), asked.stage())
+		shard.requests[key] = updated
+		watcher.notifyTransition(open.target, open.stage(), updated.stage())
 		return
 	}
-	watcher.begin(shard, key, asked, now)
+	watcher.begin(shard, key, updated, now)
 }
 
-// askMore notes further data of a request. Data that is sent again was not taken
-// and changes nothing.
+// recordMoreData records further data of a request. Retransmitted data counts as activity, not as
+// progress.
 func (watcher *Watcher) recordMoreData(shard *shard, key flowKey, open request, segment steer.Segment, now time.Time) {
 	before := open.stage()
 	open.lastDataAt = now
@@ -304,17 +303,17 @@
 	}
 }
 
-func (watcher *Watcher) notifySequence(whole bool) {
+func (watcher *Watcher) notifySequence(contiguous bool) {
 	for _, listener := range watcher.listeners {
-		listener.SequenceChecked(whole)
+		listener.SequenceChecked(contiguous)
 	}
 }
 
 // Name implements board.Controller.
 func (watcher *Watcher) Name() string { return "requests" }
 
-// Reconcile implements board.Controller. It ends requests that are overdue, and withdraws
-// those that went on through other balancers since routers moved their flows.
+// Reconcile implements board.Controller. It ends requests that have timed out, and withdraws those
+// that have continued through other balancers since routers moved their flows.
 func (watcher *Watcher) Reconcile(now time.Time) {
 	movedAt := watcher.moves.lastMove()
 	for index := range watcher.shards {
@@ -331,7 +330,7 @@
 			watcher.end(shard, key, open, Withdrawn, now)
 			continue
 		}
-		if ending, over := open.overdue(now); over {
+		if ending, overdue := open.overdue(now); overdue {
 			watcher.end(shard, key, open, ending, now)
 		}
 	}
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// step is one packet of a flow, or a wait before the next one.
+// step is one packet of a flow, or a pause before the next one.
 type step struct {
 	segment steer.Segment
 	target  Target
@@ -36,12 +36,12 @@
 	return Target{Token: directory.Token(number), ID: directory.TargetID(number) + 1000}
 }
 
-// book counts what a listener is told.
+// listenerRecorder counts the notifications of a listener by target.
 type listenerRecorder struct {
 	open, answered, unanswered, withdrawn, waiting map[directory.Token]int
-	// took is the time of the request that ended last.
+	// lastDuration is the duration reported for the request that ended last.
 	lastDuration time.Duration
-	// whole and gaps count data that followed what was seen before, or did not.
+	// contiguous and gaps count data packets that were contiguous with earlier ones, or were not.
 	contiguous, gaps int
 }
 
@@ -52,45 +52,45 @@
 	}
 }
 
-func (book *listenerRecorder) Began(target Target, _ time.Time) { book.open[target.Token]++ }
+func (recorder *listenerRecorder) Began(target Target, _ time.Time) { recorder.open[target.Token]++ }
 
-func (book *listenerRecorder) Ended(target Target, ending Ending, took time.Duration) {
-	book.lastDuration = took
-	book.open[target.Token]--
+func (recorder *listenerRecorder) Ended(target Target, ending Ending, took time.Duration) {
+	recorder.lastDuration = took
+	recorder.open[target.Token]--
 	switch ending {
 	case Answered:
-		book.answered[target.Token]++
+		recorder.answered[target.Token]++
 	case Unanswered:
-		book.unanswered[target.Token]++
+		recorder.unanswered[target.Token]++
 	case Withdrawn:
-		book.withdrawn[target.Token]++
+		recorder.withdrawn[target.Token]++
 	}
 }
 
-func (book *listenerRecorder) Receiving(target Target, receiving bool) {
+func (recorder *listenerRecorder) Receiving(target Target, receiving bool) {
 	if receiving {
-		book.open[target.Token]--
+		recorder.open[target.Token]--
 	} else {
-		book.open[target.Token]++
+		recorder.open[target.Token]++
 	}
 }
 
 // Waiting implements Listener.
-func (book *listenerRecorder) Waiting(target Target, waiting bool) {
+func (recorder *listenerRecorder) Waiting(target Target, waiting bool) {
 	if waiting {
-		book.open[target.Token]--
-		book.waiting[target.Token]++
+		recorder.open[target.Token]--
+		recorder.waiting[target.Token]++
 	} else {
-		book.open[target.Token]++
-		book.waiting[target.Token]--
+		recorder.open[target.Token]++
+		recorder.waiting[target.Token]--
 	}
 }
 
-func (book *listenerRecorder) SequenceChecked(whole bool) {
-	if whole {
-		book.contiguous++
+func (recorder *listenerRecorder) SequenceChecked(contiguous bool) {
+	if contiguous {
+		recorder.contiguous++
 	} else {
-		book.gaps++
+		recorder.gaps++
 	}
 }
 
@@ -108,7 +108,7 @@
 
 func wait(duration time.Duration) step { return step{wait: duration} }
 
-func TestRequestsAreCountedByTheirOutcome(t *testing.T) {
+func TestRequestsAreCountedByTheirEnding(t *testing.T) {
 	other := requestPacket(1, 1, 1)
 	other.target = targetOf(8)
 	cases := []struct {
@@ -120,20 +120,20 @@
 		{"answered by the next request's acknowledgement", []step{requestPacket(1, 1, 1), requestPacket(1, 100, 50)}, 1, 0},
 		{"answered and closed", []step{requestPacket(1, 1, 1), closingPacket(1, 100, 50)}, 1, 0},
 		{"two requests", []step{requestPacket(1, 1, 1), acknowledgement(1, 100, 50), requestPacket(1, 100, 50), acknowledgement(1, 200, 90)}, 2, 0},
-		{"numbers that wrap", []step{requestPacket(1, 1, 0xFFFFFFF0), acknowledgement(1, 100, 0x10)}, 1, 0},
+		{"sequence numbers wrap around", []step{requestPacket(1, 1, 0xFFFFFFF0), acknowledgement(1, 100, 0x10)}, 1, 0},
 		{"not yet answered", []step{requestPacket(1, 1, 1), wait(AnswerTimeout - time.Millisecond)}, 0, 0},
-		{"hangs", []step{requestPacket(1, 1, 1), wait(AnswerTimeout)}, 0, 1},
+		{"no answer within the timeout", []step{requestPacket(1, 1, 1), wait(AnswerTimeout)}, 0, 1},
 		{"long upload, answered", []step{requestPacket(1, 1, 1), wait(AnswerTimeout / 2), requestPacket(1, 1201, 1), wait(AnswerTimeout - time.Millisecond), acknowledgement(1, 2401, 50)}, 1, 0},
-		{"data that is sent again does not prolong", []step{requestPacket(1, 1, 1), wait(AnswerTimeout / 2), requestPacket(1, 1, 1), wait(AnswerTimeout / 2)}, 0, 1},
+		{"retransmitted data does not extend the timeout", []step{requestPacket(1, 1, 1), wait(AnswerTimeout / 2), requestPacket(1, 1, 1), wait(AnswerTimeout / 2)}, 0, 1},
 		{"caller gives up", []step{requestPacket(1, 1, 1), closingPacket(1, 100, 1)}, 0, 1},
 		{"caller aborts", []step{requestPacket(1, 1, 1), packet(1, 100, 1, func(segment *steer.Segment) { segment.Abort = true })}, 0, 1},
 		{"flow without a request", []step{acknowledgement(1, 1, 1), closingPacket(1, 1, 1)}, 0, 0},
-		{"address taken by another flow", []step{other, closingPacket(1, 5, 5)}, 0, 0},
+		{"caller's port reused by a flow to another target", []step{other, closingPacket(1, 5, 5)}, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := newListenerRecorder()
-			watcher := NewWatcher(book)
+			recorder := newListenerRecorder()
+			watcher := NewWatcher(recorder)
 			now := start
 			for _, step := range test.steps {
 				now = now.Add(step.wait)
@@ -143,48 +143,48 @@
 				}
 				watcher.PacketForwarded(step.segment, step.target, now)
 			}
-			require.Equal(t, test.answered, book.answered[7])
-			require.Equal(t, test.unanswered, book.unanswered[7])
+			require.Equal(t, test.answered, recorder.answered[7])
+			require.Equal(t, test.unanswered, recorder.unanswered[7])
 		})
 	}
 }
 
-// opens is an opening packet of the flow.
+// openingSegment returns an opening packet of the flow from the caller's port.
 func openingSegment(port uint16) steer.Segment {
 	segment := packet(port, 0, 0, nil).segment
 	segment.Opening = true
 	return segment
 }
 
-func TestOpeningPacketsCountUntilTheirRequestEnds(t *testing.T) {
-	book := newListenerRecorder()
-	watcher := NewWatcher(book)
+func TestOpeningPacketsCountAsOpenUntilTheRequestEnds(t *testing.T) {
+	recorder := newListenerRecorder()
+	watcher := NewWatcher(recorder)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
-	require.Equal(t, 1, book.open[7], "a copy at the same target is one request")
+	require.Equal(t, 1, recorder.open[7], "a copy to the same target is the same request")
 	require.Equal(t, [steer.TriesKnown]directory.Token{7}, previousTargets(watcher))
 	watcher.OpeningForwarded(openingSegment(1), targetOf(8), start.Add(200*time.Millisecond))
-	require.Equal(t, 0, book.open[7])
-	require.Equal(t, 1, book.open[8])
+	require.Equal(t, 0, recorder.open[7])
+	require.Equal(t, 1, recorder.open[8])
 	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, previousTargets(watcher))
 	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
-	require.Equal(t, 1, book.open[7], "the flow opened at the first target after all")
-	require.Equal(t, 0, book.open[8])
-	require.Zero(t, previousTargets(watcher), "an open flow has no former choice")
+	require.Equal(t, 1, recorder.open[7], "the flow opened at the first target after all")
+	require.Equal(t, 0, recorder.open[8])
+	require.Zero(t, previousTargets(watcher), "an open flow has no previous targets")
 	watcher.PacketForwarded(acknowledgement(1, 100, 50).segment, targetOf(7), start.Add(250*time.Millisecond))
-	require.Equal(t, 0, book.open[7])
-	require.Equal(t, 1, book.answered[7])
-	require.Equal(t, 1, book.withdrawn[8])
+	require.Equal(t, 0, recorder.open[7])
+	require.Equal(t, 1, recorder.answered[7])
+	require.Equal(t, 1, recorder.withdrawn[8])
 }
 
-// tried returns the former targets of the first flow.
+// previousTargets returns the previous targets of the first flow.
 func previousTargets(watcher *Watcher) [steer.TriesKnown]directory.Token {
 	targets, _ := watcher.PreviousTargets(openingSegment(1))
 	return targets
 }
 
-// TestFlowsAreSeenWhileTheirRequestIsOpen: an opening packet that comes late must not
-// be refused once its flow may be open.
+// TestFlowsAreSeenWhileTheirRequestIsOpen: a delayed copy of an opening packet must not be refused
+// once its flow may be open.
 func TestFlowsAreSeenWhileTheirRequestIsOpen(t *testing.T) {
 	watcher := NewWatcher(newListenerRecorder())
 	seen := func() bool {
@@ -200,19 +200,19 @@
 	require.False(t, seen())
 }
 
-func TestFlowThatBringsNoRequestIsWithdrawn(t *testing.T) {
-	book := newListenerRecorder()
-	watcher := NewWatcher(book)
+func TestFlowWithoutARequestIsWithdrawn(t *testing.T) {
+	recorder := newListenerRecorder()
+	watcher := NewWatcher(recorder)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	watcher.Reconcile(start.Add(openingTimeout - time.Millisecond))
-	require.Equal(t, 1, book.open[7])
+	require.Equal(t, 1, recorder.open[7])
 	watcher.Reconcile(start.Add(openingTimeout))
-	require.Equal(t, 0, book.open[7])
-	require.Equal(t, 1, book.withdrawn[7])
-	require.Zero(t, book.unanswered[7], "a silent target left no request unanswered")
+	require.Equal(t, 0, recorder.open[7])
+	require.Equal(t, 1, recorder.withdrawn[7])
+	require.Zero(t, recorder.unanswered[7], "a target that did not open the flow left no request unanswered")
 }
 
-// data is a packet with data of a number and a length.
+// dataPacket returns a packet with data of a sequence number and a length.
 func dataPacket(port uint16, sequence, length uint32) step {
 	return packet(port, sequence, 1, func(segment *steer.Segment) {
 		segment.HasData = true
@@ -220,25 +220,25 @@
 	})
 }
 
-func TestGapsTellThatAFlowGoesOtherWaysToo(t *testing.T) {
+func TestSequenceGapsAreReported(t *testing.T) {
 	cases := []struct {
-		name        string
-		steps       []step
-		whole, gaps int
+		name             string
+		steps            []step
+		contiguous, gaps int
 	}{
-		{"first data says nothing", []step{dataPacket(1, 100, 50)}, 0, 0},
-		{"data that follows", []step{dataPacket(1, 100, 50), dataPacket(1, 150, 50), dataPacket(1, 200, 10)}, 2, 0},
-		{"data sent again", []step{dataPacket(1, 100, 50), dataPacket(1, 100, 50)}, 1, 0},
+		{"first data is not checked", []step{dataPacket(1, 100, 50)}, 0, 0},
+		{"contiguous data", []step{dataPacket(1, 100, 50), dataPacket(1, 150, 50), dataPacket(1, 200, 10)}, 2, 0},
+		{"retransmitted data", []step{dataPacket(1, 100, 50), dataPacket(1, 100, 50)}, 1, 0},
 		{"data out of order", []step{dataPacket(1, 100, 50), dataPacket(1, 200, 50), dataPacket(1, 150, 50), dataPacket(1, 250, 50)}, 2, 1},
-		{"data that went another way", []step{dataPacket(1, 100, 50), dataPacket(1, 200, 50), dataPacket(1, 300, 50)}, 0, 2},
-		{"numbers that wrap", []step{dataPacket(1, 0xFFFFFFF0, 32), dataPacket(1, 16, 50)}, 1, 0},
-		{"a flow that rested", []step{dataPacket(1, 100, 50), wait(sampleIdleTimeout), dataPacket(1, 300, 50)}, 0, 0},
-		{"another flow of the same port", []step{dataPacket(1, 100, 50), closingPacket(1, 150, 1), dataPacket(1, 900, 50)}, 0, 0},
+		{"data that passed through another balancer", []step{dataPacket(1, 100, 50), dataPacket(1, 200, 50), dataPacket(1, 300, 50)}, 0, 2},
+		{"sequence numbers wrap around", []step{dataPacket(1, 0xFFFFFFF0, 32), dataPacket(1, 16, 50)}, 1, 0},
+		{"a flow that was idle", []step{dataPacket(1, 100, 50), wait(sampleIdleTimeout), dataPacket(1, 300, 50)}, 0, 0},
+		{"another flow from the same port", []step{dataPacket(1, 100, 50), closingPacket(1, 150, 1), dataPacket(1, 900, 50)}, 0, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			book := newListenerRecorder()
-			watcher := NewWatcher(book)
+			recorder := newListenerRecorder()
+			watcher := NewWatcher(recorder)
 			now := start
 			for _, step := range test.steps {
 				now = now.Add(step.wait)
@@ -248,29 +248,29 @@
 				}
 				watcher.PacketForwarded(step.segment, step.target, now)
 			}
-			require.Equal(t, test.whole, book.contiguous)
-			require.Equal(t, test.gaps, book.gaps)
+			require.Equal(t, test.contiguous, recorder.contiguous)
+			require.Equal(t, test.gaps, recorder.gaps)
 		})
 	}
 }
 
-// sizeBook has the sizes that an observer was told last.
+// sizeRecorder records the size reported last for each route.
 type sizeRecorder struct{ growing, completed map[netip.AddrPort]int }
 
-func (book *sizeRecorder) RequestGrowing(route netip.AddrPort, bytes int) {
-	book.growing[route] = bytes
+func (recorder *sizeRecorder) RequestGrowing(route netip.AddrPort, bytes int) {
+	recorder.growing[route] = bytes
 }
 
-func (book *sizeRecorder) RequestCompleted(route netip.AddrPort, bytes int) {
-	book.completed[route] = bytes
+func (recorder *sizeRecorder) RequestCompleted(route netip.AddrPort, bytes int) {
+	recorder.completed[route] = bytes
 }
 
-// full is the size of a full packet's data.
+// fullPacketBytes is the number of data bytes in a full packet.
 const fullPacketBytes = 1200
 
-// TestLongRequestsTakeNoPlaceWhileTheirDataComes: the target begins to work once all
-// data came, and the link takes the time until then.
-func TestLongRequestsTakeNoPlaceWhileTheirDataComes(t *testing.T) {
+// TestLongRequestsDoNotCountAtTheirTargetWhileReceiving: the target begins to work once all data
+// was received, and the time until then is the link's.
+func TestLongRequestsDoNotCountAtTheirTargetWhileReceiving(t *testing.T) {
 	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	sizes := &sizeRecorder{growing: make(map[netip.AddrPort]int), completed: make(map[netip.AddrPort]int)}
@@ -284,7 +284,7 @@
 	}
 	for number := range uint32(LongRequestBytes / fullPacketBytes) {
 		send(1+number*fullPacketBytes, fullPacketBytes)
-		require.Equal(t, 1, listener.open[7], "a request counts until it is long")
+		require.Equal(t, 1, listener.open[7], "a request counts at its target until it is long")
 	}
 	send(1+LongRequestBytes, fullPacketBytes)
 	require.Zero(t, listener.open[7])
@@ -297,21 +297,21 @@
 	route := openingSegment(1).Service
 	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes, LastAt: now}, progress())
 	send(1+LongRequestBytes, fullPacketBytes)
-	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes, LastAt: now}, progress(), "data that is sent again is no further data")
+	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes, LastAt: now}, progress(), "retransmitted data is not new data")
 	send(1+LongRequestBytes+fullPacketBytes, 70)
 	require.Equal(t, 1, listener.open[7], "the last packet is not full")
 	require.Equal(t, Progress{Route: route, ReceivedBytes: LongRequestBytes + fullPacketBytes + 70, Complete: true, LastAt: now}, progress())
 	now = now.Add(20 * time.Millisecond)
 	watcher.PacketForwarded(acknowledgement(1, LongRequestBytes+fullPacketBytes+71, 50).segment, targetOf(7), now)
 	require.Zero(t, listener.open[7])
-	require.Equal(t, 20*time.Millisecond, listener.lastDuration, "the time of the target, without that of the link")
+	require.Equal(t, 20*time.Millisecond, listener.lastDuration, "the duration excludes the time of the link")
 	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + fullPacketBytes}, sizes.growing)
 	require.Equal(t, map[netip.AddrPort]int{route: LongRequestBytes + fullPacketBytes + 70}, sizes.completed)
 }
 
-// TestLongRequestsThatEndEarlyLeaveNothing: each ending finds the request counted
-// once.
-func TestLongRequestsThatEndEarlyLeaveNothing(t *testing.T) {
+// TestLongRequestsThatEndEarlyLeaveNoCounts: each request ends once and is removed from the counts,
+// whichever way it ends.
+func TestLongRequestsThatEndEarlyLeaveNoCounts(t *testing.T) {
 	endings := []struct {
 		name string
 		end  func(watcher *Watcher)
@@ -320,7 +320,7 @@
 			watcher.PacketForwarded(closingPacket(1, 99_999, 1).segment, targetOf(7), start)
 		}},
 		{"no more data", func(watcher *Watcher) { watcher.Reconcile(start.Add(receiveIdleTimeout)) }},
-		{"at another target", func(watcher *Watcher) {
+		{"moved to another target", func(watcher *Watcher) {
 			watcher.PacketForwarded(closingPacket(1, 99_999, 1).segment, targetOf(8), start)
 		}},
 	}
@@ -341,9 +341,9 @@
 	}
 }
 
-// TestLongRequestsMayWaitForTheLink: data that is sent again shows that a long request
-// goes on, for a while.
-func TestLongRequestsMayWaitForTheLink(t *testing.T) {
+// TestLongRequestsMayStallForAWhile: retransmitted data shows that a long request continues, until
+// it has sent nothing new for receiveStallTimeout.
+func TestLongRequestsMayStallForAWhile(t *testing.T) {
 	listener := newListenerRecorder()
 	watcher := NewWatcher(listener)
 	for number := range uint32(12) {
@@ -354,31 +354,31 @@
 		watcher.EachOpen(func(Progress) { count++ })
 		return count
 	}
-	repeated := dataPacket(1, 1+11*fullPacketBytes, fullPacketBytes)
+	retransmitted := dataPacket(1, 1+11*fullPacketBytes, fullPacketBytes)
 	for after := time.Second; after < receiveStallTimeout; after += time.Second {
 		watcher.Reconcile(start.Add(after))
 		require.Equal(t, 1, open(), "after %s", after)
-		watcher.PacketForwarded(repeated.segment, repeated.target, start.Add(after))
+		watcher.PacketForwarded(retransmitted.segment, retransmitted.target, start.Add(after))
 	}
 	watcher.Reconcile(start.Add(receiveStallTimeout))
 	require.Zero(t, open())
 	require.Equal(t, 1, listener.unanswered[7])
 }
 
-func TestWatchedFlowsAreBounded(t *testing.T) {
-	book := newListenerRecorder()
-	watcher := NewWatcher(book)
+func TestTrackedFlowsAreBounded(t *testing.T) {
+	recorder := newListenerRecorder()
+	watcher := NewWatcher(recorder)
 	for port := range uint16(maxWatchedFlows + 500) {
 		step := requestPacket(port+1, 1, 1)
 		watcher.PacketForwarded(step.segment, step.target, start)
 		watcher.OpeningForwarded(openingSegment(port+1), targetOf(8), start)
 	}
-	require.Equal(t, maxWatchedFlows, book.open[7]+book.open[8])
+	require.Equal(t, maxWatchedFlows, recorder.open[7]+recorder.open[8])
 	for index := range watcher.shards {
 		require.LessOrEqual(t, len(watcher.shards[index].samples), maxSampledFlows)
 	}
 	watcher.Reconcile(start.Add(AnswerTimeout))
-	require.Zero(t, book.open[7]+book.open[8])
+	require.Zero(t, recorder.open[7]+recorder.open[8])
 }
 
 func BenchmarkNote(b *testing.B) {
@@ -391,13 +391,13 @@
 	}
 }
 
-// TestRequestsOfMovedFlowsAreNotTakenForUnanswered is what routers do that hash over the
-// balancers that are in: when one comes or goes, nearly all flows go to other balancers. Of
-// the requests under way this one never sees the end; those that come then are of flows that
-// it did not open.
-func TestRequestsOfMovedFlowsAreNotTakenForUnanswered(t *testing.T) {
-	book := newListenerRecorder()
-	watcher := NewWatcher(book)
+// TestRequestsOfMovedFlowsAreWithdrawn covers routers that hash flows over the current set of
+// balancers: when a balancer is added or removed, nearly all flows move to other balancers. This
+// balancer never sees the end of its requests in flight, which must not count as unanswered; the
+// requests that arrive after the move belong to flows that it did not open.
+func TestRequestsOfMovedFlowsAreWithdrawn(t *testing.T) {
+	recorder := newListenerRecorder()
+	watcher := NewWatcher(recorder)
 	const flows = 20
 	for port := uint16(1); port <= flows; port++ {
 		watcher.OpeningForwarded(openingSegment(port), targetOf(7), start)
@@ -408,19 +408,20 @@
 		watcher.PacketForwarded(requestPacket(port, 1, 1).segment, targetOf(7), moved)
 	}
 	watcher.Reconcile(moved.Add(time.Millisecond))
-	require.Equal(t, flows, book.open[7], "what came since the move is open here")
-	require.Equal(t, flows, book.withdrawn[7])
-	require.Zero(t, book.unanswered[7])
+	require.Equal(t, flows, recorder.open[7], "requests that arrived after the move are open here")
+	require.Equal(t, flows, recorder.withdrawn[7])
+	require.Zero(t, recorder.unanswered[7])
 	for port := uint16(101); port <= 100+flows; port++ {
 		watcher.PacketForwarded(acknowledgement(port, 100, 50).segment, targetOf(7), moved)
 	}
-	require.Equal(t, flows, book.answered[7])
+	require.Equal(t, flows, recorder.answered[7])
 }
 
-// TestAFewUnknownFlowsAreNoMove: callers whose opening packet went another way.
+// TestAFewUnknownFlowsAreNoMove: one flow in three is unknown because its opening packet passed
+// through another balancer.
 func TestAFewUnknownFlowsAreNoMove(t *testing.T) {
-	book := newListenerRecorder()
-	watcher := NewWatcher(book)
+	recorder := newListenerRecorder()
+	watcher := NewWatcher(recorder)
 	for port := uint16(1); port <= 60; port++ {
 		if port%3 > 0 {
 			watcher.OpeningForwarded(openingSegment(port), targetOf(7), start)
@@ -428,7 +429,7 @@
 		watcher.PacketForwarded(requestPacket(port, 1, 1).segment, targetOf(7), start)
 	}
 	watcher.Reconcile(start.Add(AnswerTimeout - time.Millisecond))
-	require.Equal(t, 60, book.open[7])
+	require.Equal(t, 60, recorder.open[7])
 	watcher.Reconcile(start.Add(AnswerTimeout))
-	require.Equal(t, 60, book.unanswered[7], "they hang")
+	require.Equal(t, 60, recorder.unanswered[7], "they time out instead of being withdrawn")
 }
