--- a/internal/direct/egress/egress.go
+++ b/internal/direct/egress/egress.go
@@ -1,12 +1,11 @@
-// Package egress sends a balancer's datagrams no faster than its link carries
-// them. A link that is full loses datagrams, and their senders repeat them only
-// after a retransmission timeout; a queue in front of the link loses none.
+// Package egress sends a balancer's datagrams no faster than its link transmits them. A saturated
+// link loses datagrams, and their senders retransmit them only after a timeout; a queue before the
+// link avoids these losses.
 //
-// Short flows share the link fairly and go before long ones, which go one after
-// the other: an upload delays neither an opening packet nor a short request. Data
-// that its sender repeats while the first copy still waits is sent once, and so are
-// opening packets; of the acknowledgements of a flow that wait, the latest is sent
-// (RFC 3449, section 5.2.1).
+// Short flows share the link fairly and have priority over long ones, which are served one after the
+// other, so an upload delays neither an opening packet nor a short request. If a sender retransmits
+// data or an opening packet while the first copy is still queued, only one copy is sent. Of the
+// queued pure acknowledgements of a flow only the latest is sent (RFC 3449, section 5.2.1).
 package egress
 
 import (
@@ -17,21 +16,21 @@
 	"time"
 )
 
-// queueLimit bounds the datagrams that wait, in bytes.
+// queueLimitBytes bounds the content of all queued datagrams.
 const queueLimitBytes = 512 << 10
 
-// Write sends one datagram at once. A lost one is repeated by its sender.
+// Write sends one datagram at once. A lost one is retransmitted by its sender.
 type Write func(content []byte, to netip.AddrPort)
 
-// Counts is what became of datagrams since the start.
+// Counts are the numbers of datagrams since the start, by what happened to them.
 type Counts struct {
-	// Sent were written at once or after they had waited.
+	// Sent were written, at once or after waiting in the queue.
 	Sent uint64
-	// Waited were not written at once.
+	// Waited were put into the queue.
 	Waited uint64
-	// Repeated made one needless that waited already, and took its place.
+	// Repeated superseded a queued datagram and took its place.
 	Repeated uint64
-	// Refused found the queue full.
+	// Refused were discarded because the queue was full.
 	Refused uint64
 }
 
@@ -44,15 +43,15 @@
 	queue *fairQueue
 	pacer pacer
 
-	// observe is told how long each datagram waited that did.
+	// observeWait is called with the time that each queued datagram waited.
 	observeWait func(waited time.Duration)
-	// follower is told of datagrams that are to be followed.
+	// queueObserver is notified of tracked datagrams.
 	queueObserver QueueObserver
 
 	sent, waited, repeated, refused atomic.Uint64
 }
 
-// New returns an egress for a link.
+// New returns an egress for a link. Datagrams that have to wait are sent by Run, or by Flush.
 func New(link Link, write Write) *Egress {
 	return &Egress{
 		write:  write,
@@ -65,32 +64,33 @@
 	}
 }
 
-// Observe makes observe be told how long each datagram waited for the link that
-// did. It is set before the first Send and must return at once.
+// ObserveWaits sets a function that is called with the time that each queued datagram waited for the
+// link. It must be set before the first Send, and must return at once.
 func (egress *Egress) ObserveWaits(observe func(waited time.Duration)) { egress.observeWait = observe }
 
-// Follower is told of datagrams with Followed that are not written at once. Its methods must
-// return at once, keep nothing of the datagram and call nothing of the egress.
+// QueueObserver is notified of tracked datagrams that are not written at once. Its methods must
+// return at once, must not retain the datagram and must not call the egress.
 type QueueObserver interface {
-	// Waits is told that the datagram was sent at now and has to wait. It may be lost.
+	// Queued reports that the datagram was passed to Send at now and has to wait. It is not written
+	// if the queue is full.
 	Queued(datagram *Datagram, now time.Time)
-	// Left is told that a datagram that had to wait was written at now.
+	// Dequeued reports that a datagram that had to wait was written at now.
 	Dequeued(datagram *Datagram, now time.Time)
 }
 
-// noFollower is the follower of an egress without one.
+// noQueueObserver is the observer of an egress for which none was set.
 type noQueueObserver struct{}
 
-// Waits implements Follower.
+// Queued implements QueueObserver.
 func (noQueueObserver) Queued(*Datagram, time.Time) {}
 
-// Left implements Follower.
+// Dequeued implements QueueObserver.
 func (noQueueObserver) Dequeued(*Datagram, time.Time) {}
 
-// Follow makes follower be told of datagrams. It is set before the first Send.
-func (egress *Egress) ObserveQueue(follower QueueObserver) { egress.queueObserver = follower }
+// ObserveQueue sets the observer of tracked datagrams. It must be set before the first Send.
+func (egress *Egress) ObserveQueue(observer QueueObserver) { egress.queueObserver = observer }
 
-// Counts returns the counts since the start.
+// Counts returns the counts of datagrams since the start.
 func (egress *Egress) Counts() Counts {
 	return Counts{
 		Sent:     egress.sent.Load(),
@@ -100,15 +100,15 @@
 	}
 }
 
-// Idle tells whether no datagram waits for the link.
+// Idle reports whether no datagram waits for the link.
 func (egress *Egress) Idle() bool {
 	egress.lock.Lock()
 	defer egress.lock.Unlock()
 	return egress.queue.empty()
 }
 
-// ShortWait returns how long the link takes for the content of short flows that waits; zero
-// on a link without a bound.
+// ShortWait returns how long the link takes to transmit the queued content of short flows. It is zero
+// on a link without a limit.
 func (egress *Egress) ShortWait() time.Duration {
 	egress.lock.Lock()
 	defer egress.lock.Unlock()
@@ -119,8 +119,8 @@
 	return time.Duration(float64(egress.queue.shortBytes()) / rate * float64(time.Second))
 }
 
-// Send writes the datagram, at once when the link is free. It keeps a copy of
-// the content when it is not.
+// Send writes the datagram at once if the link is free, and otherwise queues it with a copy of its
+// content. It discards the datagram if the queue is full.
 func (egress *Egress) Send(datagram Datagram, now time.Time) {
 	egress.lock.Lock()
 	defer egress.lock.Unlock()
@@ -128,13 +128,13 @@
 		egress.transmit(&datagram, now)
 		return
 	}
-	kept := datagram
-	kept.queuedAt = now
-	kept.Content = append([]byte(nil), datagram.Content...)
-	if kept.Tracked {
-		egress.queueObserver.Queued(&kept, now)
+	queued := datagram
+	queued.queuedAt = now
+	queued.Content = append([]byte(nil), datagram.Content...)
+	if queued.Tracked {
+		egress.queueObserver.Queued(&queued, now)
 	}
-	switch egress.queue.enqueue(&kept) {
+	switch egress.queue.enqueue(&queued) {
 	case repeated:
 		egress.repeated.Add(1)
 	case refused:
@@ -145,6 +145,7 @@
 	}
 }
 
+// wake signals Run that the queue is not empty.
 func (egress *Egress) wake() {
 	select {
 	case egress.notice <- struct{}{}:
@@ -152,14 +153,15 @@
 	}
 }
 
+// transmit writes a datagram and accounts for it.
 func (egress *Egress) transmit(datagram *Datagram, now time.Time) {
 	egress.pacer.sent(now, len(datagram.Content))
 	egress.sent.Add(1)
 	egress.write(datagram.Content, datagram.To)
 }
 
-// Flush writes what the link has room for at now. It returns how long the next
-// datagram has to wait; zero means that none waits.
+// Flush writes the queued datagrams that the link has room for at now. It returns how long the next
+// one has to wait, or zero if the queue is empty.
 func (egress *Egress) Flush(now time.Time) time.Duration {
 	egress.lock.Lock()
 	defer egress.lock.Unlock()
@@ -177,7 +179,7 @@
 	return 0
 }
 
-// Run writes datagrams that wait, until ctx ends.
+// Run writes queued datagrams as the link has room for them, until ctx ends.
 func (egress *Egress) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/internal/direct/egress/egress_test.go
+++ b/internal/direct/egress/egress_test.go
@@ -24,7 +24,7 @@
 )
 
 // largest is the content of a full packet, in bytes.
-const largest = 1240
+const fullPacketBytes = 1240
 
 func flowOf(port int) Flow {
 	return Flow{
@@ -33,56 +33,55 @@
 	}
 }
 
-// data returns a datagram of flow port with the number-th piece of data.
+// data returns a datagram of the flow from a caller's port, with a sequence number and data of a size.
 func data(port int, number uint32, size int) Datagram {
 	content := make([]byte, size)
 	content[0] = byte(number)
 	return Datagram{Flow: flowOf(port), To: target, Sequence: number, HasData: true, Content: content}
 }
 
-// link is a stand-in of the machine's link: it loses what comes while more
-// than its queue holds waits, as links do.
+// link simulates the machine's link: it drops datagrams when its queue is full.
 type link struct {
 	bytesPerSecond float64
 	queue          time.Duration
 	now            time.Time
-	clearAt        time.Time
-	carried        []int
+	idleAt         time.Time
+	transmitted    []int
 	lost           int
 }
 
 func (link *link) write(content []byte, _ netip.AddrPort) {
-	if link.clearAt.Before(link.now) {
-		link.clearAt = link.now
+	if link.idleAt.Before(link.now) {
+		link.idleAt = link.now
 	}
-	if link.clearAt.Sub(link.now) > link.queue {
+	if link.idleAt.Sub(link.now) > link.queue {
 		link.lost++
 		return
 	}
 	seconds := float64(len(content)+datagramOverhead) / link.bytesPerSecond
-	link.clearAt = link.clearAt.Add(time.Duration(seconds * float64(time.Second)))
-	link.carried = append(link.carried, len(content))
+	link.idleAt = link.idleAt.Add(time.Duration(seconds * float64(time.Second)))
+	link.transmitted = append(link.transmitted, len(content))
 }
 
-// datagramOverhead is the size of the IP and UDP heads, in bytes, which is all that the
-// links of most tests add to a datagram.
+// datagramOverhead is the size of the IP and UDP headers, in bytes, which is all that the links of
+// most tests add to a datagram.
 const datagramOverhead = 28
 
-// linkOf returns a link of a rate in bytes a second; zero has no bound.
+// linkOf returns a link with a rate in bytes per second; zero means no limit.
 func linkOf(rate float64) Link { return Link{BytesPerSecond: rate, DatagramOverhead: datagramOverhead} }
 
-// narrow is 2.6 Mbit/s in bytes a second.
+// narrowRate is 2.6 Mbit/s in bytes per second.
 const narrowRate = 2.6e6 / 8
 
-// drain flushes at the times that the egress asks for.
+// drain flushes the egress at the times that it returns, until its queue is empty.
 func drain(egress *Egress, link *link) {
 	for wait := egress.Flush(link.now); wait > 0; wait = egress.Flush(link.now) {
 		link.now = link.now.Add(wait)
 	}
 }
 
-// TestBurstIsNotLostOnANarrowLink: a caller's window of 16 packets comes at
-// once; the link's own queue holds a few of them.
+// TestBurstIsNotLostOnANarrowLink: a caller's window of 16 packets arrives at once, of which the link's
+// own queue can hold a few.
 func TestBurstIsNotLostOnANarrowLink(t *testing.T) {
 	for _, paced := range []bool{false, true} {
 		link := &link{bytesPerSecond: narrowRate, queue: 10 * time.Millisecond, now: start}
@@ -92,7 +91,7 @@
 		}
 		egress := New(linkOf(rate), link.write)
 		for number := range uint32(16) {
-			egress.Send(data(1, number, largest), link.now)
+			egress.Send(data(1, number, fullPacketBytes), link.now)
 		}
 		drain(egress, link)
 		if !paced {
@@ -100,41 +99,41 @@
 			continue
 		}
 		require.Zero(t, link.lost)
-		require.Len(t, link.carried, 16)
-		require.InDelta(t, 16*(largest+datagramOverhead)/narrowRate, link.now.Sub(start).Seconds(), 0.01)
+		require.Len(t, link.transmitted, 16)
+		require.InDelta(t, 16*(fullPacketBytes+datagramOverhead)/narrowRate, link.now.Sub(start).Seconds(), 0.01)
 		require.Equal(t, Counts{Sent: 16, Waited: 14}, egress.Counts())
 	}
 }
 
-// TestManySmallDatagramsStayWithinTheLink is the load of callers that ask much and of
-// short calls: three quarters of their datagrams are opening packets and acknowledgements
-// of 40 bytes, for which Ethernet takes 106. A pacer that counts 68 sends 1.4 times what
-// the link carries at nine tenths of its rate.
-func TestManySmallDatagramsStayWithinTheLink(t *testing.T) {
+// TestSmallDatagramsDoNotExceedTheLinkRate covers callers with many short requests: three quarters of
+// their datagrams are opening packets and acknowledgements of 40 bytes, which take 106 bytes on
+// Ethernet. A pacer that counts 68 bytes and is set to nine tenths of the link's rate sends 1.4 times
+// what the link can transmit.
+func TestSmallDatagramsDoNotExceedTheLinkRate(t *testing.T) {
 	const (
 		small         = 40
 		ethernetBytes = 66
 		share         = 0.9
 		seconds       = 2
 	)
-	onWire := 0
+	wireBytes := 0
 	egress := New(Link{BytesPerSecond: share * narrowRate, DatagramOverhead: settings.Default().Direct.LinkOverhead},
-		func(content []byte, _ netip.AddrPort) { onWire += len(content) + ethernetBytes })
+		func(content []byte, _ netip.AddrPort) { wireBytes += len(content) + ethernetBytes })
 	for at := time.Duration(0); at < seconds*time.Second; at += 250 * time.Microsecond {
 		now := start.Add(at)
 		egress.Flush(now)
 		egress.Send(Datagram{Flow: flowOf(int(at / (250 * time.Microsecond))), To: target, Content: make([]byte, small)}, now)
 	}
 	burst := narrowRate * burstTolerance.Seconds()
-	require.LessOrEqual(t, float64(onWire), share*narrowRate*seconds+burst)
-	require.GreaterOrEqual(t, float64(onWire), 0.99*share*narrowRate*seconds, "the link is used")
+	require.LessOrEqual(t, float64(wireBytes), share*narrowRate*seconds+burst)
+	require.GreaterOrEqual(t, float64(wireBytes), 0.99*share*narrowRate*seconds, "the link is fully used")
 }
 
 func TestShortFlowsDoNotWaitForLongOnes(t *testing.T) {
 	var order []byte
 	egress := New(linkOf(narrowRate), func(content []byte, _ netip.AddrPort) { order = append(order, content[0]) })
 	for number := range uint32(16) {
-		egress.Send(data(1, number, largest), start)
+		egress.Send(data(1, number, fullPacketBytes), start)
 	}
 	opening := Datagram{Flow: flowOf(2), To: target, Content: append([]byte{99}, make([]byte, 39)...)}
 	egress.Send(opening, start)
@@ -143,7 +142,7 @@
 		now = now.Add(wait)
 	}
 	require.LessOrEqual(t, indexOf(order, 99), 4,
-		"after two datagrams of the link's burst and two of the upload's first turn, the opening packet is next")
+		"the opening packet follows two datagrams of the initial burst and two of the upload's first round")
 }
 
 func indexOf(order []byte, wanted byte) int {
@@ -155,14 +154,13 @@
 	return len(order)
 }
 
-// TestLongFlowsGoOneAfterTheOther: data of a flow that waits is repeated by its
-// sender, so that of long flows the oldest one goes first, and a younger one while
-// that has nothing to send.
-func TestLongFlowsGoOneAfterTheOther(t *testing.T) {
+// TestLongFlowsAreServedOneAfterTheOther: senders retransmit data that waits for long, so the oldest long
+// flow is served first, and a younger one only while the oldest has nothing queued.
+func TestLongFlowsAreServedOneAfterTheOther(t *testing.T) {
 	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(12) {
 		for port := 1; port <= 3; port++ {
-			added := data(port, number, largest)
+			added := data(port, number, fullPacketBytes)
 			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
@@ -174,19 +172,19 @@
 		}
 	}
 	for _, port := range []int{3, 1} {
-		added := data(port, 12, largest)
+		added := data(port, 12, fullPacketBytes)
 		require.Equal(t, admitted, queue.enqueue(&added))
 	}
-	require.Equal(t, flowOf(1), queue.dequeue(start).Flow, "the oldest flow keeps its place while it has nothing to send")
+	require.Equal(t, flowOf(1), queue.dequeue(start).Flow, "the oldest flow keeps its position while it has nothing queued")
 	require.Equal(t, flowOf(3), queue.dequeue(start).Flow)
 }
 
-// TestShortFlowsShareTheLink: flows that are not long take turns.
+// TestShortFlowsShareTheLink: flows that are not long are served by round robin.
 func TestShortFlowsShareTheLink(t *testing.T) {
 	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(7) {
 		for port := 1; port <= 3; port++ {
-			added := data(port, number, largest)
+			added := data(port, number, fullPacketBytes)
 			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
@@ -199,13 +197,13 @@
 	}
 }
 
-// TestShortFlowsGoBeforeLongOnes: a short flow waits for one datagram at the most,
-// however much long flows have waiting.
-func TestShortFlowsGoBeforeLongOnes(t *testing.T) {
+// TestShortFlowsHavePriorityOverLongOnes: a short flow waits for one datagram at the most, however much
+// data of long flows is queued.
+func TestShortFlowsHavePriorityOverLongOnes(t *testing.T) {
 	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(16) {
 		for port := 1; port <= 5; port++ {
-			added := data(port, number, largest)
+			added := data(port, number, fullPacketBytes)
 			require.Equal(t, admitted, queue.enqueue(&added))
 		}
 	}
@@ -224,46 +222,47 @@
 	}
 }
 
-// TestRestedLongFlowsAreForgotten: a flow that sends now and then is not long.
-func TestRestedLongFlowsAreForgotten(t *testing.T) {
+// TestIdleLongFlowsAreRemoved: a flow that sends only occasionally does not count as long, and a long flow
+// is removed once it has been idle for longFlowIdleTimeout.
+func TestIdleLongFlowsAreRemoved(t *testing.T) {
 	queue := newFairQueue(queueLimitBytes)
 	for number := range uint32(100) {
 		added := data(1, number, 200)
 		require.Equal(t, admitted, queue.enqueue(&added))
 		require.NotNil(t, queue.dequeue(start))
 	}
-	require.Empty(t, queue.flows, "what a flow sent while nothing else waited does not add up")
+	require.Empty(t, queue.flows, "datagrams that were sent while nothing else was queued do not accumulate")
 	for number := range uint32(12) {
-		added := data(2, number, largest)
+		added := data(2, number, fullPacketBytes)
 		require.Equal(t, admitted, queue.enqueue(&added))
 	}
 	for range 12 {
 		require.NotNil(t, queue.dequeue(start))
 	}
 	require.Nil(t, queue.dequeue(start.Add(longFlowIdleTimeout-time.Millisecond)))
-	require.Len(t, queue.flows, 1, "a long flow keeps its place")
+	require.Len(t, queue.flows, 1, "a long flow keeps its position")
 	require.Nil(t, queue.dequeue(start.Add(longFlowIdleTimeout)))
 	require.Empty(t, queue.flows)
 }
 
-func TestRepeatedDataIsSentOnce(t *testing.T) {
+func TestRetransmittedDataIsSentOnce(t *testing.T) {
 	link := &link{bytesPerSecond: narrowRate, queue: time.Second, now: start}
 	egress := New(linkOf(narrowRate), link.write)
 	for number := range uint32(16) {
-		egress.Send(data(1, number, largest), link.now)
+		egress.Send(data(1, number, fullPacketBytes), link.now)
 	}
 	for number := uint32(10); number < 16; number++ {
-		egress.Send(data(1, number, largest), link.now)
+		egress.Send(data(1, number, fullPacketBytes), link.now)
 	}
-	elsewhere := data(1, 15, largest)
-	elsewhere.To = netip.MustParseAddrPort("10.0.0.2:8080")
-	egress.Send(elsewhere, link.now)
+	otherTarget := data(1, 15, fullPacketBytes)
+	otherTarget.To = netip.MustParseAddrPort("10.0.0.2:8080")
+	egress.Send(otherTarget, link.now)
 	drain(egress, link)
-	require.Len(t, link.carried, 17, "six repetitions are left out, data to another place is not")
+	require.Len(t, link.transmitted, 17, "six retransmissions are not sent again, data to another destination is")
 	require.Equal(t, uint64(6), egress.Counts().Repeated)
 }
 
-func TestPacketsWithoutDataAreNeverRepetitions(t *testing.T) {
+func TestPacketsWithoutDataAreNeverRetransmissions(t *testing.T) {
 	egress := New(linkOf(1), func([]byte, netip.AddrPort) {})
 	acknowledgement := Datagram{Flow: flowOf(1), To: target, Sequence: 5, Content: make([]byte, 40)}
 	for range 3 {
@@ -272,28 +271,28 @@
 	require.Equal(t, Counts{Sent: 1, Waited: 2}, egress.Counts())
 }
 
-func TestFullQueueRefuses(t *testing.T) {
+func TestFullQueueRefusesDatagrams(t *testing.T) {
 	egress := New(linkOf(1), func([]byte, netip.AddrPort) {})
 	for number := range uint32(1000) {
-		egress.Send(data(1, number, largest), start)
+		egress.Send(data(1, number, fullPacketBytes), start)
 	}
 	counts := egress.Counts()
 	require.Equal(t, uint64(1000), counts.Sent+counts.Waited+counts.Refused)
-	require.Equal(t, uint64(queueLimitBytes/largest), counts.Waited)
+	require.Equal(t, uint64(queueLimitBytes/fullPacketBytes), counts.Waited)
 }
 
-func TestWithoutARateNothingWaits(t *testing.T) {
+func TestNothingIsQueuedWithoutARateLimit(t *testing.T) {
 	link := &link{bytesPerSecond: narrowRate, queue: time.Hour, now: start}
 	egress := New(linkOf(0), link.write)
 	for number := range uint32(100) {
-		egress.Send(data(1, number, largest), start)
+		egress.Send(data(1, number, fullPacketBytes), start)
 	}
-	require.Len(t, link.carried, 100)
+	require.Len(t, link.transmitted, 100)
 	require.Zero(t, egress.Flush(start))
 }
 
-// TestQueueKeepsEachFlowsOrder: whatever is put and taken, each flow's
-// datagrams come out once, in order, and the bytes add up.
+// TestQueueKeepsEachFlowsOrder: for any sequence of operations, each flow's datagrams are dequeued once
+// and in order, and the byte counts return to zero.
 func TestQueueKeepsEachFlowsOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(4711)
 	properties := gopter.NewProperties(parameters)
@@ -334,7 +333,7 @@
 	properties.TestingRun(t)
 }
 
-func TestRunSendsWhatWaits(t *testing.T) {
+func TestRunSendsQueuedDatagrams(t *testing.T) {
 	var lock sync.Mutex
 	sent := 0
 	egress := New(linkOf(10e6), func([]byte, netip.AddrPort) {
@@ -346,7 +345,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { _ = egress.Run(ctx) })
 	for number := range uint32(100) {
-		egress.Send(data(1, number, largest), time.Now())
+		egress.Send(data(1, number, fullPacketBytes), time.Now())
 	}
 	require.Eventually(t, func() bool {
 		lock.Lock()
@@ -359,7 +358,7 @@
 
 func BenchmarkSendOnAFreeLink(b *testing.B) {
 	egress := New(linkOf(125e6), func([]byte, netip.AddrPort) {})
-	datagram := data(1, 1, largest)
+	datagram := data(1, 1, fullPacketBytes)
 	now := start
 	b.ReportAllocs()
 	for b.Loop() {
@@ -368,40 +367,40 @@
 	}
 }
 
-// TestWhatWaitsIsNotRepeated: on a full link, copies of opening packets and acknowledgements
-// that a later one includes are not carried.
-func TestWhatWaitsIsNotRepeated(t *testing.T) {
-	acknowledges := func(port int, number uint32) Datagram {
+// TestSupersededDatagramsAreNotSent: while datagrams are queued, only the latest copy of an opening packet
+// is sent, and acknowledgements that a later one includes are not.
+func TestSupersededDatagramsAreNotSent(t *testing.T) {
+	acknowledgement := func(port int, number uint32) Datagram {
 		return Datagram{Flow: flowOf(port), To: target, PureAcknowledgement: true, Acknowledgement: number, Content: []byte{byte(number), 0}}
 	}
-	opens := func(port int, to netip.AddrPort, copies byte) Datagram {
+	openingPacket := func(port int, to netip.AddrPort, copies byte) Datagram {
 		return Datagram{Flow: flowOf(port), To: to, Opening: true, Content: []byte{copies, 1}}
 	}
-	elsewhere := netip.MustParseAddrPort("10.0.0.2:8080")
+	otherTarget := netip.MustParseAddrPort("10.0.0.2:8080")
 	closing := Datagram{Flow: flowOf(2), To: target, Content: []byte{9, 2}}
 	cases := []struct {
 		name string
 		sent []Datagram
 		want []byte
 	}{
-		{"later acknowledgements", []Datagram{acknowledges(2, 10), acknowledges(2, 20), acknowledges(2, 20)}, []byte{20}},
-		{"an earlier acknowledgement", []Datagram{acknowledges(2, 20), acknowledges(2, 10)}, []byte{20, 10}},
-		{"acknowledgements of two flows", []Datagram{acknowledges(2, 10), acknowledges(3, 20)}, []byte{10, 20}},
-		{"an acknowledgement that also closes", []Datagram{acknowledges(2, 10), closing}, []byte{10, 9}},
-		{"copies of an opening packet", []Datagram{opens(2, target, 1), opens(2, elsewhere, 2)}, []byte{2}},
-		{"opening packets of two flows", []Datagram{opens(2, target, 1), opens(3, target, 2)}, []byte{1, 2}},
-		{"an opening packet and an acknowledgement", []Datagram{opens(2, target, 1), acknowledges(2, 10)}, []byte{1, 10}},
+		{"later acknowledgements", []Datagram{acknowledgement(2, 10), acknowledgement(2, 20), acknowledgement(2, 20)}, []byte{20}},
+		{"an earlier acknowledgement", []Datagram{acknowledgement(2, 20), acknowledgement(2, 10)}, []byte{20, 10}},
+		{"acknowledgements of two flows", []Datagram{acknowledgement(2, 10), acknowledgement(3, 20)}, []byte{10, 20}},
+		{"an acknowledgement that also closes", []Datagram{acknowledgement(2, 10), closing}, []byte{10, 9}},
+		{"copies of an opening packet", []Datagram{openingPacket(2, target, 1), openingPacket(2, otherTarget, 2)}, []byte{2}},
+		{"opening packets of two flows", []Datagram{openingPacket(2, target, 1), openingPacket(3, target, 2)}, []byte{1, 2}},
+		{"an opening packet and an acknowledgement", []Datagram{openingPacket(2, target, 1), acknowledgement(2, 10)}, []byte{1, 10}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			var carried []byte
+			var transmitted []byte
 			egress := New(linkOf(narrowRate), func(content []byte, _ netip.AddrPort) {
 				if len(content) == 2 {
-					carried = append(carried, content[0])
+					transmitted = append(transmitted, content[0])
 				}
 			})
 			for number := range uint32(4) {
-				egress.Send(data(1, number, largest), start)
+				egress.Send(data(1, number, fullPacketBytes), start)
 			}
 			for _, datagram := range test.sent {
 				egress.Send(datagram, start)
@@ -409,17 +408,16 @@
 			egress.Flush(start.Add(time.Second))
 			for at := start.Add(time.Second); egress.Flush(at) > 0; at = at.Add(time.Millisecond) {
 			}
-			require.Equal(t, test.want, carried)
+			require.Equal(t, test.want, transmitted)
 		})
 	}
 }
 
-// TestShortWaitCountsShortFlowsAlone: an upload in front of the link is none of it, from the
-// moment on at which it counts as long.
-func TestShortWaitCountsShortFlowsAlone(t *testing.T) {
+// TestShortWaitCountsOnlyShortFlows: a queued upload is not included once it counts as long.
+func TestShortWaitCountsOnlyShortFlows(t *testing.T) {
 	egress := New(linkOf(narrowRate), func([]byte, netip.AddrPort) {})
 	for number := range uint32(20) {
-		egress.Send(data(1, number, largest), start)
+		egress.Send(data(1, number, fullPacketBytes), start)
 	}
 	now := start
 	for range 12 {
--- a/internal/direct/egress/pacer.go
+++ b/internal/direct/egress/pacer.go
@@ -2,30 +2,28 @@
 
 import "time"
 
-// burstTime is how far sending may run ahead of the link.
+// burstTolerance is how far sending may run ahead of the link.
 const burstTolerance = 4 * time.Millisecond
 
-// Link is what an egress sends by.
+// Link describes the link that an egress sends over.
 type Link struct {
-	// BytesPerSecond is the rate to send at; zero means that the link has no bound.
+	// BytesPerSecond is the rate to send at; zero means that the link is not limited.
 	BytesPerSecond float64
-	// DatagramOverhead is the number of bytes that the link takes for a datagram besides
-	// its content: heads and framing. Where it is too small, many small datagrams pass
-	// the pacer faster than the link carries them, and wait or get lost behind it, where
-	// nobody decides which ones.
+	// DatagramOverhead is the number of bytes that each datagram takes on the link besides its
+	// content: headers and framing. If it is too small, many small datagrams pass the pacer faster
+	// than the link transmits them, and wait or are lost behind the pacer, regardless of priority.
 	DatagramOverhead int
 }
 
-// pacer tells when the next datagram may be sent, so that no more is under way
-// than the link carries: the generic cell rate algorithm (ITU-T I.371) with the
-// time of a burst as its tolerance. The zero value does not pace.
+// pacer limits the rate of datagrams to that of the link, by the generic cell rate algorithm (ITU-T
+// I.371) with burstTolerance as its tolerance. The zero value does not limit.
 type pacer struct {
 	link Link
-	// clearAt is when the link has carried all that was sent.
+	// idleAt is when the link has transmitted everything that was sent.
 	idleAt time.Time
 }
 
-// wait returns how long the next datagram has to wait at now.
+// wait returns how long the next datagram has to wait, counted from now.
 func (pacer *pacer) wait(now time.Time) time.Duration {
 	if pacer.link.BytesPerSecond == 0 {
 		return 0
@@ -33,7 +31,7 @@
 	return max(pacer.idleAt.Add(-burstTolerance).Sub(now), 0)
 }
 
-// sent records that a datagram of size bytes was sent at now.
+// sent records that a datagram with size bytes of content was sent at now.
 func (pacer *pacer) sent(now time.Time, size int) {
 	if pacer.link.BytesPerSecond == 0 {
 		return
--- a/internal/direct/egress/queue.go
+++ b/internal/direct/egress/queue.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// Flow names a flow by its two ends.
+// Flow identifies a flow by its two ends.
 type Flow struct {
 	Caller  netip.AddrPort
 	Service netip.AddrPort
 }
 
-// Datagram is one datagram that waits for the link.
+// Datagram is one datagram for the link.
 type Datagram struct {
 	Flow Flow
-	// To is where the datagram goes.
+	// To is the destination address.
 	To netip.AddrPort
-	// Sequence is the number of the first byte of data, and HasData tells
-	// whether there is any. A later datagram of the same flow, destination and
-	// sequence is a repetition.
+	// Sequence is the sequence number of the first byte of data. HasData is true if there is any.
+	// A later datagram of the same flow, destination and sequence number is a retransmission.
 	Sequence uint32
 	HasData  bool
-	// Opening tells that the datagram is an opening packet. A later one of the same flow
-	// is a repetition, wherever it goes.
+	// Opening is true for an opening packet. A later one of the same flow is a retransmission,
+	// whatever its destination.
 	Opening bool
-	// Acknowledges tells that the datagram does nothing but acknowledge what comes before
-	// Acknowledgement. A later one of the same flow says the same and more.
+	// PureAcknowledgement is true if the datagram only acknowledges the data before the sequence
+	// number Acknowledgement. A later one of the same flow and destination includes it.
 	PureAcknowledgement bool
 	Acknowledgement     uint32
 	Content             []byte
-	// Followed makes the egress tell its follower when the datagram begins to wait, and when
-	// it, or a repetition that took its place, is written after that.
+	// Tracked makes the egress notify its queue observer when the datagram is queued, and when it,
+	// or a later datagram that superseded it, is written after that.
 	Tracked bool
-	// since is when the datagram began to wait.
+	// queuedAt is when the datagram, or an earlier one that it superseded, was queued.
 	queuedAt time.Time
 }
 
-// repeats tells whether other makes the datagram, of the same flow, needless: it carries the
-// same data to the same place, opens the flow again, or acknowledges as much or more.
+// supersededBy reports whether other, of the same flow, makes the datagram redundant: whether it
+// carries the same data to the same destination, opens the flow again, or acknowledges at least as
+// much.
 func (datagram *Datagram) supersededBy(other *Datagram) bool {
 	switch {
 	case datagram.Opening || other.Opening:
@@ -52,57 +52,55 @@
 }
 
 const (
-	// quantum is the number of bytes that a flow may send before the next flow's
-	// turn: one datagram of the largest usual size.
+	// quantum is the number of bytes that a flow may send in one round: one datagram of the largest
+	// usual size.
 	quantum = 1300
-	// longFrom is the number of bytes from which a flow that waits counts as long:
-	// eight full datagrams. Requests without a body of their own are far below; an
-	// upload passes it within its first window.
+	// longFlowBytes is the number of queued bytes from which on a flow counts as long: eight full
+	// datagrams. Requests without a body are far below it; an upload exceeds it within its first
+	// window.
 	longFlowBytes = 8 * quantum
-	// longTurns is the number of long flows, the oldest first, that share by turns
-	// what short flows leave of the link. One alone fills it; beside two or more
-	// others its data would wait longer than senders do before they repeat it
-	// (docs/LARGE-FLEETS.md, round 4).
+	// activeLongFlows is the number of long flows, the oldest first, that take turns on the
+	// capacity that short flows leave. One alone saturates the link; beside two or more others its
+	// data would wait longer than the senders' retransmission timeout (docs/LARGE-FLEETS.md,
+	// round 4).
 	activeLongFlows = 1
-	// longRests is how long a long flow may have nothing to send before it loses
-	// its place: senders repeat what was not acknowledged after 1.6 s at the most.
+	// longFlowIdleTimeout is how long a long flow may have nothing queued before it loses its
+	// position: senders retransmit unacknowledged data after 1.6 s at the most.
 	longFlowIdleTimeout = 2 * time.Second
 )
 
-// flowQueue is one flow's datagrams in the order of their arrival.
+// flowQueue holds the queued datagrams of one flow in the order of their arrival.
 type flowQueue struct {
 	flow      Flow
 	datagrams []*Datagram
-	// credit is the number of bytes that the flow may still send in its turn.
+	// credit is the number of bytes that the flow may still send in this round; it becomes negative
+	// when the last datagram exceeds it.
 	credit int
-	// attained is the number of bytes that the flow has put into the queue.
+	// enqueuedBytes is the number of bytes that the flow has put into the queue so far.
 	enqueuedBytes int
-	// long tells that the flow is in the list of long ones, and emptiedAt since
-	// when it has nothing to send there.
+	// isLong is true once the flow is in the list of long flows. emptiedAt is since when it has had
+	// nothing queued there.
 	isLong    bool
 	emptiedAt time.Time
 }
 
-// bytes returns the sum of the contents that wait.
-func (waiting *flowQueue) queuedBytes() int {
+// queuedBytes returns the size of the queued contents.
+func (backlog *flowQueue) queuedBytes() int {
 	sum := 0
-	for _, datagram := range waiting.datagrams {
+	for _, datagram := range backlog.datagrams {
 		sum += len(datagram.Content)
 	}
 	return sum
 }
 
-// fairQueue has two levels. Short flows go first, each in its turn by deficit
-// round robin, those that just began to wait before those that have waited
-// through a turn (RFC 8290, section 4, without its dropping of packets by their
-// time in the queue). A flow that has put longFrom bytes into the queue moves to
-// the lower level: of long flows the oldest with something to send has what is
-// left, because the data of a flow that waits between its turns is repeated by its
-// sender, over and over.
+// fairQueue is a queue with two priority levels. The upper level serves short flows by deficit round
+// robin, new flows before old ones (RFC 8290, section 4, without its active queue management). A flow
+// that has put longFlowBytes into the queue moves to the lower level, which serves the oldest long
+// flow that has anything queued. Long flows do not share the link by round robin, because senders
+// whose data waits between rounds would keep retransmitting it.
 //
-// Invariants: a flow is in flows if and only if it is in exactly one of the
-// three lists; bytes is the sum of the contents of all datagrams, and longBytes of
-// those of long flows.
+// Invariants: a flow is in flows if and only if it is in exactly one of the three lists; bytes is the
+// size of the contents of all queued datagrams, and longBytes of those of long flows.
 type fairQueue struct {
 	limit     int
 	bytes     int
@@ -117,95 +115,97 @@
 	return &fairQueue{limit: limit, flows: make(map[Flow]*flowQueue), newFlows: list.New(), oldFlows: list.New(), longFlows: list.New()}
 }
 
-// admission is what became of a datagram that was put into the queue.
+// enqueueResult is the result of adding a datagram to the queue.
 type enqueueResult uint8
 
 const (
-	// admitted: the datagram waits for its turn.
+	// admitted: the datagram was added.
 	admitted enqueueResult = iota
-	// repeated: its data waited already, and the newer copy took that place.
+	// repeated: the datagram took the place of one that it supersedes.
 	repeated
-	// refused: the queue is full.
+	// refused: the queue is full and the datagram was not added.
 	refused
 )
 
-// put adds a datagram.
+// enqueue adds a datagram, or lets it replace one that it supersedes.
 func (queue *fairQueue) enqueue(added *Datagram) enqueueResult {
-	waiting, exists := queue.flows[added.Flow]
-	if exists && queue.replace(waiting, added) {
+	backlog, exists := queue.flows[added.Flow]
+	if exists && queue.replace(backlog, added) {
 		return repeated
 	}
 	if queue.bytes+len(added.Content) > queue.limit {
 		return refused
 	}
 	if !exists {
-		waiting = &flowQueue{flow: added.Flow, credit: quantum}
-		queue.flows[added.Flow] = waiting
-		queue.newFlows.PushBack(waiting)
+		backlog = &flowQueue{flow: added.Flow, credit: quantum}
+		queue.flows[added.Flow] = backlog
+		queue.newFlows.PushBack(backlog)
 	}
-	waiting.datagrams = append(waiting.datagrams, added)
-	waiting.enqueuedBytes += len(added.Content)
-	queue.addBytes(waiting, len(added.Content))
+	backlog.datagrams = append(backlog.datagrams, added)
+	backlog.enqueuedBytes += len(added.Content)
+	queue.addBytes(backlog, len(added.Content))
 	return admitted
 }
 
-// count adds bytes of a flow to what waits, or takes them off.
-func (queue *fairQueue) addBytes(waiting *flowQueue, bytes int) {
+// addBytes changes the size of the queued contents by a number of bytes of a flow, which is negative
+// for removed ones.
+func (queue *fairQueue) addBytes(backlog *flowQueue, bytes int) {
 	queue.bytes += bytes
-	if waiting.isLong {
+	if backlog.isLong {
 		queue.longBytes += bytes
 	}
 }
 
-// replace puts added into the place of the datagram that it repeats.
-func (queue *fairQueue) replace(waiting *flowQueue, added *Datagram) bool {
-	for index, known := range waiting.datagrams {
+// replace puts added into the place of the first datagram that it supersedes. It reports whether there
+// was one.
+func (queue *fairQueue) replace(backlog *flowQueue, added *Datagram) bool {
+	for index, known := range backlog.datagrams {
 		if known.supersededBy(added) {
-			queue.addBytes(waiting, len(added.Content)-len(known.Content))
+			queue.addBytes(backlog, len(added.Content)-len(known.Content))
 			added.queuedAt = known.queuedAt
 			added.Tracked = added.Tracked || known.Tracked
-			waiting.datagrams[index] = added
+			backlog.datagrams[index] = added
 			return true
 		}
 	}
 	return false
 }
 
-// short returns the number of bytes of short flows that wait.
+// shortBytes returns the size of the queued contents of short flows.
 func (queue *fairQueue) shortBytes() int { return queue.bytes - queue.longBytes }
 
-// empty tells whether nothing waits.
+// empty reports whether no content is queued.
 func (queue *fairQueue) empty() bool { return queue.bytes == 0 }
 
-// take removes and returns the next datagram, or nil when nothing waits.
+// dequeue removes and returns the next datagram, or nil if there is none.
 func (queue *fairQueue) dequeue(now time.Time) *Datagram {
 	for {
 		from, element := queue.nextShort()
 		if element == nil {
 			return queue.dequeueLong(now)
 		}
-		waiting := element.Value.(*flowQueue)
+		backlog := element.Value.(*flowQueue)
 		switch {
-		case waiting.enqueuedBytes >= longFlowBytes:
+		case backlog.enqueuedBytes >= longFlowBytes:
 			from.Remove(element)
-			waiting.isLong = true
-			queue.longBytes += waiting.queuedBytes()
-			waiting.emptiedAt = now
-			queue.longFlows.PushBack(waiting)
-		case waiting.credit <= 0:
-			waiting.credit += quantum
+			backlog.isLong = true
+			queue.longBytes += backlog.queuedBytes()
+			backlog.emptiedAt = now
+			queue.longFlows.PushBack(backlog)
+		case backlog.credit <= 0:
+			backlog.credit += quantum
 			from.Remove(element)
-			queue.oldFlows.PushBack(waiting)
-		case len(waiting.datagrams) == 0:
+			queue.oldFlows.PushBack(backlog)
+		case len(backlog.datagrams) == 0:
 			queue.retire(from, element)
 		default:
-			return queue.pop(waiting)
+			return queue.pop(backlog)
 		}
 	}
 }
 
-// nextShort returns the list and the place of the short flow whose turn it is;
-// the place is nil without one.
+// nextShort returns the list of the next short flow to serve and its element there, which is nil if
+// there are no short flows.
 func (queue *fairQueue) nextShort() (*list.List, *list.Element) {
 	if front := queue.newFlows.Front(); front != nil {
 		return queue.newFlows, front
@@ -213,79 +213,81 @@
 	return queue.oldFlows, queue.oldFlows.Front()
 }
 
-// takeLong removes and returns the next datagram of the oldest long flows. It
-// forgets long flows that have rested.
+// dequeueLong removes and returns the next datagram of the oldest long flows with queued datagrams, or
+// nil if there is none. It removes long flows that have been idle for longFlowIdleTimeout.
 func (queue *fairQueue) dequeueLong(now time.Time) *Datagram {
-	var turns [activeLongFlows]*flowQueue
+	var active [activeLongFlows]*flowQueue
 	count := 0
 	for element := queue.longFlows.Front(); element != nil && count < activeLongFlows; {
-		waiting := element.Value.(*flowQueue)
-		following := element.Next()
+		backlog := element.Value.(*flowQueue)
+		next := element.Next()
 		switch {
-		case len(waiting.datagrams) > 0:
-			turns[count] = waiting
+		case len(backlog.datagrams) > 0:
+			active[count] = backlog
 			count++
-		case now.Sub(waiting.emptiedAt) >= longFlowIdleTimeout:
+		case now.Sub(backlog.emptiedAt) >= longFlowIdleTimeout:
 			queue.longFlows.Remove(element)
-			delete(queue.flows, waiting.flow)
+			delete(queue.flows, backlog.flow)
 		}
-		element = following
+		element = next
 	}
 	if count == 0 {
 		return nil
 	}
 	for {
-		for _, waiting := range turns[:count] {
-			if waiting.credit > 0 {
-				return queue.popLong(waiting, now)
+		for _, backlog := range active[:count] {
+			if backlog.credit > 0 {
+				return queue.popLong(backlog, now)
 			}
 		}
-		for _, waiting := range turns[:count] {
-			waiting.credit += quantum
+		for _, backlog := range active[:count] {
+			backlog.credit += quantum
 		}
 	}
 }
 
-func (queue *fairQueue) popLong(waiting *flowQueue, now time.Time) *Datagram {
-	taken := queue.pop(waiting)
-	if len(waiting.datagrams) == 0 {
-		waiting.emptiedAt = now
+// popLong removes and returns the first datagram of a long flow.
+func (queue *fairQueue) popLong(backlog *flowQueue, now time.Time) *Datagram {
+	taken := queue.pop(backlog)
+	if len(backlog.datagrams) == 0 {
+		backlog.emptiedAt = now
 	}
 	return taken
 }
 
-// retire takes a short flow without datagrams out of its list. A fresh flow
-// passes through the old ones first, so that it cannot stay ahead by sending one
-// datagram at a time.
+// retire removes a short flow without queued datagrams from its list. A new flow first moves to the
+// list of old flows unless that is empty, so that it cannot keep its priority by sending one datagram
+// at a time.
 func (queue *fairQueue) retire(from *list.List, element *list.Element) {
-	waiting := element.Value.(*flowQueue)
+	backlog := element.Value.(*flowQueue)
 	from.Remove(element)
 	if from == queue.newFlows && queue.oldFlows.Len() > 0 {
-		queue.oldFlows.PushBack(waiting)
+		queue.oldFlows.PushBack(backlog)
 		return
 	}
-	delete(queue.flows, waiting.flow)
+	delete(queue.flows, backlog.flow)
 }
 
-func (queue *fairQueue) pop(waiting *flowQueue) *Datagram {
-	taken := waiting.datagrams[0]
-	waiting.datagrams[0] = nil
-	waiting.datagrams = waiting.datagrams[1:]
-	waiting.credit -= len(taken.Content)
-	queue.addBytes(waiting, -len(taken.Content))
+// pop removes and returns the first datagram of a flow.
+func (queue *fairQueue) pop(backlog *flowQueue) *Datagram {
+	taken := backlog.datagrams[0]
+	backlog.datagrams[0] = nil
+	backlog.datagrams = backlog.datagrams[1:]
+	backlog.credit -= len(taken.Content)
+	queue.addBytes(backlog, -len(taken.Content))
 	if queue.empty() {
 		queue.removeShortFlows()
 	}
 	return taken
 }
 
-// forgetShort forgets short flows when nothing waits, so that what a flow sends
-// now and then does not add up to a long one.
+// removeShortFlows removes all short flows once the queue is empty, so that the occasional datagrams of
+// a flow do not accumulate until it counts as long.
 func (queue *fairQueue) removeShortFlows() {
-	for _, short := range []*list.List{queue.newFlows, queue.oldFlows} {
-		for element := short.Front(); element != nil; element = element.Next() {
+	for _, flows := range []*list.List{queue.newFlows, queue.oldFlows} {
+		for element := flows.Front(); element != nil; element = element.Next() {
 			delete(queue.flows, element.Value.(*flowQueue).flow)
 		}
-		short.Init()
+		flows.Init()
 	}
 }
--- a/internal/direct/egress/shaping_test.go
+++ b/internal/direct/egress/shaping_test.go
@@ -11,163 +11,167 @@
 )
 
 const (
-	// senderWindow is the number of packets that a sender has under way.
+	// senderWindow is the number of packets that a sender has in flight.
 	senderWindow = 16
-	// repeatAfter is how long a sender waits for an acknowledgement at first.
+	// retransmissionTimeout is a sender's initial retransmission timeout. It doubles with each
+	// retransmission, up to eight times this value.
 	retransmissionTimeout = 200 * time.Millisecond
-	// answerTime is the time from the balancer's link to an acknowledgement's
-	// arrival at the sender, and the sender's next packet at the link.
+	// acknowledgementDelay is the time from the balancer's sending of a packet to the arrival of its
+	// acknowledgement at the sender, and of the sender's next packet at the link.
 	acknowledgementDelay = 4 * time.Millisecond
-	// linkQueue bounds what waits in front of the link towards the balancer.
+	// inboundQueueBytes bounds the queue of the link towards the balancer.
 	inboundQueueBytes = 64 << 10
 	// tick is the step of the simulated time.
 	tick = 500 * time.Microsecond
-	// shortPackets is the number of short packets of a run, one each 20 ms.
+	// shortPackets is the number of short packets in a run, one every 20 ms.
 	shortPackets = 500
 	// shortPort is the port of the flow with short packets.
 	shortPort = 99
 )
 
-// arrival is a packet that waits in front of the link towards the balancer.
+// arrival is a packet in the queue of the link towards the balancer.
 type arrival struct {
 	datagram Datagram
 	sentAt   time.Time
 }
 
-// underWay is a packet of a sender that was not acknowledged yet.
+// unacknowledged is the retransmission timer of a sent packet.
 type unacknowledged struct {
 	retransmitAt time.Time
 	wait         time.Duration
 }
 
-// sender is a caller with a long upload: it keeps a window of packets under way
-// and repeats those that are not acknowledged in time.
+// sender is a caller with a long upload: it keeps a window of packets in flight and retransmits those
+// that are not acknowledged in time.
 type sender struct {
 	port           int
 	lastNumber     uint32
 	unacknowledged map[uint32]unacknowledged
 }
 
-// narrowLink is a balancer between a link towards it, first come, first served,
-// and a link of the same rate from it.
+// narrowPath is a balancer with a first-in, first-out link towards it and a link of the same rate from it.
 type narrowPath struct {
 	now          time.Time
 	inbound      []arrival
 	inboundBytes int
-	// free is the number of bytes that the link towards the balancer may still
-	// carry in this tick.
+	// budget is the number of bytes that the link towards the balancer may still transmit in this
+	// tick.
 	budget  float64
 	egress  *Egress
 	senders []*sender
-	// answers are the packets that are acknowledged, by the tick at which the
-	// acknowledgements come.
+	// acknowledgements holds the acknowledged packets by the time at which the acknowledgements
+	// arrive.
 	acknowledgements map[time.Time][]Datagram
 	shortSentAt      map[uint32]time.Time
 	shortDelays      []time.Duration
 }
 
 func newNarrowPath(share float64, uploads int) *narrowPath {
-	link := &narrowPath{now: start, acknowledgements: make(map[time.Time][]Datagram), shortSentAt: make(map[uint32]time.Time)}
-	link.egress = New(linkOf(share*narrowRate), link.receiveForwarded)
+	path := &narrowPath{now: start, acknowledgements: make(map[time.Time][]Datagram), shortSentAt: make(map[uint32]time.Time)}
+	path.egress = New(linkOf(share*narrowRate), path.receiveForwarded)
 	for port := 1; port <= uploads; port++ {
-		link.senders = append(link.senders, &sender{port: port, unacknowledged: make(map[uint32]unacknowledged)})
+		path.senders = append(path.senders, &sender{port: port, unacknowledged: make(map[uint32]unacknowledged)})
 	}
-	return link
+	return path
 }
 
-// arrive puts a packet in front of the link towards the balancer.
-func (link *narrowPath) enqueueInbound(datagram Datagram) {
-	if link.inboundBytes+len(datagram.Content) > inboundQueueBytes {
+// enqueueInbound puts a packet into the queue of the link towards the balancer, or drops it when the
+// queue is full.
+func (path *narrowPath) enqueueInbound(datagram Datagram) {
+	if path.inboundBytes+len(datagram.Content) > inboundQueueBytes {
 		return
 	}
-	link.inboundBytes += len(datagram.Content)
-	link.inbound = append(link.inbound, arrival{datagram: datagram, sentAt: link.now})
+	path.inboundBytes += len(datagram.Content)
+	path.inbound = append(path.inbound, arrival{datagram: datagram, sentAt: path.now})
 }
 
-// leave takes a packet that the balancer has sent.
-func (link *narrowPath) receiveForwarded(content []byte, _ netip.AddrPort) {
+// receiveForwarded handles a packet that the balancer has sent: it schedules the acknowledgement of an
+// upload's packet, or records the delay of a short one.
+func (path *narrowPath) receiveForwarded(content []byte, _ netip.AddrPort) {
 	port, number := int(content[1]), uint32(content[2])<<8|uint32(content[3])
 	if port == shortPort {
-		link.shortDelays = append(link.shortDelays, link.now.Sub(link.shortSentAt[number]))
+		path.shortDelays = append(path.shortDelays, path.now.Sub(path.shortSentAt[number]))
 		return
 	}
-	at := link.now.Add(acknowledgementDelay)
-	link.acknowledgements[at] = append(link.acknowledgements[at], Datagram{Flow: flowOf(port), Sequence: number})
+	at := path.now.Add(acknowledgementDelay)
+	path.acknowledgements[at] = append(path.acknowledgements[at], Datagram{Flow: flowOf(port), Sequence: number})
 }
 
+// packetDatagram returns a datagram whose content holds its port and number.
 func packetDatagram(port int, number uint32, size int) Datagram {
 	made := data(port, number, size)
 	copy(made.Content, []byte{0, byte(port), byte(number >> 8), byte(number)})
 	return made
 }
 
-// step moves the time on by one tick.
-func (link *narrowPath) step() {
-	link.now = link.now.Add(tick)
-	for _, answered := range link.acknowledgements[link.now] {
-		delete(link.senders[int(answered.Flow.Caller.Port())-1].unacknowledged, answered.Sequence)
+// step advances the time by one tick.
+func (path *narrowPath) step() {
+	path.now = path.now.Add(tick)
+	for _, answered := range path.acknowledgements[path.now] {
+		delete(path.senders[int(answered.Flow.Caller.Port())-1].unacknowledged, answered.Sequence)
 	}
-	delete(link.acknowledgements, link.now)
-	for _, sender := range link.senders {
-		sender.send(link)
+	delete(path.acknowledgements, path.now)
+	for _, sender := range path.senders {
+		sender.send(path)
 	}
-	link.deliverInbound()
-	link.egress.Flush(link.now)
+	path.deliverInbound()
+	path.egress.Flush(path.now)
 }
 
-// carry brings to the balancer what the link carries in one tick.
-func (link *narrowPath) deliverInbound() {
-	link.budget = min(link.budget+narrowRate*tick.Seconds(), 2*largest)
-	for len(link.inbound) > 0 && link.budget >= float64(len(link.inbound[0].datagram.Content)+datagramOverhead) {
-		first := link.inbound[0]
-		link.inbound = link.inbound[1:]
-		link.inboundBytes -= len(first.datagram.Content)
-		link.budget -= float64(len(first.datagram.Content) + datagramOverhead)
-		link.egress.Send(first.datagram, link.now)
+// deliverInbound delivers to the balancer what its link transmits in one tick.
+func (path *narrowPath) deliverInbound() {
+	path.budget = min(path.budget+narrowRate*tick.Seconds(), 2*fullPacketBytes)
+	for len(path.inbound) > 0 && path.budget >= float64(len(path.inbound[0].datagram.Content)+datagramOverhead) {
+		first := path.inbound[0]
+		path.inbound = path.inbound[1:]
+		path.inboundBytes -= len(first.datagram.Content)
+		path.budget -= float64(len(first.datagram.Content) + datagramOverhead)
+		path.egress.Send(first.datagram, path.now)
 	}
 }
 
-func (sender *sender) send(link *narrowPath) {
+// send fills the window with new packets and retransmits those whose timeout has expired.
+func (sender *sender) send(path *narrowPath) {
 	for len(sender.unacknowledged) < senderWindow {
 		sender.lastNumber++
-		sender.unacknowledged[sender.lastNumber] = unacknowledged{retransmitAt: link.now.Add(retransmissionTimeout), wait: retransmissionTimeout}
-		link.enqueueInbound(packetDatagram(sender.port, sender.lastNumber, largest))
+		sender.unacknowledged[sender.lastNumber] = unacknowledged{retransmitAt: path.now.Add(retransmissionTimeout), wait: retransmissionTimeout}
+		path.enqueueInbound(packetDatagram(sender.port, sender.lastNumber, fullPacketBytes))
 	}
 	for _, number := range slices.Sorted(maps.Keys(sender.unacknowledged)) {
-		packetUnderWay := sender.unacknowledged[number]
-		if link.now.Before(packetUnderWay.retransmitAt) {
+		packet := sender.unacknowledged[number]
+		if path.now.Before(packet.retransmitAt) {
 			continue
 		}
-		packetUnderWay.wait = min(2*packetUnderWay.wait, 8*retransmissionTimeout)
-		packetUnderWay.retransmitAt = link.now.Add(packetUnderWay.wait)
-		sender.unacknowledged[number] = packetUnderWay
-		link.enqueueInbound(packetDatagram(sender.port, number, largest))
+		packet.wait = min(2*packet.wait, 8*retransmissionTimeout)
+		packet.retransmitAt = path.now.Add(packet.wait)
+		sender.unacknowledged[number] = packet
+		path.enqueueInbound(packetDatagram(sender.port, number, fullPacketBytes))
 	}
 }
 
-// shortDelay returns the time that nine of ten short packets take at the most to
-// pass a balancer that also carries uploads.
+// shortDelayP90 returns the 90th percentile of the time that short packets take to pass a balancer which
+// also forwards uploads. It returns an hour when fewer than nine of ten short packets passed.
 func shortDelayP90(share float64, uploads int) time.Duration {
-	link := newNarrowPath(share, uploads)
+	path := newNarrowPath(share, uploads)
 	for number := range uint32(shortPackets) {
-		link.shortSentAt[number] = link.now
-		link.enqueueInbound(packetDatagram(shortPort, number, 100))
+		path.shortSentAt[number] = path.now
+		path.enqueueInbound(packetDatagram(shortPort, number, 100))
 		for range 40 {
-			link.step()
+			path.step()
 		}
 	}
-	slices.Sort(link.shortDelays)
-	if len(link.shortDelays) < shortPackets*9/10 {
+	slices.Sort(path.shortDelays)
+	if len(path.shortDelays) < shortPackets*9/10 {
 		return time.Hour
 	}
-	return link.shortDelays[len(link.shortDelays)*9/10]
+	return path.shortDelays[len(path.shortDelays)*9/10]
 }
 
-// TestAnUploadWaitsBehindTheBalancerNotInFrontOfIt: a balancer that sends as fast as
-// its link carries lets the window of an upload stand in front of the link towards
-// it, where short packets wait behind it. One that sends a little slower has the
-// window in its own queue, where short packets pass.
-func TestAnUploadWaitsBehindTheBalancerNotInFrontOfIt(t *testing.T) {
-	require.Greater(t, shortDelayP90(1, 1), 50*time.Millisecond, "at the whole rate short packets wait for a window")
+// TestUploadsAreQueuedInTheBalancer: if a balancer sends at the full rate of its link, the window of an
+// upload queues at the link towards the balancer, which is first in, first out, and short packets wait
+// behind it. If the balancer sends slightly slower, the window queues in the balancer's egress, where
+// short packets have priority.
+func TestUploadsAreQueuedInTheBalancer(t *testing.T) {
+	require.Greater(t, shortDelayP90(1, 1), 50*time.Millisecond, "at the full rate short packets wait for a window")
 	require.Less(t, shortDelayP90(0.9, 1), 10*time.Millisecond)
 }
