--- a/internal/direct/balancernode/connector.go
+++ b/internal/direct/balancernode/connector.go
@@ -8,12 +8,13 @@
 	"merlinpaddle/internal/transport"
 )
 
-// connections counts how many controllers want a connection to a node, whose
-// name is its address. The first one makes it and the last one closes it.
+// connections counts the controllers that use a connection to a node, whose name is its address. The
+// first Connect dials it, and the last Disconnect closes it.
 type connections struct {
 	links *transport.Links
 
-	lock       sync.Mutex
+	lock sync.Mutex
+	// references is the number of controllers that use the connection to each node.
 	references map[model.NodeName]int
 }
 
--- a/internal/direct/balancernode/metrics.go
+++ b/internal/direct/balancernode/metrics.go
@@ -11,8 +11,8 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// metrics counts decisions. Counting is one atomic addition, so that the
-// packet path does not wait.
+// metrics exports the counters of decisions and the state of the table, the load and the egress.
+// Counting a decision is one atomic addition, so that it does not block the packet path.
 type metrics struct {
 	decisions     []atomic.Uint64
 	places        []atomic.Uint64
@@ -23,8 +23,8 @@
 
 	egressDesc   *prometheus.Desc
 	egressCounts func() egress.Counts
-	// tableAge has the ages of the table at decisions about new flows, and
-	// egressWait the times that datagrams waited for the link.
+	// tableAge is the distribution of the table's age at decisions about new flows. egressWait is
+	// the distribution of the time that queued datagrams waited for the link.
 	tableAge         prometheus.Histogram
 	egressWait       prometheus.Histogram
 	table            *steer.Table
@@ -37,8 +37,8 @@
 	evacuatedDesc    *prometheus.Desc
 }
 
-// ageBuckets and waitBuckets are bounds in seconds: from a member's last word to
-// a table that no longer counts as current, and from one datagram to a full
+// tableAgeBuckets and egressWaitBuckets are upper bounds in seconds. The ages range from a table that
+// was just confirmed to one that no longer counts as current, the waits from one datagram to a full
 // queue on a narrow link.
 var (
 	tableAgeBuckets   = []float64{.05, .1, .25, .5, .7, 1, 1.5, 3, 10}
@@ -53,41 +53,41 @@
 		}),
 		egressWait: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "merlinpaddle_direct_egress_wait_seconds", Buckets: egressWaitBuckets,
-			Help: "Time that datagrams waited for the link, of those that did.",
+			Help: "Time that datagrams waited in the queue for the link; datagrams that were sent at once are not counted.",
 		}),
 		table: table,
 		book:  book,
 		openRequestsDesc: prometheus.NewDesc("merlinpaddle_direct_open_requests",
-			"Requests that are open at targets, by the balancers that sent them on: this one, or others as they told.",
+			"Requests that are open at targets, by the balancers that forwarded them: this one, or others by their reports.",
 			[]string{"of"}, nil),
 		reliableDesc: prometheus.NewDesc("merlinpaddle_direct_load_trusted",
-			"1 while this balancer sees its flows whole, so that it chooses and admits by open requests; else 0.", nil, nil),
+			"1 while this balancer's counts of open requests are reliable, so that it chooses and admits by them; else 0.", nil, nil),
 		revisionDesc: prometheus.NewDesc("merlinpaddle_direct_table_revision",
 			"The revision of this balancer's table; 0 without one.", nil, nil),
 		versionDesc: prometheus.NewDesc("merlinpaddle_direct_table_version",
 			"The declared version of this balancer's table.", nil, nil),
 		confirmedDesc: prometheus.NewDesc("merlinpaddle_direct_table_confirmed",
-			"1 while a current member confirmed the table lately, else 0.", nil, nil),
+			"1 while the table counts as current, because a member confirmed it recently; else 0.", nil, nil),
 		evacuatedDesc: prometheus.NewDesc("merlinpaddle_direct_evacuated_zones",
-			"Zones whose targets get no new flows from this balancer, by order of an operator.", nil, nil),
+			"Zones that an operator has evacuated: their targets get no new flows from this balancer.", nil, nil),
 		decisions: make([]atomic.Uint64, len(steer.Reasons())),
 		places:    make([]atomic.Uint64, len(steer.Places())),
 		flowsDesc: prometheus.NewDesc("merlinpaddle_direct_flows_total",
-			"New flows, by where their target lies: near, elsewhere by hash, or spilled because near targets had no room.",
+			"New flows, by the zone of their target: near (local zone), elsewhere (remote zone, by hash), or spilled (remote zone, because near targets had no room).",
 			[]string{"place"}, nil),
 		packetsDesc: prometheus.NewDesc("merlinpaddle_direct_packets_total",
-			"Packets of callers, by the reason of the decision.", []string{"reason"}, nil),
+			"Packets from callers, by the reason of the decision.", []string{"reason"}, nil),
 		egressCounts: func() egress.Counts { return egress.Counts{} },
 		egressDesc: prometheus.NewDesc("merlinpaddle_direct_egress_total",
-			"Datagrams that were sent, waited for the link, carried data that waited already, or found the queue full.",
+			"Datagrams by outcome: sent, waited (queued for the link), repeated (superseded a queued one), or refused (queue full).",
 			[]string{"outcome"}, nil),
 		malformedDesc: prometheus.NewDesc("merlinpaddle_direct_packets_malformed_total",
-			"Packets of callers that could not be read.", nil, nil),
+			"Packets from callers that could not be parsed.", nil, nil),
 	}
 }
 
-// observeAge counts the age of a table at a decision; one that no quorum
-// confirmed yet has none.
+// observeTableAge records the age of the table at a decision. A table that no quorum has confirmed yet
+// has no age.
 func (metrics *metrics) observeTableAge(age time.Duration) {
 	if age != steer.NeverConfirmed {
 		metrics.tableAge.Observe(age.Seconds())
@@ -129,18 +129,18 @@
 	collected <- prometheus.MustNewConstMetric(metrics.malformedDesc, prometheus.CounterValue, malformed)
 }
 
-// gaugeOf returns 1 for true, else 0.
-func boolGauge(holds bool) float64 {
-	if holds {
+// boolGauge returns 1 for true, else 0.
+func boolGauge(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
 func (metrics *metrics) collectLoad(collected chan<- prometheus.Metric) {
-	own, others := metrics.book.Totals()
-	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(own), "this")
-	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(others), "others")
+	local, remote := metrics.book.Totals()
+	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(local), "this")
+	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(remote), "others")
 	collected <- prometheus.MustNewConstMetric(metrics.reliableDesc, prometheus.GaugeValue, boolGauge(metrics.book.Known()))
 }
 
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -1,10 +1,9 @@
 // Package balancernode is the fx module of a balancer of direct services.
 //
-// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Publisher,
-// *renewal.Relay, *outcome.Tracker, *requests.Watcher, *load.Book, *load.Exchange,
-// *transfer.Admission, *forwarder.Suspects and *forwarder.Forwarder, includes
-// transport.Module, and needs a forwarder.Codec besides what the process base
-// provides.
+// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Publisher, *renewal.Relay,
+// *outcome.Tracker, *requests.Watcher, *load.Book, *load.Exchange, *transfer.Admission,
+// *forwarder.Suspects and *forwarder.Forwarder. It includes transport.Module, and requires a
+// forwarder.Codec in addition to what the process base provides.
 package balancernode
 
 import (
@@ -41,23 +40,23 @@
 	subscribeInterval = 40 * time.Millisecond
 	// publishInterval is how often the publisher runs without a notice.
 	publishInterval = time.Second
-	// outcomesInterval is how often outcomes are told.
+	// outcomesInterval is how often the outcomes of requests are reported.
 	outcomesInterval = 500 * time.Millisecond
-	// requestsInterval is how often overdue requests are looked for.
+	// requestsInterval is how often requests are checked for timeouts.
 	requestsInterval = 250 * time.Millisecond
-	// loadInterval is how often the sharing of load is looked at without a report.
+	// loadInterval is how often the load exchange runs without a report.
 	loadInterval = 50 * time.Millisecond
-	// renewalsInterval is how often renewals are looked at.
+	// renewalsInterval is how often the renewal relay runs.
 	renewalsInterval = 400 * time.Millisecond
-	// suspectsInterval is how often suspicions are looked at without a notice.
+	// suspectsInterval is how often suspected targets are processed without a notice.
 	suspectsInterval = time.Second
-	// bytesPerMegabit turns a rate in Mbit/s into bytes a second.
+	// bytesPerMegabit converts a rate in Mbit/s to bytes per second.
 	bytesPerMegabit = 1e6 / 8
-	// readinessPart is the balancer's part of the process's readiness.
+	// readinessPart names the condition that the balancer adds to the readiness of the process.
 	readinessPart = "table"
 )
 
-// Module runs a balancer.
+// Module returns the fx module that runs a balancer.
 func Module() fx.Option {
 	return fx.Module("direct balancer",
 		fx.Supply(model.RoleBalancer),
@@ -69,20 +68,21 @@
 	)
 }
 
-func newTable(chosen settings.Settings, book *load.Book) *steer.Table {
+func newTable(config settings.Settings, book *load.Book) *steer.Table {
 	options := steer.DefaultOptions()
-	options.Self = model.NodeName(chosen.Node)
-	options.Zone = chosen.Zone
-	options.Regions = regionsOf(chosen.Direct.Zones)
-	options.NearWeight = chosen.Direct.NearWeight
-	options.SpillCandidates = chosen.Direct.SpillCandidates
-	options.Candidates = chosen.Direct.LoadCandidates
-	options.FullCrowd = chosen.Direct.LoadCrowd
-	options.AdmitShare = chosen.Direct.LoadAdmission
+	options.Self = model.NodeName(config.Node)
+	options.Zone = config.Zone
+	options.Regions = regionsOf(config.Direct.Zones)
+	options.NearWeight = config.Direct.NearWeight
+	options.SpillCandidates = config.Direct.SpillCandidates
+	options.Candidates = config.Direct.LoadCandidates
+	options.FullCrowd = config.Direct.LoadCrowd
+	options.AdmitShare = config.Direct.LoadAdmission
 	options.Loads = book
 	return steer.NewTable(options)
 }
 
+// regionsOf returns the region of each zone by the zone's name.
 func regionsOf(zones []settings.Zone) map[string]string {
 	regions := make(map[string]string, len(zones))
 	for _, zone := range zones {
@@ -91,44 +91,45 @@
 	return regions
 }
 
-func provideSubscriber(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
-	table *steer.Table, connections *connections, changed *changeListeners) *feed.Subscriber {
+func provideSubscriber(config settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
+	table *steer.Table, connections *connections, listeners *changeListeners) *feed.Subscriber {
 	return feed.NewSubscriber(feed.SubscriberOptions{
-		Seeds:    direct.SeedMembers(chosen.Direct),
-		Zone:     model.ZoneName(chosen.Zone),
-		Serves:   servesPeers(chosen),
-		Renewals: chosen.Direct.Renewals,
-		OnChange: changed.notify,
+		Seeds:    direct.SeedMembers(config.Direct),
+		Zone:     model.ZoneName(config.Zone),
+		Serves:   servesPeers(config),
+		Renewals: config.Direct.Renewals,
+		OnChange: listeners.notify,
 	}, mailbox, dispatcher, table, connections)
 }
 
-// servesPeers tells whether other balancers may follow this one.
-func servesPeers(chosen settings.Settings) bool {
-	return chosen.Listen != "" && chosen.Direct.PeerFollowers > 0
+// servesPeers reports whether other balancers may follow this one.
+func servesPeers(config settings.Settings) bool {
+	return config.Listen != "" && config.Direct.PeerFollowers > 0
 }
 
-// changeListeners are told of each update that changed the table.
+// changeListeners are called for each update that changed the table.
 type changeListeners struct {
-	listeners []func(changes directory.Changes, from model.NodeName)
+	functions []func(changes directory.Changes, from model.NodeName)
 }
 
 func newChangeListeners() *changeListeners { return &changeListeners{} }
 
-// add registers a listener; it is called before the first update comes.
-func (changed *changeListeners) add(listener func(changes directory.Changes, from model.NodeName)) {
-	changed.listeners = append(changed.listeners, listener)
+// add registers a listener. It must be called before the first update is received.
+func (listeners *changeListeners) add(listener func(changes directory.Changes, from model.NodeName)) {
+	listeners.functions = append(listeners.functions, listener)
 }
 
-func (changed *changeListeners) notify(changes directory.Changes, from model.NodeName) {
-	for _, listener := range changed.listeners {
+// notify calls the listeners with the changes that a node sent.
+func (listeners *changeListeners) notify(changes directory.Changes, from model.NodeName) {
+	for _, listener := range listeners.functions {
 		listener(changes, from)
 	}
 }
 
-// reportChanges says in the log and in the readiness what changed.
-func reportTableChanges(changed *changeListeners, table *steer.Table, readiness *process.Readiness, logger *zap.Logger) {
+// reportTableChanges logs each change of the table and updates the readiness of the process.
+func reportTableChanges(listeners *changeListeners, table *steer.Table, readiness *process.Readiness, logger *zap.Logger) {
 	logger = logger.Named("table")
-	changed.add(func(changes directory.Changes, from model.NodeName) {
+	listeners.add(func(changes directory.Changes, from model.NodeName) {
 		readiness.Set(readinessPart, table.Serving())
 		logger.Info("table changed",
 			zap.Uint64("revision", uint64(changes.To)),
@@ -142,14 +143,14 @@
 	})
 }
 
-func provideReplica(table *steer.Table, subscriber *feed.Subscriber, changed *changeListeners) *feed.Replica {
+func provideReplica(table *steer.Table, subscriber *feed.Subscriber, listeners *changeListeners) *feed.Replica {
 	replica := feed.NewReplica(table, subscriber)
-	changed.add(func(changes directory.Changes, _ model.NodeName) { replica.Took(changes) })
+	listeners.add(func(changes directory.Changes, _ model.NodeName) { replica.Took(changes) })
 	return replica
 }
 
-func providePublisher(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, replica *feed.Replica) *feed.Publisher {
-	return feed.NewPublisher(feed.PublisherOptions{Limit: chosen.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
+func providePublisher(config settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, replica *feed.Replica) *feed.Publisher {
+	return feed.NewPublisher(feed.PublisherOptions{Limit: config.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
 }
 
 func provideReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, subscriber *feed.Subscriber) *feed.Reports {
@@ -170,37 +171,36 @@
 	return watcher
 }
 
-// provideAdmission makes the admission learn from the requests that the watcher
-// sees.
-func provideAdmission(chosen settings.Settings, watcher *requests.Watcher) *transfer.Admission {
+// provideAdmission returns the admission control of the link, which learns the sizes of requests from
+// the watcher.
+func provideAdmission(config settings.Settings, watcher *requests.Watcher) *transfer.Admission {
 	sizes := transfer.NewSizes()
 	watcher.ObserveSizes(sizes)
-	options := transfer.Options{BytesPerSecond: linkRate(chosen), Share: chosen.Direct.LinkAdmission}
+	options := transfer.Options{BytesPerSecond: linkRate(config), Share: config.Direct.LinkAdmission}
 	return transfer.New(options, sizes, watcher.EachOpen)
 }
 
-// linkRate returns the rate that the balancer sends at, in bytes a second; zero
-// means that it has no bound.
-func linkRate(chosen settings.Settings) float64 {
-	return chosen.Direct.LinkMegabits * bytesPerMegabit * chosen.Direct.LinkShare
+// linkRate returns the rate that the balancer sends at, in bytes per second; zero means no limit.
+func linkRate(config settings.Settings) float64 {
+	return config.Direct.LinkMegabits * bytesPerMegabit * config.Direct.LinkShare
 }
 
 func provideSuspects(table *steer.Table, mailbox *protocol.Mailbox, subscriber *feed.Subscriber, logger *zap.Logger) *forwarder.Suspects {
 	return forwarder.NewSuspects(table, probe.New(probe.DialTCP), mailbox, subscriber.Following, logger.Named("targets"))
 }
 
-func provideForwarder(chosen settings.Settings, codec forwarder.Codec, table *steer.Table, suspects *forwarder.Suspects,
+func provideForwarder(config settings.Settings, codec forwarder.Codec, table *steer.Table, suspects *forwarder.Suspects,
 	watcher *requests.Watcher, admission *transfer.Admission, observer *observer,
 	registry *prometheus.Registry, logger *zap.Logger) (*forwarder.Forwarder, error) {
 	options := forwarder.Options{
-		Address:  chosen.Direct.Packets,
-		Link:     egress.Link{BytesPerSecond: linkRate(chosen), DatagramOverhead: chosen.Direct.LinkOverhead},
+		Address:  config.Direct.Packets,
+		Link:     egress.Link{BytesPerSecond: linkRate(config), DatagramOverhead: config.Direct.LinkOverhead},
 		Failures: socketfault.New(registry, logger.Named("flows"), "packets"),
 	}
 	return forwarder.New(options, codec, table, suspects, watcher, admission, observer)
 }
 
-// parts are what run needs; fx fills it.
+// dependencies are the parameters of registerTasks, which fx fills in.
 type dependencies struct {
 	fx.In
 
@@ -224,45 +224,46 @@
 	Reloads    *process.Reloads
 }
 
-func registerTasks(parts dependencies) {
-	parts.Readiness.Set(readinessPart, false)
-	parts.Metrics.egressCounts = parts.Forwarder.Counts
-	parts.Admission.ObserveLink(parts.Forwarder.Egress())
-	parts.Forwarder.ObserveWaits(func(waited time.Duration) { parts.Metrics.egressWait.Observe(waited.Seconds()) })
-	parts.Registry.MustRegister(parts.Metrics, parts.Metrics.tableAge, parts.Metrics.egressWait)
-	parts.Reloads.OnChange(func(changed settings.Settings) {
-		parts.Subscriber.SetSeeds(direct.SeedMembers(changed.Direct))
+// registerTasks connects the components and makes the lifecycle start them and drain the balancer.
+func registerTasks(deps dependencies) {
+	deps.Readiness.Set(readinessPart, false)
+	deps.Metrics.egressCounts = deps.Forwarder.Counts
+	deps.Admission.ObserveLink(deps.Forwarder.Egress())
+	deps.Forwarder.ObserveWaits(func(waited time.Duration) { deps.Metrics.egressWait.Observe(waited.Seconds()) })
+	deps.Registry.MustRegister(deps.Metrics, deps.Metrics.tableAge, deps.Metrics.egressWait)
+	deps.Reloads.OnChange(func(changed settings.Settings) {
+		deps.Subscriber.SetSeeds(direct.SeedMembers(changed.Direct))
 	})
 	runners := []*board.Runner{
-		board.NewRunner(parts.Subscriber, subscribeInterval, parts.Subscriber.Sources()...),
-		board.NewRunner(parts.Publisher, publishInterval,
-			append(parts.Publisher.Sources(), parts.Table.Watch(), parts.Table.WatchConfirmed())...),
-		board.NewRunner(parts.Reports, time.Second, parts.Reports.Sources()...),
-		board.NewRunner(parts.Tracker, outcomesInterval),
-		board.NewRunner(parts.Watcher, requestsInterval),
-		board.NewRunner(parts.Sharing.exchange, loadInterval, parts.Sharing.exchange.Sources()...),
-		board.NewRunner(parts.Relay, renewalsInterval),
-		board.NewRunner(parts.Suspects, suspectsInterval, parts.Suspects.Sources()...),
+		board.NewRunner(deps.Subscriber, subscribeInterval, deps.Subscriber.Sources()...),
+		board.NewRunner(deps.Publisher, publishInterval,
+			append(deps.Publisher.Sources(), deps.Table.Watch(), deps.Table.WatchConfirmed())...),
+		board.NewRunner(deps.Reports, time.Second, deps.Reports.Sources()...),
+		board.NewRunner(deps.Tracker, outcomesInterval),
+		board.NewRunner(deps.Watcher, requestsInterval),
+		board.NewRunner(deps.Sharing.exchange, loadInterval, deps.Sharing.exchange.Sources()...),
+		board.NewRunner(deps.Relay, renewalsInterval),
+		board.NewRunner(deps.Suspects, suspectsInterval, deps.Suspects.Sources()...),
 	}
-	parts.Lifecycle.Append(fx.StartStopHook(
+	deps.Lifecycle.Append(fx.StartStopHook(
 		func() {
-			parts.Tasks.Go("forwarder", parts.Forwarder.Run)
-			parts.Tasks.Go("parked packets", parts.Forwarder.RunParking)
-			parts.Tasks.Go("egress", parts.Forwarder.RunEgress)
-			parts.Tasks.Go("load reports", parts.Sharing.run)
+			deps.Tasks.Go("forwarder", deps.Forwarder.Run)
+			deps.Tasks.Go("parked packets", deps.Forwarder.RunParking)
+			deps.Tasks.Go("egress", deps.Forwarder.RunEgress)
+			deps.Tasks.Go("load reports", deps.Sharing.run)
 			for _, runner := range runners {
-				parts.Tasks.Go("controller", func(ctx context.Context) error {
+				deps.Tasks.Go("controller", func(ctx context.Context) error {
 					runner.Run(ctx)
 					return nil
 				})
 			}
 		},
-		func(ctx context.Context) { drain(ctx, parts.Readiness, parts.Settings.Direct.StopGrace) },
+		func(ctx context.Context) { drain(ctx, deps.Readiness, deps.Settings.Direct.StopGrace) },
 	))
 }
 
-// leave stops being ready and keeps forwarding for grace, so that the routers
-// send elsewhere before the socket closes.
+// drain makes the process not ready and lets it continue forwarding for the grace period, so that the
+// routers send to other balancers before the socket closes.
 func drain(ctx context.Context, readiness *process.Readiness, grace time.Duration) {
 	readiness.Set("running", false)
 	timer := time.NewTimer(grace)
--- a/internal/direct/balancernode/observer.go
+++ b/internal/direct/balancernode/observer.go
@@ -9,9 +9,8 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// observer counts decisions and writes a line for each one that opens, refuses
-// or resets a flow. Packets of open flows that reach their owner are counted
-// only.
+// observer counts decisions and logs each one, except for packets of open flows that are forwarded to
+// their owner, which are only counted.
 type observer struct {
 	metrics *metrics
 	table   *steer.Table
@@ -37,7 +36,7 @@
 	message := "packet dropped"
 	switch {
 	case decision.Reason == steer.ReasonRestarted:
-		message = "packet of a former start forwarded"
+		message = "packet of a previous incarnation forwarded"
 	case decision.Action == steer.Forward:
 		message = "flow opened"
 	case decision.Action == steer.Reset:
@@ -70,7 +69,8 @@
 	entry.Write(fields...)
 }
 
-// evidenceFields tell what the open requests of a target rest on that a flow was refused for.
+// evidenceFields returns log fields with the evidence for the open requests at a target that was too
+// loaded for a new flow.
 func evidenceFields(evidence steer.Evidence) []zap.Field {
 	return []zap.Field{
 		zap.Int("open_own", evidence.Own),
@@ -91,7 +91,7 @@
 	observer.logger.Info("packet malformed", zap.Error(err))
 }
 
-// ageText returns the age of a table, or of what others told, in words.
+// ageText formats the age of a table or of the reports of other balancers, or returns "never".
 func ageText(age time.Duration) string {
 	if age == steer.NeverConfirmed || age == steer.NeverHeard {
 		return "never"
--- a/internal/direct/balancernode/observer_test.go
+++ b/internal/direct/balancernode/observer_test.go
@@ -13,9 +13,9 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// TestRefusalTellsWhatItRestsOn: whether a target was full or only seemed so is told by the
-// line of the refusal; other lines stay short.
-func TestRefusalTellsWhatItRestsOn(t *testing.T) {
+// TestOverloadRefusalsLogTheirEvidence: the log line of a refusal shows whether a target was overloaded or
+// only appeared to be. Other lines do not contain the evidence.
+func TestOverloadRefusalsLogTheirEvidence(t *testing.T) {
 	core, lines := logged.New(zap.InfoLevel)
 	table := steer.NewTable(steer.DefaultOptions())
 	observer := newObserver(newMetrics(table, load.NewBook()), table, zap.New(core))
--- a/internal/direct/socketfault/socketfault.go
+++ b/internal/direct/socketfault/socketfault.go
@@ -1,6 +1,6 @@
-// Package socketfault counts and logs what fails at a UDP socket. Datagrams may be
-// lost at any time, and their senders repeat them or send newer ones, so a failure
-// stops nothing; without a count nobody would know of it.
+// Package socketfault counts and logs failed operations of UDP sockets. Datagrams may be lost at any
+// time, and their senders retransmit them or send newer ones, so callers continue after a failure;
+// without the counter it would go unnoticed.
 package socketfault
 
 import (
@@ -8,38 +8,37 @@
 	"go.uber.org/zap"
 )
 
-// Operation is what failed.
+// Operation is a socket operation that can fail. Its text is the label in the metric and in log lines.
 type Operation string
 
 // The operations.
 const (
-	// Read: a datagram could not be read.
+	// Read: receiving a datagram failed.
 	Read Operation = "read"
-	// Write: a datagram could not be written. Its sender repeats it.
+	// Write: sending a datagram failed. Its sender retransmits it or sends a newer one.
 	Write Operation = "write"
-	// Encode: a message could not be turned into a datagram, or into one that is
-	// small enough.
+	// Encode: a message could not be encoded, or was too large for a datagram.
 	Encode Operation = "encode"
-	// Decode: a datagram held no message.
+	// Decode: a datagram did not contain a valid message.
 	Decode Operation = "decode"
-	// Buffer: the kernel did not grant the size of a buffer. Bursts are lost
-	// earlier.
+	// Buffer: setting the size of a socket buffer failed. Smaller buffers lose more datagrams of
+	// bursts.
 	Buffer Operation = "buffer"
 )
 
-// Counter counts the failures of one socket. It is safe for many goroutines.
+// Counter counts the failures of one socket. It is safe for concurrent use.
 type Counter struct {
 	failures *prometheus.CounterVec
 	logger   *zap.Logger
 }
 
-// New returns a counter for the socket with a name, which labels its metric and its
-// lines.
+// New returns a counter for a socket and registers its metric. The socket's name labels the metric and
+// the log lines.
 func New(registry prometheus.Registerer, logger *zap.Logger, socket string) *Counter {
 	counter := &Counter{
 		failures: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name:        "merlinpaddle_direct_socket_failures_total",
-			Help:        "What failed at a UDP socket, by socket and operation.",
+			Help:        "Failed operations of UDP sockets, by socket and operation.",
 			ConstLabels: prometheus.Labels{"socket": socket},
 		}, []string{"operation"}),
 		logger: logger.With(zap.String("socket", socket)),
@@ -48,7 +47,7 @@
 	return counter
 }
 
-// Note counts a failure and logs it; the log bounds the lines of one kind. It does
+// Note counts a failure and logs it; the log stream limits the lines of one kind per second. It does
 // nothing when err is nil.
 func (counter *Counter) Note(operation Operation, err error) {
 	if err == nil {
