--- a/internal/direct/requests/waiting_test.go
+++ b/internal/direct/requests/waiting_test.go
@@ -13,8 +13,8 @@
 )
 
 // These tests guard against counting a request at its target while its packets still wait in the
-// queue for the balancer's own link, which uploads can fill. That happened on narrow links at a
-// quarter of the targets' capacity: balancers refused calls as overloaded with three to eleven open
+// queue for the balancer's own link, which uploads can fill. That happened on narrow links with the
+// targets at a quarter of their load: balancers refused calls as overloaded with three to eleven open
 // requests and an expected request time above 0.6 of the objective, at targets that served 0.4
 // requests on average. The wait also went into the serving time that the balancer learned (63 ms
 // where targets take 42 ms), and a request that waited for a second counted as unanswered by a
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -60,8 +60,8 @@
 	Answered Ending = iota
 	// Unanswered: the caller gave up, or acknowledged no answer within AnswerTimeout.
 	Unanswered
-	// Withdrawn: the request was forwarded to another target, the flow did not open, or the
-	// request never left the balancer. It says nothing about the target.
+	// Withdrawn: the request was forwarded to another target, the flow did not open or moved to
+	// another balancer, or the request never left this balancer. It says nothing about the target.
 	Withdrawn
 )
 
@@ -285,6 +285,7 @@
 	watcher.notifyTransition(open.target, before, open.stage())
 }
 
+// begin adds an open request and notifies the listeners.
 func (watcher *Watcher) begin(shard *shard, key flowKey, open request, now time.Time) {
 	shard.requests[key] = open
 	for _, listener := range watcher.listeners {
@@ -292,6 +293,7 @@
 	}
 }
 
+// end removes an open request and notifies the observers and listeners.
 func (watcher *Watcher) end(shard *shard, key flowKey, open request, ending Ending, now time.Time) {
 	delete(shard.requests, key)
 	watcher.notifyTransition(open.target, open.stage(), atTarget)
@@ -321,6 +323,7 @@
 	}
 }
 
+// sweep ends the requests of one shard that have timed out or whose latest packet came before movedAt.
 func (watcher *Watcher) sweep(shard *shard, movedAt, now time.Time) {
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
