--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -175,7 +175,7 @@
 }
 
 // Continued implements requests.Listener.
-func (counter *Counter) Continued(whole bool) { counter.reliability.continuity.Note(whole) }
+func (counter *Counter) SequenceChecked(whole bool) { counter.reliability.continuity.Note(whole) }
 
 const (
 	// maxLearnOccupancy is the highest occupancy at its start, as a multiple of the target's
--- a/internal/direct/load/evidence_test.go
+++ b/internal/direct/load/evidence_test.go
@@ -19,8 +19,8 @@
 	begin(other, 7, 2)
 	now := run(start, 3*interval, nil, one, other)
 	one.counter.Ended(requests.Target{Token: 7}, requests.Unanswered, time.Second)
-	one.counter.Continued(false)
-	one.counter.Continued(true)
+	one.counter.SequenceChecked(false)
+	one.counter.SequenceChecked(true)
 
 	evidence := one.counter.Evidence(7, now)
 	require.Equal(t, 2, evidence.Own)
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -229,15 +229,15 @@
 	node := newNode("a", interval, "b")
 	begin(node, 7, 5)
 	for range 100 {
-		node.counter.Continued(true)
+		node.counter.SequenceChecked(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 	for range 10 {
-		node.counter.Continued(false)
+		node.counter.SequenceChecked(false)
 	}
 	require.Zero(t, openAt(node, 7))
 	for range 100 {
-		node.counter.Continued(true)
+		node.counter.SequenceChecked(true)
 	}
 	require.Equal(t, 5, openAt(node, 7))
 }
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -15,7 +15,7 @@
 	// evidence. Answers are seen at once, but unanswered requests only after requests.HangAfter,
 	// so before then no request seems unanswered. The same time again lets unanswered requests
 	// take effect in the average.
-	minObservationTime = 2 * requests.HangAfter
+	minObservationTime = 2 * requests.AnswerTimeout
 )
 
 // reliability decides whether a balancer sees enough packets of its flows to count their
@@ -39,7 +39,7 @@
 // usable reports whether there is no evidence against the counts, so that they may be used to
 // choose a target. This is so for a balancer that has just started.
 func (reliability *reliability) usable() bool {
-	return reliability.unanswered.Value() <= maxUnansweredShare && reliability.continuity.Whole()
+	return reliability.unanswered.Value() <= maxUnansweredShare && reliability.continuity.Complete()
 }
 
 // sufficientEvidence reports whether there is enough evidence for the counts to refuse a flow based
@@ -50,13 +50,13 @@
 	if firstRequestAt == 0 || now.UnixNano()-firstRequestAt < int64(minObservationTime) {
 		return false
 	}
-	return reliability.unanswered.Most() <= maxUnansweredShare && reliability.continuity.Whole()
+	return reliability.unanswered.UpperBound() <= maxUnansweredShare && reliability.continuity.Complete()
 }
 
 // proportions returns the figures behind the decision: the share of data behind a gap, and the
 // share of requests whose answer was not seen.
 func (reliability *reliability) proportions() (gaps, unanswered steer.Proportion) {
 	gaps.Share, gaps.Cases = reliability.continuity.Gaps()
-	unanswered = steer.Proportion{Share: reliability.unanswered.Value(), Cases: reliability.unanswered.Cases()}
+	unanswered = steer.Proportion{Share: reliability.unanswered.Value(), Cases: reliability.unanswered.Samples()}
 	return gaps, unanswered
 }
--- a/internal/direct/load/trust_test.go
+++ b/internal/direct/load/trust_test.go
@@ -28,7 +28,7 @@
 	reliability := &reliability{}
 	var pending []time.Time
 	for now := start; now.Before(start.Add(duration)); now = now.Add(10 * time.Millisecond) {
-		for len(pending) > 0 && now.Sub(pending[0]) >= requests.HangAfter {
+		for len(pending) > 0 && now.Sub(pending[0]) >= requests.AnswerTimeout {
 			reliability.unanswered.Note(true)
 			pending = pending[1:]
 		}
@@ -83,7 +83,7 @@
 	for range 100 {
 		reliability.unanswered.Note(false)
 	}
-	require.False(t, reliability.sufficientEvidence(start.Add(requests.HangAfter)), "no unanswered request could have been seen yet")
+	require.False(t, reliability.sufficientEvidence(start.Add(requests.AnswerTimeout)), "no unanswered request could have been seen yet")
 	require.True(t, reliability.sufficientEvidence(start.Add(minObservationTime)))
 	for range 10 {
 		reliability.continuity.Note(false)
--- a/internal/direct/outcome/hasty_test.go
+++ b/internal/direct/outcome/hasty_test.go
@@ -18,7 +18,7 @@
 
 // answerOf returns an answer of the target on the route.
 func answerOf(took time.Duration, bytes int) requests.Answer {
-	return requests.Answer{Target: target, Route: route, Took: took, Bytes: bytes}
+	return requests.Answer{Target: target, Route: route, Latency: took, Bytes: bytes}
 }
 
 func TestAnswersMuchSoonerAndShorterThanUsualAreHasty(t *testing.T) {
@@ -65,7 +65,7 @@
 	mailbox := protocol.NewMailbox("balancer")
 	tracker := NewTracker(mailbox, func() model.NodeName { return "member" })
 	answered := func(took time.Duration, bytes int) {
-		tracker.Came(answerOf(took, bytes))
+		tracker.AnswerStarted(answerOf(took, bytes))
 		tracker.Ended(target, requests.Answered, took)
 	}
 	for range minBaselineAnswers {
--- a/internal/direct/outcome/tracker.go
+++ b/internal/direct/outcome/tracker.go
@@ -76,7 +76,7 @@
 }
 
 // Came implements requests.AnswerObserver.
-func (tracker *Tracker) Came(answer requests.Answer) {
+func (tracker *Tracker) AnswerStarted(answer requests.Answer) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
 	if !tracker.baselines.observe(answer) {
@@ -95,7 +95,7 @@
 func (tracker *Tracker) Waiting(requests.Target, bool) {}
 
 // Continued implements requests.Listener.
-func (tracker *Tracker) Continued(whole bool) { tracker.continuity.Note(whole) }
+func (tracker *Tracker) SequenceChecked(whole bool) { tracker.continuity.Note(whole) }
 
 // Name implements board.Controller.
 func (tracker *Tracker) Name() string { return "outcomes" }
@@ -108,7 +108,7 @@
 		return
 	}
 	tracker.reportedAt = now
-	if report, noteworthy := tracker.report(); noteworthy && tracker.continuity.Whole() {
+	if report, noteworthy := tracker.report(); noteworthy && tracker.continuity.Complete() {
 		if node := tracker.reportTo(); node != "" {
 			tracker.mailbox.Send(node, report)
 		}
--- a/internal/direct/outcome/usual.go
+++ b/internal/direct/outcome/usual.go
@@ -42,7 +42,7 @@
 	if !exists && len(baselines) >= maxRoutes {
 		return false
 	}
-	took, bytes := float64(answer.Took), float64(answer.Bytes)
+	took, bytes := float64(answer.Latency), float64(answer.Bytes)
 	hasty := usual.answers >= minBaselineAnswers && took < hastyTimeShare*usual.nanoseconds && bytes < hastySizeShare*usual.bytes
 	usual.answers++
 	weight := max(baselineWeight, 1/float64(usual.answers))
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -105,7 +105,7 @@
 // flow is accepted.
 func (admission *Admission) Decide(route netip.AddrPort, objective time.Duration, now time.Time) Verdict {
 	verdict := Verdict{TypicalSize: admission.sizes.Typical(route)}
-	if admission.options.BytesPerSecond == 0 || admission.options.ObjectiveShare == 0 || objective == 0 || verdict.TypicalSize <= requests.LongFrom {
+	if admission.options.BytesPerSecond == 0 || admission.options.ObjectiveShare == 0 || objective == 0 || verdict.TypicalSize <= requests.LongRequestBytes {
 		return verdict
 	}
 	idle := admission.link.Idle()
@@ -175,14 +175,14 @@
 
 // minRemaining is the number of bytes that a long request is assumed to still send once it has
 // reached the usual size of its route: half of a sender's window.
-const minRemaining = requests.LongFrom
+const minRemaining = requests.LongRequestBytes
 
 // remaining returns how many bytes an open request is expected to still send; zero if it is short or
 // complete.
 func (admission *Admission) remaining(progress requests.Progress) int {
 	typical := admission.sizes.Typical(progress.Route)
-	if progress.Complete || max(typical, progress.Brought) <= requests.LongFrom {
+	if progress.Complete || max(typical, progress.ReceivedBytes) <= requests.LongRequestBytes {
 		return 0
 	}
-	return max(typical-progress.Brought, minRemaining)
+	return max(typical-progress.ReceivedBytes, minRemaining)
 }
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -29,8 +29,8 @@
 // learnedSizes returns the sizes of an upload (40,000 bytes) and of a short call (900 bytes).
 func learnedSizes() *Sizes {
 	sizes := NewSizes()
-	sizes.Whole(uploads, 40_000)
-	sizes.Whole(calls, 900)
+	sizes.RequestCompleted(uploads, 40_000)
+	sizes.RequestCompleted(calls, 900)
 	return sizes
 }
 
@@ -60,11 +60,11 @@
 
 func TestDecide(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	half := requests.Progress{Route: uploads, Brought: 20_000}
-	long := requests.Progress{Route: uploads, Brought: 200_000}
-	complete := requests.Progress{Route: uploads, Brought: 40_000, Complete: true}
-	unknown := requests.Progress{Route: other, Brought: 30_000}
-	call := requests.Progress{Route: calls, Brought: 900}
+	half := requests.Progress{Route: uploads, ReceivedBytes: 20_000}
+	long := requests.Progress{Route: uploads, ReceivedBytes: 200_000}
+	complete := requests.Progress{Route: uploads, ReceivedBytes: 40_000, Complete: true}
+	unknown := requests.Progress{Route: other, ReceivedBytes: 30_000}
+	call := requests.Progress{Route: calls, ReceivedBytes: 900}
 	cases := []struct {
 		name      string
 		open      []requests.Progress
@@ -97,7 +97,7 @@
 }
 
 func TestVerdictContainsItsReasons(t *testing.T) {
-	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(requests.Progress{Route: uploads, ReceivedBytes: 10_000}))
 	require.Equal(t, Verdict{TypicalSize: 40_000, BytesAhead: 30_000, ExpectedTime: 700 * time.Millisecond}, admission.Decide(uploads, objective, start))
 }
 
@@ -132,8 +132,8 @@
 // the objective allows; while many are, only for minAllowedWait. An idle link accepts any.
 func TestHighRefusedShareShortensAllowedWait(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*minAllowedWait.Seconds())}
-	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-minRemaining)
+	nearlyDone := requests.Progress{Route: uploads, ReceivedBytes: 40_000 - int(rate*minAllowedWait.Seconds())}
+	nearlyDone.ReceivedBytes = min(nearlyDone.ReceivedBytes, 40_000-minRemaining)
 	var open []requests.Progress
 	admission := NewAdmission(Options{BytesPerSecond: 2 * rate, ObjectiveShare: 0.5}, learnedSizes(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
 	refused := func(current ...requests.Progress) bool {
@@ -179,12 +179,12 @@
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	sizes := NewSizes()
 	require.Zero(t, sizes.Typical(uploads))
-	sizes.Whole(uploads, 30_000)
-	sizes.Whole(uploads, 50_000)
+	sizes.RequestCompleted(uploads, 30_000)
+	sizes.RequestCompleted(uploads, 50_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads), "the first requests have equal weight")
 	require.Zero(t, sizes.Typical(calls))
 	for range 200 {
-		sizes.Whole(uploads, 1000)
+		sizes.RequestCompleted(uploads, 1000)
 	}
 	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "the average follows a change of sizes")
 }
@@ -193,25 +193,25 @@
 // takes long until a request completes.
 func TestSizesAreEstimatedUntilOneRequestCompletes(t *testing.T) {
 	sizes := NewSizes()
-	sizes.Growing(uploads, 10_000)
+	sizes.RequestGrowing(uploads, 10_000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 8000)
+	sizes.RequestGrowing(uploads, 8000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 30_000)
+	sizes.RequestGrowing(uploads, 30_000)
 	require.Equal(t, 60_000, sizes.Typical(uploads))
-	sizes.Whole(uploads, 40_000)
+	sizes.RequestCompleted(uploads, 40_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads), "the known size replaces the estimate")
-	sizes.Growing(uploads, 90_000)
+	sizes.RequestGrowing(uploads, 90_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads))
 }
 
 func TestSizesAreBounded(t *testing.T) {
 	sizes := NewSizes()
 	for port := range maxRoutes + 100 {
-		sizes.Whole(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
+		sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
 	}
 	require.Len(t, sizes.averages, maxRoutes)
-	sizes.Whole(netip.AddrPortFrom(uploads.Addr(), 1), 700)
+	sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), 1), 700)
 	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "recorded routes are still updated")
 }
 
@@ -225,7 +225,7 @@
 			Caller:  netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port+1024),
 			Service: calls, HasData: true, Length: 900, Sequence: 1,
 		}
-		watcher.Note(segment, requests.Target{Token: 7}, start)
+		watcher.PacketForwarded(segment, requests.Target{Token: 7}, start)
 	}
 	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), watcher.EachOpen)
 	b.ReportAllocs()
--- a/internal/direct/transfer/sizes.go
+++ b/internal/direct/transfer/sizes.go
@@ -42,7 +42,7 @@
 
 // Growing implements requests.SizeObserver. It estimates the size for a route without a completed
 // request: on a link that is saturated from its start, it may take long until one completes.
-func (sizes *Sizes) Growing(route netip.AddrPort, bytes int) {
+func (sizes *Sizes) RequestGrowing(route netip.AddrPort, bytes int) {
 	if known := sizes.average(route); known.samples > 0 || known.value >= growthFactor*float64(bytes) {
 		return
 	}
@@ -58,7 +58,7 @@
 
 // Whole implements requests.SizeObserver. It adds a completed request to the average of its route.
 // The first requests of a route have equal weight.
-func (sizes *Sizes) Whole(route netip.AddrPort, bytes int) {
+func (sizes *Sizes) RequestCompleted(route netip.AddrPort, bytes int) {
 	sizes.lock.Lock()
 	defer sizes.lock.Unlock()
 	known, exists := sizes.averages[route]
