--- a/internal/direct/balancernode/metrics.go
+++ b/internal/direct/balancernode/metrics.go
@@ -71,7 +71,7 @@
 		evacuated: prometheus.NewDesc("merlinpaddle_direct_evacuated_zones",
 			"Zones whose targets get no new flows from this balancer, by order of an operator.", nil, nil),
 		decisions: make([]atomic.Uint64, len(steer.Reasons())),
-		places:    make([]atomic.Uint64, len(steer.Places())),
+		places:    make([]atomic.Uint64, len(steer.Localities())),
 		flows: prometheus.NewDesc("merlinpaddle_direct_flows_total",
 			"New flows, by where their target lies: near, elsewhere by hash, or spilled because near targets had no room.",
 			[]string{"place"}, nil),
@@ -114,7 +114,7 @@
 		count := float64(metrics.decisions[reason].Load())
 		collected <- prometheus.MustNewConstMetric(metrics.packets, prometheus.CounterValue, count, reason.String())
 	}
-	for _, place := range steer.Places() {
+	for _, place := range steer.Localities() {
 		count := float64(metrics.places[place].Load())
 		collected <- prometheus.MustNewConstMetric(metrics.flows, prometheus.CounterValue, count, place.String())
 	}
@@ -124,7 +124,7 @@
 	collected <- prometheus.MustNewConstMetric(metrics.revision, prometheus.GaugeValue, float64(metrics.table.Revision()))
 	collected <- prometheus.MustNewConstMetric(metrics.version, prometheus.GaugeValue, float64(metrics.table.Version()))
 	collected <- prometheus.MustNewConstMetric(metrics.confirmed, prometheus.GaugeValue, confirmed)
-	collected <- prometheus.MustNewConstMetric(metrics.evacuated, prometheus.GaugeValue, float64(metrics.table.Evacuated()))
+	collected <- prometheus.MustNewConstMetric(metrics.evacuated, prometheus.GaugeValue, float64(metrics.table.EvacuatedZones()))
 	malformed := float64(metrics.malformed.Load())
 	collected <- prometheus.MustNewConstMetric(metrics.malformedAs, prometheus.CounterValue, malformed)
 }
@@ -141,7 +141,7 @@
 	own, others := metrics.book.Totals()
 	collected <- prometheus.MustNewConstMetric(metrics.open, prometheus.GaugeValue, float64(own), "this")
 	collected <- prometheus.MustNewConstMetric(metrics.open, prometheus.GaugeValue, float64(others), "others")
-	collected <- prometheus.MustNewConstMetric(metrics.trusted, prometheus.GaugeValue, gaugeOf(metrics.book.Known()))
+	collected <- prometheus.MustNewConstMetric(metrics.trusted, prometheus.GaugeValue, gaugeOf(metrics.book.Reliable()))
 }
 
 func (metrics *metrics) collectEgress(collected chan<- prometheus.Metric) {
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -74,11 +74,11 @@
 	options.Self = model.NodeName(chosen.Node)
 	options.Zone = chosen.Zone
 	options.Regions = regionsOf(chosen.Direct.Zones)
-	options.NearWeight = chosen.Direct.NearWeight
-	options.SpillCandidates = chosen.Direct.SpillCandidates
+	options.LocalZoneWeight = chosen.Direct.NearWeight
+	options.SpilloverCandidates = chosen.Direct.SpillCandidates
 	options.Candidates = chosen.Direct.LoadCandidates
-	options.FullCrowd = chosen.Direct.LoadCrowd
-	options.AdmitShare = chosen.Direct.LoadAdmission
+	options.MaxOccupancy = chosen.Direct.LoadCrowd
+	options.MaxObjectiveShare = chosen.Direct.LoadAdmission
 	options.Loads = book
 	return steer.NewTable(options)
 }
@@ -137,7 +137,7 @@
 			zap.Int("targets", len(changes.Targets)),
 			zap.Int("routes", len(changes.Routes)),
 			zap.Int("removed", len(changes.Removed)),
-			zap.Int("evacuated_zones", table.Evacuated()),
+			zap.Int("evacuated_zones", table.EvacuatedZones()),
 			zap.String("from", string(from)))
 	})
 }
@@ -236,7 +236,7 @@
 	runners := []*board.Runner{
 		board.NewRunner(parts.Subscriber, subscribeInterval, parts.Subscriber.Sources()...),
 		board.NewRunner(parts.Publisher, publishInterval,
-			append(parts.Publisher.Sources(), parts.Table.Watch(), parts.Table.WatchConfirmed())...),
+			append(parts.Publisher.Sources(), parts.Table.Watch(), parts.Table.WatchConfirmations())...),
 		board.NewRunner(parts.Reports, time.Second, parts.Reports.Sources()...),
 		board.NewRunner(parts.Tracker, outcomesInterval),
 		board.NewRunner(parts.Watcher, requestsInterval),
--- a/internal/direct/balancernode/observer.go
+++ b/internal/direct/balancernode/observer.go
@@ -32,7 +32,7 @@
 	}
 	if decision.Reason == steer.ReasonChosen {
 		observer.metrics.observeAge(decision.ConfirmedAgo)
-		observer.metrics.places[decision.Place].Add(1)
+		observer.metrics.places[decision.Locality].Add(1)
 	}
 	message := "packet dropped"
 	switch {
@@ -55,7 +55,7 @@
 		zap.Int("attempt", segment.Attempt),
 		zap.Uint32("token", uint32(max(decision.Token, segment.Token))),
 		zap.Uint64("target", uint64(decision.ID)),
-		zap.Stringer("place", decision.Place),
+		zap.Stringer("place", decision.Locality),
 		zap.Uint32("suspect", uint32(decision.Suspect)),
 		zap.Int("open", decision.Open),
 		zap.Duration("expected", decision.Expected),
@@ -73,14 +73,14 @@
 // evidenceFields tell what the open requests of a target rest on that a flow was refused for.
 func evidenceFields(evidence steer.Evidence) []zap.Field {
 	return []zap.Field{
-		zap.Int("open_own", evidence.Own),
-		zap.Int("open_others", evidence.Others),
-		zap.Int("coming", evidence.Coming),
-		zap.String("others_heard_ago", ageText(evidence.HeardAgo)),
+		zap.Int("open_own", evidence.LocalOpen),
+		zap.Int("open_others", evidence.RemoteOpen),
+		zap.Int("coming", evidence.Pending),
+		zap.String("others_heard_ago", ageText(evidence.ReportedAgo)),
 		zap.Float64("gaps", evidence.Gaps.Share),
-		zap.Int("gaps_cases", evidence.Gaps.Cases),
-		zap.Float64("missed", evidence.Missed.Share),
-		zap.Int("missed_cases", evidence.Missed.Cases),
+		zap.Int("gaps_cases", evidence.Gaps.Samples),
+		zap.Float64("missed", evidence.Unanswered.Share),
+		zap.Int("missed_cases", evidence.Unanswered.Samples),
 		zap.Duration("serving_for", evidence.ServingFor),
 	}
 }
@@ -93,7 +93,7 @@
 
 // ageText returns the age of a table, or of what others told, in words.
 func ageText(age time.Duration) string {
-	if age == steer.NeverConfirmed || age == steer.NeverHeard {
+	if age == steer.NeverConfirmed || age == steer.NeverReported {
 		return "never"
 	}
 	return age.String()
--- a/internal/direct/balancernode/observer_test.go
+++ b/internal/direct/balancernode/observer_test.go
@@ -21,8 +21,8 @@
 	observer := newObserver(newMetrics(table, load.NewBook()), table, zap.New(core))
 	segment := steer.Segment{Caller: netip.MustParseAddrPort("192.0.2.1:1"), Service: netip.MustParseAddrPort("192.0.2.2:2"), Opening: true}
 	observer.Decided(segment, steer.Decision{Action: steer.Reset, Reason: steer.ReasonOverloaded, Open: 5, Evidence: steer.Evidence{
-		Own: 1, Others: 4, HeardAgo: 20 * time.Millisecond,
-		Gaps: steer.Proportion{Share: 0.05, Cases: 1}, Missed: steer.Proportion{Cases: 2}, ServingFor: time.Second,
+		LocalOpen: 1, RemoteOpen: 4, ReportedAgo: 20 * time.Millisecond,
+		Gaps: steer.Proportion{Share: 0.05, Samples: 1}, Unanswered: steer.Proportion{Samples: 2}, ServingFor: time.Second,
 	}})
 	observer.Decided(segment, steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen})
 
--- a/internal/direct/feed/pack_test.go
+++ b/internal/direct/feed/pack_test.go
@@ -118,7 +118,7 @@
 	fabric.run(300 * time.Millisecond)
 	for _, node := range fabric.nodes {
 		require.Equal(t, uint64(1), node.table.Version())
-		everything := node.table.Everything()
+		everything := node.table.Snapshot()
 		require.Equal(t, packFrom, everything.Size())
 	}
 	only.mailbox.Inbox.Put(protocol.Envelope{From: "x1", To: "a", Message: Subscribe{}})
--- a/internal/direct/feed/replica.go
+++ b/internal/direct/feed/replica.go
@@ -72,7 +72,7 @@
 	if parts := replica.since(from); len(parts) > 0 {
 		return directory.Combine(parts...)
 	}
-	return replica.table.Everything()
+	return replica.table.Snapshot()
 }
 
 // since returns the recent changes that lead on from a revision, or nothing
--- a/internal/direct/feed/zones_test.go
+++ b/internal/direct/feed/zones_test.go
@@ -27,10 +27,10 @@
 	member.evacuate(t, "x")
 	pair := newPair(t, member)
 	pair.run(2 * time.Second)
-	require.Equal(t, 1, pair.table.Evacuated(), "with the first table")
+	require.Equal(t, 1, pair.table.EvacuatedZones(), "with the first table")
 	member.evacuate(t, "y")
 	pair.run(time.Second)
-	require.Equal(t, 2, pair.table.Evacuated(), "with a change")
+	require.Equal(t, 2, pair.table.EvacuatedZones(), "with a change")
 
 	packed, err := pack(member.directory.ChangesSince(0))
 	require.NoError(t, err)
--- a/internal/direct/forwarder/forwarder.go
+++ b/internal/direct/forwarder/forwarder.go
@@ -57,7 +57,7 @@
 	// Tried returns the targets that the last opening packets of the segment's
 	// flow were sent on to, the latest first, as far as that is known, and whether
 	// any packet of the flow was sent on.
-	Tried(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool)
+	Tried(segment steer.Segment) (tried [steer.TrackedAttempts]directory.Token, seen bool)
 	// Note takes in a packet that was sent on to the target of its flow.
 	Note(segment steer.Segment, target requests.Target, now time.Time)
 	// Waits takes in that the packet which was placed or noted at now waits in front of
@@ -174,7 +174,7 @@
 func (forwarder *Forwarder) decide(buffer []byte, headroom int, segment steer.Segment, now time.Time) {
 	packet := buffer[headroom:]
 	if segment.Opening && segment.Attempt > 0 {
-		segment.Tried, segment.Seen = forwarder.requests.Tried(segment)
+		segment.Tried, segment.AlreadyForwarded = forwarder.requests.Tried(segment)
 	}
 	decision := forwarder.admission.Review(segment, forwarder.table.Decide(segment, now), now)
 	if decision.Action == steer.Drop && worthParking(decision.Reason) {
@@ -240,7 +240,7 @@
 func (forwarder *Forwarder) forward(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
 	datagram := datagramOf(segment, content, to)
 	datagram.Opening = segment.Opening
-	datagram.Acknowledges = segment.Acknowledges()
+	datagram.Acknowledges = segment.IsPureAck()
 	datagram.Acknowledgement = segment.Acknowledgement
 	datagram.Followed = Followed(segment)
 	forwarder.egress.Send(datagram, now)
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -114,7 +114,7 @@
 }
 
 // Tried implements Requests.
-func (counter *counter) Tried(steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
+func (counter *counter) Tried(steer.Segment) (tried [steer.TrackedAttempts]directory.Token, seen bool) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	return tried, counter.placed > 0
@@ -159,7 +159,7 @@
 
 // Review implements Admission.
 func (admission *admission) Review(segment steer.Segment, decision steer.Decision, _ time.Time) steer.Decision {
-	if admission.full.Load() && segment.Opening && !segment.Seen {
+	if admission.full.Load() && segment.Opening && !segment.AlreadyForwarded {
 		return decision.RefuseForLink(time.Second)
 	}
 	return decision
--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -202,7 +202,9 @@
 // Typical returns how long a request takes on an idle target of the service, as an
 // average over its targets; zero while too few answered. In a large system a balancer
 // hears of a single target now and then alone.
-func (book *Book) Typical(service string) time.Duration { return book.services.typical(service) }
+func (book *Book) TypicalServiceTime(service string) time.Duration {
+	return book.services.typical(service)
+}
 
 // Load returns the number of requests that are open at the target, and how long
 // it takes with one when it is idle, as far as is known; zero when it is not.
@@ -222,7 +224,7 @@
 }
 
 // Coming implements steer.Loads.
-func (book *Book) Coming(token directory.Token) int {
+func (book *Book) Pending(token directory.Token) int {
 	if !book.trust.holds() {
 		return 0
 	}
@@ -236,20 +238,20 @@
 }
 
 // Known implements steer.Loads.
-func (book *Book) Known() bool { return book.trust.holds() }
+func (book *Book) Reliable() bool { return book.trust.holds() }
 
 // Evidence implements steer.Loads.
 func (book *Book) Evidence(token directory.Token, now time.Time) steer.Evidence {
-	evidence := steer.Evidence{HeardAgo: steer.NeverHeard}
+	evidence := steer.Evidence{ReportedAgo: steer.NeverReported}
 	if heardAt := book.heardAt.Load(); heardAt != 0 {
-		evidence.HeardAgo = time.Duration(now.UnixNano() - heardAt)
+		evidence.ReportedAgo = time.Duration(now.UnixNano() - heardAt)
 	}
-	evidence.Gaps, evidence.Missed = book.trust.proportions()
+	evidence.Gaps, evidence.Unanswered = book.trust.proportions()
 	shard := book.shard(token)
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
 	if known := shard.counts[token]; known != nil {
-		evidence.Own, evidence.Others, evidence.Coming = known.own, known.others, known.coming
+		evidence.LocalOpen, evidence.RemoteOpen, evidence.Pending = known.own, known.others, known.coming
 	}
 	return evidence
 }
@@ -258,7 +260,7 @@
 func (book *Book) heard(now time.Time) { book.heardAt.Store(now.UnixNano()) }
 
 // Proven implements steer.Loads.
-func (book *Book) Proven(now time.Time) bool { return book.trust.proven(now) }
+func (book *Book) SufficientForRefusal(now time.Time) bool { return book.trust.proven(now) }
 
 // Totals returns the open requests of all targets: this balancer's own, and those
 // that other balancers told.
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -274,8 +274,8 @@
 			open, serving := book.Load(7)
 			require.Zero(t, open)
 			require.Equal(t, test.want, serving)
-			require.InDelta(t, test.want, book.Typical("feed"), 1, "the only target is its service's typical one")
-			require.Zero(t, book.Typical("ledger"))
+			require.InDelta(t, test.want, book.TypicalServiceTime("feed"), 1, "the only target is its service's typical one")
+			require.Zero(t, book.TypicalServiceTime("ledger"))
 		})
 	}
 	book := NewBook()
@@ -290,7 +290,7 @@
 	book.Ended(fresh, requests.Answered, time.Millisecond)
 	_, serving = book.Load(8)
 	require.Zero(t, serving, "one answer of a new target")
-	require.Greater(t, book.Typical("feed"), 70*time.Millisecond, "its service is known well enough")
+	require.Greater(t, book.TypicalServiceTime("feed"), 70*time.Millisecond, "its service is known well enough")
 }
 
 // TestTheEndOfARushTeachesNoLongServingTimes: ten requests came at once to a target that
@@ -308,7 +308,7 @@
 			book.Ended(target, requests.Answered, each*time.Duration(answered/2+1))
 		}
 	}
-	require.InDelta(t, each, book.Typical("feed"), float64(10*time.Millisecond))
+	require.InDelta(t, each, book.TypicalServiceTime("feed"), float64(10*time.Millisecond))
 }
 
 func TestIdleTargetsLeaveNothingBehind(t *testing.T) {
@@ -381,7 +381,7 @@
 	site.cut["m0"] = true
 	site.run(silentAfter + 100*time.Millisecond)
 	answers(200 * time.Millisecond)
-	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.Typical("first"), 1)
+	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.TypicalServiceTime("first"), 1)
 }
 
 // TestABalancerThatStartsUnderLoadHearsServingTimes: all that it sees itself are answers of
@@ -397,8 +397,8 @@
 		begin(balancer, 7, 1)
 	}
 	begin(site.balancers[0], 7, 1)
-	require.Zero(t, site.balancers[0].book.Typical("first"))
+	require.Zero(t, site.balancers[0].book.TypicalServiceTime("first"))
 	site.run(settled + 2*servingInterval)
-	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.Typical("first"), 1)
-	require.Zero(t, site.balancers[0].book.Typical("second"))
+	require.InDelta(t, 40*time.Millisecond, site.balancers[0].book.TypicalServiceTime("first"), 1)
+	require.Zero(t, site.balancers[0].book.TypicalServiceTime("second"))
 }
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -53,7 +53,7 @@
 // proportions returns what the trust rests on: the share of data behind a gap, and that of
 // requests whose answer was not seen.
 func (trust *trust) proportions() (gaps, missed steer.Proportion) {
-	gaps.Share, gaps.Cases = trust.flows.Gaps()
-	missed = steer.Proportion{Share: trust.missed.Value(), Cases: trust.missed.Cases()}
+	gaps.Share, gaps.Samples = trust.flows.Gaps()
+	missed = steer.Proportion{Share: trust.missed.Value(), Samples: trust.missed.Cases()}
 	return gaps, missed
 }
--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -66,7 +66,7 @@
 	sameColdness := (known.Cold > 0) == (stated.Cold > 0)
 	unchanged := exists &&
 		known.Started == stated.Started &&
-		(sameColdness || !relay.table.ColdBounded(known.Service)) &&
+		(sameColdness || !relay.table.HasColdLimit(known.Service)) &&
 		known.State == directory.TargetReady &&
 		stated.State == directory.TargetReady &&
 		known.Address == stated.Address &&
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -195,7 +195,7 @@
 // were sent on to, the latest first, as far as that is known. seen tells that a
 // request of the flow is open here: a former copy was sent on, and the flow may have
 // opened.
-func (watcher *Watcher) Tried(segment steer.Segment) (tried [steer.TriesKnown]directory.Token, seen bool) {
+func (watcher *Watcher) Tried(segment steer.Segment) (tried [steer.TrackedAttempts]directory.Token, seen bool) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -204,7 +204,7 @@
 	if !known || open.asked {
 		return tried, known
 	}
-	return [steer.TriesKnown]directory.Token{open.target.Token, open.before}, true
+	return [steer.TrackedAttempts]directory.Token{open.target.Token, open.before}, true
 }
 
 // Note takes in a packet that was sent on to the target of an open flow.
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -162,11 +162,11 @@
 	watcher.Placed(opens(1), targetOf(7), start)
 	watcher.Placed(opens(1), targetOf(7), start)
 	require.Equal(t, 1, book.open[7], "a copy at the same target is one request")
-	require.Equal(t, [steer.TriesKnown]directory.Token{7}, tried(watcher))
+	require.Equal(t, [steer.TrackedAttempts]directory.Token{7}, tried(watcher))
 	watcher.Placed(opens(1), targetOf(8), start.Add(200*time.Millisecond))
 	require.Equal(t, 0, book.open[7])
 	require.Equal(t, 1, book.open[8])
-	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, tried(watcher))
+	require.Equal(t, [steer.TrackedAttempts]directory.Token{8, 7}, tried(watcher))
 	watcher.Note(asks(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
 	require.Equal(t, 1, book.open[7], "the flow opened at the first target after all")
 	require.Equal(t, 0, book.open[8])
@@ -178,7 +178,7 @@
 }
 
 // tried returns the former targets of the first flow.
-func tried(watcher *Watcher) [steer.TriesKnown]directory.Token {
+func tried(watcher *Watcher) [steer.TrackedAttempts]directory.Token {
 	targets, _ := watcher.Tried(opens(1))
 	return targets
 }
--- a/internal/direct/steer/admission.go
+++ b/internal/direct/steer/admission.go
@@ -52,7 +52,7 @@
 // or its service is not congested for routes as urgent.
 func (table *Table) admits(service *service, candidate candidate, route route, now time.Time) bool {
 	rank := service.urgency.rank(route.priority, now)
-	late := table.late(candidate, route, rank) && table.options.Loads.Proven(now)
+	late := table.late(candidate, route, rank) && table.options.Loads.SufficientForRefusal(now)
 	congested := service.congestion.observe(rank, late, now)
 	return !congested || !late
 }
@@ -60,7 +60,7 @@
 // late tells whether a further request of the route, of a rank, would find the candidate too
 // full: no slot is idle, and it would miss its share of the objective or be turned away.
 func (table *Table) late(candidate candidate, route route, rank int) bool {
-	if candidate.open < candidate.target.slots() || route.objective == 0 || table.options.AdmitShare == 0 {
+	if candidate.open < candidate.target.slots() || route.objective == 0 || table.options.MaxObjectiveShare == 0 {
 		return false
 	}
 	return table.exceeds(candidate.expected, route, rank) || table.crowded(candidate.target, candidate.open, rank)
@@ -68,13 +68,13 @@
 
 // crowded tells whether the target would hold more than it may for routes of the rank.
 func (table *Table) crowded(target *record, open, rank int) bool {
-	most := table.options.FullCrowd * math.Pow(crowdShare, float64(rank))
+	most := table.options.MaxOccupancy * math.Pow(crowdShare, float64(rank))
 	return most > 0 && float64(open+1) > most*float64(target.slots())
 }
 
 // exceeds tells whether a request that takes as long would miss the share of the
 // route's objective that is allowed.
 func (table *Table) exceeds(expected time.Duration, route route, rank int) bool {
-	share := table.options.AdmitShare * math.Pow(rankShare, float64(rank))
+	share := table.options.MaxObjectiveShare * math.Pow(rankShare, float64(rank))
 	return float64(expected) > share*float64(route.objective)
 }
--- a/internal/direct/steer/admission_test.go
+++ b/internal/direct/steer/admission_test.go
@@ -21,24 +21,24 @@
 }
 
 // Known implements Loads.
-func (busy *busy) Known() bool { return true }
+func (busy *busy) Reliable() bool { return true }
 
 // Coming implements Loads.
-func (busy *busy) Coming(directory.Token) int { return 0 }
+func (busy *busy) Pending(directory.Token) int { return 0 }
 
 // Proven implements Loads.
-func (busy *busy) Proven(time.Time) bool { return !busy.unproven }
+func (busy *busy) SufficientForRefusal(time.Time) bool { return !busy.unproven }
 
 // Evidence implements Loads.
 func (busy *busy) Evidence(directory.Token, time.Time) Evidence {
-	return Evidence{HeardAgo: NeverHeard}
+	return Evidence{ReportedAgo: NeverReported}
 }
 
 // Load implements Loads.
 func (busy *busy) Load(directory.Token) (int, time.Duration) { return busy.open, busy.serving }
 
 // Typical implements Loads.
-func (busy *busy) Typical(string) time.Duration { return busy.typical }
+func (busy *busy) TypicalServiceTime(string) time.Duration { return busy.typical }
 
 // objective is that of the test's urgent route.
 const objective = 200 * time.Millisecond
@@ -106,10 +106,10 @@
 		{"as much as targets hold", busy{open: 9, serving: 10 * time.Millisecond}, long, to(443), nil, ReasonChosen},
 		{"less urgent, as much as they hold for it", busy{open: 6, serving: 10 * time.Millisecond}, long, to(444), nil, ReasonChosen},
 		{"less urgent, more than they hold for it", busy{open: 7, serving: 10 * time.Millisecond}, long, to(444), nil, ReasonOverloaded},
-		{"no bound on what targets hold", busy{open: 11, serving: 10 * time.Millisecond}, long, to(443), func(options *Options) { options.FullCrowd = 0 }, ReasonChosen},
+		{"no bound on what targets hold", busy{open: 11, serving: 10 * time.Millisecond}, long, to(443), func(options *Options) { options.MaxOccupancy = 0 }, ReasonChosen},
 		{"counts that are not proven", busy{open: 50, serving: 50 * time.Millisecond, unproven: true}, long, to(443), nil, ReasonChosen},
 		{"no objective", busy{open: 50, serving: 50 * time.Millisecond}, long, Segment{Caller: opening(9).Caller, Service: noRoute, Opening: true}, nil, ReasonChosen},
-		{"admission switched off", busy{open: 50, serving: time.Second}, long, to(443), func(options *Options) { options.AdmitShare = 0 }, ReasonChosen},
+		{"admission switched off", busy{open: 50, serving: time.Second}, long, to(443), func(options *Options) { options.MaxObjectiveShare = 0 }, ReasonChosen},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -179,7 +179,7 @@
 	repeated := opening(9)
 	repeated.Attempt = 1
 	require.Equal(t, ReasonOverloaded, table.Decide(repeated, end).Reason)
-	repeated.Seen = true
+	repeated.AlreadyForwarded = true
 	require.Equal(t, Forward, table.Decide(repeated, end).Action)
 }
 
--- a/internal/direct/steer/choices.go
+++ b/internal/direct/steer/choices.go
@@ -26,7 +26,7 @@
 	scores  [choicesKept]float64
 	count   int
 	// byHash has the tokens of the first ones in the order of their hash.
-	byHash [TriesKnown]directory.Token
+	byHash [TrackedAttempts]directory.Token
 }
 
 // add takes a target in by its score.
@@ -55,7 +55,7 @@
 // leastBusyFirst sorts the first candidates by how busy they are. Those that are
 // about as busy stay in the order of their hash, which prefers near ones.
 func (choices *choices) leastBusyFirst(options Options) {
-	for place := range min(TriesKnown, choices.count) {
+	for place := range min(TrackedAttempts, choices.count) {
 		choices.byHash[place] = choices.targets[place].Token
 	}
 	candidates := min(options.Candidates, choices.count)
@@ -84,7 +84,7 @@
 // pressureOf returns the requests at the target and on their way there, by capacity.
 func (options *Options) pressureOf(target *record) float64 {
 	open, _ := options.Loads.Load(target.Token)
-	return target.pressure(open + options.Loads.Coming(target.Token))
+	return target.pressure(open + options.Loads.Pending(target.Token))
 }
 
 // pressure is the number of open requests by capacity.
@@ -113,9 +113,9 @@
 // tried returns the targets of the former copies of an opening packet as if this
 // balancer had placed them, the latest first. Another one did, by its hash unless
 // targets are busy.
-func (choices *choices) tried(attempt int) [TriesKnown]directory.Token {
-	var tried [TriesKnown]directory.Token
-	for copies := range min(attempt, TriesKnown) {
+func (choices *choices) tried(attempt int) [TrackedAttempts]directory.Token {
+	var tried [TrackedAttempts]directory.Token
+	for copies := range min(attempt, TrackedAttempts) {
 		if place := attempt - 1 - copies; place < choices.count {
 			tried[copies] = choices.byHash[place]
 		}
--- a/internal/direct/steer/choices_test.go
+++ b/internal/direct/steer/choices_test.go
@@ -13,23 +13,23 @@
 type loads map[directory.Token]int
 
 // Known implements Loads.
-func (loads loads) Known() bool { return true }
+func (loads loads) Reliable() bool { return true }
 
 // Coming implements Loads.
-func (loads loads) Coming(directory.Token) int { return 0 }
+func (loads loads) Pending(directory.Token) int { return 0 }
 
 // Proven implements Loads.
-func (loads loads) Proven(time.Time) bool { return true }
+func (loads loads) SufficientForRefusal(time.Time) bool { return true }
 
 // Evidence implements Loads.
 func (loads loads) Evidence(directory.Token, time.Time) Evidence {
-	return Evidence{HeardAgo: NeverHeard}
+	return Evidence{ReportedAgo: NeverReported}
 }
 
 // Load implements Loads.
 func (loads loads) Load(token directory.Token) (int, time.Duration) { return loads[token], 0 }
 
-func (loads loads) Typical(string) time.Duration { return 0 }
+func (loads loads) TypicalServiceTime(string) time.Duration { return 0 }
 
 // loadedTable returns a table of count targets of capacity two that chooses
 // among candidates by their load.
@@ -98,7 +98,7 @@
 			if before > 0 {
 				copied.Attempt = 2
 			}
-			copied.Tried = [TriesKnown]directory.Token{former, before}
+			copied.Tried = [TrackedAttempts]directory.Token{former, before}
 			decision := table.Decide(copied, start.Add(2*copiesSpan))
 			require.NotContains(t, []directory.Token{former, before}, decision.Token)
 			require.Equal(t, former, decision.Suspect)
@@ -129,7 +129,7 @@
 	table := loadedTable(t, 1, 3, loads{})
 	copied := opening(9)
 	copied.Attempt = 1
-	copied.Tried = [TriesKnown]directory.Token{1}
+	copied.Tried = [TrackedAttempts]directory.Token{1}
 	decision := table.Decide(copied, start.Add(2*copiesSpan))
 	require.Equal(t, directory.Token(1), decision.Token)
 	require.Zero(t, decision.Suspect, "it is not probed for that")
--- a/internal/direct/steer/coldness.go
+++ b/internal/direct/steer/coldness.go
@@ -32,7 +32,7 @@
 }
 
 // ColdBounded tells whether the new flows of cold targets of a service are bounded.
-func (table *Table) ColdBounded(service string) bool {
+func (table *Table) HasColdLimit(service string) bool {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.coldness.perSecond[service] > 0
@@ -91,7 +91,7 @@
 // before, and waiting would only add to those that come after. A copy of a packet that
 // was sent on is not refused, because the flow may have opened.
 func refuseCold(segment Segment) Decision {
-	if segment.Seen {
+	if segment.AlreadyForwarded {
 		return Decision{Reason: ReasonCold}
 	}
 	return Decision{Action: Reset, Reason: ReasonCold}
--- a/internal/direct/steer/coldness_test.go
+++ b/internal/direct/steer/coldness_test.go
@@ -83,7 +83,7 @@
 func TestCopyOfAnOpenedFlowIsNotRefusedForColdness(t *testing.T) {
 	table := balancerOf(t, "b1", bounded(1, map[directory.Token]model.NodeName{1: "b2"}))
 	copied := opening(7)
-	copied.Attempt, copied.Seen = 1, true
+	copied.Attempt, copied.AlreadyForwarded = 1, true
 	decision := table.Decide(copied, start)
 	require.Equal(t, Drop, decision.Action)
 	require.Equal(t, ReasonCold, decision.Reason)
--- a/internal/direct/steer/coming_test.go
+++ b/internal/direct/steer/coming_test.go
@@ -17,7 +17,7 @@
 }
 
 // Coming implements Loads.
-func (loads *onTheWay) Coming(token directory.Token) int { return loads.coming[token] }
+func (loads *onTheWay) Pending(token directory.Token) int { return loads.coming[token] }
 
 // TestFlowsThatWaitForTheLinkDoNotPileUp: flows that come while others wait in front of the
 // link go to other targets, although none of those has reached its target.
--- a/internal/direct/steer/decide.go
+++ b/internal/direct/steer/decide.go
@@ -115,7 +115,7 @@
 		return table.openWithoutTargets(service, hash, segment, route, now)
 	}
 	candidate := table.candidate(service, hash, segment, route, now)
-	if !table.admits(service, candidate, route, now) && !segment.Seen {
+	if !table.admits(service, candidate, route, now) && !segment.AlreadyForwarded {
 		if decision, opened := table.openCold(service, hash, segment, route, now); opened {
 			return decision
 		}
@@ -131,7 +131,7 @@
 // candidate is the target that a new flow would go to.
 type candidate struct {
 	target *record
-	place  Place
+	place  Locality
 	// former is the target that did not answer the flow's former opening packet, or zero.
 	former directory.Token
 	// open is the number of requests that are open there, and expected how long a further
@@ -150,7 +150,7 @@
 	place := placeOf(chosen)
 	if segment.Attempt == 0 {
 		if spilled := table.spill(service, chosen, hash, now); spilled != nil {
-			chosen, place = spilled, PlaceSpilled
+			chosen, place = spilled, LocalitySpillover
 		}
 	}
 	open, serving := table.loadOf(chosen)
@@ -166,7 +166,7 @@
 	decision.Open = candidate.open
 	decision.Expected = candidate.expected
 	decision.Objective = route.objective
-	decision.Place = candidate.place
+	decision.Locality = candidate.place
 	silent := candidate.former != 0 && candidate.former != candidate.target.Token
 	if silent && now.Sub(table.servingSince) > copiesSpan {
 		decision.Suspect = candidate.former
@@ -182,7 +182,7 @@
 	switch {
 	case !elsewhere:
 		return Decision{Reason: ReasonNoTarget}
-	case segment.Seen || !table.fresh(now):
+	case segment.AlreadyForwarded || !table.fresh(now):
 		return Decision{Reason: ReasonNoHome}
 	default:
 		return Decision{Action: Reset, Reason: ReasonNoHome}
@@ -208,7 +208,7 @@
 // the flow may have opened before the order.
 func (table *Table) refuseEvacuated(segment Segment, service *service, now time.Time) Decision {
 	decision := Decision{Reason: ReasonEvacuated, EvacuatedSince: service.evacuatedSince}
-	if table.fresh(now) && !segment.Seen {
+	if table.fresh(now) && !segment.AlreadyForwarded {
 		decision.Action = Reset
 	}
 	return decision
@@ -220,7 +220,7 @@
 	}
 	open, serving = table.options.Loads.Load(target.Token)
 	if serving == 0 {
-		serving = table.options.Loads.Typical(target.Service)
+		serving = table.options.Loads.TypicalServiceTime(target.Service)
 	}
 	return open, serving
 }
--- a/internal/direct/steer/evacuation_test.go
+++ b/internal/direct/steer/evacuation_test.go
@@ -57,11 +57,11 @@
 	service, capacity := table.ServiceCapacity(1)
 	require.Equal(t, "feed", service)
 	require.Equal(t, 4, capacity, "load is compared with what is in use")
-	require.Equal(t, 1, table.Evacuated())
+	require.Equal(t, 1, table.EvacuatedZones())
 
 	require.True(t, table.Apply(ordered(11), start))
 	require.ElementsMatch(t, []directory.Token{1, 2, 3, 4}, reached(t, table))
-	require.Zero(t, table.Evacuated())
+	require.Zero(t, table.EvacuatedZones())
 }
 
 func TestOpenFlowsOfAnEvacuatedZoneGoOn(t *testing.T) {
@@ -89,7 +89,7 @@
 func TestServiceWithoutTargetsOutsideEvacuatedZones(t *testing.T) {
 	seen := opening(9)
 	seen.Attempt = 1
-	seen.Seen = true
+	seen.AlreadyForwarded = true
 	cases := []struct {
 		name    string
 		segment Segment
@@ -117,7 +117,7 @@
 func TestEverythingTellsEvacuatedZones(t *testing.T) {
 	table := tableOf(t, zoned("a", "b", "c"))
 	require.True(t, table.Apply(ordered(10, "c", "a"), start))
-	follower := tableOf(t, table.Everything())
+	follower := tableOf(t, table.Snapshot())
 	require.Equal(t, []directory.Token{2}, reached(t, follower))
-	require.Equal(t, table.Everything(), follower.Everything())
+	require.Equal(t, table.Snapshot(), follower.Snapshot())
 }
--- a/internal/direct/steer/home_test.go
+++ b/internal/direct/steer/home_test.go
@@ -53,7 +53,7 @@
 // TestEverythingTellsRegions: a balancer that follows another one obeys them.
 func TestEverythingTellsRegions(t *testing.T) {
 	table := homeTable(t, zoned("n1", "s1"), "south")
-	follower := homeTable(t, table.Everything(), table.Everything().Routes[0].Regions...)
+	follower := homeTable(t, table.Snapshot(), table.Snapshot().Routes[0].Regions...)
 	require.Equal(t, []directory.Token{2}, reached(t, follower))
 }
 
--- a/internal/direct/steer/locality.go
+++ b/internal/direct/steer/locality.go
@@ -35,8 +35,8 @@
 
 // nearWeightOf returns the weight of a service's near targets against others.
 func (table *Table) nearWeightOf(service *service) float64 {
-	weight := table.options.NearWeight
-	if table.options.Loads == nil || !table.options.Loads.Known() {
+	weight := table.options.LocalZoneWeight
+	if table.options.Loads == nil || !table.options.Loads.Reliable() {
 		weight = min(weight, blindNearWeight)
 	}
 	return min(weight, service.mostNearWeight)
@@ -61,7 +61,7 @@
 // spill returns the target elsewhere that a new flow goes to because the chosen near one has
 // no idle slot, or nil where it stays.
 func (table *Table) spill(service *service, chosen *record, hash uint64, now time.Time) *record {
-	if !chosen.near || table.options.SpillCandidates == 0 || table.options.Loads == nil {
+	if !chosen.near || table.options.SpilloverCandidates == 0 || table.options.Loads == nil {
 		return nil
 	}
 	pressure := table.options.pressureOf(chosen)
@@ -72,7 +72,7 @@
 	service.pool.rank(ranking{hash: hash, now: now}, &elsewhere)
 	var least *record
 	lowest := pressure * spillRatio
-	for _, target := range elsewhere.targets[:min(elsewhere.count, table.options.SpillCandidates)] {
+	for _, target := range elsewhere.targets[:min(elsewhere.count, table.options.SpilloverCandidates)] {
 		other := table.options.pressureOf(target)
 		if other < lowest || least == nil && other == lowest {
 			least, lowest = target, other
--- a/internal/direct/steer/locality_test.go
+++ b/internal/direct/steer/locality_test.go
@@ -36,10 +36,10 @@
 }
 
 // places counts where flows go.
-func places(table *Table, flows int) map[Place]int {
-	counts := make(map[Place]int)
+func places(table *Table, flows int) map[Locality]int {
+	counts := make(map[Locality]int)
 	for port := range flows {
-		counts[table.Decide(opening(port+1), start).Place]++
+		counts[table.Decide(opening(port+1), start).Locality]++
 	}
 	return counts
 }
@@ -47,8 +47,8 @@
 func TestFlowsStayInTheirZoneWhileItHasRoom(t *testing.T) {
 	const flows = 20_000
 	counts := places(zonedTable(t, threeZones(10), loads{1: 1, 2: 1, 3: 1}), flows)
-	require.Zero(t, counts[PlaceSpilled])
-	require.InDelta(t, 64.0/66, float64(counts[PlaceNear])/flows, 0.01)
+	require.Zero(t, counts[LocalitySpillover])
+	require.InDelta(t, 64.0/66, float64(counts[LocalityLocalZone])/flows, 0.01)
 }
 
 // TestBlindBalancersKeepAPartElsewhere: a balancer that does not see how busy targets are
@@ -56,7 +56,7 @@
 func TestBlindBalancersKeepAPartElsewhere(t *testing.T) {
 	const flows = 20_000
 	counts := places(zonedTable(t, threeZones(10), nil), flows)
-	require.InDelta(t, 4.0/6, float64(counts[PlaceNear])/flows, 0.02)
+	require.InDelta(t, 4.0/6, float64(counts[LocalityLocalZone])/flows, 0.02)
 }
 
 // TestAZoneWithFewTargetsIsPreferredInProportion: nineteen of a zone's twenty targets are
@@ -66,8 +66,8 @@
 	changes := threeZones(20)
 	changes.Targets = changes.Targets[19:]
 	counts := places(zonedTable(t, changes, loads{}), flows)
-	require.Less(t, float64(counts[PlaceNear])/flows, 0.2)
-	require.Greater(t, float64(counts[PlaceNear])/flows, 1.0/41)
+	require.Less(t, float64(counts[LocalityLocalZone])/flows, 0.2)
+	require.Greater(t, float64(counts[LocalityLocalZone])/flows, 1.0/41)
 }
 
 // TestFullZonesKeepTheirFlows: where all are as full, crossing zones gains nothing.
@@ -76,7 +76,7 @@
 	for token := directory.Token(1); token <= 30; token++ {
 		full[token] = 6 + int(token%3)
 	}
-	require.Zero(t, places(zonedTable(t, threeZones(10), full), 5000)[PlaceSpilled])
+	require.Zero(t, places(zonedTable(t, threeZones(10), full), 5000)[LocalitySpillover])
 }
 
 func TestSpilledFlowsGoWhereLessThanHalfIsOpen(t *testing.T) {
@@ -88,7 +88,7 @@
 				known[directory.Token(index+1)] = count
 			}
 			decision := zonedTable(t, threeZones(4), known).Decide(opening(port), start)
-			if decision.Place != PlaceSpilled {
+			if decision.Locality != LocalitySpillover {
 				return true
 			}
 			least := 0
@@ -134,17 +134,17 @@
 }
 
 // Known implements Loads.
-func (delayed *delayed) Known() bool { return true }
+func (delayed *delayed) Reliable() bool { return true }
 
 // Coming implements Loads.
-func (delayed *delayed) Coming(directory.Token) int { return 0 }
+func (delayed *delayed) Pending(directory.Token) int { return 0 }
 
 // Proven implements Loads.
-func (delayed *delayed) Proven(time.Time) bool { return true }
+func (delayed *delayed) SufficientForRefusal(time.Time) bool { return true }
 
 // Evidence implements Loads.
 func (delayed *delayed) Evidence(directory.Token, time.Time) Evidence {
-	return Evidence{HeardAgo: NeverHeard}
+	return Evidence{ReportedAgo: NeverReported}
 }
 
 // Load implements Loads.
@@ -153,7 +153,7 @@
 }
 
 // Typical implements Loads.
-func (delayed *delayed) Typical(string) time.Duration { return 0 }
+func (delayed *delayed) TypicalServiceTime(string) time.Duration { return 0 }
 
 const (
 	// workTime is how long a request occupies a slot.
@@ -174,7 +174,7 @@
 			options := DefaultOptions()
 			options.Zone = zone
 			options.Loads = known
-			options.SpillCandidates = spillCandidates
+			options.SpilloverCandidates = spillCandidates
 			table := NewTable(options)
 			require.True(t, table.Apply(threeZones(targetsEach), start))
 			made.tables = append(made.tables, table)
@@ -231,7 +231,7 @@
 	segment := opening(1 + surge.random.IntN(60_000))
 	decision := surge.tables[balancer].Decide(segment, surge.now)
 	surge.opened[zone]++
-	if decision.Place == PlaceSpilled {
+	if decision.Locality == LocalitySpillover {
 		surge.spilled[zone]++
 	}
 	open := surge.open(decision.Token)
@@ -247,7 +247,7 @@
 // sixth for chance, and requests wait for less than two others on average. Then it is as
 // before. Without spilling they wait for more than ten.
 func TestTheSurplusOfAZoneGoesElsewhere(t *testing.T) {
-	surge := newSurge(t, DefaultOptions().SpillCandidates)
+	surge := newSurge(t, DefaultOptions().SpilloverCandidates)
 	surge.run(2*time.Second, calm)
 	require.Less(t, float64(surge.spilled["a"]), 0.01*float64(surge.opened["a"]))
 	surge.run(4*time.Second, pressed)
--- a/internal/direct/steer/options.go
+++ b/internal/direct/steer/options.go
@@ -20,12 +20,12 @@
 	// Zone is the balancer's zone. Targets of the same zone get NearWeight
 	// times as many of its new flows as others of the same capacity, while they have
 	// room; one is no preference.
-	Zone       string
-	NearWeight float64
+	Zone            string
+	LocalZoneWeight float64
 	// SpillCandidates is the number of targets of other zones among which the least busy
 	// one gets a new flow that near targets have no room for; zero keeps it near. It is
 	// at most choicesKept.
-	SpillCandidates int
+	SpilloverCandidates int
 	// Regions has the region of each zone by its name. A target whose zone is not in it
 	// serves no route that is bound to regions.
 	Regions map[string]string
@@ -35,11 +35,11 @@
 	// AdmitShare is the share of its route's objective that a new flow's request
 	// may be expected to take at the chosen target; else the flow has to wait or
 	// is refused. Zero admits all.
-	AdmitShare float64
+	MaxObjectiveShare float64
 	// FullCrowd is how many requests for each of its slots a target may hold before new
 	// flows of the most urgent routes are refused, those of others from fewer on; zero
 	// bounds none.
-	FullCrowd float64
+	MaxOccupancy float64
 	// Loads tells how busy targets are; nil when nobody knows.
 	Loads Loads
 }
@@ -49,11 +49,11 @@
 type Loads interface {
 	// Known tells whether counts may be used to choose among targets: nothing speaks
 	// against them.
-	Known() bool
+	Reliable() bool
 	// Proven tells whether counts may be used to refuse a flow: enough was seen that
 	// speaks for them. What only seems full costs a worse choice, and a refusal turns a
 	// caller away beside idle targets.
-	Proven(now time.Time) bool
+	SufficientForRefusal(now time.Time) bool
 	// Load returns the number of requests that are open at the target, and how
 	// long it takes with one when it is idle; zero when that is not known.
 	Load(token directory.Token) (open int, serving time.Duration)
@@ -61,10 +61,10 @@
 	// that wait in front of its link. A choice counts them, so that flows which come within
 	// the wait do not all go to one target; a refusal does not, because the link brings them
 	// one after the other, and the target may be idle meanwhile.
-	Coming(token directory.Token) int
+	Pending(token directory.Token) int
 	// Typical returns how long a request takes at an idle target of the service;
 	// zero when that is not known.
-	Typical(service string) time.Duration
+	TypicalServiceTime(service string) time.Duration
 	// Evidence returns what the open requests of the target rest on, but for ServingFor.
 	Evidence(token directory.Token, now time.Time) Evidence
 }
@@ -72,14 +72,14 @@
 // DefaultOptions returns the bounds of processes.
 func DefaultOptions() Options {
 	return Options{
-		FreshFor:   1500 * time.Millisecond,
-		AvoidFor:   3 * time.Second,
-		NearWeight: 64,
+		FreshFor:        1500 * time.Millisecond,
+		AvoidFor:        3 * time.Second,
+		LocalZoneWeight: 64,
 		// As many as near ones, and as few, so that balancers with the same counts
 		// choose different ones.
-		SpillCandidates: 3,
-		Candidates:      3,
-		AdmitShare:      0.6,
-		FullCrowd:       5,
+		SpilloverCandidates: 3,
+		Candidates:          3,
+		MaxObjectiveShare:   0.6,
+		MaxOccupancy:        5,
 	}
 }
--- a/internal/direct/steer/pool_test.go
+++ b/internal/direct/steer/pool_test.go
@@ -236,7 +236,7 @@
 		for range 60 {
 			require.True(t, followed.Apply(randomChange(random, followed.Revision()), start))
 			fresh := NewTable(options)
-			require.True(t, fresh.Apply(followed.Everything(), start))
+			require.True(t, fresh.Apply(followed.Snapshot(), start))
 			if fmt.Sprint(shapeOf(followed)) != fmt.Sprint(shapeOf(fresh)) {
 				t.Logf("followed %v\nfresh %v", shapeOf(followed), shapeOf(fresh))
 				return false
--- a/internal/direct/steer/segment.go
+++ b/internal/direct/steer/segment.go
@@ -30,10 +30,10 @@
 	// Tried has the tokens of the targets that the former copies of an opening
 	// packet were sent on to, the latest first, as far as this balancer knows;
 	// else zero.
-	Tried [TriesKnown]directory.Token
+	Tried [TrackedAttempts]directory.Token
 	// Seen tells that this balancer sent a former copy of an opening packet on, so
 	// that the flow may have opened meanwhile.
-	Seen bool
+	AlreadyForwarded bool
 	// Abort tells that the packet itself ends its flow at once; it is never
 	// answered.
 	Abort bool
@@ -50,13 +50,13 @@
 }
 
 // Acknowledges tells whether the packet does nothing but acknowledge.
-func (segment Segment) Acknowledges() bool {
+func (segment Segment) IsPureAck() bool {
 	return !segment.Opening && !segment.Abort && !segment.Closing && !segment.HasData
 }
 
 // TriesKnown is the number of former copies of an opening packet whose targets
 // matter: callers send three copies at the most.
-const TriesKnown = 2
+const TrackedAttempts = 2
 
 // Action is what a balancer does with a packet.
 type Action uint8
@@ -140,23 +140,23 @@
 }
 
 // Place tells where a new flow's target lies. The values are stable; they name metrics.
-type Place uint8
+type Locality uint8
 
 // The places.
 const (
 	// PlaceElsewhere: in another zone than the balancer, by hash.
-	PlaceElsewhere Place = iota
+	LocalityRemoteZone Locality = iota
 	// PlaceNear: in the balancer's zone.
-	PlaceNear
+	LocalityLocalZone
 	// PlaceSpilled: in another zone, because near targets had no room.
-	PlaceSpilled
+	LocalitySpillover
 	placeCount
 )
 
 var placeNames = [placeCount]string{"elsewhere", "near", "spilled"}
 
 // String returns the place's stable name.
-func (place Place) String() string {
+func (place Locality) String() string {
 	if place >= placeCount {
 		return "unknown"
 	}
@@ -164,13 +164,15 @@
 }
 
 // Places returns all places.
-func Places() []Place { return []Place{PlaceElsewhere, PlaceNear, PlaceSpilled} }
+func Localities() []Locality {
+	return []Locality{LocalityRemoteZone, LocalityLocalZone, LocalitySpillover}
+}
 
-func placeOf(target *record) Place {
+func placeOf(target *record) Locality {
 	if target.near {
-		return PlaceNear
+		return LocalityLocalZone
 	}
-	return PlaceElsewhere
+	return LocalityRemoteZone
 }
 
 // Decision is the outcome for one packet.
@@ -199,7 +201,7 @@
 	// ReasonChosen.
 	Objective time.Duration
 	// Place tells where the target lies; set with ReasonChosen.
-	Place Place
+	Locality Locality
 	// EvacuatedSince is the revision of the latest order that emptied a zone of the
 	// service; set with ReasonEvacuated.
 	EvacuatedSince model.Revision
--- a/internal/direct/steer/table.go
+++ b/internal/direct/steer/table.go
@@ -203,10 +203,10 @@
 
 // WatchConfirmed registers a channel that gets a notice after a quorum confirmed
 // the table.
-func (table *Table) WatchConfirmed() <-chan struct{} { return table.confirmations.Watch() }
+func (table *Table) WatchConfirmations() <-chan struct{} { return table.confirmations.Watch() }
 
 // Everything returns the whole table as changes for a reader without one.
-func (table *Table) Everything() directory.Changes {
+func (table *Table) Snapshot() directory.Changes {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	whole := directory.Changes{Whole: true, To: table.revision, Version: table.version, IdleTimeout: table.idleTimeout, Zones: table.zones(), ColdLimits: table.coldness.limits()}
@@ -234,7 +234,7 @@
 }
 
 // Evacuated returns the number of zones whose targets get no new flows.
-func (table *Table) Evacuated() int {
+func (table *Table) EvacuatedZones() int {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return len(table.evacuated)
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -87,7 +87,7 @@
 // refused, because the answer to that one may be under way.
 func (admission *Admission) Review(segment steer.Segment, decision steer.Decision, now time.Time) steer.Decision {
 	opens := decision.Action == steer.Forward && decision.Reason == steer.ReasonChosen
-	if !opens || segment.Seen {
+	if !opens || segment.AlreadyForwarded {
 		return decision
 	}
 	if wait := admission.link.ShortWait(); admission.options.Share > 0 && wait > shortWaitMost {
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -112,7 +112,7 @@
 	repeated := opening
 	repeated.Attempt = 1
 	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its former copy was lost in front of the link")
-	repeated.Seen = true
+	repeated.AlreadyForwarded = true
 	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its former copy was sent on")
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner, Token: 7}
 	require.Equal(t, owner, admission.Review(steer.Segment{Service: uploads, Token: 7}, owner, start))
@@ -250,7 +250,7 @@
 		{"a short queue", shortWaitMost, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
 		{"a long queue", shortWaitMost + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
 		{"an open flow", time.Second, steer.Segment{Service: calls}, owner, 0.5, false},
-		{"a copy of what was sent on", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
+		{"a copy of what was sent on", time.Second, steer.Segment{Service: calls, Opening: true, AlreadyForwarded: true}, chosen, 0.5, false},
 		{"switched off", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
 	}
 	for _, test := range cases {
--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -147,7 +147,7 @@
 	now := balancer.process.LocalNow()
 	segment := packet.segment()
 	if segment.Opening && segment.Attempt > 0 {
-		segment.Tried, segment.Seen = balancer.watcher.Tried(segment)
+		segment.Tried, segment.AlreadyForwarded = balancer.watcher.Tried(segment)
 	}
 	decision := balancer.admission.Review(segment, world.options.Parts.Decide(balancer.table, segment, now), now)
 	world.checks.decided(balancer, packet, decision)
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -164,8 +164,8 @@
 	}
 	evidence := decision.Evidence
 	return fmt.Sprintf("%s to %s: %s at target %d: open %d (own %d, others %d, heard %s ago), expected %s, gaps %.2f of %d, missed %.2f of %d, serving for %s",
-		packet.flow.caller, packet.flow.service, decision.Reason, decision.ID, decision.Open, evidence.Own, evidence.Others, evidence.HeardAgo, decision.Expected,
-		evidence.Gaps.Share, evidence.Gaps.Cases, evidence.Missed.Share, evidence.Missed.Cases, evidence.ServingFor)
+		packet.flow.caller, packet.flow.service, decision.Reason, decision.ID, decision.Open, evidence.LocalOpen, evidence.RemoteOpen, evidence.ReportedAgo, decision.Expected,
+		evidence.Gaps.Share, evidence.Gaps.Samples, evidence.Unanswered.Share, evidence.Unanswered.Samples, evidence.ServingFor)
 }
 
 // deathBound is how long after a target's death new flows may go to it.
--- a/internal/sim/directworld/zone_checks.go
+++ b/internal/sim/directworld/zone_checks.go
@@ -72,9 +72,9 @@
 		}
 	}
 	for _, balancer := range checks.world.balancers {
-		if balancer.process.Active() && balancer.table.Evacuated() != len(held) {
+		if balancer.process.Active() && balancer.table.EvacuatedZones() != len(held) {
 			checks.world.checks.violate(checker.InvariantEvacuated, "%s ends with %d emptied zones, the leader with %d",
-				balancer.process.Name, balancer.table.Evacuated(), len(held))
+				balancer.process.Name, balancer.table.EvacuatedZones(), len(held))
 		}
 	}
 }
--- a/internal/sim/mutant/direct.go
+++ b/internal/sim/mutant/direct.go
@@ -177,21 +177,21 @@
 			Breaks:  "balancers choose targets by hash alone, whatever is open there",
 			Expect:  []checker.Invariant{checker.InvariantTimely},
 			Story:   storyOf("direct-heavy-load"),
-			Variant: directChoice(func(options *steer.Options) { options.Candidates, options.SpillCandidates = 1, 0 }),
+			Variant: directChoice(func(options *steer.Options) { options.Candidates, options.SpilloverCandidates = 1, 0 }),
 		},
 		{
 			Name:    "direct-admission-off",
 			Breaks:  "balancers let every flow in, however much there is to do",
 			Expect:  []checker.Invariant{checker.InvariantTimely},
 			Story:   storyOf("direct-overload"),
-			Variant: directChoice(func(options *steer.Options) { options.AdmitShare = 0 }),
+			Variant: directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0 }),
 		},
 		{
 			Name:    "direct-refuses-early",
 			Breaks:  "balancers refuse flows that targets could serve in time",
 			Expect:  []checker.Invariant{checker.InvariantTimely},
 			Story:   storyOf("direct-heavy-load"),
-			Variant: directChoice(func(options *steer.Options) { options.AdmitShare = 0.05 }),
+			Variant: directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0.05 }),
 		},
 		{
 			Name:   "direct-load-not-added-up",
@@ -263,4 +263,4 @@
 }
 
 // Proven implements steer.Loads.
-func (alwaysProven) Proven(time.Time) bool { return true }
+func (alwaysProven) SufficientForRefusal(time.Time) bool { return true }
