--- a/internal/direct/steer/admission_test.go
+++ b/internal/direct/steer/admission_test.go
@@ -84,7 +84,7 @@
 		return segment
 	}
 	// Share 0.6 of 200 ms, in two slots: 50 ms each leave room for four.
-	long := 3 * congestionSpan
+	long := 3 * congestionTimeConstant
 	cases := []struct {
 		name     string
 		load     busy
@@ -94,7 +94,7 @@
 		reason   Reason
 	}{
 		{"more than the objective allows", busy{open: 5, serving: 50 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
-		{"a passing backlog", busy{open: 5, serving: 50 * time.Millisecond}, congestionSpan / 2, to(443), nil, ReasonChosen},
+		{"a passing backlog", busy{open: 5, serving: 50 * time.Millisecond}, congestionTimeConstant / 2, to(443), nil, ReasonChosen},
 		{"as much as the objective allows", busy{open: 3, serving: 50 * time.Millisecond}, long, to(443), nil, ReasonChosen},
 		{"a quick service", busy{open: 5, serving: 30 * time.Millisecond}, long, to(443), nil, ReasonChosen},
 		{"a serving time that nobody knows", busy{open: 5, serving: 0}, long, to(443), nil, ReasonOverloaded},
@@ -136,14 +136,14 @@
 	lessUrgent.Service = lateRoute
 	refusedAt := func(segment Segment) int {
 		for load.open = 0; load.open < 40; load.open++ {
-			from := start.Add(time.Duration(load.open) * 3 * congestionSpan)
+			from := start.Add(time.Duration(load.open) * 3 * congestionTimeConstant)
 			both := func(at time.Time) Decision {
 				_ = table.Decide(urgent, at)
 				_ = table.Decide(lessUrgent, at)
 				return table.Decide(segment, at)
 			}
 			var last Decision
-			for passed := time.Duration(0); passed < 3*congestionSpan; passed += 10 * time.Millisecond {
+			for passed := time.Duration(0); passed < 3*congestionTimeConstant; passed += 10 * time.Millisecond {
 				last = both(from.Add(passed))
 			}
 			if last.Reason == ReasonOverloaded {
@@ -161,12 +161,12 @@
 func TestCongestionEndsWithItsCause(t *testing.T) {
 	load := &busy{open: 20, serving: 50 * time.Millisecond}
 	table := admissionTable(t, load, nil)
-	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionSpan, opening(9)).Reason)
+	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionTimeConstant, opening(9)).Reason)
 	load.open = 1
-	later := start.Add(3 * congestionSpan)
-	press(table, later, congestionSpan, opening(9))
+	later := start.Add(3 * congestionTimeConstant)
+	press(table, later, congestionTimeConstant, opening(9))
 	load.open = 20
-	require.Equal(t, ReasonChosen, table.Decide(opening(9), later.Add(congestionSpan+time.Millisecond)).Reason)
+	require.Equal(t, ReasonChosen, table.Decide(opening(9), later.Add(congestionTimeConstant+time.Millisecond)).Reason)
 }
 
 // TestCopiesOfWhatWasSentOnAreNeverRefused: the answer to the former copy may be under
@@ -174,8 +174,8 @@
 // here is refused like any other.
 func TestCopiesOfWhatWasSentOnAreNeverRefused(t *testing.T) {
 	table := admissionTable(t, &busy{open: 50, serving: time.Second}, nil)
-	end := start.Add(3 * congestionSpan)
-	press(table, start, 3*congestionSpan, opening(9))
+	end := start.Add(3 * congestionTimeConstant)
+	press(table, start, 3*congestionTimeConstant, opening(9))
 	repeated := opening(9)
 	repeated.Attempt = 1
 	require.Equal(t, ReasonOverloaded, table.Decide(repeated, end).Reason)
@@ -186,16 +186,16 @@
 // TestOpenFlowsAreNeverRefused: only new flows are.
 func TestOpenFlowsAreNeverRefused(t *testing.T) {
 	table := admissionTable(t, &busy{open: 50, serving: time.Second}, nil)
-	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionSpan, opening(9)).Reason)
+	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionTimeConstant, opening(9)).Reason)
 	segment := Segment{Caller: opening(9).Caller, Service: feedRoute, Token: 2, HasData: true}
-	require.Equal(t, Forward, table.Decide(segment, start.Add(3*congestionSpan)).Action)
+	require.Equal(t, Forward, table.Decide(segment, start.Add(3*congestionTimeConstant)).Action)
 }
 
 // TestCongestionOutlivesChangesOfTheTable: a change of targets is no relief.
 func TestCongestionOutlivesChangesOfTheTable(t *testing.T) {
 	table := admissionTable(t, &busy{open: 20, serving: 50 * time.Millisecond}, nil)
-	end := start.Add(3 * congestionSpan)
-	press(table, start, 3*congestionSpan, opening(9))
+	end := start.Add(3 * congestionTimeConstant)
+	press(table, start, 3*congestionTimeConstant, opening(9))
 	require.True(t, table.Apply(next(10, entry(4, "feed", directory.TargetReady)), end))
 	require.Equal(t, ReasonOverloaded, table.Decide(opening(9), end).Reason)
 }
--- a/internal/direct/steer/apply.go
+++ b/internal/direct/steer/apply.go
@@ -10,83 +10,83 @@
 
 // replace takes a whole directory in. What this balancer learned of targets
 // that stay is kept.
-func (table *Table) replace(changes directory.Changes, now time.Time) {
+func (table *Table) applySnapshot(changes directory.Changes, now time.Time) {
 	former := table.targets
 	first := table.revision == 0
 	table.routes = make(map[netip.AddrPort]route, len(changes.Routes))
-	table.targets = make(map[directory.Token]*record, len(changes.Targets))
-	table.latest = make(map[directory.TargetID]*record, len(changes.Targets))
+	table.targets = make(map[directory.Token]*targetRecord, len(changes.Targets))
+	table.latestByID = make(map[directory.TargetID]*targetRecord, len(changes.Targets))
 	for index := range changes.Targets {
 		token := changes.Targets[index].Token
 		if known, stays := former[token]; stays {
-			table.add(known)
+			table.addTarget(known)
 		}
 	}
-	table.mergeZones(changes.Zones)
-	table.coldness.merge(changes.ColdLimits)
-	table.mergeRoutes(changes.Routes)
-	table.mergeTargets(changes.Targets, now, first)
+	table.applyEvacuations(changes.Zones)
+	table.coldLimits.apply(changes.ColdLimits)
+	table.applyRoutes(changes.Routes)
+	table.applyTargets(changes.Targets, now, first)
 	table.rebuildServices()
 }
 
 // add takes a target's record in, and remove takes it out.
-func (table *Table) add(added *record) {
+func (table *Table) addTarget(added *targetRecord) {
 	table.targets[added.Token] = added
-	if latest := table.latest[added.ID]; latest == nil || latest.Token < added.Token {
-		table.latest[added.ID] = added
+	if latest := table.latestByID[added.ID]; latest == nil || latest.Token < added.Token {
+		table.latestByID[added.ID] = added
 	}
 }
 
-func (table *Table) remove(token directory.Token) {
+func (table *Table) removeTarget(token directory.Token) {
 	removed, known := table.targets[token]
 	if !known {
 		return
 	}
 	delete(table.targets, token)
-	if table.latest[removed.ID] == removed {
-		delete(table.latest, removed.ID)
+	if table.latestByID[removed.ID] == removed {
+		delete(table.latestByID, removed.ID)
 	}
 }
 
 // merge takes changes in. Those of targets alone, which come all the time, change the
 // services of these targets; others concern all targets, and come seldom.
-func (table *Table) merge(changes directory.Changes, now time.Time) {
+func (table *Table) applyDelta(changes directory.Changes, now time.Time) {
 	for _, address := range changes.Removed {
 		delete(table.routes, address)
 	}
-	table.mergeRoutes(changes.Routes)
-	if changes.Zones == nil && changes.ColdLimits == nil && slices.Equal(table.homesHeld, table.homes()) {
-		table.changeTargets(changes, now)
+	table.applyRoutes(changes.Routes)
+	if changes.Zones == nil && changes.ColdLimits == nil && slices.Equal(table.regionSets, table.routeRegionSets()) {
+		table.applyTargetChanges(changes, now)
 		return
 	}
 	for _, token := range changes.Forgotten {
-		table.remove(token)
+		table.removeTarget(token)
 	}
-	table.mergeZones(changes.Zones)
-	table.coldness.merge(changes.ColdLimits)
-	table.mergeTargets(changes.Targets, now, false)
+	table.applyEvacuations(changes.Zones)
+	table.coldLimits.apply(changes.ColdLimits)
+	table.applyTargets(changes.Targets, now, false)
 	table.rebuildServices()
 }
 
 // changeTargets takes changes of targets in, each at its services.
-func (table *Table) changeTargets(changes directory.Changes, now time.Time) {
+func (table *Table) applyTargetChanges(changes directory.Changes, now time.Time) {
 	for _, token := range changes.Forgotten {
 		if forgotten, known := table.targets[token]; known {
-			table.leave(forgotten)
-			table.remove(token)
+			table.removeFromServices(forgotten)
+			table.removeTarget(token)
 		}
 	}
 	for _, entry := range changes.Targets {
 		if former, known := table.targets[entry.Token]; known {
-			table.leave(former)
+			table.removeFromServices(former)
 		}
-		table.join(table.mergeTarget(entry, now, false), nil)
+		table.addToServices(table.applyTarget(entry, now, false), nil)
 	}
-	table.settleServices()
+	table.finishDirtyServices()
 }
 
 // mergeZones takes in which zones are evacuated; nil changes nothing.
-func (table *Table) mergeZones(zones *directory.Zones) {
+func (table *Table) applyEvacuations(zones *directory.Zones) {
 	if zones == nil {
 		return
 	}
@@ -96,11 +96,11 @@
 	}
 }
 
-func (table *Table) mergeRoutes(entries []directory.RouteEntry) {
+func (table *Table) applyRoutes(entries []directory.RouteEntry) {
 	for _, entry := range entries {
-		added := route{parts: entry.Pool, objective: entry.Objective, priority: entry.Priority, home: homeOf(entry.Regions)}
+		added := route{parts: entry.Pool, objective: entry.Objective, priority: entry.Priority, regions: newRegionSet(entry.Regions)}
 		for _, part := range entry.Pool {
-			added.total += part.Weight
+			added.totalWeight += part.Weight
 		}
 		table.routes[entry.Address] = added
 	}
@@ -108,30 +108,30 @@
 
 // mergeTargets adds or changes targets. first tells that the entries come with the
 // balancer's first table, so that nobody knows how long ago they started.
-func (table *Table) mergeTargets(entries []directory.TargetEntry, now time.Time, first bool) {
+func (table *Table) applyTargets(entries []directory.TargetEntry, now time.Time, first bool) {
 	for _, entry := range entries {
-		table.mergeTarget(entry, now, first)
+		table.applyTarget(entry, now, first)
 	}
 }
 
 // mergeTarget adds or changes one target and returns its record.
-func (table *Table) mergeTarget(entry directory.TargetEntry, now time.Time, first bool) *record {
+func (table *Table) applyTarget(entry directory.TargetEntry, now time.Time, first bool) *targetRecord {
 	known := table.targets[entry.Token]
 	if known == nil {
-		known = &record{TargetEntry: entry, seed: seedOf(entry.ID)}
+		known = &targetRecord{TargetEntry: entry, seed: seedOf(entry.ID)}
 		if !first {
-			known.warmAt = now.Add(entry.Cold)
+			known.slowStartUntil = now.Add(entry.Cold)
 		}
-		table.add(known)
+		table.addTarget(known)
 	}
 	if known.State != entry.State {
 		known.avoidUntil = time.Time{}
 	}
 	if entry.Cold == 0 {
-		known.warmAt = time.Time{}
+		known.slowStartUntil = time.Time{}
 	}
 	known.TargetEntry = entry
 	known.region = table.options.Regions[entry.Zone]
-	known.near = entry.Zone != "" && entry.Zone == table.options.Zone
+	known.inLocalZone = entry.Zone != "" && entry.Zone == table.options.Zone
 	return known
 }
--- a/internal/direct/steer/choices.go
+++ b/internal/direct/steer/choices.go
@@ -14,23 +14,23 @@
 // choicesKept is the number of targets, best by hash, that are looked at for one
 // opening packet. It bounds Options.Candidates, and the distinct targets that
 // its copies may reach.
-const choicesKept = 8
+const maxRankedTargets = 8
 
 // coldWeight is the weight of a target that is still slow from its start,
 // relative to a warm one.
-const coldWeight = 0.5
+const slowStartWeight = 0.5
 
 // choices are the best targets by hash for one opening packet, best first.
-type choices struct {
-	targets [choicesKept]*record
-	scores  [choicesKept]float64
+type rankedTargets struct {
+	targets [maxRankedTargets]*targetRecord
+	scores  [maxRankedTargets]float64
 	count   int
 	// byHash has the tokens of the first ones in the order of their hash.
-	byHash [TrackedAttempts]directory.Token
+	tokensByHash [TrackedAttempts]directory.Token
 }
 
 // add takes a target in by its score.
-func (choices *choices) add(target *record, score float64) {
+func (choices *rankedTargets) add(target *targetRecord, score float64) {
 	choices.count = insertByScore(choices.targets[:], choices.scores[:], choices.count, target, score)
 }
 
@@ -54,18 +54,18 @@
 
 // leastBusyFirst sorts the first candidates by how busy they are. Those that are
 // about as busy stay in the order of their hash, which prefers near ones.
-func (choices *choices) leastBusyFirst(options Options) {
+func (choices *rankedTargets) leastBusyFirst(options Options) {
 	for place := range min(TrackedAttempts, choices.count) {
-		choices.byHash[place] = choices.targets[place].Token
+		choices.tokensByHash[place] = choices.targets[place].Token
 	}
 	candidates := min(options.Candidates, choices.count)
 	if options.Loads == nil || candidates < 2 {
 		return
 	}
-	var pressures [choicesKept]float64
+	var pressures [maxRankedTargets]float64
 	for index := range candidates {
 		target := choices.targets[index]
-		pressure := options.pressureOf(target)
+		pressure := options.occupancyOf(target)
 		position := index
 		for position > 0 && pressures[position-1] > pressure {
 			choices.targets[position] = choices.targets[position-1]
@@ -79,28 +79,28 @@
 
 // relaxedPressure is the share of a target's capacity up to which it counts as
 // idle: a further request is worked on at once.
-const relaxedPressure = 0.5
+const idleOccupancy = 0.5
 
 // pressureOf returns the requests at the target and on their way there, by capacity.
-func (options *Options) pressureOf(target *record) float64 {
+func (options *Options) occupancyOf(target *targetRecord) float64 {
 	open, _ := options.Loads.Load(target.Token)
-	return target.pressure(open + options.Loads.Pending(target.Token))
+	return target.occupancy(open + options.Loads.Pending(target.Token))
 }
 
 // pressure is the number of open requests by capacity.
-func (target *record) pressure(open int) float64 {
-	return max(float64(open)/float64(target.slots()), relaxedPressure)
+func (target *targetRecord) occupancy(open int) float64 {
+	return max(float64(open)/float64(target.slots()), idleOccupancy)
 }
 
 // pick returns the target for the opening packet, and the token of the one that
 // did not answer its former copy, or zero.
-func (choices *choices) pick(segment Segment) (chosen *record, former directory.Token) {
+func (choices *rankedTargets) pick(segment Segment) (chosen *targetRecord, former directory.Token) {
 	if segment.Attempt == 0 {
 		return choices.targets[0], 0
 	}
 	tried := segment.Tried
 	if tried[0] == 0 {
-		tried = choices.tried(segment.Attempt)
+		tried = choices.assumedTried(segment.Attempt)
 	}
 	for _, target := range choices.targets[:choices.count] {
 		if !slices.Contains(tried[:], target.Token) {
@@ -113,11 +113,11 @@
 // tried returns the targets of the former copies of an opening packet as if this
 // balancer had placed them, the latest first. Another one did, by its hash unless
 // targets are busy.
-func (choices *choices) tried(attempt int) [TrackedAttempts]directory.Token {
+func (choices *rankedTargets) assumedTried(attempt int) [TrackedAttempts]directory.Token {
 	var tried [TrackedAttempts]directory.Token
 	for copies := range min(attempt, TrackedAttempts) {
 		if place := attempt - 1 - copies; place < choices.count {
-			tried[copies] = choices.byHash[place]
+			tried[copies] = choices.tokensByHash[place]
 		}
 	}
 	return tried
@@ -126,29 +126,29 @@
 // rank fills choices with the best targets for the hash, by weighted rendezvous
 // hashing, in which near targets have nearWeight times their weight. Targets that are
 // avoided are left out while others are there.
-func (service *service) rank(by ranking, choices *choices) {
+func (service *service) rank(by rankCriteria, choices *rankedTargets) {
 	service.pool.rank(by, choices)
 	if choices.count > 0 {
 		return
 	}
-	service.pool.all(func(target *record) {
-		choices.add(target, target.score(by.hash, by.now, by.nearWeight))
+	service.pool.forEach(func(target *targetRecord) {
+		choices.add(target, target.score(by.hash, by.now, by.localZoneWeight))
 	})
 }
 
-func (target *record) usable(now time.Time) bool {
+func (target *targetRecord) usable(now time.Time) bool {
 	return !target.Aside && !now.Before(target.avoidUntil)
 }
 
 // score is the target's place in weighted rendezvous hashing: the target with
 // the highest score is chosen with a probability in proportion to its weight.
-func (target *record) score(hash uint64, now time.Time, nearWeight float64) float64 {
+func (target *targetRecord) score(hash uint64, now time.Time, nearWeight float64) float64 {
 	weight := float64(target.slots())
-	if target.near {
+	if target.inLocalZone {
 		weight *= nearWeight
 	}
-	if now.Before(target.warmAt) {
-		weight *= coldWeight
+	if now.Before(target.slowStartUntil) {
+		weight *= slowStartWeight
 	}
 	return rendezvousScore(weight, hash^target.seed)
 }
@@ -166,12 +166,12 @@
 
 func flowHash(segment Segment) uint64 {
 	var key [36]byte
-	putEnd(key[0:18], segment.Caller)
-	putEnd(key[18:36], segment.Service)
+	putEndpoint(key[0:18], segment.Caller)
+	putEndpoint(key[18:36], segment.Service)
 	return xxhash.Sum64(key[:])
 }
 
-func putEnd(key []byte, end netip.AddrPort) {
+func putEndpoint(key []byte, end netip.AddrPort) {
 	address := end.Addr().As16()
 	copy(key, address[:])
 	binary.BigEndian.PutUint16(key[16:], end.Port())
--- a/internal/direct/steer/choices_test.go
+++ b/internal/direct/steer/choices_test.go
@@ -99,7 +99,7 @@
 				copied.Attempt = 2
 			}
 			copied.Tried = [TrackedAttempts]directory.Token{former, before}
-			decision := table.Decide(copied, start.Add(2*copiesSpan))
+			decision := table.Decide(copied, start.Add(2*retransmissionSpan))
 			require.NotContains(t, []directory.Token{former, before}, decision.Token)
 			require.Equal(t, former, decision.Suspect)
 		}
@@ -115,12 +115,12 @@
 		for attempt := range 3 {
 			copied := opening(port + 1)
 			copied.Attempt = attempt
-			decision := loaded.Decide(copied, start.Add(2*copiesSpan))
+			decision := loaded.Decide(copied, start.Add(2*retransmissionSpan))
 			if attempt > 0 {
 				require.Equal(t, placed[attempt-1], decision.Suspect)
 				require.NotContains(t, placed, decision.Token)
 			}
-			placed = append(placed, plain.Decide(copied, start.Add(2*copiesSpan)).Token)
+			placed = append(placed, plain.Decide(copied, start.Add(2*retransmissionSpan)).Token)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	copied := opening(9)
 	copied.Attempt = 1
 	copied.Tried = [TrackedAttempts]directory.Token{1}
-	decision := table.Decide(copied, start.Add(2*copiesSpan))
+	decision := table.Decide(copied, start.Add(2*retransmissionSpan))
 	require.Equal(t, directory.Token(1), decision.Token)
 	require.Zero(t, decision.Suspect, "it is not probed for that")
 }
--- a/internal/direct/steer/coldness.go
+++ b/internal/direct/steer/coldness.go
@@ -11,23 +11,23 @@
 // flows than it bears in a second. It is longer than a second, because opening packets
 // may wait up to some tens of milliseconds on their way, so that those of a longer
 // span arrive within one second.
-const holderWindow = 1200 * time.Millisecond
+const coldRateWindow = 1200 * time.Millisecond
 
 // coldness is the state of a table that concerns cold targets.
-type coldness struct {
+type coldLimits struct {
 	// perSecond is the number of new flows a second that a cold target bears, by
 	// service; services without a bound are not in it.
 	perSecond map[string]float64
 }
 
-func (coldness *coldness) merge(limits *directory.ColdLimits) {
+func (coldness *coldLimits) apply(limits *directory.ColdLimits) {
 	if limits != nil {
 		coldness.perSecond = limits.PerSecond
 	}
 }
 
 // limits returns the bounds for another balancer.
-func (coldness *coldness) limits() *directory.ColdLimits {
+func (coldness *coldLimits) export() *directory.ColdLimits {
 	return &directory.ColdLimits{PerSecond: coldness.perSecond}
 }
 
@@ -35,31 +35,31 @@
 func (table *Table) HasColdLimit(service string) bool {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
-	return table.coldness.perSecond[service] > 0
+	return table.coldLimits.perSecond[service] > 0
 }
 
 // holding counts the new flows that a balancer gave to a cold target that it holds.
-type holding struct {
-	lock  sync.Mutex
-	given []time.Time
+type rateWindow struct {
+	lock     sync.Mutex
+	admitted []time.Time
 }
 
 // take notes one more new flow, and returns false when the target would get more than
 // perSecond of them within the window.
-func (holding *holding) take(now time.Time, perSecond float64) bool {
+func (holding *rateWindow) allow(now time.Time, perSecond float64) bool {
 	holding.lock.Lock()
 	defer holding.lock.Unlock()
-	kept := holding.given[:0]
-	for _, at := range holding.given {
-		if now.Sub(at) < holderWindow {
+	kept := holding.admitted[:0]
+	for _, at := range holding.admitted {
+		if now.Sub(at) < coldRateWindow {
 			kept = append(kept, at)
 		}
 	}
-	holding.given = kept
+	holding.admitted = kept
 	if float64(len(kept)+1) > perSecond {
 		return false
 	}
-	holding.given = append(holding.given, now)
+	holding.admitted = append(holding.admitted, now)
 	return true
 }
 
@@ -67,17 +67,17 @@
 // one more, the best by hash first. A balancer that started within the window does not
 // know what it gave in its former life, and gives none.
 func (table *Table) openCold(service *service, hash uint64, segment Segment, route route, now time.Time) (Decision, bool) {
-	if segment.Attempt > 0 || now.Sub(table.servingSince) < holderWindow {
+	if segment.Attempt > 0 || now.Sub(table.servingSince) < coldRateWindow {
 		return Decision{}, false
 	}
-	var choices choices
-	for _, target := range service.held {
+	var choices rankedTargets
+	for _, target := range service.heldCold {
 		if target.usable(now) {
 			choices.add(target, target.score(hash, now, 1))
 		}
 	}
 	for _, target := range choices.targets[:choices.count] {
-		if target.holding.take(now, service.heldRate) {
+		if target.coldWindow.allow(now, service.coldFlowRate) {
 			decision := forwardTo(target, ReasonChosen)
 			decision.Objective = route.objective
 			return decision, true
--- a/internal/direct/steer/coldness_test.go
+++ b/internal/direct/steer/coldness_test.go
@@ -95,8 +95,8 @@
 	options.Self = "b1"
 	table := NewTable(options)
 	require.True(t, table.Apply(bounded(1, map[directory.Token]model.NodeName{1: "b1"}), start))
-	require.Equal(t, ReasonCold, table.Decide(opening(1), start.Add(holderWindow-time.Millisecond)).Reason)
-	require.Equal(t, ReasonChosen, table.Decide(opening(1), start.Add(holderWindow)).Reason)
+	require.Equal(t, ReasonCold, table.Decide(opening(1), start.Add(coldRateWindow-time.Millisecond)).Reason)
+	require.Equal(t, ReasonChosen, table.Decide(opening(1), start.Add(coldRateWindow)).Reason)
 }
 
 // TestServicesWithoutABoundUseColdTargets, with a smaller share.
--- a/internal/direct/steer/coming_test.go
+++ b/internal/direct/steer/coming_test.go
@@ -44,9 +44,9 @@
 func TestFlowsAreNotRefusedForWhatWaitsForTheLink(t *testing.T) {
 	loads := &onTheWay{busy: busy{open: 1, serving: 50 * time.Millisecond}, coming: map[directory.Token]int{1: 20, 2: 20, 3: 20}}
 	table := admissionTable(t, &loads.busy, func(options *Options) { options.Loads = loads })
-	decision := press(table, start, 3*congestionSpan, opening(9))
+	decision := press(table, start, 3*congestionTimeConstant, opening(9))
 	require.Equal(t, ReasonChosen, decision.Reason)
 	loads.open = 21
-	decision = press(table, start.Add(time.Minute), 3*congestionSpan, opening(9))
+	decision = press(table, start.Add(time.Minute), 3*congestionTimeConstant, opening(9))
 	require.Equal(t, ReasonOverloaded, decision.Reason)
 }
--- a/internal/direct/steer/decide.go
+++ b/internal/direct/steer/decide.go
@@ -9,7 +9,7 @@
 // copiesSpan is the time within which callers send copies of an opening packet.
 // A balancer whose first table is younger placed none of the former copies, so
 // that a further one says nothing about a target.
-const copiesSpan = 1400 * time.Millisecond
+const retransmissionSpan = 1400 * time.Millisecond
 
 // Decide returns what to do with a packet at now.
 func (table *Table) Decide(segment Segment, now time.Time) Decision {
@@ -37,17 +37,17 @@
 	}
 	route, exists := table.routes[segment.Service]
 	if !exists {
-		return table.refuseRoute(segment, now)
+		return table.refuseUnknownRoute(segment, now)
 	}
 	if segment.Opening {
-		return table.open(segment, route, now)
+		return table.openFlow(segment, route, now)
 	}
-	return table.follow(segment)
+	return table.decideOpenFlow(segment)
 }
 
 // refuseRoute answers a packet whose address has no route. A balancer whose
 // table may be old says nothing, because the route may exist.
-func (table *Table) refuseRoute(segment Segment, now time.Time) Decision {
+func (table *Table) refuseUnknownRoute(segment Segment, now time.Time) Decision {
 	if !table.fresh(now) {
 		return Decision{Reason: ReasonNoRouteStale}
 	}
@@ -62,7 +62,7 @@
 }
 
 // follow finds the owner of an open flow by its token.
-func (table *Table) follow(segment Segment) Decision {
+func (table *Table) decideOpenFlow(segment Segment) Decision {
 	if segment.Token == 0 {
 		return Decision{Reason: ReasonMissingToken}
 	}
@@ -83,8 +83,8 @@
 // at the same address. Flows that opened there before balancers knew of the new start
 // have the former token, and only the target knows which flows those are: it resets all
 // others by itself. nil for none.
-func (table *Table) restartedInPlace(failed *record) *record {
-	latest := table.latest[failed.ID]
+func (table *Table) restartedInPlace(failed *targetRecord) *targetRecord {
+	latest := table.latestByID[failed.ID]
 	if latest == nil || latest.Token <= failed.Token || latest.State == directory.TargetFailed {
 		return nil
 	}
@@ -94,25 +94,25 @@
 	return latest
 }
 
-func forwardTo(target *record, reason Reason) Decision {
+func forwardTo(target *targetRecord, reason Reason) Decision {
 	return Decision{Action: Forward, Reason: reason, Token: target.Token, ID: target.ID, Target: target.Address, Service: target.Service, Capacity: target.Capacity}
 }
 
 // open chooses a target for an opening packet. Copies go to another choice: the
 // former one did not answer in time. A copy of a packet that was sent on is not
 // refused, because the answer to that one may be under way.
-func (table *Table) open(segment Segment, route route, now time.Time) Decision {
+func (table *Table) openFlow(segment Segment, route route, now time.Time) Decision {
 	hash := flowHash(segment)
-	name, found := route.choose(hash)
+	name, found := route.chooseService(hash)
 	if !found {
 		return Decision{Reason: ReasonNoTarget}
 	}
-	service := table.services[serviceKey{name: name, home: route.home}]
+	service := table.services[serviceKey{name: name, regions: route.regions}]
 	if service == nil {
-		return table.refuseHome(segment, name, route, now)
+		return table.refuseOutsideRegions(segment, name, route, now)
 	}
 	if service.pool.count == 0 {
-		return table.openWithoutTargets(service, hash, segment, route, now)
+		return table.openWithoutActiveTargets(service, hash, segment, route, now)
 	}
 	candidate := table.candidate(service, hash, segment, route, now)
 	if !table.admits(service, candidate, route, now) && !segment.AlreadyForwarded {
@@ -130,10 +130,10 @@
 
 // candidate is the target that a new flow would go to.
 type candidate struct {
-	target *record
+	target *targetRecord
 	place  Locality
 	// former is the target that did not answer the flow's former opening packet, or zero.
-	former directory.Token
+	unresponsive directory.Token
 	// open is the number of requests that are open there, and expected how long a further
 	// one would take.
 	open     int
@@ -143,20 +143,20 @@
 // candidate returns the least busy of the best targets by hash, which are near ones mostly,
 // or one elsewhere when these have no room.
 func (table *Table) candidate(service *service, hash uint64, segment Segment, route route, now time.Time) candidate {
-	var choices choices
-	service.rank(ranking{hash: hash, now: now, nearWeight: table.nearWeightOf(service)}, &choices)
+	var choices rankedTargets
+	service.rank(rankCriteria{hash: hash, now: now, localZoneWeight: table.localZoneWeightFor(service)}, &choices)
 	choices.leastBusyFirst(table.options)
 	chosen, former := choices.pick(segment)
-	place := placeOf(chosen)
+	place := localityOf(chosen)
 	if segment.Attempt == 0 {
-		if spilled := table.spill(service, chosen, hash, now); spilled != nil {
+		if spilled := table.spilloverTarget(service, chosen, hash, now); spilled != nil {
 			chosen, place = spilled, LocalitySpillover
 		}
 	}
 	open, serving := table.loadOf(chosen)
 	return candidate{
-		target: chosen, place: place, former: former,
-		open: open, expected: chosen.expected(open, serving, route.objective),
+		target: chosen, place: place, unresponsive: former,
+		open: open, expected: chosen.expectedTime(open, serving, route.objective),
 	}
 }
 
@@ -167,9 +167,9 @@
 	decision.Expected = candidate.expected
 	decision.Objective = route.objective
 	decision.Locality = candidate.place
-	silent := candidate.former != 0 && candidate.former != candidate.target.Token
-	if silent && now.Sub(table.servingSince) > copiesSpan {
-		decision.Suspect = candidate.former
+	silent := candidate.unresponsive != 0 && candidate.unresponsive != candidate.target.Token
+	if silent && now.Sub(table.servingSince) > retransmissionSpan {
+		decision.Suspect = candidate.unresponsive
 	}
 	return decision
 }
@@ -177,8 +177,8 @@
 // refuseHome answers an opening packet whose service has no target in the route's
 // regions. Where it has some elsewhere, waiting does not help the caller, and it is
 // refused; else one may register soon.
-func (table *Table) refuseHome(segment Segment, name string, route route, now time.Time) Decision {
-	elsewhere := route.home != everywhere && table.services[serviceKey{name: name}] != nil
+func (table *Table) refuseOutsideRegions(segment Segment, name string, route route, now time.Time) Decision {
+	elsewhere := route.regions != anyRegion && table.services[serviceKey{name: name}] != nil
 	switch {
 	case !elsewhere:
 		return Decision{Reason: ReasonNoTarget}
@@ -191,8 +191,8 @@
 
 // openWithoutTargets decides about an opening packet whose service has targets, none
 // of which takes new flows of all balancers.
-func (table *Table) openWithoutTargets(service *service, hash uint64, segment Segment, route route, now time.Time) Decision {
-	if service.cold == 0 {
+func (table *Table) openWithoutActiveTargets(service *service, hash uint64, segment Segment, route route, now time.Time) Decision {
+	if service.coldCount == 0 {
 		return table.refuseEvacuated(segment, service, now)
 	}
 	if decision, opened := table.openCold(service, hash, segment, route, now); opened {
@@ -214,7 +214,7 @@
 	return decision
 }
 
-func (table *Table) loadOf(target *record) (open int, serving time.Duration) {
+func (table *Table) loadOf(target *targetRecord) (open int, serving time.Duration) {
 	if table.options.Loads == nil {
 		return 0, 0
 	}
@@ -226,13 +226,13 @@
 }
 
 // choose picks the part of the pool by weight.
-func (route *route) choose(hash uint64) (string, bool) {
-	if route.total == 0 {
+func (route *route) chooseService(hash uint64) (string, bool) {
+	if route.totalWeight == 0 {
 		return "", false
 	}
 	// The upper half of the hash decides the part and the whole hash the
 	// target, so that the two choices do not depend on each other.
-	ticket := int((hash >> 32) % uint64(route.total))
+	ticket := int((hash >> 32) % uint64(route.totalWeight))
 	for _, part := range route.parts {
 		ticket -= part.Weight
 		if ticket < 0 {
--- a/internal/direct/steer/evidence.go
+++ b/internal/direct/steer/evidence.go
@@ -30,7 +30,7 @@
 }
 
 // evidence returns what the open requests of a target rest on.
-func (table *Table) evidence(target *record, now time.Time) Evidence {
+func (table *Table) evidence(target *targetRecord, now time.Time) Evidence {
 	found := table.options.Loads.Evidence(target.Token, now)
 	found.ServingFor = now.Sub(table.servingSince)
 	return found
--- a/internal/direct/steer/home.go
+++ b/internal/direct/steer/home.go
@@ -5,31 +5,33 @@
 // home names a set of regions in a form that can be compared; everywhere is the empty
 // set, which binds nothing. Targets of a service are kept apart for each home that a
 // route has, so that the choice for one route never sees those that it may not use.
-type home string
+type regionSet string
 
 // everywhere is the home of routes that any target may serve.
-const everywhere home = ""
+const anyRegion regionSet = ""
 
 // regionSeparator stands between the regions of a home. Names of regions have no
 // control characters.
 const regionSeparator = "\x1f"
 
-func homeOf(regions []string) home { return home(strings.Join(regions, regionSeparator)) }
+func newRegionSet(regions []string) regionSet {
+	return regionSet(strings.Join(regions, regionSeparator))
+}
 
 // regions returns the regions of the home, none for everywhere.
-func (home home) regions() []string {
-	if home == everywhere {
+func (home regionSet) names() []string {
+	if home == anyRegion {
 		return nil
 	}
 	return strings.Split(string(home), regionSeparator)
 }
 
 // allows tells whether a target of the region may serve routes of the home.
-func (home home) allows(region string) bool {
-	if home == everywhere {
+func (home regionSet) allows(region string) bool {
+	if home == anyRegion {
 		return true
 	}
-	for _, allowed := range home.regions() {
+	for _, allowed := range home.names() {
 		if allowed == region {
 			return true
 		}
@@ -39,18 +41,18 @@
 
 // serviceKey names the targets of a service that routes of one home may use.
 type serviceKey struct {
-	name string
-	home home
+	name    string
+	regions regionSet
 }
 
 // homes returns everywhere and the homes of all routes.
-func (table *Table) homes() []home {
-	homes := []home{everywhere}
-	known := map[home]bool{everywhere: true}
+func (table *Table) routeRegionSets() []regionSet {
+	homes := []regionSet{anyRegion}
+	known := map[regionSet]bool{anyRegion: true}
 	for _, route := range table.routes {
-		if !known[route.home] {
-			known[route.home] = true
-			homes = append(homes, route.home)
+		if !known[route.regions] {
+			known[route.regions] = true
+			homes = append(homes, route.regions)
 		}
 	}
 	return homes
--- a/internal/direct/steer/pool.go
+++ b/internal/direct/steer/pool.go
@@ -16,14 +16,14 @@
 // bears is one group, in which the choice is plain weighted rendezvous hashing.
 const (
 	// mostUngrouped is the number of targets that are looked at one by one: some 20 us.
-	mostUngrouped = 512
+	maxUngroupedTargets = 512
 	// groupTargets is the number of targets for each group, at the most, when a pool is
 	// grouped: for a choice among 8,000, some 250 groups and 150 targets are looked at.
-	groupTargets = 32
+	maxTargetsPerGroup = 32
 	// groupsRanked is the number of groups whose best targets are looked at: enough for the
 	// three candidates of an opening packet and for its copies, which pass over those that
 	// did not answer.
-	groupsRanked = 5
+	maxRankedGroups = 5
 	// regroupFactor is by how much the mean of targets in a group may leave the range from
 	// half of groupTargets to groupTargets before the pool is grouped anew, so that a
 	// release, which adds and removes targets by turns, does not group it again and again.
@@ -34,9 +34,9 @@
 type group struct {
 	seed uint64
 	// slots are those of all its targets, and nearSlots of those in the balancer's zone.
-	slots     int
-	nearSlots int
-	targets   []*record
+	slots          int
+	localZoneSlots int
+	targets        []*targetRecord
 }
 
 // pool has the targets of a service that take new flows.
@@ -59,32 +59,32 @@
 	return groups
 }
 
-func (pool *pool) groupOf(target *record) *group {
+func (pool *pool) groupOf(target *targetRecord) *group {
 	return &pool.groups[target.seed&uint64(len(pool.groups)-1)]
 }
 
 // add takes a target in.
-func (pool *pool) add(added *record) {
+func (pool *pool) add(added *targetRecord) {
 	pool.groupOf(added).add(added)
 	pool.count++
 	pool.regroup()
 }
 
-func (group *group) add(added *record) {
+func (group *group) add(added *targetRecord) {
 	group.targets = append(group.targets, added)
-	group.count(added, 1)
+	group.adjustTotals(added, 1)
 }
 
 // count changes the sums by a target that comes, with 1, or goes, with -1.
-func (group *group) count(target *record, sign int) {
+func (group *group) adjustTotals(target *targetRecord, sign int) {
 	group.slots += sign * target.slots()
-	if target.near {
-		group.nearSlots += sign * target.slots()
+	if target.inLocalZone {
+		group.localZoneSlots += sign * target.slots()
 	}
 }
 
 // remove takes a target out, which must be as it was when it was added.
-func (pool *pool) remove(removed *record) {
+func (pool *pool) remove(removed *targetRecord) {
 	group := pool.groupOf(removed)
 	for place, target := range group.targets {
 		if target != removed {
@@ -94,7 +94,7 @@
 		group.targets[place] = group.targets[last]
 		group.targets[last] = nil
 		group.targets = group.targets[:last]
-		group.count(removed, -1)
+		group.adjustTotals(removed, -1)
 		pool.count--
 		pool.regroup()
 		return
@@ -103,7 +103,7 @@
 
 // regroup groups the targets anew when there are too many or too few for the groups.
 func (pool *pool) regroup() {
-	wanted := groupsFor(pool.count)
+	wanted := groupCountFor(pool.count)
 	held := len(pool.groups)
 	if held == wanted {
 		return
@@ -111,7 +111,7 @@
 	if held > 1 && wanted > 1 && wanted <= held*regroupFactor && wanted*regroupFactor >= held {
 		return
 	}
-	if held > 1 && wanted == 1 && pool.count > mostUngrouped/regroupFactor {
+	if held > 1 && wanted == 1 && pool.count > maxUngroupedTargets/regroupFactor {
 		return
 	}
 	former := pool.groups
@@ -124,15 +124,15 @@
 }
 
 // groupsFor returns the number of groups of a pool with count targets.
-func groupsFor(count int) int {
-	if count <= mostUngrouped {
+func groupCountFor(count int) int {
+	if count <= maxUngroupedTargets {
 		return 1
 	}
-	return 1 << bits.Len(uint((count-1)/groupTargets))
+	return 1 << bits.Len(uint((count-1)/maxTargetsPerGroup))
 }
 
 // all calls visit with each target.
-func (pool *pool) all(visit func(target *record)) {
+func (pool *pool) forEach(visit func(target *targetRecord)) {
 	for place := range pool.groups {
 		for _, target := range pool.groups[place].targets {
 			visit(target)
@@ -141,47 +141,47 @@
 }
 
 // ranking is what a choice among the targets of a pool goes by.
-type ranking struct {
+type rankCriteria struct {
 	hash uint64
 	now  time.Time
 	// nearWeight is the weight of near targets against others; zero leaves them out.
-	nearWeight float64
+	localZoneWeight float64
 }
 
 // rank fills choices with the best usable targets of the pool, the best of each group.
-func (pool *pool) rank(by ranking, choices *choices) {
+func (pool *pool) rank(by rankCriteria, choices *rankedTargets) {
 	if len(pool.groups) == 1 {
 		for _, target := range pool.groups[0].targets {
 			if by.allows(target) {
-				choices.add(target, target.score(by.hash, by.now, by.nearWeight))
+				choices.add(target, target.score(by.hash, by.now, by.localZoneWeight))
 			}
 		}
 		return
 	}
-	best := pool.bestGroups(by)
+	best := pool.rankGroups(by)
 	for place := range best.count {
-		if target := best.groups[place].best(by); target != nil {
+		if target := best.groups[place].bestTarget(by); target != nil {
 			choices.add(target, best.scores[place])
 		}
 	}
 }
 
-func (by *ranking) allows(target *record) bool {
-	return target.usable(by.now) && (by.nearWeight > 0 || !target.near)
+func (by *rankCriteria) allows(target *targetRecord) bool {
+	return target.usable(by.now) && (by.localZoneWeight > 0 || !target.inLocalZone)
 }
 
 // groupChoices are the best groups for a flow, best first.
-type groupChoices struct {
-	groups [groupsRanked]*group
-	scores [groupsRanked]float64
+type rankedGroups struct {
+	groups [maxRankedGroups]*group
+	scores [maxRankedGroups]float64
 	count  int
 }
 
-func (pool *pool) bestGroups(by ranking) groupChoices {
-	var best groupChoices
+func (pool *pool) rankGroups(by rankCriteria) rankedGroups {
+	var best rankedGroups
 	for place := range pool.groups {
 		group := &pool.groups[place]
-		weight := by.nearWeight*float64(group.nearSlots) + float64(group.slots-group.nearSlots)
+		weight := by.localZoneWeight*float64(group.localZoneSlots) + float64(group.slots-group.localZoneSlots)
 		if weight > 0 {
 			best.add(group, rendezvousScore(weight, by.hash^group.seed))
 		}
@@ -189,19 +189,19 @@
 	return best
 }
 
-func (best *groupChoices) add(added *group, score float64) {
+func (best *rankedGroups) add(added *group, score float64) {
 	best.count = insertByScore(best.groups[:], best.scores[:], best.count, added, score)
 }
 
 // best returns the group's best usable target, or nil.
-func (group *group) best(by ranking) *record {
-	var best *record
+func (group *group) bestTarget(by rankCriteria) *targetRecord {
+	var best *targetRecord
 	highest := math.Inf(-1)
 	for _, target := range group.targets {
 		if !by.allows(target) {
 			continue
 		}
-		if score := target.score(by.hash, by.now, by.nearWeight); score > highest {
+		if score := target.score(by.hash, by.now, by.localZoneWeight); score > highest {
 			best, highest = target, score
 		}
 	}
--- a/internal/direct/steer/pool_test.go
+++ b/internal/direct/steer/pool_test.go
@@ -19,19 +19,19 @@
 )
 
 // recordsOf returns count targets, of which each fourth one is near.
-func recordsOf(count int) []*record {
-	var made []*record
+func recordsOf(count int) []*targetRecord {
+	var made []*targetRecord
 	for number := range count {
 		id := directory.TargetID(number + 1)
-		made = append(made, &record{
+		made = append(made, &targetRecord{
 			TargetEntry: directory.TargetEntry{Token: directory.Token(number + 1), ID: id, Capacity: 1 + number%3, State: directory.TargetReady},
-			seed:        seedOf(id), near: number%4 == 0,
+			seed:        seedOf(id), inLocalZone: number%4 == 0,
 		})
 	}
 	return made
 }
 
-func poolOf(targets []*record) *pool {
+func poolOf(targets []*targetRecord) *pool {
 	made := newPool()
 	for _, target := range targets {
 		made.add(target)
@@ -39,21 +39,21 @@
 	return &made
 }
 
-func chosenBy(pool *pool, hash uint64, nearWeight float64) *choices {
-	var chosen choices
-	pool.rank(ranking{hash: mix(hash), now: start, nearWeight: nearWeight}, &chosen)
+func chosenBy(pool *pool, hash uint64, nearWeight float64) *rankedTargets {
+	var chosen rankedTargets
+	pool.rank(rankCriteria{hash: mix(hash), now: start, localZoneWeight: nearWeight}, &chosen)
 	return &chosen
 }
 
 // TestSmallPoolsAreRankedOneByOne: their choices are those of plain weighted rendezvous
 // hashing, target by target.
 func TestSmallPoolsAreRankedOneByOne(t *testing.T) {
-	for _, count := range []int{1, 3, 14, 120, mostUngrouped} {
+	for _, count := range []int{1, 3, 14, 120, maxUngroupedTargets} {
 		targets := recordsOf(count)
 		targets[0].Aside = true
 		pool := poolOf(targets)
 		for hash := range uint64(200) {
-			var plain choices
+			var plain rankedTargets
 			for _, target := range targets[1:] {
 				plain.add(target, target.score(mix(hash), start, 4))
 			}
@@ -71,10 +71,10 @@
 	require.Greater(t, len(pool.groups), 1)
 	weights, counts := make(map[string]float64), make(map[string]float64)
 	total := 0.0
-	kindOf := func(target *record) string { return fmt.Sprint(target.near, target.Capacity) }
+	kindOf := func(target *targetRecord) string { return fmt.Sprint(target.inLocalZone, target.Capacity) }
 	for _, target := range targets {
 		weight := float64(target.slots())
-		if target.near {
+		if target.inLocalZone {
 			weight *= nearWeight
 		}
 		weights[kindOf(target)] += weight
@@ -83,7 +83,7 @@
 	most := make(map[directory.Token]int)
 	for hash := range uint64(flows) {
 		chosen := chosenBy(pool, hash, nearWeight)
-		require.Equal(t, groupsRanked, chosen.count)
+		require.Equal(t, maxRankedGroups, chosen.count)
 		counts[kindOf(chosen.targets[0])]++
 		most[chosen.targets[0].Token]++
 	}
@@ -130,14 +130,14 @@
 			require.False(t, target.Aside)
 		}
 		elsewhere := chosenBy(&known.pool, hash, 0)
-		require.False(t, elsewhere.targets[0].near)
+		require.False(t, elsewhere.targets[0].inLocalZone)
 	}
 	for _, target := range targets {
 		target.Aside = true
 	}
-	var chosen choices
-	known.rank(ranking{hash: 7, now: start, nearWeight: 1}, &chosen)
-	require.Equal(t, choicesKept, chosen.count)
+	var chosen rankedTargets
+	known.rank(rankCriteria{hash: 7, now: start, localZoneWeight: 1}, &chosen)
+	require.Equal(t, maxRankedTargets, chosen.count)
 }
 
 // TestPoolsAreGroupedSeldom: targets that come and go by turns, as in a release, group a
@@ -165,9 +165,9 @@
 	pool := poolOf(recordsOf(8000))
 	hash := uint64(0)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
-		var chosen choices
+		var chosen rankedTargets
 		hash++
-		pool.rank(ranking{hash: mix(hash), now: start, nearWeight: 64}, &chosen)
+		pool.rank(rankCriteria{hash: mix(hash), now: start, localZoneWeight: 64}, &chosen)
 	}))
 }
 
@@ -209,13 +209,13 @@
 	shapes := make(map[serviceKey]string)
 	for key, known := range table.services {
 		taking := make(map[directory.Token]bool)
-		known.pool.all(func(target *record) { taking[target.Token] = true })
+		known.pool.forEach(func(target *targetRecord) { taking[target.Token] = true })
 		held := make(map[directory.Token]bool)
-		for _, target := range known.held {
+		for _, target := range known.heldCold {
 			held[target.Token] = true
 		}
-		shapes[key] = fmt.Sprint(taking, held, known.cold, known.members, known.capacity, known.zoneSlots, known.nearSlots,
-			known.mostNearWeight, known.heldRate, known.evacuatedSince, known.pool.count, known.pool.groups[0].slots)
+		shapes[key] = fmt.Sprint(taking, held, known.coldCount, known.targetCount, known.capacity, known.slotsByZone, known.localZoneSlots,
+			known.maxLocalZoneWeight, known.coldFlowRate, known.evacuatedSince, known.pool.count, known.pool.groups[0].slots)
 	}
 	return shapes
 }
--- a/internal/direct/steer/segment.go
+++ b/internal/direct/steer/segment.go
@@ -150,17 +150,17 @@
 	LocalityLocalZone
 	// PlaceSpilled: in another zone, because near targets had no room.
 	LocalitySpillover
-	placeCount
+	localityCount
 )
 
-var placeNames = [placeCount]string{"elsewhere", "near", "spilled"}
+var localityNames = [localityCount]string{"elsewhere", "near", "spilled"}
 
 // String returns the place's stable name.
 func (place Locality) String() string {
-	if place >= placeCount {
+	if place >= localityCount {
 		return "unknown"
 	}
-	return placeNames[place]
+	return localityNames[place]
 }
 
 // Places returns all places.
@@ -168,8 +168,8 @@
 	return []Locality{LocalityRemoteZone, LocalityLocalZone, LocalitySpillover}
 }
 
-func placeOf(target *record) Locality {
-	if target.near {
+func localityOf(target *targetRecord) Locality {
+	if target.inLocalZone {
 		return LocalityLocalZone
 	}
 	return LocalityRemoteZone
--- a/internal/direct/steer/services.go
+++ b/internal/direct/steer/services.go
@@ -12,41 +12,41 @@
 // time, collecting all of them anew takes milliseconds a change, at every balancer.
 
 // part is what a target is in its service.
-type part uint8
+type targetRole uint8
 
 const (
 	// partNone: the target takes no new flows, and its service does not count it.
-	partNone part = iota
+	roleNone targetRole = iota
 	// partTaking: it takes new flows.
-	partTaking
+	roleActive
 	// partCold: it is cold in a service that bounds that, and another balancer may give it
 	// new flows. No balancer but the holder can know what the others send, so that the sum
 	// over all keeps the bound whatever their tables say. With half the weight for cold
 	// targets, 88 balancers brought 12 new flows in a second where 11 were allowed
 	// (docs/design/zones.md).
-	partCold
+	roleCold
 	// partHeld: it is cold as well, and this balancer is its holder.
-	partHeld
+	roleHeldCold
 	// partEvacuated: its zone was emptied.
-	partEvacuated
+	roleEvacuated
 )
 
 // partOf returns what a target is in its service, by what the table knows.
-func (table *Table) partOf(target *record) part {
+func (table *Table) roleOf(target *targetRecord) targetRole {
 	if target.State != directory.TargetReady {
-		return partNone
+		return roleNone
 	}
 	if _, evacuated := table.evacuated[target.Zone]; evacuated {
-		return partEvacuated
+		return roleEvacuated
 	}
-	bounded := table.coldness.perSecond[target.Service] > 0
+	bounded := table.coldLimits.perSecond[target.Service] > 0
 	switch {
 	case !bounded || target.Cold == 0:
-		return partTaking
+		return roleActive
 	case target.Holder == table.options.Self && table.options.Self != "":
-		return partHeld
+		return roleHeldCold
 	default:
-		return partCold
+		return roleCold
 	}
 }
 
@@ -55,31 +55,31 @@
 func (table *Table) rebuildServices() {
 	former := table.services
 	table.services = make(map[serviceKey]*service)
-	table.homesHeld = table.homes()
+	table.regionSets = table.routeRegionSets()
 	for _, target := range table.targets {
-		table.join(target, former)
+		table.addToServices(target, former)
 	}
-	table.settleServices()
+	table.finishDirtyServices()
 }
 
 // settleServices finishes the services whose targets changed, and forgets those without any.
-func (table *Table) settleServices() {
-	for _, key := range table.unsettled {
+func (table *Table) finishDirtyServices() {
+	for _, key := range table.dirtyServices {
 		changed := table.services[key]
-		changed.changing = false
-		if changed.members == 0 {
+		changed.dirty = false
+		if changed.targetCount == 0 {
 			delete(table.services, key)
 			continue
 		}
-		changed.measureZones()
-		changed.evacuatedSince = table.latestOrder(changed.evacuated)
+		changed.updateMaxLocalZoneWeight()
+		changed.evacuatedSince = table.latestEvacuation(changed.evacuatedTargets)
 	}
-	table.unsettled = table.unsettled[:0]
+	table.dirtyServices = table.dirtyServices[:0]
 }
 
 // latestOrder returns the revision of the latest order that emptied one of the zones in
 // which there are targets; zero without one.
-func (table *Table) latestOrder(targets map[string]int) model.Revision {
+func (table *Table) latestEvacuation(targets map[string]int) model.Revision {
 	var latest model.Revision
 	for zone, count := range targets {
 		if count > 0 {
@@ -90,97 +90,97 @@
 }
 
 // unsettle notes that a service's targets change.
-func (table *Table) unsettle(key serviceKey, changed *service) {
-	if !changed.changing {
-		changed.changing = true
-		table.unsettled = append(table.unsettled, key)
+func (table *Table) markDirty(key serviceKey, changed *service) {
+	if !changed.dirty {
+		changed.dirty = true
+		table.dirtyServices = append(table.dirtyServices, key)
 	}
 }
 
 // join takes a target in at its services. former are the services that those which are new
 // go on from.
-func (table *Table) join(target *record, former map[serviceKey]*service) {
-	joined := table.partOf(target)
-	if joined == partNone {
+func (table *Table) addToServices(target *targetRecord, former map[serviceKey]*service) {
+	joined := table.roleOf(target)
+	if joined == roleNone {
 		return
 	}
-	for _, home := range table.homesHeld {
+	for _, home := range table.regionSets {
 		if !home.allows(target.region) {
 			continue
 		}
-		key := serviceKey{name: target.Service, home: home}
+		key := serviceKey{name: target.Service, regions: home}
 		known := table.services[key]
 		if known == nil {
 			known = newService(former[key])
-			known.heldRate = table.coldness.perSecond[key.name]
+			known.coldFlowRate = table.coldLimits.perSecond[key.name]
 			table.services[key] = known
 		}
-		table.unsettle(key, known)
-		known.join(target, joined)
+		table.markDirty(key, known)
+		known.addTarget(target, joined)
 	}
 }
 
 // leave takes a target out at its services. The target and the table's zones, bounds and
 // homes must be as they were when it joined.
-func (table *Table) leave(target *record) {
-	left := table.partOf(target)
-	if left == partNone {
+func (table *Table) removeFromServices(target *targetRecord) {
+	left := table.roleOf(target)
+	if left == roleNone {
 		return
 	}
-	for _, home := range table.homesHeld {
-		key := serviceKey{name: target.Service, home: home}
+	for _, home := range table.regionSets {
+		key := serviceKey{name: target.Service, regions: home}
 		known := table.services[key]
 		if known == nil || !home.allows(target.region) {
 			continue
 		}
-		table.unsettle(key, known)
-		known.leave(target, left)
+		table.markDirty(key, known)
+		known.removeTarget(target, left)
 	}
 }
 
-func (service *service) join(target *record, joined part) {
-	service.members++
+func (service *service) addTarget(target *targetRecord, joined targetRole) {
+	service.targetCount++
 	switch joined {
-	case partTaking:
+	case roleActive:
 		service.pool.add(target)
-		service.count(target, 1)
-	case partHeld:
-		service.cold++
-		service.held = append(service.held, target)
-	case partCold:
-		service.cold++
-	case partEvacuated:
-		if service.evacuated == nil {
-			service.evacuated = make(map[string]int)
+		service.adjustTotals(target, 1)
+	case roleHeldCold:
+		service.coldCount++
+		service.heldCold = append(service.heldCold, target)
+	case roleCold:
+		service.coldCount++
+	case roleEvacuated:
+		if service.evacuatedTargets == nil {
+			service.evacuatedTargets = make(map[string]int)
 		}
-		service.evacuated[target.Zone]++
+		service.evacuatedTargets[target.Zone]++
 	}
 }
 
-func (service *service) leave(target *record, left part) {
-	service.members--
+func (service *service) removeTarget(target *targetRecord, left targetRole) {
+	service.targetCount--
 	switch left {
-	case partTaking:
+	case roleActive:
 		service.pool.remove(target)
-		service.count(target, -1)
-	case partHeld:
-		service.cold--
-		service.held = slices.DeleteFunc(service.held, func(held *record) bool { return held == target })
-	case partCold:
-		service.cold--
-	case partEvacuated:
-		service.evacuated[target.Zone]--
+		service.adjustTotals(target, -1)
+	case roleHeldCold:
+		service.coldCount--
+		service.heldCold = slices.DeleteFunc(service.heldCold, func(held *targetRecord) bool { return held == target })
+	case roleCold:
+		service.coldCount--
+	case roleEvacuated:
+		service.evacuatedTargets[target.Zone]--
 	}
 }
 
 // count changes the service's sums by a target that comes, with 1, or goes, with -1.
-func (service *service) count(target *record, sign int) {
+func (service *service) adjustTotals(target *targetRecord, sign int) {
 	service.capacity += sign * target.Capacity
-	service.zoneSlots[target.Zone] += sign * target.slots()
-	if service.zoneSlots[target.Zone] == 0 {
-		delete(service.zoneSlots, target.Zone)
+	service.slotsByZone[target.Zone] += sign * target.slots()
+	if service.slotsByZone[target.Zone] == 0 {
+		delete(service.slotsByZone, target.Zone)
 	}
-	if target.near {
-		service.nearSlots += sign * target.slots()
+	if target.inLocalZone {
+		service.localZoneSlots += sign * target.slots()
 	}
 }
--- a/internal/direct/steer/steer_test.go
+++ b/internal/direct/steer/steer_test.go
@@ -117,7 +117,7 @@
 	for attempt := range 3 {
 		segment := opening(9)
 		segment.Attempt = attempt
-		decision := table.Decide(segment, start.Add(2*copiesSpan))
+		decision := table.Decide(segment, start.Add(2*retransmissionSpan))
 		require.NotContains(t, seen, decision.Token)
 		if attempt > 0 {
 			require.Equal(t, seen[attempt-1], decision.Suspect)
@@ -134,8 +134,8 @@
 	table := tableOf(t, whole(5))
 	segment := opening(9)
 	segment.Attempt = 2
-	require.Zero(t, table.Decide(segment, start.Add(copiesSpan)).Suspect)
-	require.NotZero(t, table.Decide(segment, start.Add(copiesSpan+time.Millisecond)).Suspect)
+	require.Zero(t, table.Decide(segment, start.Add(retransmissionSpan)).Suspect)
+	require.NotZero(t, table.Decide(segment, start.Add(retransmissionSpan+time.Millisecond)).Suspect)
 }
 
 func TestTableThatNobodyConfirmedHasNoAge(t *testing.T) {
--- a/internal/direct/steer/table.go
+++ b/internal/direct/steer/table.go
@@ -14,68 +14,68 @@
 )
 
 // record is one target of the table.
-type record struct {
+type targetRecord struct {
 	directory.TargetEntry
 	seed uint64
 	// near tells that the target is in the balancer's zone.
-	near bool
+	inLocalZone bool
 	// region is the region of the target's zone; empty when it is not known.
 	region string
 	// warmAt is when the target is no longer slow from its start.
-	warmAt time.Time
+	slowStartUntil time.Time
 	// holding has what this balancer gave the target while it was cold.
-	holding holding
+	coldWindow rateWindow
 	// avoidUntil is set when a probe found the target dead.
 	avoidUntil time.Time
 }
 
 // route is one route with its pool.
 type route struct {
-	parts []declared.PoolPart
-	total int
+	parts       []declared.PoolPart
+	totalWeight int
 	// objective is the latency that operators aim at; zero for none.
 	objective time.Duration
 	priority  int
 	// home names the regions whose targets may serve the route.
-	home home
+	regions regionSet
 }
 
 // service has the targets of a service that may take new flows.
 type service struct {
 	pool pool
 	// members is the number of its targets, with those that are cold or evacuated.
-	members int
+	targetCount int
 	// changing tells that its targets are being changed.
-	changing bool
+	dirty bool
 	// cold is the number of targets that take no flows of this balancer because they
 	// are cold, held ones included; held are those whose rate, heldRate new flows a
 	// second, this balancer holds.
-	cold     int
-	held     []*record
-	heldRate float64
+	coldCount    int
+	heldCold     []*targetRecord
+	coldFlowRate float64
 	// evacuated has the number of targets in emptied zones, by zone.
-	evacuated map[string]int
+	evacuatedTargets map[string]int
 	// evacuatedSince is the revision of the latest order that emptied a zone in which
 	// the service has targets; zero without one.
 	evacuatedSince model.Revision
 	// mostNearWeight bounds the weight of near targets against others.
-	mostNearWeight float64
+	maxLocalZoneWeight float64
 	// capacity is the sum of the capacities of the targets that take new flows, which is
 	// what load is compared with. zoneSlots are their slots by zone, and nearSlots those of
 	// the balancer's own.
-	capacity   int
-	zoneSlots  map[string]int
-	nearSlots  int
-	congestion *congestions
-	urgency    *urgency
+	capacity       int
+	slotsByZone    map[string]int
+	localZoneSlots int
+	congestion     *congestionByRank
+	priorities     *priorityTracker
 }
 
 // newService returns a service without targets that goes on from former, which
 // may be nil.
 func newService(former *service) *service {
-	made := &service{pool: newPool(), zoneSlots: make(map[string]int), congestion: &congestions{}, urgency: &urgency{}}
+	made := &service{pool: newPool(), slotsByZone: make(map[string]int), congestion: &congestionByRank{}, priorities: &priorityTracker{}}
 	if former != nil {
-		made.congestion, made.urgency = former.congestion, former.urgency
+		made.congestion, made.priorities = former.congestion, former.priorities
 	}
 	return made
 }
@@ -93,16 +93,16 @@
 	servingSince time.Time
 	idleTimeout  time.Duration
 	routes       map[netip.AddrPort]route
-	targets      map[directory.Token]*record
+	targets      map[directory.Token]*targetRecord
 	// latest has the latest incarnation of each target, so that a renewal is looked up
 	// without a look at all targets.
-	latest   map[directory.TargetID]*record
-	services map[serviceKey]*service
+	latestByID map[directory.TargetID]*targetRecord
+	services   map[serviceKey]*service
 	// homesHeld are the homes for which services are kept, and unsettled the services whose
 	// targets are being changed.
-	homesHeld []home
-	unsettled []serviceKey
-	coldness  coldness
+	regionSets    []regionSet
+	dirtyServices []serviceKey
+	coldLimits    coldLimits
 	// evacuated are the zones whose targets get no new flows, by name.
 	evacuated map[string]directory.Evacuation
 	changes   board.Notifier
@@ -113,11 +113,11 @@
 // NewTable returns an empty table.
 func NewTable(options Options) *Table {
 	return &Table{
-		options:  options,
-		routes:   make(map[netip.AddrPort]route),
-		targets:  make(map[directory.Token]*record),
-		latest:   make(map[directory.TargetID]*record),
-		services: make(map[serviceKey]*service),
+		options:    options,
+		routes:     make(map[netip.AddrPort]route),
+		targets:    make(map[directory.Token]*targetRecord),
+		latestByID: make(map[directory.TargetID]*targetRecord),
+		services:   make(map[serviceKey]*service),
 	}
 }
 
@@ -187,9 +187,9 @@
 		table.servingSince = now
 	}
 	if changes.Whole {
-		table.replace(changes, now)
+		table.applySnapshot(changes, now)
 	} else {
-		table.merge(changes, now)
+		table.applyDelta(changes, now)
 	}
 	table.revision = changes.To
 	table.version = changes.Version
@@ -209,10 +209,10 @@
 func (table *Table) Snapshot() directory.Changes {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
-	whole := directory.Changes{Whole: true, To: table.revision, Version: table.version, IdleTimeout: table.idleTimeout, Zones: table.zones(), ColdLimits: table.coldness.limits()}
+	whole := directory.Changes{Whole: true, To: table.revision, Version: table.version, IdleTimeout: table.idleTimeout, Zones: table.exportZones(), ColdLimits: table.coldLimits.export()}
 	for address, route := range table.routes {
 		whole.Routes = append(whole.Routes, directory.RouteEntry{
-			Address: address, Pool: route.parts, Objective: route.objective, Priority: route.priority, Regions: route.home.regions(),
+			Address: address, Pool: route.parts, Objective: route.objective, Priority: route.priority, Regions: route.regions.names(),
 		})
 	}
 	for _, target := range table.targets {
@@ -224,7 +224,7 @@
 }
 
 // zones returns what the table knows of zones.
-func (table *Table) zones() *directory.Zones {
+func (table *Table) exportZones() *directory.Zones {
 	zones := &directory.Zones{}
 	for _, evacuation := range table.evacuated {
 		zones.Evacuated = append(zones.Evacuated, evacuation)
@@ -270,7 +270,7 @@
 func (table *Table) FindTarget(id directory.TargetID) (directory.TargetEntry, bool) {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
-	target, known := table.latest[id]
+	target, known := table.latestByID[id]
 	if !known {
 		return directory.TargetEntry{}, false
 	}
--- a/internal/direct/steer/urgency.go
+++ b/internal/direct/steer/urgency.go
@@ -8,47 +8,47 @@
 const (
 	// usedFor is how long a priority counts as used after the last new flow of its routes.
 	// Callers come and go within some ten seconds.
-	usedFor = 10 * time.Second
+	priorityActiveFor = 10 * time.Second
 	// prioritiesKept bounds the priorities of a service that are told apart.
-	prioritiesKept = 8
+	maxTrackedPriorities = 8
 )
 
 // urgency tells how many priorities in use go before a route's. Declared routes that nobody
 // uses do not count: they would make every other route less urgent, and its callers be
 // refused for the sake of nobody.
-type urgency struct {
-	lock sync.Mutex
-	used [prioritiesKept]usedPriority
+type priorityTracker struct {
+	lock   sync.Mutex
+	active [maxTrackedPriorities]activePriority
 }
 
 // usedPriority is a priority and when a new flow of it came last, zero for a free place.
-type usedPriority struct {
+type activePriority struct {
 	priority int
-	at       time.Time
+	lastUsed time.Time
 }
 
 // rank notes a new flow of a priority and returns the number of priorities in use that go
 // before it.
-func (urgency *urgency) rank(priority int, now time.Time) int {
+func (urgency *priorityTracker) rank(priority int, now time.Time) int {
 	urgency.lock.Lock()
 	defer urgency.lock.Unlock()
 	rank, own, oldest := 0, -1, 0
-	for place := range urgency.used {
-		used := &urgency.used[place]
+	for place := range urgency.active {
+		used := &urgency.active[place]
 		switch {
-		case used.at.IsZero() || now.Sub(used.at) >= usedFor:
+		case used.lastUsed.IsZero() || now.Sub(used.lastUsed) >= priorityActiveFor:
 		case used.priority < priority:
 			rank++
 		case used.priority == priority:
 			own = place
 		}
-		if used.at.Before(urgency.used[oldest].at) {
+		if used.lastUsed.Before(urgency.active[oldest].lastUsed) {
 			oldest = place
 		}
 	}
 	if own < 0 {
 		own = oldest
 	}
-	urgency.used[own] = usedPriority{priority: priority, at: now}
+	urgency.active[own] = activePriority{priority: priority, lastUsed: now}
 	return rank
 }
--- a/internal/direct/steer/urgency_test.go
+++ b/internal/direct/steer/urgency_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestRankCountsPrioritiesInUse(t *testing.T) {
-	var urgency urgency
+	var urgency priorityTracker
 	require.Zero(t, urgency.rank(2, start), "nothing more urgent is known")
 	require.Zero(t, urgency.rank(1, start))
 	require.Equal(t, 1, urgency.rank(2, start))
 	require.Zero(t, urgency.rank(1, start.Add(time.Second)))
-	require.Equal(t, 1, urgency.rank(2, start.Add(usedFor)))
-	require.Zero(t, urgency.rank(2, start.Add(usedFor+time.Second)), "the more urgent callers are gone")
-	for priority := range 3 * prioritiesKept {
-		require.LessOrEqual(t, urgency.rank(priority, start.Add(usedFor)), prioritiesKept)
+	require.Equal(t, 1, urgency.rank(2, start.Add(priorityActiveFor)))
+	require.Zero(t, urgency.rank(2, start.Add(priorityActiveFor+time.Second)), "the more urgent callers are gone")
+	for priority := range 3 * maxTrackedPriorities {
+		require.LessOrEqual(t, urgency.rank(priority, start.Add(priorityActiveFor)), maxTrackedPriorities)
 	}
 }
 
@@ -37,9 +37,9 @@
 		{Address: lateRoute, Pool: pool, Objective: objective, Priority: 1},
 	}
 	require.True(t, table.Apply(changes, start))
-	require.Equal(t, ReasonChosen, press(table, start, 3*congestionSpan, opening(9)).Reason)
+	require.Equal(t, ReasonChosen, press(table, start, 3*congestionTimeConstant, opening(9)).Reason)
 	urgent := opening(9)
 	urgent.Service = noRoute
-	_ = table.Decide(urgent, start.Add(3*congestionSpan))
-	require.Equal(t, ReasonOverloaded, press(table, start.Add(3*congestionSpan), 3*congestionSpan, opening(9)).Reason)
+	_ = table.Decide(urgent, start.Add(3*congestionTimeConstant))
+	require.Equal(t, ReasonOverloaded, press(table, start.Add(3*congestionTimeConstant), 3*congestionTimeConstant, opening(9)).Reason)
 }
