--- a/internal/direct/steer/apply.go
+++ b/internal/direct/steer/apply.go
@@ -8,17 +8,17 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// replace takes a whole directory in. What this balancer learned of targets
-// that stay is kept.
+// applySnapshot replaces the table by a full snapshot of the directory. What this balancer
+// recorded about targets that are in both is kept.
 func (table *Table) applySnapshot(changes directory.Changes, now time.Time) {
-	former := table.targets
+	previous := table.targets
 	first := table.revision == 0
 	table.routes = make(map[netip.AddrPort]route, len(changes.Routes))
 	table.targets = make(map[directory.Token]*targetRecord, len(changes.Targets))
 	table.latestByID = make(map[directory.TargetID]*targetRecord, len(changes.Targets))
 	for index := range changes.Targets {
 		token := changes.Targets[index].Token
-		if known, stays := former[token]; stays {
+		if known, stays := previous[token]; stays {
 			table.addTarget(known)
 		}
 	}
@@ -29,7 +29,7 @@
 	table.rebuildServices()
 }
 
-// add takes a target's record in, and remove takes it out.
+// addTarget adds a target's record to the table's indexes.
 func (table *Table) addTarget(added *targetRecord) {
 	table.targets[added.Token] = added
 	if latest := table.latestByID[added.ID]; latest == nil || latest.Token < added.Token {
@@ -37,6 +37,7 @@
 	}
 }
 
+// removeTarget removes a target's record from the table's indexes.
 func (table *Table) removeTarget(token directory.Token) {
 	removed, known := table.targets[token]
 	if !known {
@@ -48,8 +49,9 @@
 	}
 }
 
-// merge takes changes in. Those of targets alone, which come all the time, change the
-// services of these targets; others concern all targets, and come seldom.
+// applyDelta applies changes that follow the table's revision. Changes of targets alone, which
+// are frequent, update the services of these targets. Changes of zones, cold limits or region
+// sets concern all targets and are rare: they rebuild all services.
 func (table *Table) applyDelta(changes directory.Changes, now time.Time) {
 	for _, address := range changes.Removed {
 		delete(table.routes, address)
@@ -68,24 +70,24 @@
 	table.rebuildServices()
 }
 
-// changeTargets takes changes of targets in, each at its services.
+// applyTargetChanges applies changes of targets, and updates only the services of these targets.
 func (table *Table) applyTargetChanges(changes directory.Changes, now time.Time) {
 	for _, token := range changes.Forgotten {
-		if forgotten, known := table.targets[token]; known {
-			table.removeFromServices(forgotten)
+		if removed, known := table.targets[token]; known {
+			table.removeFromServices(removed)
 			table.removeTarget(token)
 		}
 	}
 	for _, entry := range changes.Targets {
-		if former, known := table.targets[entry.Token]; known {
-			table.removeFromServices(former)
+		if known, exists := table.targets[entry.Token]; exists {
+			table.removeFromServices(known)
 		}
 		table.addToServices(table.applyTarget(entry, now, false), nil)
 	}
 	table.finishDirtyServices()
 }
 
-// mergeZones takes in which zones are evacuated; nil changes nothing.
+// applyEvacuations replaces the evacuated zones; nil changes nothing.
 func (table *Table) applyEvacuations(zones *directory.Zones) {
 	if zones == nil {
 		return
@@ -96,6 +98,7 @@
 	}
 }
 
+// applyRoutes adds or replaces routes.
 func (table *Table) applyRoutes(entries []directory.RouteEntry) {
 	for _, entry := range entries {
 		added := route{parts: entry.Pool, objective: entry.Objective, priority: entry.Priority, regions: newRegionSet(entry.Regions)}
@@ -106,15 +109,16 @@
 	}
 }
 
-// mergeTargets adds or changes targets. first tells that the entries come with the
-// balancer's first table, so that nobody knows how long ago they started.
+// applyTargets adds or changes targets. first reports whether the entries come with the
+// balancer's first snapshot, in which case it is not known how long ago the targets started.
 func (table *Table) applyTargets(entries []directory.TargetEntry, now time.Time, first bool) {
 	for _, entry := range entries {
 		table.applyTarget(entry, now, first)
 	}
 }
 
-// mergeTarget adds or changes one target and returns its record.
+// applyTarget adds or changes one target and returns its record. A new target that is cold is
+// in slow start, unless it comes with the balancer's first snapshot.
 func (table *Table) applyTarget(entry directory.TargetEntry, now time.Time, first bool) *targetRecord {
 	known := table.targets[entry.Token]
 	if known == nil {
--- a/internal/direct/steer/choices.go
+++ b/internal/direct/steer/choices.go
@@ -11,32 +11,32 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// choicesKept is the number of targets, best by hash, that are looked at for one
-// opening packet. It bounds Options.Candidates, and the distinct targets that
-// its copies may reach.
+// maxRankedTargets is the number of best targets by hash that are kept for one opening packet.
+// It is the upper limit of Options.Candidates, and of the number of different targets that the
+// attempts of a flow may reach.
 const maxRankedTargets = 8
 
-// coldWeight is the weight of a target that is still slow from its start,
-// relative to a warm one.
+// slowStartWeight is the weight factor of a target in slow start relative to a warm one.
 const slowStartWeight = 0.5
 
-// choices are the best targets by hash for one opening packet, best first.
+// rankedTargets holds the best targets for one opening packet, best first.
 type rankedTargets struct {
 	targets [maxRankedTargets]*targetRecord
 	scores  [maxRankedTargets]float64
 	count   int
-	// byHash has the tokens of the first ones in the order of their hash.
+	// tokensByHash has the tokens of the first targets in the order of their scores, before
+	// leastBusyFirst changes the order.
 	tokensByHash [TrackedAttempts]directory.Token
 }
 
-// add takes a target in by its score.
-func (choices *rankedTargets) add(target *targetRecord, score float64) {
-	choices.count = insertByScore(choices.targets[:], choices.scores[:], choices.count, target, score)
+// add inserts a target by its score.
+func (ranked *rankedTargets) add(target *targetRecord, score float64) {
+	ranked.count = insertByScore(ranked.targets[:], ranked.scores[:], ranked.count, target, score)
 }
 
-// insertByScore puts an item into its place among the first count items, which are in the
-// descending order of their scores, and returns how many there are then. The last one falls
-// out when there is no room. An item with the score of others comes after them.
+// insertByScore inserts an item among the first count items, which are in descending order of
+// their scores, and returns the new count. Among equal scores the new item comes last. When
+// there is no room, the last item is dropped.
 func insertByScore[Item any](items []Item, scores []float64, count int, item Item, score float64) int {
 	position := count
 	for position > 0 && scores[position-1] < score {
@@ -52,100 +52,103 @@
 	return count
 }
 
-// leastBusyFirst sorts the first candidates by how busy they are. Those that are
-// about as busy stay in the order of their hash, which prefers near ones.
-func (choices *rankedTargets) leastBusyFirst(options Options) {
-	for place := range min(TrackedAttempts, choices.count) {
-		choices.tokensByHash[place] = choices.targets[place].Token
+// leastBusyFirst sorts the first Options.Candidates targets by occupancy. The sort is stable:
+// targets of equal occupancy stay in the order of their scores, which prefers the local zone.
+func (ranked *rankedTargets) leastBusyFirst(options Options) {
+	for index := range min(TrackedAttempts, ranked.count) {
+		ranked.tokensByHash[index] = ranked.targets[index].Token
 	}
-	candidates := min(options.Candidates, choices.count)
+	candidates := min(options.Candidates, ranked.count)
 	if options.Loads == nil || candidates < 2 {
 		return
 	}
-	var pressures [maxRankedTargets]float64
+	var occupancies [maxRankedTargets]float64
 	for index := range candidates {
-		target := choices.targets[index]
-		pressure := options.occupancyOf(target)
+		target := ranked.targets[index]
+		occupancy := options.occupancyOf(target)
 		position := index
-		for position > 0 && pressures[position-1] > pressure {
-			choices.targets[position] = choices.targets[position-1]
-			pressures[position] = pressures[position-1]
+		for position > 0 && occupancies[position-1] > occupancy {
+			ranked.targets[position] = ranked.targets[position-1]
+			occupancies[position] = occupancies[position-1]
 			position--
 		}
-		choices.targets[position] = target
-		pressures[position] = pressure
+		ranked.targets[position] = target
+		occupancies[position] = occupancy
 	}
 }
 
-// relaxedPressure is the share of a target's capacity up to which it counts as
-// idle: a further request is worked on at once.
+// idleOccupancy is the number of requests for each slot up to which a target counts as idle,
+// because a further request is served at once.
 const idleOccupancy = 0.5
 
-// pressureOf returns the requests at the target and on their way there, by capacity.
+// occupancyOf returns the target's occupancy, including requests that are pending at this
+// balancer.
 func (options *Options) occupancyOf(target *targetRecord) float64 {
 	open, _ := options.Loads.Load(target.Token)
 	return target.occupancy(open + options.Loads.Pending(target.Token))
 }
 
-// pressure is the number of open requests by capacity.
+// occupancy returns the number of open requests for each slot, idleOccupancy at the least.
 func (target *targetRecord) occupancy(open int) float64 {
 	return max(float64(open)/float64(target.slots()), idleOccupancy)
 }
 
-// pick returns the target for the opening packet, and the token of the one that
-// did not answer its former copy, or zero.
-func (choices *rankedTargets) pick(segment Segment) (chosen *targetRecord, former directory.Token) {
+// pick returns the target for the opening packet, and the token of the target that did not
+// answer the flow's previous attempt, or zero. A retransmission gets the best target that was
+// not tried yet, or the best one when all of them were.
+func (ranked *rankedTargets) pick(segment Segment) (chosen *targetRecord, unresponsive directory.Token) {
 	if segment.Attempt == 0 {
-		return choices.targets[0], 0
+		return ranked.targets[0], 0
 	}
 	tried := segment.Tried
 	if tried[0] == 0 {
-		tried = choices.assumedTried(segment.Attempt)
+		tried = ranked.assumedTried(segment.Attempt)
 	}
-	for _, target := range choices.targets[:choices.count] {
+	for _, target := range ranked.targets[:ranked.count] {
 		if !slices.Contains(tried[:], target.Token) {
 			return target, tried[0]
 		}
 	}
-	return choices.targets[0], tried[0]
+	return ranked.targets[0], tried[0]
 }
 
-// tried returns the targets of the former copies of an opening packet as if this
-// balancer had placed them, the latest first. Another one did, by its hash unless
-// targets are busy.
-func (choices *rankedTargets) assumedTried(attempt int) [TrackedAttempts]directory.Token {
+// assumedTried returns the targets that the previous attempts of an opening packet would have
+// gone to at this balancer, the latest first. Another balancer forwarded them, and chose by the
+// same hash unless targets were busy.
+func (ranked *rankedTargets) assumedTried(attempt int) [TrackedAttempts]directory.Token {
 	var tried [TrackedAttempts]directory.Token
-	for copies := range min(attempt, TrackedAttempts) {
-		if place := attempt - 1 - copies; place < choices.count {
-			tried[copies] = choices.tokensByHash[place]
+	for back := range min(attempt, TrackedAttempts) {
+		if index := attempt - 1 - back; index < ranked.count {
+			tried[back] = ranked.tokensByHash[index]
 		}
 	}
 	return tried
 }
 
-// rank fills choices with the best targets for the hash, by weighted rendezvous
-// hashing, in which near targets have nearWeight times their weight. Targets that are
-// avoided are left out while others are there.
-func (service *service) rank(by rankCriteria, choices *rankedTargets) {
-	service.pool.rank(by, choices)
-	if choices.count > 0 {
+// rank adds the best targets for the criteria to ranked, by weighted rendezvous hashing.
+// Targets that are not usable are left out unless no usable one exists.
+func (service *service) rank(criteria rankCriteria, ranked *rankedTargets) {
+	service.pool.rank(criteria, ranked)
+	if ranked.count > 0 {
 		return
 	}
 	service.pool.forEach(func(target *targetRecord) {
-		choices.add(target, target.score(by.hash, by.now, by.localZoneWeight))
+		ranked.add(target, target.score(criteria.hash, criteria.now, criteria.localZoneWeight))
 	})
 }
 
+// usable reports whether the target takes new flows while others can: it is neither ejected by
+// the directory nor avoided by this balancer.
 func (target *targetRecord) usable(now time.Time) bool {
 	return !target.Aside && !now.Before(target.avoidUntil)
 }
 
-// score is the target's place in weighted rendezvous hashing: the target with
-// the highest score is chosen with a probability in proportion to its weight.
-func (target *targetRecord) score(hash uint64, now time.Time, nearWeight float64) float64 {
+// score returns the target's score in weighted rendezvous hashing: a target has the highest
+// score with a probability in proportion to its weight.
+func (target *targetRecord) score(hash uint64, now time.Time, localZoneWeight float64) float64 {
 	weight := float64(target.slots())
 	if target.inLocalZone {
-		weight *= nearWeight
+		weight *= localZoneWeight
 	}
 	if now.Before(target.slowStartUntil) {
 		weight *= slowStartWeight
@@ -164,6 +167,7 @@
 
 func seedOf(id directory.TargetID) uint64 { return mix(uint64(id) + 0x9E3779B97F4A7C15) }
 
+// flowHash returns the hash of the flow's two endpoints.
 func flowHash(segment Segment) uint64 {
 	var key [36]byte
 	putEndpoint(key[0:18], segment.Caller)
@@ -171,8 +175,8 @@
 	return xxhash.Sum64(key[:])
 }
 
-func putEndpoint(key []byte, end netip.AddrPort) {
-	address := end.Addr().As16()
+func putEndpoint(key []byte, endpoint netip.AddrPort) {
+	address := endpoint.Addr().As16()
 	copy(key, address[:])
-	binary.BigEndian.PutUint16(key[16:], end.Port())
+	binary.BigEndian.PutUint16(key[16:], endpoint.Port())
 }
--- a/internal/direct/steer/decide.go
+++ b/internal/direct/steer/decide.go
@@ -6,12 +6,12 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// copiesSpan is the time within which callers send copies of an opening packet.
-// A balancer whose first table is younger placed none of the former copies, so
-// that a further one says nothing about a target.
+// retransmissionSpan is the time within which callers send all retransmissions of an opening
+// packet. A balancer that got its first table less than this ago did not place the earlier
+// attempts, so that a further attempt says nothing about the health of a target.
 const retransmissionSpan = 1400 * time.Millisecond
 
-// Decide returns what to do with a packet at now.
+// Decide returns what to do with a packet that arrives at now.
 func (table *Table) Decide(segment Segment, now time.Time) Decision {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
@@ -45,8 +45,8 @@
 	return table.decideOpenFlow(segment)
 }
 
-// refuseRoute answers a packet whose address has no route. A balancer whose
-// table may be old says nothing, because the route may exist.
+// refuseUnknownRoute decides about a packet whose address has no route. A balancer with a stale
+// table drops it without an answer, because the route may exist.
 func (table *Table) refuseUnknownRoute(segment Segment, now time.Time) Decision {
 	if !table.fresh(now) {
 		return Decision{Reason: ReasonNoRouteStale}
@@ -61,7 +61,8 @@
 	return Decision{Action: Reset, Reason: reason}
 }
 
-// follow finds the owner of an open flow by its token.
+// decideOpenFlow decides about a packet of an open flow by its token, which names the flow's
+// owner.
 func (table *Table) decideOpenFlow(segment Segment) Decision {
 	if segment.Token == 0 {
 		return Decision{Reason: ReasonMissingToken}
@@ -79,10 +80,10 @@
 	return resetUnlessAbort(segment, ReasonTargetFailed)
 }
 
-// restartedInPlace returns the latest incarnation of a failed target, if it started again
-// at the same address. Flows that opened there before balancers knew of the new start
-// have the former token, and only the target knows which flows those are: it resets all
-// others by itself. nil for none.
+// restartedInPlace returns the latest incarnation of a failed target if it restarted at the same
+// address, and nil otherwise. Flows that opened there before balancers knew of the restart carry
+// the token of the previous incarnation. Only the target can tell them from the flows that the
+// restart ended: it resets those itself.
 func (table *Table) restartedInPlace(failed *targetRecord) *targetRecord {
 	latest := table.latestByID[failed.ID]
 	if latest == nil || latest.Token <= failed.Token || latest.State == directory.TargetFailed {
@@ -98,9 +99,9 @@
 	return Decision{Action: Forward, Reason: reason, Token: target.Token, ID: target.ID, Target: target.Address, Service: target.Service, Capacity: target.Capacity}
 }
 
-// open chooses a target for an opening packet. Copies go to another choice: the
-// former one did not answer in time. A copy of a packet that was sent on is not
-// refused, because the answer to that one may be under way.
+// openFlow chooses a target for an opening packet. A retransmission goes to another target,
+// because the previous one did not answer in time. A retransmission of a packet that was already
+// forwarded is not refused, because the answer to that packet may be on its way.
 func (table *Table) openFlow(segment Segment, route route, now time.Time) Decision {
 	hash := flowHash(segment)
 	name, found := route.chooseService(hash)
@@ -128,55 +129,58 @@
 	return table.openAt(candidate, route, now)
 }
 
-// candidate is the target that a new flow would go to.
+// candidate is the target that a new flow goes to if it is admitted.
 type candidate struct {
-	target *targetRecord
-	place  Locality
-	// former is the target that did not answer the flow's former opening packet, or zero.
+	target   *targetRecord
+	locality Locality
+	// unresponsive is the token of the target that did not answer the flow's previous
+	// attempt, or zero.
 	unresponsive directory.Token
-	// open is the number of requests that are open there, and expected how long a further
-	// one would take.
+	// open is the number of open requests at the target, and expected the time that a
+	// further one would take there.
 	open     int
 	expected time.Duration
 }
 
-// candidate returns the least busy of the best targets by hash, which are near ones mostly,
-// or one elsewhere when these have no room.
+// candidate returns the least busy of the best targets by hash, which are mostly in the local
+// zone, or a target of a remote zone when these have no room.
 func (table *Table) candidate(service *service, hash uint64, segment Segment, route route, now time.Time) candidate {
-	var choices rankedTargets
-	service.rank(rankCriteria{hash: hash, now: now, localZoneWeight: table.localZoneWeightFor(service)}, &choices)
-	choices.leastBusyFirst(table.options)
-	chosen, former := choices.pick(segment)
-	place := localityOf(chosen)
+	var ranked rankedTargets
+	service.rank(rankCriteria{hash: hash, now: now, localZoneWeight: table.localZoneWeightFor(service)}, &ranked)
+	ranked.leastBusyFirst(table.options)
+	chosen, unresponsive := ranked.pick(segment)
+	locality := localityOf(chosen)
 	if segment.Attempt == 0 {
-		if spilled := table.spilloverTarget(service, chosen, hash, now); spilled != nil {
-			chosen, place = spilled, LocalitySpillover
+		if remote := table.spilloverTarget(service, chosen, hash, now); remote != nil {
+			chosen, locality = remote, LocalitySpillover
 		}
 	}
-	open, serving := table.loadOf(chosen)
+	open, serviceTime := table.loadOf(chosen)
 	return candidate{
-		target: chosen, place: place, unresponsive: former,
-		open: open, expected: chosen.expectedTime(open, serving, route.objective),
+		target: chosen, locality: locality, unresponsive: unresponsive,
+		open: open, expected: chosen.expectedTime(open, serviceTime, route.objective),
 	}
 }
 
-// openAt gives a new flow to its candidate.
+// openAt returns the decision that gives a new flow to its candidate. When the candidate is not
+// the target that did not answer the previous attempt, that one is reported as a suspect.
 func (table *Table) openAt(candidate candidate, route route, now time.Time) Decision {
 	decision := forwardTo(candidate.target, ReasonChosen)
 	decision.Open = candidate.open
 	decision.Expected = candidate.expected
 	decision.Objective = route.objective
-	decision.Locality = candidate.place
-	silent := candidate.unresponsive != 0 && candidate.unresponsive != candidate.target.Token
-	if silent && now.Sub(table.servingSince) > retransmissionSpan {
+	decision.Locality = candidate.locality
+	retargeted := candidate.unresponsive != 0 && candidate.unresponsive != candidate.target.Token
+	if retargeted && now.Sub(table.servingSince) > retransmissionSpan {
 		decision.Suspect = candidate.unresponsive
 	}
 	return decision
 }
 
-// refuseHome answers an opening packet whose service has no target in the route's
-// regions. Where it has some elsewhere, waiting does not help the caller, and it is
-// refused; else one may register soon.
+// refuseOutsideRegions decides about an opening packet whose service has no target in the
+// route's regions. Where the service has targets in other regions, waiting does not help the
+// caller, and the packet is refused. Where it has none at all, one may register soon, and the
+// packet is dropped.
 func (table *Table) refuseOutsideRegions(segment Segment, name string, route route, now time.Time) Decision {
 	elsewhere := route.regions != anyRegion && table.services[serviceKey{name: name}] != nil
 	switch {
@@ -189,8 +193,8 @@
 	}
 }
 
-// openWithoutTargets decides about an opening packet whose service has targets, none
-// of which takes new flows of all balancers.
+// openWithoutActiveTargets decides about an opening packet whose service has targets, but only
+// cold or evacuated ones.
 func (table *Table) openWithoutActiveTargets(service *service, hash uint64, segment Segment, route route, now time.Time) Decision {
 	if service.coldCount == 0 {
 		return table.refuseEvacuated(segment, service, now)
@@ -201,11 +205,11 @@
 	return refuseCold(segment)
 }
 
-// refuseEvacuated answers an opening packet whose service has targets in emptied
-// zones alone. The order stands until an operator ends it, so that waiting does not
-// help the caller. A balancer whose table may be old says nothing, because the order
-// may have ended; and a copy of a packet that was sent on is not refused, because
-// the flow may have opened before the order.
+// refuseEvacuated decides about an opening packet whose service has targets in evacuated zones
+// only. An evacuation lasts until an operator ends it, so that waiting does not help the caller,
+// and the packet is refused. A balancer with a stale table drops it instead, because the
+// evacuation may have ended. A retransmission of a packet that was already forwarded is dropped
+// too, because the flow may have opened before the evacuation.
 func (table *Table) refuseEvacuated(segment Segment, service *service, now time.Time) Decision {
 	decision := Decision{Reason: ReasonEvacuated, EvacuatedSince: service.evacuatedSince}
 	if table.fresh(now) && !segment.AlreadyForwarded {
@@ -214,28 +218,32 @@
 	return decision
 }
 
-func (table *Table) loadOf(target *targetRecord) (open int, serving time.Duration) {
+// loadOf returns the number of open requests at a target and the service time of an idle one,
+// which is that of a typical target of the service when the target's own is not known. Both are
+// zero without load estimates.
+func (table *Table) loadOf(target *targetRecord) (open int, serviceTime time.Duration) {
 	if table.options.Loads == nil {
 		return 0, 0
 	}
-	open, serving = table.options.Loads.Load(target.Token)
-	if serving == 0 {
-		serving = table.options.Loads.TypicalServiceTime(target.Service)
+	open, serviceTime = table.options.Loads.Load(target.Token)
+	if serviceTime == 0 {
+		serviceTime = table.options.Loads.TypicalServiceTime(target.Service)
 	}
-	return open, serving
+	return open, serviceTime
 }
 
-// choose picks the part of the pool by weight.
+// chooseService chooses a part of the route's pool by weight and returns its service. It returns
+// false when no part has a weight.
 func (route *route) chooseService(hash uint64) (string, bool) {
 	if route.totalWeight == 0 {
 		return "", false
 	}
-	// The upper half of the hash decides the part and the whole hash the
-	// target, so that the two choices do not depend on each other.
-	ticket := int((hash >> 32) % uint64(route.totalWeight))
+	// The upper half of the hash decides the part and the whole hash the target, so that
+	// the two choices do not depend on each other.
+	remaining := int((hash >> 32) % uint64(route.totalWeight))
 	for _, part := range route.parts {
-		ticket -= part.Weight
-		if ticket < 0 {
+		remaining -= part.Weight
+		if remaining < 0 {
 			return part.Service, true
 		}
 	}
--- a/internal/direct/steer/options.go
+++ b/internal/direct/steer/options.go
@@ -7,76 +7,79 @@
 	"merlinpaddle/internal/model"
 )
 
-// Options are the bounds that a table works with.
+// Options configures a Table.
 type Options struct {
-	// FreshFor is how long after the last sign of a confirmed member the table
-	// counts as current.
+	// FreshFor is how long the table counts as current after it was last confirmed by a
+	// member with a quorum.
 	FreshFor time.Duration
-	// AvoidFor is how long a target that a probe found dead gets no new flows
-	// from this balancer, unless the table says otherwise before.
+	// AvoidFor is how long a target that failed a probe gets no new flows from this
+	// balancer. A state change of the target in the table ends it earlier.
 	AvoidFor time.Duration
 	// Self is the balancer's name.
 	Self model.NodeName
-	// Zone is the balancer's zone. Targets of the same zone get NearWeight
-	// times as many of its new flows as others of the same capacity, while they have
-	// room; one is no preference.
+	// Zone is the balancer's zone, its local zone. While targets of the local zone have
+	// room, their weight for this balancer's new flows is multiplied by LocalZoneWeight;
+	// 1 means no preference.
 	Zone            string
 	LocalZoneWeight float64
-	// SpillCandidates is the number of targets of other zones among which the least busy
-	// one gets a new flow that near targets have no room for; zero keeps it near. It is
-	// at most choicesKept.
+	// SpilloverCandidates is the number of targets in remote zones among which the least
+	// busy one gets a new flow when targets of the local zone have no room. Zero disables
+	// spillover. It is at most maxRankedTargets.
 	SpilloverCandidates int
-	// Regions has the region of each zone by its name. A target whose zone is not in it
-	// serves no route that is bound to regions.
+	// Regions maps the name of each zone to its region. A target in a zone without an
+	// entry serves no route that is restricted to regions.
 	Regions map[string]string
-	// Candidates is the number of targets, best by hash, among which the least
-	// busy one is chosen for a new flow; one chooses by hash alone.
+	// Candidates is the number of targets, the best by hash, among which the least busy
+	// one is chosen for a new flow. With 1 the hash alone decides.
 	Candidates int
-	// AdmitShare is the share of its route's objective that a new flow's request
-	// may be expected to take at the chosen target; else the flow has to wait or
-	// is refused. Zero admits all.
+	// MaxObjectiveShare is the share of its route's latency objective that a new flow's
+	// request may be expected to take at the chosen target. Beyond it the flow is refused
+	// while the service is congested. Zero disables this admission control.
 	MaxObjectiveShare float64
-	// FullCrowd is how many requests for each of its slots a target may hold before new
-	// flows of the most urgent routes are refused, those of others from fewer on; zero
-	// bounds none.
+	// MaxOccupancy is the number of requests for each of its slots that a target may hold
+	// before new flows on routes of the most urgent priority are refused; lower priorities
+	// have lower limits. Zero means no limit.
 	MaxOccupancy float64
-	// Loads tells how busy targets are; nil when nobody knows.
+	// Loads provides the load of targets; nil when load is not known.
 	Loads Loads
 }
 
-// Loads tells how busy targets are, as far as is known. It may be called from
-// any goroutine.
+// Loads provides estimates of how busy targets are. Its methods must be safe for concurrent
+// use.
 type Loads interface {
-	// Known tells whether counts may be used to choose among targets: nothing speaks
-	// against them.
+	// Reliable reports whether the counts may be used to choose among targets, which is the
+	// case as long as there is no evidence against them.
 	Reliable() bool
-	// Proven tells whether counts may be used to refuse a flow: enough was seen that
-	// speaks for them. What only seems full costs a worse choice, and a refusal turns a
-	// caller away beside idle targets.
+	// SufficientForRefusal reports whether there is enough evidence for the counts to
+	// refuse flows by them. This is stricter than Reliable: a target that wrongly seems
+	// full only makes a choice worse, but a wrong refusal turns a caller away although
+	// targets are idle.
 	SufficientForRefusal(now time.Time) bool
-	// Load returns the number of requests that are open at the target, and how
-	// long it takes with one when it is idle; zero when that is not known.
-	Load(token directory.Token) (open int, serving time.Duration)
-	// Coming returns the number of further requests that this balancer gave the target and
-	// that wait in front of its link. A choice counts them, so that flows which come within
-	// the wait do not all go to one target; a refusal does not, because the link brings them
-	// one after the other, and the target may be idle meanwhile.
+	// Load returns the number of open requests at the target, and how long it takes to
+	// serve one request when it is idle; the time is zero when it is not known.
+	Load(token directory.Token) (open int, serviceTime time.Duration)
+	// Pending returns the number of further requests that this balancer has assigned to
+	// the target and that still wait in front of its link. The choice of a target counts
+	// them, so that flows that arrive during the wait do not all go to one target. Refusals
+	// do not count them, because the link delivers them one after the other, and the target
+	// may be idle meanwhile.
 	Pending(token directory.Token) int
-	// Typical returns how long a request takes at an idle target of the service;
-	// zero when that is not known.
+	// TypicalServiceTime returns how long a request takes at an idle target of the
+	// service; zero when that is not known.
 	TypicalServiceTime(service string) time.Duration
-	// Evidence returns what the open requests of the target rest on, but for ServingFor.
+	// Evidence returns what the open requests of the target are based on. It leaves
+	// ServingFor unset.
 	Evidence(token directory.Token, now time.Time) Evidence
 }
 
-// DefaultOptions returns the bounds of processes.
+// DefaultOptions returns the options that balancer processes start from.
 func DefaultOptions() Options {
 	return Options{
 		FreshFor:        1500 * time.Millisecond,
 		AvoidFor:        3 * time.Second,
 		LocalZoneWeight: 64,
-		// As many as near ones, and as few, so that balancers with the same counts
-		// choose different ones.
+		// As many as Candidates for the local zone, and few, so that balancers with the
+		// same counts choose different targets.
 		SpilloverCandidates: 3,
 		Candidates:          3,
 		MaxObjectiveShare:   0.6,
--- a/internal/direct/steer/services.go
+++ b/internal/direct/steer/services.go
@@ -7,31 +7,32 @@
 	"merlinpaddle/internal/model"
 )
 
-// Services follow the targets. A change touches the services of the targets that it
-// changes, and nothing else: with thousands of targets, of which some come and go all the
-// time, collecting all of them anew takes milliseconds a change, at every balancer.
+// Services are updated incrementally. A change updates the services of the targets that it
+// changes and no others: with thousands of targets, some of which are added and removed all the
+// time, rebuilding all services takes milliseconds for each change, at every balancer.
 
-// part is what a target is in its service.
+// targetRole is the role of a target in its service for this balancer.
 type targetRole uint8
 
 const (
-	// partNone: the target takes no new flows, and its service does not count it.
+	// roleNone: the target takes no new flows and does not count in its service.
 	roleNone targetRole = iota
-	// partTaking: it takes new flows.
+	// roleActive: the target takes new flows.
 	roleActive
-	// partCold: it is cold in a service that bounds that, and another balancer may give it
-	// new flows. No balancer but the holder can know what the others send, so that the sum
-	// over all keeps the bound whatever their tables say. With half the weight for cold
-	// targets, 88 balancers brought 12 new flows in a second where 11 were allowed
-	// (docs/design/zones.md).
+	// roleCold: the target is cold, its service limits the rate of new flows to cold
+	// targets, and only another balancer, the target's holder, may send it new flows. A
+	// balancer cannot know what the others send, so a single holder for each target is what
+	// keeps the sum over all balancers within the limit whatever their tables contain. With
+	// half the weight for cold targets instead, 88 balancers sent 12 new flows in a second
+	// where 11 were allowed (docs/design/zones.md).
 	roleCold
-	// partHeld: it is cold as well, and this balancer is its holder.
+	// roleHeldCold: the target is cold as with roleCold, and this balancer is its holder.
 	roleHeldCold
-	// partEvacuated: its zone was emptied.
+	// roleEvacuated: the target's zone is evacuated.
 	roleEvacuated
 )
 
-// partOf returns what a target is in its service, by what the table knows.
+// roleOf returns the role of a target according to the table.
 func (table *Table) roleOf(target *targetRecord) targetRole {
 	if target.State != directory.TargetReady {
 		return roleNone
@@ -39,9 +40,9 @@
 	if _, evacuated := table.evacuated[target.Zone]; evacuated {
 		return roleEvacuated
 	}
-	bounded := table.coldLimits.perSecond[target.Service] > 0
+	limited := table.coldLimits.perSecond[target.Service] > 0
 	switch {
-	case !bounded || target.Cold == 0:
+	case !limited || target.Cold == 0:
 		return roleActive
 	case target.Holder == table.options.Self && table.options.Self != "":
 		return roleHeldCold
@@ -50,19 +51,20 @@
 	}
 }
 
-// rebuildServices collects all targets anew, for each home that a route has. Services keep
-// what they learned.
+// rebuildServices rebuilds the services from all targets, one for each region set that a route
+// has. The new services keep the congestion and priority state of the previous ones.
 func (table *Table) rebuildServices() {
-	former := table.services
+	previous := table.services
 	table.services = make(map[serviceKey]*service)
 	table.regionSets = table.routeRegionSets()
 	for _, target := range table.targets {
-		table.addToServices(target, former)
+		table.addToServices(target, previous)
 	}
 	table.finishDirtyServices()
 }
 
-// settleServices finishes the services whose targets changed, and forgets those without any.
+// finishDirtyServices recomputes the derived values of services whose targets changed, and
+// deletes services without targets.
 func (table *Table) finishDirtyServices() {
 	for _, key := range table.dirtyServices {
 		changed := table.services[key]
@@ -77,11 +79,11 @@
 	table.dirtyServices = table.dirtyServices[:0]
 }
 
-// latestOrder returns the revision of the latest order that emptied one of the zones in
-// which there are targets; zero without one.
-func (table *Table) latestEvacuation(targets map[string]int) model.Revision {
+// latestEvacuation returns the revision of the latest evacuation among the zones that have
+// targets, whose numbers by zone are given. It returns zero when there is none.
+func (table *Table) latestEvacuation(targetsByZone map[string]int) model.Revision {
 	var latest model.Revision
-	for zone, count := range targets {
+	for zone, count := range targetsByZone {
 		if count > 0 {
 			latest = max(latest, table.evacuated[zone].Since)
 		}
@@ -89,7 +91,7 @@
 	return latest
 }
 
-// unsettle notes that a service's targets change.
+// markDirty records that the targets of a service are changing.
 func (table *Table) markDirty(key serviceKey, changed *service) {
 	if !changed.dirty {
 		changed.dirty = true
@@ -97,50 +99,50 @@
 	}
 }
 
-// join takes a target in at its services. former are the services that those which are new
-// go on from.
-func (table *Table) addToServices(target *targetRecord, former map[serviceKey]*service) {
-	joined := table.roleOf(target)
-	if joined == roleNone {
+// addToServices adds a target to its services, one for each region set that allows the target.
+// A service that has to be created takes over the state of the previous one with the same key.
+func (table *Table) addToServices(target *targetRecord, previous map[serviceKey]*service) {
+	role := table.roleOf(target)
+	if role == roleNone {
 		return
 	}
-	for _, home := range table.regionSets {
-		if !home.allows(target.region) {
+	for _, regions := range table.regionSets {
+		if !regions.allows(target.region) {
 			continue
 		}
-		key := serviceKey{name: target.Service, regions: home}
+		key := serviceKey{name: target.Service, regions: regions}
 		known := table.services[key]
 		if known == nil {
-			known = newService(former[key])
+			known = newService(previous[key])
 			known.coldFlowRate = table.coldLimits.perSecond[key.name]
 			table.services[key] = known
 		}
 		table.markDirty(key, known)
-		known.addTarget(target, joined)
+		known.addTarget(target, role)
 	}
 }
 
-// leave takes a target out at its services. The target and the table's zones, bounds and
-// homes must be as they were when it joined.
+// removeFromServices removes a target from its services. The target and the table's evacuated
+// zones, cold limits and region sets must be the same as when it was added.
 func (table *Table) removeFromServices(target *targetRecord) {
-	left := table.roleOf(target)
-	if left == roleNone {
+	role := table.roleOf(target)
+	if role == roleNone {
 		return
 	}
-	for _, home := range table.regionSets {
-		key := serviceKey{name: target.Service, regions: home}
+	for _, regions := range table.regionSets {
+		key := serviceKey{name: target.Service, regions: regions}
 		known := table.services[key]
-		if known == nil || !home.allows(target.region) {
+		if known == nil || !regions.allows(target.region) {
 			continue
 		}
 		table.markDirty(key, known)
-		known.removeTarget(target, left)
+		known.removeTarget(target, role)
 	}
 }
 
-func (service *service) addTarget(target *targetRecord, joined targetRole) {
+func (service *service) addTarget(target *targetRecord, role targetRole) {
 	service.targetCount++
-	switch joined {
+	switch role {
 	case roleActive:
 		service.pool.add(target)
 		service.adjustTotals(target, 1)
@@ -157,9 +159,9 @@
 	}
 }
 
-func (service *service) removeTarget(target *targetRecord, left targetRole) {
+func (service *service) removeTarget(target *targetRecord, role targetRole) {
 	service.targetCount--
-	switch left {
+	switch role {
 	case roleActive:
 		service.pool.remove(target)
 		service.adjustTotals(target, -1)
@@ -173,7 +175,8 @@
 	}
 }
 
-// count changes the service's sums by a target that comes, with 1, or goes, with -1.
+// adjustTotals updates the service's sums for an active target that is added, with sign 1, or
+// removed, with sign -1.
 func (service *service) adjustTotals(target *targetRecord, sign int) {
 	service.capacity += sign * target.Capacity
 	service.slotsByZone[target.Zone] += sign * target.slots()
--- a/internal/direct/steer/table.go
+++ b/internal/direct/steer/table.go
@@ -13,56 +13,63 @@
 	"merlinpaddle/internal/model"
 )
 
-// record is one target of the table.
+// targetRecord is a target of the table, with what this balancer keeps about it.
 type targetRecord struct {
 	directory.TargetEntry
+	// seed is the target's seed for rendezvous hashing.
 	seed uint64
-	// near tells that the target is in the balancer's zone.
+	// inLocalZone reports whether the target is in the balancer's zone.
 	inLocalZone bool
 	// region is the region of the target's zone; empty when it is not known.
 	region string
-	// warmAt is when the target is no longer slow from its start.
+	// slowStartUntil is when the target's slow start ends; zero when it is warm.
 	slowStartUntil time.Time
-	// holding has what this balancer gave the target while it was cold.
+	// coldWindow limits the rate of new flows that this balancer sends to the target as
+	// its holder.
 	coldWindow rateWindow
-	// avoidUntil is set when a probe found the target dead.
+	// avoidUntil is until when this balancer avoids the target for new flows after a failed
+	// probe.
 	avoidUntil time.Time
 }
 
-// route is one route with its pool.
+// route is a route with its pool.
 type route struct {
-	parts       []declared.PoolPart
+	parts []declared.PoolPart
+	// totalWeight is the sum of the weights of parts.
 	totalWeight int
 	// objective is the latency that operators aim at; zero for none.
 	objective time.Duration
-	priority  int
-	// home names the regions whose targets may serve the route.
+	// priority is the route's priority under overload; zero is the most urgent one.
+	priority int
+	// regions are the regions whose targets may serve the route.
 	regions regionSet
 }
 
-// service has the targets of a service that may take new flows.
+// service holds those ready targets of a service that routes of one region set may use.
 type service struct {
+	// pool holds the targets that take new flows from this balancer.
 	pool pool
-	// members is the number of its targets, with those that are cold or evacuated.
+	// targetCount is the number of targets, including cold and evacuated ones.
 	targetCount int
-	// changing tells that its targets are being changed.
+	// dirty reports whether the service is listed in Table.dirtyServices.
 	dirty bool
-	// cold is the number of targets that take no flows of this balancer because they
-	// are cold, held ones included; held are those whose rate, heldRate new flows a
-	// second, this balancer holds.
+	// coldCount is the number of targets that are left out of the pool because they are
+	// cold. heldCold are those of them that this balancer is the holder of, and may each
+	// send coldFlowRate new flows a second.
 	coldCount    int
 	heldCold     []*targetRecord
 	coldFlowRate float64
-	// evacuated has the number of targets in emptied zones, by zone.
+	// evacuatedTargets is the number of targets in evacuated zones, by zone.
 	evacuatedTargets map[string]int
-	// evacuatedSince is the revision of the latest order that emptied a zone in which
-	// the service has targets; zero without one.
+	// evacuatedSince is the revision of the latest evacuation of a zone in which the
+	// service has targets; zero for none.
 	evacuatedSince model.Revision
-	// mostNearWeight bounds the weight of near targets against others.
+	// maxLocalZoneWeight is the upper limit of the weight factor for targets in the local
+	// zone.
 	maxLocalZoneWeight float64
-	// capacity is the sum of the capacities of the targets that take new flows, which is
-	// what load is compared with. zoneSlots are their slots by zone, and nearSlots those of
-	// the balancer's own.
+	// capacity is the sum of the capacities of the targets in the pool, which load is
+	// compared with. slotsByZone are their slots by zone, and localZoneSlots those in the
+	// balancer's zone.
 	capacity       int
 	slotsByZone    map[string]int
 	localZoneSlots int
@@ -70,43 +77,45 @@
 	priorities     *priorityTracker
 }
 
-// newService returns a service without targets that goes on from former, which
-// may be nil.
-func newService(former *service) *service {
+// newService returns a service without targets. It takes over the congestion and priority
+// state of previous, unless that is nil.
+func newService(previous *service) *service {
 	made := &service{pool: newPool(), slotsByZone: make(map[string]int), congestion: &congestionByRank{}, priorities: &priorityTracker{}}
-	if former != nil {
-		made.congestion, made.priorities = former.congestion, former.priorities
+	if previous != nil {
+		made.congestion, made.priorities = previous.congestion, previous.priorities
 	}
 	return made
 }
 
-// Table is a balancer's copy of the directory. All methods may be called at
-// any time. Its revision never goes back.
+// Table is a balancer's copy of the directory, from which it decides where packets go. Its
+// methods are safe for concurrent use. Its revision never decreases.
 type Table struct {
 	options Options
 
-	lock        sync.RWMutex
-	revision    model.Revision
+	lock     sync.RWMutex
+	revision model.Revision
+	// version is the version of the declared configuration; zero for none.
 	version     uint64
 	confirmedAt time.Time
-	// servingSince is when the first declared configuration came.
+	// servingSince is when the first declared configuration was applied.
 	servingSince time.Time
 	idleTimeout  time.Duration
 	routes       map[netip.AddrPort]route
 	targets      map[directory.Token]*targetRecord
-	// latest has the latest incarnation of each target, so that a renewal is looked up
-	// without a look at all targets.
+	// latestByID holds the latest incarnation of each target, so that looking up the target
+	// of a renewal does not scan all targets.
 	latestByID map[directory.TargetID]*targetRecord
 	services   map[serviceKey]*service
-	// homesHeld are the homes for which services are kept, and unsettled the services whose
-	// targets are being changed.
+	// regionSets are the region sets for which services are kept. dirtyServices are the
+	// services whose targets changed and whose derived values are out of date.
 	regionSets    []regionSet
 	dirtyServices []serviceKey
 	coldLimits    coldLimits
-	// evacuated are the zones whose targets get no new flows, by name.
+	// evacuated holds the evacuations of zones by name of the zone. Targets in these zones
+	// get no new flows.
 	evacuated map[string]directory.Evacuation
-	changes   board.Notifier
-	// confirmations gives notice that confirmedAt moved.
+	// changes notifies of changes of the table, and confirmations of a later confirmedAt.
+	changes       board.Notifier
 	confirmations board.Notifier
 }
 
@@ -121,29 +130,29 @@
 	}
 }
 
-// Revision returns the table's revision; zero means that it has none yet.
+// Revision returns the table's revision; zero when no changes were applied yet.
 func (table *Table) Revision() model.Revision {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.revision
 }
 
-// Version returns the declared version of the table.
+// Version returns the version of the table's declared configuration; zero when it has none.
 func (table *Table) Version() uint64 {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.version
 }
 
-// Serving tells whether the table has a declared configuration.
+// Serving reports whether the table has a declared configuration.
 func (table *Table) Serving() bool {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.version > 0
 }
 
-// Confirm records that the table was current at a time, by the word of a
-// member with a confirmed quorum.
+// Confirm records that a member with a confirmed quorum reported the table as current at the
+// given time.
 func (table *Table) Confirm(at time.Time) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -153,15 +162,15 @@
 	}
 }
 
-// ConfirmedAt returns when the table was last known to be current; it is zero
-// when it never was.
+// ConfirmedAt returns when the table was last known to be current; zero when it never was.
 func (table *Table) ConfirmedAt() time.Time {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.confirmedAt
 }
 
-// Fresh tells whether the table counts as current.
+// Fresh reports whether the table counts as current: it was confirmed less than
+// Options.FreshFor ago.
 func (table *Table) Fresh(now time.Time) bool {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
@@ -172,8 +181,9 @@
 	return !table.confirmedAt.IsZero() && now.Sub(table.confirmedAt) < table.options.FreshFor
 }
 
-// Apply takes changes in and returns whether the table is now at changes.To or
-// later. Changes that leave a gap, or that are older, change nothing.
+// Apply applies changes and reports whether the table is at the revision changes.To afterwards.
+// Changes that are older than the table, or that start after its revision and so leave a gap,
+// are not applied.
 func (table *Table) Apply(changes directory.Changes, now time.Time) bool {
 	table.lock.Lock()
 	defer table.lock.Unlock()
@@ -198,32 +208,32 @@
 	return true
 }
 
-// Watch registers a channel that gets a notice after the table changed.
+// Watch returns a channel that is notified after each change of the table.
 func (table *Table) Watch() <-chan struct{} { return table.changes.Watch() }
 
-// WatchConfirmed registers a channel that gets a notice after a quorum confirmed
-// the table.
+// WatchConfirmations returns a channel that is notified after each confirmation of the table by
+// a quorum.
 func (table *Table) WatchConfirmations() <-chan struct{} { return table.confirmations.Watch() }
 
-// Everything returns the whole table as changes for a reader without one.
+// Snapshot returns the full table as changes for a reader that has none.
 func (table *Table) Snapshot() directory.Changes {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
-	whole := directory.Changes{Whole: true, To: table.revision, Version: table.version, IdleTimeout: table.idleTimeout, Zones: table.exportZones(), ColdLimits: table.coldLimits.export()}
+	snapshot := directory.Changes{Whole: true, To: table.revision, Version: table.version, IdleTimeout: table.idleTimeout, Zones: table.exportZones(), ColdLimits: table.coldLimits.export()}
 	for address, route := range table.routes {
-		whole.Routes = append(whole.Routes, directory.RouteEntry{
+		snapshot.Routes = append(snapshot.Routes, directory.RouteEntry{
 			Address: address, Pool: route.parts, Objective: route.objective, Priority: route.priority, Regions: route.regions.names(),
 		})
 	}
 	for _, target := range table.targets {
-		whole.Targets = append(whole.Targets, target.TargetEntry)
+		snapshot.Targets = append(snapshot.Targets, target.TargetEntry)
 	}
-	slices.SortFunc(whole.Routes, func(left, right directory.RouteEntry) int { return left.Address.Compare(right.Address) })
-	slices.SortFunc(whole.Targets, func(left, right directory.TargetEntry) int { return cmp.Compare(left.Token, right.Token) })
-	return whole
+	slices.SortFunc(snapshot.Routes, func(left, right directory.RouteEntry) int { return left.Address.Compare(right.Address) })
+	slices.SortFunc(snapshot.Targets, func(left, right directory.TargetEntry) int { return cmp.Compare(left.Token, right.Token) })
+	return snapshot
 }
 
-// zones returns what the table knows of zones.
+// exportZones returns the evacuated zones, sorted by name.
 func (table *Table) exportZones() *directory.Zones {
 	zones := &directory.Zones{}
 	for _, evacuation := range table.evacuated {
@@ -233,15 +243,17 @@
 	return zones
 }
 
-// Evacuated returns the number of zones whose targets get no new flows.
+// EvacuatedZones returns the number of evacuated zones, whose targets get no new flows.
 func (table *Table) EvacuatedZones() int {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return len(table.evacuated)
 }
 
-// ServiceCapacity returns the service of the target with the token, and the
-// capacity together of its ready targets outside evacuated zones.
+// ServiceCapacity returns the service of the target with the token, and the sum of the
+// capacities of the service's targets in the pool: ready, not in an evacuated zone, and not
+// cold in a service that limits the flows of cold targets. It returns an empty name and zero
+// for an unknown token.
 func (table *Table) ServiceCapacity(token directory.Token) (service string, capacity int) {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
@@ -255,7 +267,7 @@
 	return target.Service, capacity
 }
 
-// Lookup returns the target with the token.
+// Lookup returns the target with the token, and whether the table has it.
 func (table *Table) Lookup(token directory.Token) (directory.TargetEntry, bool) {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
@@ -266,7 +278,8 @@
 	return target.TargetEntry, true
 }
 
-// FindTarget returns the latest incarnation of the target with the identifier.
+// FindTarget returns the latest incarnation of the target with the ID, and whether the table
+// has one.
 func (table *Table) FindTarget(id directory.TargetID) (directory.TargetEntry, bool) {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
@@ -277,7 +290,8 @@
 	return target.TargetEntry, true
 }
 
-// Avoid keeps new flows off a target that a probe found dead.
+// Avoid keeps new flows away from a target that failed a probe for Options.AvoidFor, as long as
+// its service has other usable targets.
 func (table *Table) Avoid(token directory.Token, now time.Time) {
 	table.lock.Lock()
 	defer table.lock.Unlock()
