--- a/internal/direct/steer/admission.go
+++ b/internal/direct/steer/admission.go
@@ -5,60 +5,61 @@
 	"time"
 )
 
-// assumedParts is the part of a route's objective that a request is assumed to
-// take on an idle target while nobody knows better.
+// assumedServiceTimeDivisor divides a route's objective into the service time that is assumed
+// for an idle target while none is known.
 const assumedServiceTimeDivisor = 4
 
-// rankShare is the part of AdmitShare that is left for routes of the next lower
-// priority, so that they are refused first. Targets hold a few requests for each slot and
-// turn further ones away whatever their priority; with two thirds, the less urgent stop
-// while the queue still has room for the urgent ones and for requests on open flows, which
-// cannot be refused.
+// rankObjectiveFactor is the factor on Options.MaxObjectiveShare for each rank below the most
+// urgent one, so that less urgent routes are refused first. Targets queue a few requests for
+// each slot and refuse further ones whatever their priority. With about two thirds, the less
+// urgent flows stop while the queue still has room for urgent ones and for requests on open
+// flows, which cannot be refused.
 const rankObjectiveFactor = 0.65
 
-// crowdShare is the part of Options.FullCrowd that is left for routes of the next lower
-// priority: seven requests for two slots where the most urgent may find ten.
+// rankOccupancyFactor is the factor on Options.MaxOccupancy for each rank below the most urgent
+// one: seven requests for two slots where the most urgent rank may have ten.
 const rankOccupancyFactor = 0.7
 
-// ranksKept is the number of ranks whose congestion is told apart.
+// trackedRanks is the number of ranks with a congestion state of their own. Lower ranks share
+// that of the last one.
 const trackedRanks = maxTrackedPriorities
 
-// congestions has the congestion of a service as routes of each rank see it. Each rank has
-// one of its own: a lower one finds a service full while a higher one still has room, and
-// whether it does must not make the higher one be refused.
+// congestionByRank is the congestion of a service as routes of each rank see it. Each rank has
+// its own state: a lower rank finds a service full while a higher one still has room, and that
+// must not cause the higher one to be refused.
 type congestionByRank [trackedRanks]congestionDetector
 
-// observe takes in whether a new flow of a rank is expected to miss its share of the
-// objective, and returns whether the service is congested for that rank.
-func (congestions *congestionByRank) observe(rank int, late bool, now time.Time) bool {
-	return congestions[min(rank, trackedRanks-1)].observe(late, now)
+// observe records whether a new flow of a rank found its target overloaded, and reports whether
+// the service is congested for that rank.
+func (ranks *congestionByRank) observe(rank int, overloaded bool, now time.Time) bool {
+	return ranks[min(rank, trackedRanks-1)].observe(overloaded, now)
 }
 
-// slots is the number of requests that the target works on at once, one at the
-// least.
+// slots returns the number of requests that the target works on at once, at least 1.
 func (target *targetRecord) slots() int { return max(target.Capacity, 1) }
 
-// expected returns how long a further request would take at the target: serving
-// is the time on an idle one, zero when it is not known.
-func (target *targetRecord) expectedTime(open int, serving, objective time.Duration) time.Duration {
-	if serving == 0 {
-		serving = objective / assumedServiceTimeDivisor
+// expectedTime returns how long a further request would take at the target. serviceTime is the
+// time at an idle target; when it is zero, a part of the objective is assumed.
+func (target *targetRecord) expectedTime(open int, serviceTime, objective time.Duration) time.Duration {
+	if serviceTime == 0 {
+		serviceTime = objective / assumedServiceTimeDivisor
 	}
-	crowd := max(float64(open+1)/float64(target.slots()), 1)
-	return time.Duration(crowd * float64(serving))
+	occupancy := max(float64(open+1)/float64(target.slots()), 1)
+	return time.Duration(occupancy * float64(serviceTime))
 }
 
-// admits takes in a new flow of the route, and tells whether its candidate has room for it,
-// or its service is not congested for routes as urgent.
+// admits records a new flow of the route, and reports whether its candidate has room for it or
+// its service is not congested for the rank of the route.
 func (table *Table) admits(service *service, candidate candidate, route route, now time.Time) bool {
 	rank := service.priorities.rank(route.priority, now)
-	late := table.overloaded(candidate, route, rank) && table.options.Loads.SufficientForRefusal(now)
-	congested := service.congestion.observe(rank, late, now)
-	return !congested || !late
+	overloaded := table.overloaded(candidate, route, rank) && table.options.Loads.SufficientForRefusal(now)
+	congested := service.congestion.observe(rank, overloaded, now)
+	return !congested || !overloaded
 }
 
-// late tells whether a further request of the route, of a rank, would find the candidate too
-// full: no slot is idle, and it would miss its share of the objective or be turned away.
+// overloaded reports whether the candidate is too full for a further request of the route at the
+// rank: it has no idle slot, and the request would exceed its share of the objective or saturate
+// the target.
 func (table *Table) overloaded(candidate candidate, route route, rank int) bool {
 	if candidate.open < candidate.target.slots() || route.objective == 0 || table.options.MaxObjectiveShare == 0 {
 		return false
@@ -66,14 +67,15 @@
 	return table.exceedsObjectiveShare(candidate.expected, route, rank) || table.saturated(candidate.target, candidate.open, rank)
 }
 
-// crowded tells whether the target would hold more than it may for routes of the rank.
+// saturated reports whether a further request would exceed the number of requests that the
+// target may hold for routes of the rank.
 func (table *Table) saturated(target *targetRecord, open, rank int) bool {
-	most := table.options.MaxOccupancy * math.Pow(rankOccupancyFactor, float64(rank))
-	return most > 0 && float64(open+1) > most*float64(target.slots())
+	limit := table.options.MaxOccupancy * math.Pow(rankOccupancyFactor, float64(rank))
+	return limit > 0 && float64(open+1) > limit*float64(target.slots())
 }
 
-// exceeds tells whether a request that takes as long would miss the share of the
-// route's objective that is allowed.
+// exceedsObjectiveShare reports whether the expected time of a request is more than the share of
+// the route's objective that is allowed at the rank.
 func (table *Table) exceedsObjectiveShare(expected time.Duration, route route, rank int) bool {
 	share := table.options.MaxObjectiveShare * math.Pow(rankObjectiveFactor, float64(rank))
 	return float64(expected) > share*float64(route.objective)
--- a/internal/direct/steer/coldness.go
+++ b/internal/direct/steer/coldness.go
@@ -7,76 +7,80 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// holderWindow is the span in which the holder of a cold target gives it no more new
-// flows than it bears in a second. It is longer than a second, because opening packets
-// may wait up to some tens of milliseconds on their way, so that those of a longer
-// span arrive within one second.
+// coldRateWindow is the time in which the holder of a cold target sends it no more new flows than
+// the target can handle in a second. It is longer than a second because opening packets may be
+// delayed by up to some tens of milliseconds on their way, so that packets from a longer time
+// arrive within one second.
 const coldRateWindow = 1200 * time.Millisecond
 
-// coldness is the state of a table that concerns cold targets.
+// coldLimits holds the limits on new flows to cold targets.
 type coldLimits struct {
-	// perSecond is the number of new flows a second that a cold target bears, by
-	// service; services without a bound are not in it.
+	// perSecond is the number of new flows a second that a cold target can handle, by
+	// service. Services without a limit are not in it.
 	perSecond map[string]float64
 }
 
-func (coldness *coldLimits) apply(limits *directory.ColdLimits) {
-	if limits != nil {
-		coldness.perSecond = limits.PerSecond
+// apply replaces the limits; nil changes nothing.
+func (limits *coldLimits) apply(received *directory.ColdLimits) {
+	if received != nil {
+		limits.perSecond = received.PerSecond
 	}
 }
 
-// limits returns the bounds for another balancer.
-func (coldness *coldLimits) export() *directory.ColdLimits {
-	return &directory.ColdLimits{PerSecond: coldness.perSecond}
+// export returns the limits in the form that they are sent in.
+func (limits *coldLimits) export() *directory.ColdLimits {
+	return &directory.ColdLimits{PerSecond: limits.perSecond}
 }
 
-// ColdBounded tells whether the new flows of cold targets of a service are bounded.
+// HasColdLimit reports whether the service limits the rate of new flows to cold targets.
 func (table *Table) HasColdLimit(service string) bool {
 	table.lock.RLock()
 	defer table.lock.RUnlock()
 	return table.coldLimits.perSecond[service] > 0
 }
 
-// holding counts the new flows that a balancer gave to a cold target that it holds.
+// rateWindow limits the number of new flows to a cold target within coldRateWindow (a sliding
+// window log).
 type rateWindow struct {
-	lock     sync.Mutex
+	lock sync.Mutex
+	// admitted has the times of the flows admitted within the window, oldest first.
 	admitted []time.Time
 }
 
-// take notes one more new flow, and returns false when the target would get more than
-// perSecond of them within the window.
-func (holding *rateWindow) allow(now time.Time, perSecond float64) bool {
-	holding.lock.Lock()
-	defer holding.lock.Unlock()
-	kept := holding.admitted[:0]
-	for _, at := range holding.admitted {
+// allow records one more new flow and returns true, or returns false when the target would get
+// more than perSecond of them within the window.
+func (window *rateWindow) allow(now time.Time, perSecond float64) bool {
+	window.lock.Lock()
+	defer window.lock.Unlock()
+	kept := window.admitted[:0]
+	for _, at := range window.admitted {
 		if now.Sub(at) < coldRateWindow {
 			kept = append(kept, at)
 		}
 	}
-	holding.admitted = kept
+	window.admitted = kept
 	if float64(len(kept)+1) > perSecond {
 		return false
 	}
-	holding.admitted = append(holding.admitted, now)
+	window.admitted = append(window.admitted, now)
 	return true
 }
 
-// openCold gives a new flow to a cold target that this balancer holds and that bears
-// one more, the best by hash first. A balancer that started within the window does not
-// know what it gave in its former life, and gives none.
+// openCold gives a new flow to a cold target that this balancer is the holder of and whose rate
+// limit allows it, the best by hash first. It returns false when there is none, and for
+// retransmissions. A balancer that started within the window does not know which flows it sent
+// before its restart, and sends none.
 func (table *Table) openCold(service *service, hash uint64, segment Segment, route route, now time.Time) (Decision, bool) {
 	if segment.Attempt > 0 || now.Sub(table.servingSince) < coldRateWindow {
 		return Decision{}, false
 	}
-	var choices rankedTargets
+	var ranked rankedTargets
 	for _, target := range service.heldCold {
 		if target.usable(now) {
-			choices.add(target, target.score(hash, now, 1))
+			ranked.add(target, target.score(hash, now, 1))
 		}
 	}
-	for _, target := range choices.targets[:choices.count] {
+	for _, target := range ranked.targets[:ranked.count] {
 		if target.coldWindow.allow(now, service.coldFlowRate) {
 			decision := forwardTo(target, ReasonChosen)
 			decision.Objective = route.objective
@@ -86,10 +90,11 @@
 	return Decision{}, false
 }
 
-// refuseCold answers an opening packet whose service has no target but cold ones that
-// bear no more. It is refused at once: a cold target's rate is used by those that came
-// before, and waiting would only add to those that come after. A copy of a packet that
-// was sent on is not refused, because the flow may have opened.
+// refuseCold decides about an opening packet whose service has only cold targets, none of which
+// can handle another flow from this balancer. It is refused at once: earlier flows have used up
+// the rate of the cold targets, and a flow that waited would only compete with later ones. A
+// retransmission of a packet that was already forwarded is dropped instead, because the flow may
+// have opened.
 func refuseCold(segment Segment) Decision {
 	if segment.AlreadyForwarded {
 		return Decision{Reason: ReasonCold}
--- a/internal/direct/steer/congestion.go
+++ b/internal/direct/steer/congestion.go
@@ -7,41 +7,44 @@
 )
 
 const (
-	// congestionSpan is the time over which new flows of a service are averaged. Until a
-	// rush is taken for a lack of capacity, new flows go to full targets, which turn them
-	// away after a third of a second: with two seconds a quarter more of the tries.
+	// congestionTimeConstant is the time constant of the average over a service's new flows.
+	// Until a rise in load is recognized as a lack of capacity, new flows go to full targets,
+	// which refuse them after a third of a second. With two seconds there were a quarter more
+	// attempts.
 	congestionTimeConstant = 500 * time.Millisecond
-	// congestedFrom is the part of new flows that are expected to miss their
-	// objective from which a service counts as congested. A backlog that goes away
-	// by itself, as after an outage, stays below.
+	// congestionThreshold is the share of new flows with an overloaded target from which a
+	// service counts as congested. A backlog that drains by itself, as after an outage, stays
+	// below.
 	congestionThreshold = 0.5
 )
 
-// congestion tells a lasting lack of capacity from a passing one, by how many
-// new flows of a service were lately expected to miss their objective. Refusing helps against the
-// first: what is let in is served in time. In the second, what is late is still
-// served. The idea is that of controlled delay (Nichols and Jacobson, 2012): only
-// a queue that does not drain is a reason to drop.
+// congestionDetector tells a lasting lack of capacity from a passing one, by the share of recent
+// new flows of a service whose target was overloaded. During a lasting one refusals help, because
+// the admitted flows are served in time. During a passing one all flows are still served, though
+// some late. The idea is that of controlled delay (CoDel; Nichols and Jacobson, 2012): only a
+// queue that does not drain is a reason to drop.
 type congestionDetector struct {
-	lock      sync.Mutex
+	lock sync.Mutex
+	// level is the exponentially decaying average of the share of overloaded flows, from 0
+	// to 1, as of updatedAt.
 	level     float64
 	updatedAt time.Time
 }
 
-// observe takes in whether a new flow is expected to miss its objective, and returns
-// whether the service is congested.
-func (congestion *congestionDetector) observe(late bool, now time.Time) bool {
-	congestion.lock.Lock()
-	defer congestion.lock.Unlock()
-	passed := max(now.Sub(congestion.updatedAt), 0)
-	if congestion.updatedAt.IsZero() {
+// observe records whether a new flow found its target overloaded, and reports whether the service
+// is congested.
+func (detector *congestionDetector) observe(overloaded bool, now time.Time) bool {
+	detector.lock.Lock()
+	defer detector.lock.Unlock()
+	passed := max(now.Sub(detector.updatedAt), 0)
+	if detector.updatedAt.IsZero() {
 		passed = 0
 	}
-	congestion.updatedAt = now
+	detector.updatedAt = now
 	kept := math.Exp(-float64(passed) / float64(congestionTimeConstant))
-	congestion.level *= kept
-	if late {
-		congestion.level += 1 - kept
+	detector.level *= kept
+	if overloaded {
+		detector.level += 1 - kept
 	}
-	return congestion.level >= congestionThreshold
+	return detector.level >= congestionThreshold
 }
--- a/internal/direct/steer/home.go
+++ b/internal/direct/steer/home.go
@@ -2,36 +2,36 @@
 
 import "strings"
 
-// home names a set of regions in a form that can be compared; everywhere is the empty
-// set, which binds nothing. Targets of a service are kept apart for each home that a
-// route has, so that the choice for one route never sees those that it may not use.
+// regionSet is a set of regions in a form that can be compared and used as a map key. The empty
+// set is anyRegion, which restricts nothing. Each region set that a route has gets services of
+// its own, so that the choice for a route never sees targets that the route may not use.
 type regionSet string
 
-// everywhere is the home of routes that any target may serve.
+// anyRegion is the region set of routes that targets of any region may serve.
 const anyRegion regionSet = ""
 
-// regionSeparator stands between the regions of a home. Names of regions have no
-// control characters.
+// regionSeparator separates the names in a regionSet. Names of regions have no control
+// characters.
 const regionSeparator = "\x1f"
 
-func newRegionSet(regions []string) regionSet {
-	return regionSet(strings.Join(regions, regionSeparator))
+func newRegionSet(names []string) regionSet {
+	return regionSet(strings.Join(names, regionSeparator))
 }
 
-// regions returns the regions of the home, none for everywhere.
-func (home regionSet) names() []string {
-	if home == anyRegion {
+// names returns the names of the regions; nil for anyRegion.
+func (regions regionSet) names() []string {
+	if regions == anyRegion {
 		return nil
 	}
-	return strings.Split(string(home), regionSeparator)
+	return strings.Split(string(regions), regionSeparator)
 }
 
-// allows tells whether a target of the region may serve routes of the home.
-func (home regionSet) allows(region string) bool {
-	if home == anyRegion {
+// allows reports whether a target of the region may serve routes with this region set.
+func (regions regionSet) allows(region string) bool {
+	if regions == anyRegion {
 		return true
 	}
-	for _, allowed := range home.names() {
+	for _, allowed := range regions.names() {
 		if allowed == region {
 			return true
 		}
@@ -39,21 +39,21 @@
 	return false
 }
 
-// serviceKey names the targets of a service that routes of one home may use.
+// serviceKey identifies the targets of a service that routes with one region set may use.
 type serviceKey struct {
 	name    string
 	regions regionSet
 }
 
-// homes returns everywhere and the homes of all routes.
+// routeRegionSets returns anyRegion and the region sets of all routes, without duplicates.
 func (table *Table) routeRegionSets() []regionSet {
-	homes := []regionSet{anyRegion}
+	sets := []regionSet{anyRegion}
 	known := map[regionSet]bool{anyRegion: true}
 	for _, route := range table.routes {
 		if !known[route.regions] {
 			known[route.regions] = true
-			homes = append(homes, route.regions)
+			sets = append(sets, route.regions)
 		}
 	}
-	return homes
+	return sets
 }
--- a/internal/direct/steer/locality.go
+++ b/internal/direct/steer/locality.go
@@ -5,35 +5,38 @@
 	"time"
 )
 
-// Near targets first, the surplus elsewhere. The load it answers is demand that differs by
-// zone, and zones that are cut off: a flow that crosses zones without need is lost when they
-// part, and one that stays beside a full target waits while others are idle.
+// New flows go to targets of the balancer's local zone first, and only the surplus goes to remote
+// zones (spillover). This addresses demand that differs by zone, and network partitions between
+// zones: a flow that crosses zones without need is lost when they are cut off from each other, and
+// a flow that stays at a full target waits while other targets are idle.
 //
-// Nothing is agreed on between balancers. Each flow is decided by what its balancer knows of
-// a few targets, so that the surplus alone crosses, in proportion to it, and comes back flow
-// by flow as near targets get room: there is no share that could swing.
+// Balancers do not coordinate on this. Each flow is decided by what its balancer knows of a few
+// targets. So only the surplus crosses, in proportion to its size, and flows return one by one as
+// targets of the local zone get room: there is no shared ratio that could oscillate.
 
 const (
-	// blindNearWeight is the weight of near targets for a balancer that does not know how
-	// busy targets are. It would not see a zone fill up, and so leaves a part of its flows
-	// to other zones always.
+	// localZoneWeightWithoutLoads is the largest weight factor for the local zone at a balancer
+	// without reliable load estimates. Such a balancer would not notice that a zone fills up,
+	// and therefore always sends a part of its flows to other zones.
 	localZoneWeightWithoutLoads = 4
-	// mostShare is how many times its part of the capacity a zone's targets may get of the
-	// zone's flows by preference alone, if zones ask alike: with the double, targets that
-	// are a third used have room nearly always. A zone that has few targets, as within a
-	// release or after losses, could not bear all of its callers.
+	// maxLocalZoneShareFactor limits the load of the local zone's targets that the weight factor
+	// alone may cause: with equal demand in all zones, they get at most this many times the
+	// flows that correspond to their capacity. With 2, targets at a third of their capacity
+	// almost always have room. Without the limit, a zone with few targets, as during a release
+	// or after failures, would get all flows of its callers and could not handle them.
 	maxLocalZoneShareFactor = 2
-	// spillFrom is the pressure of the least busy near candidate from which other zones are
-	// looked at: it has no idle slot, so that a request would wait for another one's work,
-	// tens of milliseconds, where the way to another zone takes about one.
+	// spilloverOccupancy is the occupancy of the least busy local candidate from which remote
+	// zones are considered. At 1 it has no idle slot, so that a request would wait for another
+	// one to finish, tens of milliseconds, whereas the way to another zone takes about one.
 	spilloverOccupancy = 1.0
-	// spillRatio is the most that a target elsewhere may be pressed, relative to the near
-	// one: half, so that at least half of the wait is saved. Where all zones are as full,
-	// crossing gains nothing and is not done for chance differences.
+	// maxSpilloverOccupancyRatio is the largest occupancy that a remote target may have,
+	// relative to the local candidate. With a half, at least half of the wait is saved. Where
+	// all zones are equally full, crossing gains nothing, and chance differences do not cause
+	// it.
 	maxSpilloverOccupancyRatio = 0.5
 )
 
-// nearWeightOf returns the weight of a service's near targets against others.
+// localZoneWeightFor returns the weight factor for a service's targets in the local zone.
 func (table *Table) localZoneWeightFor(service *service) float64 {
 	weight := table.options.LocalZoneWeight
 	if table.options.Loads == nil || !table.options.Loads.Reliable() {
@@ -42,40 +45,40 @@
 	return min(weight, service.maxLocalZoneWeight)
 }
 
-// measureZones settles the greatest weight of near targets with which they get no more than
-// mostShare allows.
+// updateMaxLocalZoneWeight computes the largest weight factor for the local zone with which its
+// targets get no more than maxLocalZoneShareFactor allows; at least 1.
 func (service *service) updateMaxLocalZoneWeight() {
-	near, total := service.localZoneSlots, 0
+	local, total := service.localZoneSlots, 0
 	for _, slots := range service.slotsByZone {
 		total += slots
 	}
 	service.maxLocalZoneWeight = math.Inf(1)
-	share := maxLocalZoneShareFactor * float64(near) * float64(len(service.slotsByZone)) / float64(total)
-	if near == 0 || share >= 1 {
+	share := maxLocalZoneShareFactor * float64(local) * float64(len(service.slotsByZone)) / float64(total)
+	if local == 0 || share >= 1 {
 		return
 	}
-	elsewhere := float64(total - near)
-	service.maxLocalZoneWeight = max(share/(1-share)*elsewhere/float64(near), 1)
+	remote := float64(total - local)
+	service.maxLocalZoneWeight = max(share/(1-share)*remote/float64(local), 1)
 }
 
-// spill returns the target elsewhere that a new flow goes to because the chosen near one has
-// no idle slot, or nil where it stays.
+// spilloverTarget returns the target of a remote zone that a new flow goes to because the chosen
+// target of the local zone has no idle slot. It returns nil when the flow stays at the chosen one.
 func (table *Table) spilloverTarget(service *service, chosen *targetRecord, hash uint64, now time.Time) *targetRecord {
 	if !chosen.inLocalZone || table.options.SpilloverCandidates == 0 || table.options.Loads == nil {
 		return nil
 	}
-	pressure := table.options.occupancyOf(chosen)
-	if pressure < spilloverOccupancy {
+	occupancy := table.options.occupancyOf(chosen)
+	if occupancy < spilloverOccupancy {
 		return nil
 	}
-	var elsewhere rankedTargets
-	service.pool.rank(rankCriteria{hash: hash, now: now}, &elsewhere)
+	var remote rankedTargets
+	service.pool.rank(rankCriteria{hash: hash, now: now}, &remote)
 	var least *targetRecord
-	lowest := pressure * maxSpilloverOccupancyRatio
-	for _, target := range elsewhere.targets[:min(elsewhere.count, table.options.SpilloverCandidates)] {
-		other := table.options.occupancyOf(target)
-		if other < lowest || least == nil && other == lowest {
-			least, lowest = target, other
+	lowest := occupancy * maxSpilloverOccupancyRatio
+	for _, target := range remote.targets[:min(remote.count, table.options.SpilloverCandidates)] {
+		remoteOccupancy := table.options.occupancyOf(target)
+		if remoteOccupancy < lowest || least == nil && remoteOccupancy == lowest {
+			least, lowest = target, remoteOccupancy
 		}
 	}
 	return least
--- a/internal/direct/steer/segment.go
+++ b/internal/direct/steer/segment.go
@@ -1,10 +1,10 @@
-// Package steer decides where each packet of a direct service goes: to the
-// target that its flow token names, to a chosen target for an opening packet,
-// back to the caller as a reset, or nowhere.
+// Package steer decides what a balancer does with each packet of a direct service: forward it to
+// the target that its flow token identifies, forward an opening packet to a newly chosen target,
+// answer the caller with a reset, or drop it.
 //
-// Decisions need no state of flows. Every balancer with the same table makes
-// the same choice for the same opening packet, and finds the owner of every
-// open flow from the token that both ends copy into their packets.
+// Decisions need no per-flow state. Balancers of one zone with the same table and the same load
+// estimates make the same choice for the same opening packet, and every balancer finds the target
+// of an open flow from the token that both endpoints copy into their packets.
 package steer
 
 import (
@@ -15,47 +15,47 @@
 	"merlinpaddle/internal/model"
 )
 
-// Segment is what a decision needs of one packet of a caller.
+// Segment is what a decision needs to know of one packet of a caller.
 type Segment struct {
-	// Caller is the caller's end of the flow.
+	// Caller is the caller's endpoint of the flow.
 	Caller netip.AddrPort
-	// Service is the address and port that the caller addressed.
+	// Service is the address and port that the caller sent the packet to. It identifies the
+	// route.
 	Service netip.AddrPort
-	// Token is the flow token that the packet carries.
+	// Token is the flow token that the packet carries; zero for none.
 	Token directory.Token
-	// Opening tells that the packet asks for a new flow.
+	// Opening reports whether the packet asks for a new flow.
 	Opening bool
-	// Attempt counts the copies of an opening packet, from zero.
+	// Attempt is zero for an original opening packet and counts its retransmissions from 1.
 	Attempt int
-	// Tried has the tokens of the targets that the former copies of an opening
-	// packet were sent on to, the latest first, as far as this balancer knows;
-	// else zero.
+	// Tried has the tokens of the targets that earlier attempts of an opening packet were
+	// forwarded to, the latest first, as far as this balancer knows; else zero.
 	Tried [TrackedAttempts]directory.Token
-	// Seen tells that this balancer sent a former copy of an opening packet on, so
-	// that the flow may have opened meanwhile.
+	// AlreadyForwarded reports whether this balancer forwarded an earlier attempt of an
+	// opening packet, so that the flow may have opened meanwhile.
 	AlreadyForwarded bool
-	// Abort tells that the packet itself ends its flow at once; it is never
+	// Abort reports whether the packet itself ends its flow at once. Such a packet is never
 	// answered.
 	Abort bool
-	// Closing tells that the caller ends the flow after this packet.
+	// Closing reports whether the caller ends the flow after this packet.
 	Closing bool
-	// Acknowledgement is the number of the next byte that the caller awaits.
+	// Acknowledgement is the sequence number of the next byte that the caller expects.
 	Acknowledgement uint32
-	// Sequence is the number of the first byte of data, HasData tells whether
-	// there is any, and Length how many bytes. A sender repeats data under the
-	// same number.
+	// Sequence is the sequence number of the first byte of data, HasData reports whether
+	// there is data, and Length is its number of bytes. Retransmitted data has the same
+	// sequence number.
 	Sequence uint32
 	HasData  bool
 	Length   uint32
 }
 
-// Acknowledges tells whether the packet does nothing but acknowledge.
+// IsPureAck reports whether the packet does nothing but acknowledge data.
 func (segment Segment) IsPureAck() bool {
 	return !segment.Opening && !segment.Abort && !segment.Closing && !segment.HasData
 }
 
-// TriesKnown is the number of former copies of an opening packet whose targets
-// matter: callers send three copies at the most.
+// TrackedAttempts is the number of earlier attempts of an opening packet whose targets are
+// tracked. Callers send an opening packet at most three times.
 const TrackedAttempts = 2
 
 // Action is what a balancer does with a packet.
@@ -63,55 +63,52 @@
 
 // The actions.
 const (
-	// Drop does nothing; the caller sends the packet again.
+	// Drop discards the packet; the caller retransmits it.
 	Drop Action = iota
 	// Forward sends the packet to Decision.Target with Decision.Token.
 	Forward
-	// Reset tells the caller that the flow is over.
+	// Reset answers the caller with a reset, which ends the flow.
 	Reset
 )
 
-// Reason tells why a decision was made. The values are stable; they name
-// metrics and log lines.
+// Reason is why a decision was made. The names are stable; they appear in metrics and logs.
 type Reason uint8
 
 // The reasons.
 const (
-	// ReasonChosen: an opening packet got its target.
+	// ReasonChosen: a target was chosen for an opening packet.
 	ReasonChosen Reason = iota
-	// ReasonOwner: the token names the flow's target.
+	// ReasonOwner: the token identifies the target of an open flow.
 	ReasonOwner
 	// ReasonNoTable: this balancer has no table yet.
 	ReasonNoTable
 	// ReasonNoRoute: no route has the address, and the table is current.
 	ReasonNoRoute
-	// ReasonNoRouteStale: no route has the address, in a table that may be old.
+	// ReasonNoRouteStale: no route has the address, but the table may be stale.
 	ReasonNoRouteStale
 	// ReasonNoTarget: no target of the pool takes new flows.
 	ReasonNoTarget
 	// ReasonUnknownToken: the table does not have the token.
 	ReasonUnknownToken
-	// ReasonTargetFailed: the flow's target was found dead.
+	// ReasonTargetFailed: the flow's target has failed.
 	ReasonTargetFailed
 	// ReasonMissingToken: a packet of an open flow carries no token.
 	ReasonMissingToken
-	// ReasonOverloaded: the targets have more to do than the route's objective
-	// allows.
+	// ReasonOverloaded: the targets are too busy to meet the route's objective.
 	ReasonOverloaded
-	// ReasonLinkFull: the balancer's own link would carry the flow's request later
-	// than the route's objective allows.
+	// ReasonLinkFull: the balancer's own link is too busy to carry the flow's request in time
+	// for the route's objective.
 	ReasonLinkFull
-	// ReasonEvacuated: all targets of the pool's part are in zones that operators
-	// emptied.
+	// ReasonEvacuated: all targets of the chosen part of the pool are in evacuated zones.
 	ReasonEvacuated
-	// ReasonCold: all targets of the pool's part are cold and bear no more new flows
-	// of this balancer.
+	// ReasonCold: all targets of the chosen part of the pool are cold and can handle no more
+	// new flows from this balancer.
 	ReasonCold
-	// ReasonNoHome: the pool's part has targets, but none in a region that may serve
-	// the route.
+	// ReasonNoHome: the chosen part of the pool has targets, but none in a region that may
+	// serve the route.
 	ReasonNoHome
-	// ReasonRestarted: the flow's target started again at its address, and tells by itself
-	// which flows it has.
+	// ReasonRestarted: the flow's target restarted at the same address. The target itself
+	// resets flows that it no longer has.
 	ReasonRestarted
 	reasonCount
 )
@@ -139,31 +136,32 @@
 	return reasons
 }
 
-// Place tells where a new flow's target lies. The values are stable; they name metrics.
+// Locality is where the target of a new flow is, relative to the balancer's zone. The names are
+// stable; they appear in metrics and logs.
 type Locality uint8
 
-// The places.
+// The localities.
 const (
-	// PlaceElsewhere: in another zone than the balancer, by hash.
+	// LocalityRemoteZone: in another zone than the balancer, chosen by hash.
 	LocalityRemoteZone Locality = iota
-	// PlaceNear: in the balancer's zone.
+	// LocalityLocalZone: in the balancer's zone.
 	LocalityLocalZone
-	// PlaceSpilled: in another zone, because near targets had no room.
+	// LocalitySpillover: in another zone, because targets of the local zone had no room.
 	LocalitySpillover
 	localityCount
 )
 
 var localityNames = [localityCount]string{"elsewhere", "near", "spilled"}
 
-// String returns the place's stable name.
-func (place Locality) String() string {
-	if place >= localityCount {
+// String returns the locality's stable name.
+func (locality Locality) String() string {
+	if locality >= localityCount {
 		return "unknown"
 	}
-	return localityNames[place]
+	return localityNames[locality]
 }
 
-// Places returns all places.
+// Localities returns all localities.
 func Localities() []Locality {
 	return []Locality{LocalityRemoteZone, LocalityLocalZone, LocalitySpillover}
 }
@@ -175,47 +173,49 @@
 	return LocalityRemoteZone
 }
 
-// Decision is the outcome for one packet.
+// Decision is what a balancer does with one packet, and why.
 type Decision struct {
 	Action Action
 	Reason Reason
-	// The fields below are set with Forward.
-	Token  directory.Token
+	// Token, ID, Target, Service and Capacity describe the target that the packet is
+	// forwarded to; set with Forward.
+	Token directory.Token
+	// ID is also set with ReasonOverloaded, to the target that the flow was not admitted to.
 	ID     directory.TargetID
 	Target netip.AddrPort
-	// Service is the target's service.
+	// Service is the name of the target's service.
 	Service string
 	// Capacity is the number of requests that the target works on at once.
 	Capacity int
-	// Suspect is the token of the target that did not answer the former copy
-	// of this opening packet, or zero.
+	// Suspect is the token of the target that did not answer the previous attempt of this
+	// opening packet, or zero; set with ReasonChosen.
 	Suspect directory.Token
-	// Open is the number of requests that were open at the chosen target, as far
-	// as was known, and Expected how long a further one would take there; set
-	// with ReasonChosen and ReasonOverloaded. ID is set with both.
+	// Open is the known number of open requests at the target with ID, and Expected is how
+	// long a further one would take there; set with ReasonChosen and ReasonOverloaded.
+	// With ReasonLinkFull, Expected is how long the link would take to carry the request.
 	Open     int
 	Expected time.Duration
-	// Evidence is what Open rests on; set with ReasonOverloaded.
+	// Evidence is what Open is based on; set with ReasonOverloaded.
 	Evidence Evidence
-	// Objective is the objective of the flow's route, zero for none; set with
+	// Objective is the latency objective of the flow's route, zero for none; set with
 	// ReasonChosen.
 	Objective time.Duration
-	// Place tells where the target lies; set with ReasonChosen.
+	// Locality is where the target is; set with ReasonChosen.
 	Locality Locality
-	// EvacuatedSince is the revision of the latest order that emptied a zone of the
-	// service; set with ReasonEvacuated.
+	// EvacuatedSince is the revision of the latest evacuation of a zone in which the service
+	// has targets; set with ReasonEvacuated.
 	EvacuatedSince model.Revision
-	// Revision, Version and ConfirmedAgo tell the table that decided: its
-	// revision, its declared version, and how long ago a member confirmed it.
-	// They are not set for packets that reach their owner.
+	// Revision, Version and ConfirmedAgo describe the table that the decision is based on:
+	// its revision, the version of its declared configuration, and how long ago a member
+	// confirmed it, NeverConfirmed if none did. They are not set with ReasonOwner.
 	Revision     model.Revision
 	Version      uint64
 	ConfirmedAgo time.Duration
 }
 
-// RefuseForLink returns the decision with which a flow that was given a target is
-// refused because the balancer's link has no room for it. expected is how long its
-// request would take to be carried.
+// RefuseForLink returns the decision that refuses a flow for which decision chose a target,
+// because the balancer's link has no room for it. expected is how long the link would take to
+// carry the flow's request.
 func (decision Decision) RefuseForLink(expected time.Duration) Decision {
 	return Decision{
 		Action: Reset, Reason: ReasonLinkFull, Expected: expected,
@@ -223,5 +223,6 @@
 	}
 }
 
-// NeverConfirmed is the age of a table that no quorum confirmed yet.
+// NeverConfirmed is the value of Decision.ConfirmedAgo when no quorum has confirmed the table
+// yet.
 const NeverConfirmed time.Duration = -1
--- a/internal/direct/steer/urgency.go
+++ b/internal/direct/steer/urgency.go
@@ -6,49 +6,53 @@
 )
 
 const (
-	// usedFor is how long a priority counts as used after the last new flow of its routes.
-	// Callers come and go within some ten seconds.
+	// priorityActiveFor is how long a priority counts as active after the last new flow on its
+	// routes. Callers come and go within some ten seconds.
 	priorityActiveFor = 10 * time.Second
-	// prioritiesKept bounds the priorities of a service that are told apart.
+	// maxTrackedPriorities is the largest number of active priorities that are tracked for a
+	// service.
 	maxTrackedPriorities = 8
 )
 
-// urgency tells how many priorities in use go before a route's. Declared routes that nobody
-// uses do not count: they would make every other route less urgent, and its callers be
-// refused for the sake of nobody.
+// priorityTracker tracks which priorities of a service's routes are active, and ranks a route by
+// the number of active priorities that are more urgent. Declared routes without traffic do not
+// count: they would make all other routes less urgent, and have their callers refused for the
+// benefit of no one.
 type priorityTracker struct {
 	lock   sync.Mutex
 	active [maxTrackedPriorities]activePriority
 }
 
-// usedPriority is a priority and when a new flow of it came last, zero for a free place.
+// activePriority is a priority and the time of its last new flow, which is zero for an unused
+// entry.
 type activePriority struct {
 	priority int
 	lastUsed time.Time
 }
 
-// rank notes a new flow of a priority and returns the number of priorities in use that go
-// before it.
-func (urgency *priorityTracker) rank(priority int, now time.Time) int {
-	urgency.lock.Lock()
-	defer urgency.lock.Unlock()
+// rank records a new flow of a priority and returns the number of active priorities that are more
+// urgent, which are those with a lower number. A priority without an entry replaces the entry
+// that was not used for longest.
+func (tracker *priorityTracker) rank(priority int, now time.Time) int {
+	tracker.lock.Lock()
+	defer tracker.lock.Unlock()
 	rank, own, oldest := 0, -1, 0
-	for place := range urgency.active {
-		used := &urgency.active[place]
+	for index := range tracker.active {
+		known := &tracker.active[index]
 		switch {
-		case used.lastUsed.IsZero() || now.Sub(used.lastUsed) >= priorityActiveFor:
-		case used.priority < priority:
+		case known.lastUsed.IsZero() || now.Sub(known.lastUsed) >= priorityActiveFor:
+		case known.priority < priority:
 			rank++
-		case used.priority == priority:
-			own = place
+		case known.priority == priority:
+			own = index
 		}
-		if used.lastUsed.Before(urgency.active[oldest].lastUsed) {
-			oldest = place
+		if known.lastUsed.Before(tracker.active[oldest].lastUsed) {
+			oldest = index
 		}
 	}
 	if own < 0 {
 		own = oldest
 	}
-	urgency.active[own] = activePriority{priority: priority, lastUsed: now}
+	tracker.active[own] = activePriority{priority: priority, lastUsed: now}
 	return rank
 }
