--- a/internal/direct/steer/admission_test.go
+++ b/internal/direct/steer/admission_test.go
@@ -10,53 +10,56 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// busy has the same load at every target.
-type busy struct {
-	open    int
-	serving time.Duration
-	// typical is the serving time of the service.
-	typical time.Duration
-	// unproven tells that too little was seen to refuse by.
-	unproven bool
+// uniformLoads implements Loads with the same load at every target.
+type uniformLoads struct {
+	open        int
+	serviceTime time.Duration
+	// typicalServiceTime is the service time of a typical target of the service.
+	typicalServiceTime time.Duration
+	// insufficient reports that there is not enough evidence to refuse flows.
+	insufficient bool
 }
 
-// Known implements Loads.
-func (busy *busy) Reliable() bool { return true }
+// Reliable implements Loads.
+func (loads *uniformLoads) Reliable() bool { return true }
 
-// Coming implements Loads.
-func (busy *busy) Pending(directory.Token) int { return 0 }
+// Pending implements Loads.
+func (loads *uniformLoads) Pending(directory.Token) int { return 0 }
 
-// Proven implements Loads.
-func (busy *busy) SufficientForRefusal(time.Time) bool { return !busy.unproven }
+// SufficientForRefusal implements Loads.
+func (loads *uniformLoads) SufficientForRefusal(time.Time) bool { return !loads.insufficient }
 
 // Evidence implements Loads.
-func (busy *busy) Evidence(directory.Token, time.Time) Evidence {
+func (loads *uniformLoads) Evidence(directory.Token, time.Time) Evidence {
 	return Evidence{ReportedAgo: NeverReported}
 }
 
 // Load implements Loads.
-func (busy *busy) Load(directory.Token) (int, time.Duration) { return busy.open, busy.serving }
+func (loads *uniformLoads) Load(directory.Token) (int, time.Duration) {
+	return loads.open, loads.serviceTime
+}
 
-// Typical implements Loads.
-func (busy *busy) TypicalServiceTime(string) time.Duration { return busy.typical }
+// TypicalServiceTime implements Loads.
+func (loads *uniformLoads) TypicalServiceTime(string) time.Duration { return loads.typicalServiceTime }
 
-// objective is that of the test's urgent route.
+// objective is the latency objective of the test routes.
 const objective = 200 * time.Millisecond
 
-// admissionTable returns a table of three targets of capacity two. The routes
-// are an urgent one, a less urgent one, and one without an objective.
-func admissionTable(t *testing.T, load *busy, change func(options *Options)) *Table {
+// admissionTable returns a table of three targets with two slots each. The routes are feedRoute,
+// the less urgent lowPriorityRoute, and noRoute, which has no objective. change may change the
+// options; it may be nil.
+func admissionTable(t *testing.T, load *uniformLoads, change func(options *Options)) *Table {
 	t.Helper()
 	options := DefaultOptions()
 	options.Loads = load
 	if change != nil {
 		change(&options)
 	}
-	changes := whole(3)
+	changes := fullSnapshot(3)
 	pool := []declared.PoolPart{{Service: "feed", Weight: 1}}
 	changes.Routes = []directory.RouteEntry{
 		{Address: feedRoute, Pool: pool, Objective: objective, Priority: 1},
-		{Address: lateRoute, Pool: pool, Objective: objective, Priority: 2},
+		{Address: lowPriorityRoute, Pool: pool, Objective: objective, Priority: 2},
 		{Address: noRoute, Pool: pool, Priority: 1},
 	}
 	table := NewTable(options)
@@ -64,12 +67,12 @@
 	return table
 }
 
-// lateRoute is a route of a lower priority.
-var lateRoute = feedRouteAt(444)
+// lowPriorityRoute is the address of a route of a lower priority than feedRoute.
+var lowPriorityRoute = feedRouteAt(444)
 
-// press sends an opening packet each 10 ms for a while and returns the last
+// sendRepeatedly sends an opening packet every 10 ms for the duration and returns the last
 // decision.
-func press(table *Table, from time.Time, duration time.Duration, segment Segment) Decision {
+func sendRepeatedly(table *Table, from time.Time, duration time.Duration, segment Segment) Decision {
 	var decision Decision
 	for passed := time.Duration(0); passed <= duration; passed += 10 * time.Millisecond {
 		decision = table.Decide(segment, from.Add(passed))
@@ -79,72 +82,72 @@
 
 func TestFlowsAreRefusedWhileAServiceStaysCongested(t *testing.T) {
 	to := func(route int) Segment {
-		segment := opening(9)
+		segment := openingPacket(9)
 		segment.Service = feedRouteAt(route)
 		return segment
 	}
-	// Share 0.6 of 200 ms, in two slots: 50 ms each leave room for four.
+	// The allowed share is 0.6 of 200 ms. In two slots and with 50 ms each, four requests fit.
 	long := 3 * congestionTimeConstant
 	cases := []struct {
 		name     string
-		load     busy
+		load     uniformLoads
 		duration time.Duration
 		segment  Segment
 		change   func(options *Options)
 		reason   Reason
 	}{
-		{"more than the objective allows", busy{open: 5, serving: 50 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
-		{"a passing backlog", busy{open: 5, serving: 50 * time.Millisecond}, congestionTimeConstant / 2, to(443), nil, ReasonChosen},
-		{"as much as the objective allows", busy{open: 3, serving: 50 * time.Millisecond}, long, to(443), nil, ReasonChosen},
-		{"a quick service", busy{open: 5, serving: 30 * time.Millisecond}, long, to(443), nil, ReasonChosen},
-		{"a serving time that nobody knows", busy{open: 5, serving: 0}, long, to(443), nil, ReasonOverloaded},
-		{"a quick service whose target is not known", busy{open: 5, typical: 30 * time.Millisecond}, long, to(443), nil, ReasonChosen},
-		{"a slow service whose target is not known", busy{open: 5, typical: 50 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
-		{"a slow service with an idle target", busy{open: 1, serving: time.Minute}, long, to(443), nil, ReasonChosen},
-		{"less urgent", busy{open: 3, serving: 50 * time.Millisecond}, long, to(444), nil, ReasonOverloaded},
-		{"more than targets hold", busy{open: 10, serving: 10 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
-		{"as much as targets hold", busy{open: 9, serving: 10 * time.Millisecond}, long, to(443), nil, ReasonChosen},
-		{"less urgent, as much as they hold for it", busy{open: 6, serving: 10 * time.Millisecond}, long, to(444), nil, ReasonChosen},
-		{"less urgent, more than they hold for it", busy{open: 7, serving: 10 * time.Millisecond}, long, to(444), nil, ReasonOverloaded},
-		{"no bound on what targets hold", busy{open: 11, serving: 10 * time.Millisecond}, long, to(443), func(options *Options) { options.MaxOccupancy = 0 }, ReasonChosen},
-		{"counts that are not proven", busy{open: 50, serving: 50 * time.Millisecond, unproven: true}, long, to(443), nil, ReasonChosen},
-		{"no objective", busy{open: 50, serving: 50 * time.Millisecond}, long, Segment{Caller: opening(9).Caller, Service: noRoute, Opening: true}, nil, ReasonChosen},
-		{"admission switched off", busy{open: 50, serving: time.Second}, long, to(443), func(options *Options) { options.MaxObjectiveShare = 0 }, ReasonChosen},
+		{"more requests than the objective allows", uniformLoads{open: 5, serviceTime: 50 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
+		{"a short backlog", uniformLoads{open: 5, serviceTime: 50 * time.Millisecond}, congestionTimeConstant / 2, to(443), nil, ReasonChosen},
+		{"as many requests as the objective allows", uniformLoads{open: 3, serviceTime: 50 * time.Millisecond}, long, to(443), nil, ReasonChosen},
+		{"a fast service", uniformLoads{open: 5, serviceTime: 30 * time.Millisecond}, long, to(443), nil, ReasonChosen},
+		{"an unknown service time", uniformLoads{open: 5, serviceTime: 0}, long, to(443), nil, ReasonOverloaded},
+		{"a fast service, the target's service time is unknown", uniformLoads{open: 5, typicalServiceTime: 30 * time.Millisecond}, long, to(443), nil, ReasonChosen},
+		{"a slow service, the target's service time is unknown", uniformLoads{open: 5, typicalServiceTime: 50 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
+		{"a slow service with an idle target", uniformLoads{open: 1, serviceTime: time.Minute}, long, to(443), nil, ReasonChosen},
+		{"a less urgent route, as many requests as the objective allows an urgent one", uniformLoads{open: 3, serviceTime: 50 * time.Millisecond}, long, to(444), nil, ReasonOverloaded},
+		{"more requests than a target may hold", uniformLoads{open: 10, serviceTime: 10 * time.Millisecond}, long, to(443), nil, ReasonOverloaded},
+		{"as many requests as a target may hold", uniformLoads{open: 9, serviceTime: 10 * time.Millisecond}, long, to(443), nil, ReasonChosen},
+		{"a less urgent route, as many requests as a target may hold for it", uniformLoads{open: 6, serviceTime: 10 * time.Millisecond}, long, to(444), nil, ReasonChosen},
+		{"a less urgent route, more requests than a target may hold for it", uniformLoads{open: 7, serviceTime: 10 * time.Millisecond}, long, to(444), nil, ReasonOverloaded},
+		{"no limit on the requests that a target may hold", uniformLoads{open: 11, serviceTime: 10 * time.Millisecond}, long, to(443), func(options *Options) { options.MaxOccupancy = 0 }, ReasonChosen},
+		{"not enough evidence for the counts", uniformLoads{open: 50, serviceTime: 50 * time.Millisecond, insufficient: true}, long, to(443), nil, ReasonChosen},
+		{"a route without an objective", uniformLoads{open: 50, serviceTime: 50 * time.Millisecond}, long, Segment{Caller: openingPacket(9).Caller, Service: noRoute, Opening: true}, nil, ReasonChosen},
+		{"admission control disabled", uniformLoads{open: 50, serviceTime: time.Second}, long, to(443), func(options *Options) { options.MaxObjectiveShare = 0 }, ReasonChosen},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			table := admissionTable(t, &test.load, test.change)
 			_ = table.Decide(to(443), start)
-			decision := press(table, start, test.duration, test.segment)
+			decision := sendRepeatedly(table, start, test.duration, test.segment)
 			require.Equal(t, test.reason, decision.Reason)
 			want := Forward
 			if test.reason == ReasonOverloaded {
 				want = Reset
 			}
-			require.Equal(t, want, decision.Action, "who is refused learns it at once")
+			require.Equal(t, want, decision.Action, "a refused caller is answered at once")
 		})
 	}
 }
 
-// TestTheLessUrgentAreRefusedBeforeTheUrgent is the load of callers of two priorities who
-// together ask for more than the targets bear. What is open rises until the less urgent are
-// refused wholly; up to there no urgent one is.
-func TestTheLessUrgentAreRefusedBeforeTheUrgent(t *testing.T) {
-	load := &busy{serving: 30 * time.Millisecond}
+// TestLessUrgentFlowsAreRefusedFirst: callers of two priorities together ask for more than the
+// targets can handle. The number of open requests rises until the flows of one route are refused.
+// Flows of the less urgent route must be refused at a lower number than urgent ones.
+func TestLessUrgentFlowsAreRefusedFirst(t *testing.T) {
+	load := &uniformLoads{serviceTime: 30 * time.Millisecond}
 	table := admissionTable(t, load, nil)
-	urgent, lessUrgent := opening(9), opening(9)
-	lessUrgent.Service = lateRoute
+	urgent, lessUrgent := openingPacket(9), openingPacket(9)
+	lessUrgent.Service = lowPriorityRoute
 	refusedAt := func(segment Segment) int {
 		for load.open = 0; load.open < 40; load.open++ {
 			from := start.Add(time.Duration(load.open) * 3 * congestionTimeConstant)
-			both := func(at time.Time) Decision {
+			sendAll := func(at time.Time) Decision {
 				_ = table.Decide(urgent, at)
 				_ = table.Decide(lessUrgent, at)
 				return table.Decide(segment, at)
 			}
 			var last Decision
 			for passed := time.Duration(0); passed < 3*congestionTimeConstant; passed += 10 * time.Millisecond {
-				last = both(from.Add(passed))
+				last = sendAll(from.Add(passed))
 			}
 			if last.Reason == ReasonOverloaded {
 				return load.open
@@ -153,49 +156,50 @@
 		return 0
 	}
 	first := refusedAt(lessUrgent)
-	require.Equal(t, 5, first, "six requests in two slots of 30 ms take 90 ms, over 0.39 of 200 ms")
+	require.Equal(t, 5, first, "six requests of 30 ms in two slots take 90 ms, more than 0.39 of 200 ms")
 	table = admissionTable(t, load, nil)
-	require.Equal(t, 8, refusedAt(urgent), "nine take 135 ms, over 0.6 of 200 ms")
+	require.Equal(t, 8, refusedAt(urgent), "nine take 135 ms, more than 0.6 of 200 ms")
 }
 
-func TestCongestionEndsWithItsCause(t *testing.T) {
-	load := &busy{open: 20, serving: 50 * time.Millisecond}
+func TestCongestionEndsWhenLoadFalls(t *testing.T) {
+	load := &uniformLoads{open: 20, serviceTime: 50 * time.Millisecond}
 	table := admissionTable(t, load, nil)
-	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionTimeConstant, opening(9)).Reason)
+	require.Equal(t, ReasonOverloaded, sendRepeatedly(table, start, 3*congestionTimeConstant, openingPacket(9)).Reason)
 	load.open = 1
 	later := start.Add(3 * congestionTimeConstant)
-	press(table, later, congestionTimeConstant, opening(9))
+	sendRepeatedly(table, later, congestionTimeConstant, openingPacket(9))
 	load.open = 20
-	require.Equal(t, ReasonChosen, table.Decide(opening(9), later.Add(congestionTimeConstant+time.Millisecond)).Reason)
+	require.Equal(t, ReasonChosen, table.Decide(openingPacket(9), later.Add(congestionTimeConstant+time.Millisecond)).Reason)
 }
 
-// TestCopiesOfWhatWasSentOnAreNeverRefused: the answer to the former copy may be under
-// way, and a refusal would break a flow that opens. A copy whose former one never came
-// here is refused like any other.
-func TestCopiesOfWhatWasSentOnAreNeverRefused(t *testing.T) {
-	table := admissionTable(t, &busy{open: 50, serving: time.Second}, nil)
+// TestRetransmissionsOfForwardedPacketsAreNotRefused: the answer to the earlier attempt may be on
+// its way, and a refusal would break a flow that is opening. A retransmission whose earlier attempt
+// did not pass this balancer is refused like any other packet.
+func TestRetransmissionsOfForwardedPacketsAreNotRefused(t *testing.T) {
+	table := admissionTable(t, &uniformLoads{open: 50, serviceTime: time.Second}, nil)
 	end := start.Add(3 * congestionTimeConstant)
-	press(table, start, 3*congestionTimeConstant, opening(9))
-	repeated := opening(9)
+	sendRepeatedly(table, start, 3*congestionTimeConstant, openingPacket(9))
+	repeated := openingPacket(9)
 	repeated.Attempt = 1
 	require.Equal(t, ReasonOverloaded, table.Decide(repeated, end).Reason)
 	repeated.AlreadyForwarded = true
 	require.Equal(t, Forward, table.Decide(repeated, end).Action)
 }
 
-// TestOpenFlowsAreNeverRefused: only new flows are.
+// TestOpenFlowsAreNeverRefused: overload causes the refusal of new flows only.
 func TestOpenFlowsAreNeverRefused(t *testing.T) {
-	table := admissionTable(t, &busy{open: 50, serving: time.Second}, nil)
-	require.Equal(t, ReasonOverloaded, press(table, start, 3*congestionTimeConstant, opening(9)).Reason)
-	segment := Segment{Caller: opening(9).Caller, Service: feedRoute, Token: 2, HasData: true}
+	table := admissionTable(t, &uniformLoads{open: 50, serviceTime: time.Second}, nil)
+	require.Equal(t, ReasonOverloaded, sendRepeatedly(table, start, 3*congestionTimeConstant, openingPacket(9)).Reason)
+	segment := Segment{Caller: openingPacket(9).Caller, Service: feedRoute, Token: 2, HasData: true}
 	require.Equal(t, Forward, table.Decide(segment, start.Add(3*congestionTimeConstant)).Action)
 }
 
-// TestCongestionOutlivesChangesOfTheTable: a change of targets is no relief.
-func TestCongestionOutlivesChangesOfTheTable(t *testing.T) {
-	table := admissionTable(t, &busy{open: 20, serving: 50 * time.Millisecond}, nil)
+// TestCongestionPersistsAcrossTableChanges: a change of targets must not reset the congestion
+// state.
+func TestCongestionPersistsAcrossTableChanges(t *testing.T) {
+	table := admissionTable(t, &uniformLoads{open: 20, serviceTime: 50 * time.Millisecond}, nil)
 	end := start.Add(3 * congestionTimeConstant)
-	press(table, start, 3*congestionTimeConstant, opening(9))
-	require.True(t, table.Apply(next(10, entry(4, "feed", directory.TargetReady)), end))
-	require.Equal(t, ReasonOverloaded, table.Decide(opening(9), end).Reason)
+	sendRepeatedly(table, start, 3*congestionTimeConstant, openingPacket(9))
+	require.True(t, table.Apply(deltaAfter(10, targetEntry(4, "feed", directory.TargetReady)), end))
+	require.Equal(t, ReasonOverloaded, table.Decide(openingPacket(9), end).Reason)
 }
--- a/internal/direct/steer/apply.go
+++ b/internal/direct/steer/apply.go
@@ -79,8 +79,8 @@
 		}
 	}
 	for _, entry := range changes.Targets {
-		if known, exists := table.targets[entry.Token]; exists {
-			table.removeFromServices(known)
+		if current, known := table.targets[entry.Token]; known {
+			table.removeFromServices(current)
 		}
 		table.addToServices(table.applyTarget(entry, now, false), nil)
 	}
--- a/internal/direct/steer/choices_test.go
+++ b/internal/direct/steer/choices_test.go
@@ -9,71 +9,72 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// loads has the open requests of targets.
-type loads map[directory.Token]int
+// openCounts implements Loads with a number of open requests for each target.
+type openCounts map[directory.Token]int
 
-// Known implements Loads.
-func (loads loads) Reliable() bool { return true }
+// Reliable implements Loads.
+func (counts openCounts) Reliable() bool { return true }
 
-// Coming implements Loads.
-func (loads loads) Pending(directory.Token) int { return 0 }
+// Pending implements Loads.
+func (counts openCounts) Pending(directory.Token) int { return 0 }
 
-// Proven implements Loads.
-func (loads loads) SufficientForRefusal(time.Time) bool { return true }
+// SufficientForRefusal implements Loads.
+func (counts openCounts) SufficientForRefusal(time.Time) bool { return true }
 
 // Evidence implements Loads.
-func (loads loads) Evidence(directory.Token, time.Time) Evidence {
+func (counts openCounts) Evidence(directory.Token, time.Time) Evidence {
 	return Evidence{ReportedAgo: NeverReported}
 }
 
 // Load implements Loads.
-func (loads loads) Load(token directory.Token) (int, time.Duration) { return loads[token], 0 }
+func (counts openCounts) Load(token directory.Token) (int, time.Duration) { return counts[token], 0 }
 
-func (loads loads) TypicalServiceTime(string) time.Duration { return 0 }
+// TypicalServiceTime implements Loads.
+func (counts openCounts) TypicalServiceTime(string) time.Duration { return 0 }
 
-// loadedTable returns a table of count targets of capacity two that chooses
-// among candidates by their load.
-func loadedTable(t testing.TB, count, candidates int, open loads) *Table {
+// loadedTable returns a table of count targets with two slots each, which chooses the least busy
+// one among the given number of candidates.
+func loadedTable(t testing.TB, count, candidates int, open openCounts) *Table {
 	t.Helper()
 	options := DefaultOptions()
 	options.Candidates = candidates
 	options.Loads = open
 	table := NewTable(options)
-	require.True(t, table.Apply(whole(count), start))
+	require.True(t, table.Apply(fullSnapshot(count), start))
 	table.Confirm(start)
 	return table
 }
 
 func TestTheLeastBusyCandidateIsChosen(t *testing.T) {
-	open := loads{1: 9, 2: 9, 3: 4, 4: 9, 5: 9}
+	open := openCounts{1: 9, 2: 9, 3: 4, 4: 9, 5: 9}
 	table := loadedTable(t, 5, 5, open)
 	for port := range 200 {
-		decision := table.Decide(opening(port+1), start)
+		decision := table.Decide(openingPacket(port+1), start)
 		require.Equal(t, directory.Token(3), decision.Token)
 		require.Equal(t, 4, decision.Open)
 	}
 }
 
-func TestOneCandidateChoosesByHash(t *testing.T) {
-	plain, loaded := tableOf(t, whole(5)), loadedTable(t, 5, 1, loads{1: 9, 3: 4})
+func TestSingleCandidateIsChosenByHash(t *testing.T) {
+	plain, loaded := tableOf(t, fullSnapshot(5)), loadedTable(t, 5, 1, openCounts{1: 9, 3: 4})
 	for port := range 200 {
-		require.Equal(t, plain.Decide(opening(port+1), start).Token, loaded.Decide(opening(port+1), start).Token)
+		require.Equal(t, plain.Decide(openingPacket(port+1), start).Token, loaded.Decide(openingPacket(port+1), start).Token)
 	}
 }
 
-// TestTargetsWithRoomKeepTheOrderOfTheirHash: while every candidate has room,
-// balancers choose alike, and near targets are preferred.
-func TestTargetsWithRoomKeepTheOrderOfTheirHash(t *testing.T) {
-	plain, loaded := tableOf(t, whole(5)), loadedTable(t, 5, 5, loads{1: 1, 3: 1})
+// TestIdleTargetsKeepTheirHashOrder: while every candidate has room, small differences in load must
+// not change the choice, so that balancers choose the same target and prefer the local zone.
+func TestIdleTargetsKeepTheirHashOrder(t *testing.T) {
+	plain, loaded := tableOf(t, fullSnapshot(5)), loadedTable(t, 5, 5, openCounts{1: 1, 3: 1})
 	for port := range 200 {
-		require.Equal(t, plain.Decide(opening(port+1), start).Token, loaded.Decide(opening(port+1), start).Token)
+		require.Equal(t, plain.Decide(openingPacket(port+1), start).Token, loaded.Decide(openingPacket(port+1), start).Token)
 	}
 }
 
-// TestFlowsSpreadOverFewCandidates: balancers that know the same old counts do
-// not all choose the same target.
+// TestFlowsSpreadOverFewCandidates: balancers with the same outdated counts must not all send their
+// flows to the target that is the least busy by these counts.
 func TestFlowsSpreadOverFewCandidates(t *testing.T) {
-	open := loads{}
+	open := openCounts{}
 	for token := directory.Token(1); token <= 14; token++ {
 		open[token] = 4
 	}
@@ -82,55 +83,55 @@
 	chosen := 0
 	const flows = 5000
 	for port := range flows {
-		if table.Decide(opening(port+1), start).Token == 5 {
+		if table.Decide(openingPacket(port+1), start).Token == 5 {
 			chosen++
 		}
 	}
 	require.InDelta(t, 3.0/14, float64(chosen)/flows, 0.03)
 }
 
-func TestCopiesAvoidTheTargetsThatDidNotAnswer(t *testing.T) {
-	table := loadedTable(t, 5, 3, loads{1: 1, 2: 5, 3: 9})
-	copied := opening(9)
-	for former := directory.Token(1); former <= 5; former++ {
-		for before := range directory.Token(6) {
-			copied.Attempt = 1
-			if before > 0 {
-				copied.Attempt = 2
+func TestRetransmissionsAvoidTargetsThatDidNotAnswer(t *testing.T) {
+	table := loadedTable(t, 5, 3, openCounts{1: 1, 2: 5, 3: 9})
+	retransmitted := openingPacket(9)
+	for latest := directory.Token(1); latest <= 5; latest++ {
+		for earlier := range directory.Token(6) {
+			retransmitted.Attempt = 1
+			if earlier > 0 {
+				retransmitted.Attempt = 2
 			}
-			copied.Tried = [TrackedAttempts]directory.Token{former, before}
-			decision := table.Decide(copied, start.Add(2*retransmissionSpan))
-			require.NotContains(t, []directory.Token{former, before}, decision.Token)
-			require.Equal(t, former, decision.Suspect)
+			retransmitted.Tried = [TrackedAttempts]directory.Token{latest, earlier}
+			decision := table.Decide(retransmitted, start.Add(2*retransmissionSpan))
+			require.NotContains(t, []directory.Token{latest, earlier}, decision.Token)
+			require.Equal(t, latest, decision.Suspect)
 		}
 	}
 }
 
-// TestCopiesOfOtherBalancersGoByHash: where a copy came by another way, the
-// former ones went where the hash says.
-func TestCopiesOfOtherBalancersGoByHash(t *testing.T) {
-	plain, loaded := tableOf(t, whole(5)), loadedTable(t, 5, 3, loads{1: 3, 2: 5, 3: 9})
+// TestRetransmissionsOfFlowsFromOtherBalancersUseHashOrder: a balancer that did not forward the
+// earlier attempts of a flow assumes that they went to the best targets by hash.
+func TestRetransmissionsOfFlowsFromOtherBalancersUseHashOrder(t *testing.T) {
+	plain, loaded := tableOf(t, fullSnapshot(5)), loadedTable(t, 5, 3, openCounts{1: 3, 2: 5, 3: 9})
 	for port := range 100 {
 		var placed []directory.Token
 		for attempt := range 3 {
-			copied := opening(port + 1)
-			copied.Attempt = attempt
-			decision := loaded.Decide(copied, start.Add(2*retransmissionSpan))
+			retransmitted := openingPacket(port + 1)
+			retransmitted.Attempt = attempt
+			decision := loaded.Decide(retransmitted, start.Add(2*retransmissionSpan))
 			if attempt > 0 {
 				require.Equal(t, placed[attempt-1], decision.Suspect)
 				require.NotContains(t, placed, decision.Token)
 			}
-			placed = append(placed, plain.Decide(copied, start.Add(2*retransmissionSpan)).Token)
+			placed = append(placed, plain.Decide(retransmitted, start.Add(2*retransmissionSpan)).Token)
 		}
 	}
 }
 
 func TestTheOnlyTargetIsTriedAgain(t *testing.T) {
-	table := loadedTable(t, 1, 3, loads{})
-	copied := opening(9)
-	copied.Attempt = 1
-	copied.Tried = [TrackedAttempts]directory.Token{1}
-	decision := table.Decide(copied, start.Add(2*retransmissionSpan))
+	table := loadedTable(t, 1, 3, openCounts{})
+	retransmitted := openingPacket(9)
+	retransmitted.Attempt = 1
+	retransmitted.Tried = [TrackedAttempts]directory.Token{1}
+	decision := table.Decide(retransmitted, start.Add(2*retransmissionSpan))
 	require.Equal(t, directory.Token(1), decision.Token)
-	require.Zero(t, decision.Suspect, "it is not probed for that")
+	require.Zero(t, decision.Suspect, "the only target is not suspected")
 }
--- a/internal/direct/steer/coming_test.go
+++ b/internal/direct/steer/coming_test.go
@@ -9,44 +9,44 @@
 	"merlinpaddle/internal/direct/directory"
 )
 
-// onTheWay has requests that wait in front of the balancer's link, by target, and none that
-// are at targets.
-type onTheWay struct {
-	busy
-	coming map[directory.Token]int
+// pendingLoads implements Loads with a number of pending requests for each target, in addition to
+// uniformLoads.
+type pendingLoads struct {
+	uniformLoads
+	pending map[directory.Token]int
 }
 
-// Coming implements Loads.
-func (loads *onTheWay) Pending(token directory.Token) int { return loads.coming[token] }
+// Pending implements Loads.
+func (loads *pendingLoads) Pending(token directory.Token) int { return loads.pending[token] }
 
-// TestFlowsThatWaitForTheLinkDoNotPileUp: flows that come while others wait in front of the
-// link go to other targets, although none of those has reached its target.
-func TestFlowsThatWaitForTheLinkDoNotPileUp(t *testing.T) {
+// TestPendingFlowsSpreadOverTargets: flows that arrive while others wait in front of the link must
+// go to other targets, although no target has an open request yet.
+func TestPendingFlowsSpreadOverTargets(t *testing.T) {
 	const targets, flows = 3, 30
-	loads := &onTheWay{coming: make(map[directory.Token]int)}
+	loads := &pendingLoads{pending: make(map[directory.Token]int)}
 	options := DefaultOptions()
 	options.Loads = loads
 	table := NewTable(options)
-	require.True(t, table.Apply(whole(targets), start))
+	require.True(t, table.Apply(fullSnapshot(targets), start))
 	table.Confirm(start)
 	for port := range flows {
-		decision := table.Decide(opening(port+1), start)
+		decision := table.Decide(openingPacket(port+1), start)
 		require.Equal(t, Forward, decision.Action)
-		loads.coming[decision.Token]++
+		loads.pending[decision.Token]++
 	}
 	for token := directory.Token(1); token <= targets; token++ {
-		require.InDelta(t, flows/targets, loads.coming[token], 1)
+		require.InDelta(t, flows/targets, loads.pending[token], 1)
 	}
 }
 
-// TestFlowsAreNotRefusedForWhatWaitsForTheLink: the link brings what waits one after the other,
-// to targets that are idle.
-func TestFlowsAreNotRefusedForWhatWaitsForTheLink(t *testing.T) {
-	loads := &onTheWay{busy: busy{open: 1, serving: 50 * time.Millisecond}, coming: map[directory.Token]int{1: 20, 2: 20, 3: 20}}
-	table := admissionTable(t, &loads.busy, func(options *Options) { options.Loads = loads })
-	decision := press(table, start, 3*congestionTimeConstant, opening(9))
+// TestPendingRequestsDoNotCauseRefusals: the link delivers pending requests one after the other, to
+// targets that are idle. Only open requests may cause a refusal.
+func TestPendingRequestsDoNotCauseRefusals(t *testing.T) {
+	loads := &pendingLoads{uniformLoads: uniformLoads{open: 1, serviceTime: 50 * time.Millisecond}, pending: map[directory.Token]int{1: 20, 2: 20, 3: 20}}
+	table := admissionTable(t, &loads.uniformLoads, func(options *Options) { options.Loads = loads })
+	decision := sendRepeatedly(table, start, 3*congestionTimeConstant, openingPacket(9))
 	require.Equal(t, ReasonChosen, decision.Reason)
 	loads.open = 21
-	decision = press(table, start.Add(time.Minute), 3*congestionTimeConstant, opening(9))
+	decision = sendRepeatedly(table, start.Add(time.Minute), 3*congestionTimeConstant, openingPacket(9))
 	require.Equal(t, ReasonOverloaded, decision.Reason)
 }
--- a/internal/direct/steer/decide.go
+++ b/internal/direct/steer/decide.go
@@ -182,9 +182,9 @@
 // caller, and the packet is refused. Where it has none at all, one may register soon, and the
 // packet is dropped.
 func (table *Table) refuseOutsideRegions(segment Segment, name string, route route, now time.Time) Decision {
-	elsewhere := route.regions != anyRegion && table.services[serviceKey{name: name}] != nil
+	inOtherRegions := route.regions != anyRegion && table.services[serviceKey{name: name}] != nil
 	switch {
-	case !elsewhere:
+	case !inOtherRegions:
 		return Decision{Reason: ReasonNoTarget}
 	case segment.AlreadyForwarded || !table.fresh(now):
 		return Decision{Reason: ReasonNoHome}
--- a/internal/direct/steer/pool_test.go
+++ b/internal/direct/steer/pool_test.go
@@ -18,8 +18,9 @@
 	"merlinpaddle/internal/model"
 )
 
-// recordsOf returns count targets, of which each fourth one is near.
-func recordsOf(count int) []*targetRecord {
+// testRecords returns count targets with one to three slots, of which every fourth is in the local
+// zone.
+func testRecords(count int) []*targetRecord {
 	var made []*targetRecord
 	for number := range count {
 		id := directory.TargetID(number + 1)
@@ -31,6 +32,7 @@
 	return made
 }
 
+// poolOf returns a pool of the targets.
 func poolOf(targets []*targetRecord) *pool {
 	made := newPool()
 	for _, target := range targets {
@@ -39,17 +41,18 @@
 	return &made
 }
 
-func chosenBy(pool *pool, hash uint64, nearWeight float64) *rankedTargets {
-	var chosen rankedTargets
-	pool.rank(rankCriteria{hash: mix(hash), now: start, localZoneWeight: nearWeight}, &chosen)
-	return &chosen
+// rankedBy returns the best targets of the pool for the hash.
+func rankedBy(pool *pool, hash uint64, localZoneWeight float64) *rankedTargets {
+	var ranked rankedTargets
+	pool.rank(rankCriteria{hash: mix(hash), now: start, localZoneWeight: localZoneWeight}, &ranked)
+	return &ranked
 }
 
-// TestSmallPoolsAreRankedOneByOne: their choices are those of plain weighted rendezvous
-// hashing, target by target.
-func TestSmallPoolsAreRankedOneByOne(t *testing.T) {
+// TestSmallPoolsUsePlainRendezvousHashing: a pool of a single group ranks its targets as plain
+// weighted rendezvous hashing does, target by target.
+func TestSmallPoolsUsePlainRendezvousHashing(t *testing.T) {
 	for _, count := range []int{1, 3, 14, 120, maxUngroupedTargets} {
-		targets := recordsOf(count)
+		targets := testRecords(count)
 		targets[0].Aside = true
 		pool := poolOf(targets)
 		for hash := range uint64(200) {
@@ -57,16 +60,16 @@
 			for _, target := range targets[1:] {
 				plain.add(target, target.score(mix(hash), start, 4))
 			}
-			require.Equal(t, plain, *chosenBy(pool, hash, 4))
+			require.Equal(t, plain, *rankedBy(pool, hash, 4))
 		}
 	}
 }
 
-// TestGroupedPoolsKeepWeights: whatever the groups, targets get flows by their weight.
-func TestGroupedPoolsKeepWeights(t *testing.T) {
+// TestGroupedPoolsChooseTargetsByWeight: the groups must not change how often a target is chosen.
+func TestGroupedPoolsChooseTargetsByWeight(t *testing.T) {
 	const flows = 200000
-	const nearWeight = 8
-	targets := recordsOf(2000)
+	const localZoneWeight = 8
+	targets := testRecords(2000)
 	pool := poolOf(targets)
 	require.Greater(t, len(pool.groups), 1)
 	weights, counts := make(map[string]float64), make(map[string]float64)
@@ -75,62 +78,62 @@
 	for _, target := range targets {
 		weight := float64(target.slots())
 		if target.inLocalZone {
-			weight *= nearWeight
+			weight *= localZoneWeight
 		}
 		weights[kindOf(target)] += weight
 		total += weight
 	}
-	most := make(map[directory.Token]int)
+	countByToken := make(map[directory.Token]int)
 	for hash := range uint64(flows) {
-		chosen := chosenBy(pool, hash, nearWeight)
+		chosen := rankedBy(pool, hash, localZoneWeight)
 		require.Equal(t, maxRankedGroups, chosen.count)
 		counts[kindOf(chosen.targets[0])]++
-		most[chosen.targets[0].Token]++
+		countByToken[chosen.targets[0].Token]++
 	}
 	for kind, weight := range weights {
 		expected := flows * weight / total
 		require.InDelta(t, expected, counts[kind], 4*math.Sqrt(expected), kind)
 	}
 	highest := 0
-	for _, count := range most {
+	for _, count := range countByToken {
 		highest = max(highest, count)
 	}
-	heaviest := flows * 3 * nearWeight / total
-	require.Less(t, float64(highest), heaviest+6*math.Sqrt(heaviest), "no target stands out")
+	heaviest := flows * 3 * localZoneWeight / total
+	require.Less(t, float64(highest), heaviest+6*math.Sqrt(heaviest), "no target gets far more flows than the heaviest weight allows")
 }
 
-// TestGroupedPoolsMoveFewFlows: a target that goes takes its own flows along, and those
-// that its group's lower weight moves.
+// TestGroupedPoolsMoveFewFlows: removing a target moves only its own flows and those that leave its
+// group because the group's weight is lower.
 func TestGroupedPoolsMoveFewFlows(t *testing.T) {
 	const flows = 20000
-	targets := recordsOf(2000)
+	targets := testRecords(2000)
 	before, after := poolOf(targets), poolOf(targets)
 	after.remove(targets[77])
 	moved := 0
 	for hash := range uint64(flows) {
-		former, present := chosenBy(before, hash, 1).targets[0], chosenBy(after, hash, 1).targets[0]
-		if former != present {
+		previous, current := rankedBy(before, hash, 1).targets[0], rankedBy(after, hash, 1).targets[0]
+		if previous != current {
 			moved++
-			require.True(t, former == targets[77] || after.groupOf(former) == after.groupOf(targets[77]))
+			require.True(t, previous == targets[77] || after.groupOf(previous) == after.groupOf(targets[77]))
 		}
 	}
 	require.Less(t, moved, flows*4/2000+40)
 }
 
-// TestGroupsWithoutUsableTargets are passed over, and of a pool without any the best are
-// taken all the same.
-func TestGroupsWithoutUsableTargets(t *testing.T) {
-	targets := recordsOf(2000)
+// TestGroupsWithoutUsableTargetsAreSkipped: a flow goes to the targets of other groups. When no
+// target of the pool is usable, the best ones are ranked nevertheless.
+func TestGroupsWithoutUsableTargetsAreSkipped(t *testing.T) {
+	targets := testRecords(2000)
 	known := &service{pool: *poolOf(targets)}
-	for place := range known.pool.groups[3].targets {
-		known.pool.groups[3].targets[place].Aside = true
+	for index := range known.pool.groups[3].targets {
+		known.pool.groups[3].targets[index].Aside = true
 	}
 	for hash := range uint64(2000) {
-		for _, target := range chosenBy(&known.pool, hash, 1).targets[:2] {
+		for _, target := range rankedBy(&known.pool, hash, 1).targets[:2] {
 			require.False(t, target.Aside)
 		}
-		elsewhere := chosenBy(&known.pool, hash, 0)
-		require.False(t, elsewhere.targets[0].inLocalZone)
+		remote := rankedBy(&known.pool, hash, 0)
+		require.False(t, remote.targets[0].inLocalZone)
 	}
 	for _, target := range targets {
 		target.Aside = true
@@ -140,10 +143,10 @@
 	require.Equal(t, maxRankedTargets, chosen.count)
 }
 
-// TestPoolsAreGroupedSeldom: targets that come and go by turns, as in a release, group a
-// pool anew a few times at the most.
-func TestPoolsAreGroupedSeldom(t *testing.T) {
-	targets := recordsOf(4200)
+// TestPoolsAreRarelyRegrouped: adding and removing targets in turns, as in a release, must not
+// regroup a pool again and again.
+func TestPoolsAreRarelyRegrouped(t *testing.T) {
+	targets := testRecords(4200)
 	pool := poolOf(targets[:4096])
 	regrouped, groups := 0, len(pool.groups)
 	for round := range 1000 {
@@ -162,7 +165,7 @@
 }
 
 func TestChoiceAmongThousandsAllocatesNothing(t *testing.T) {
-	pool := poolOf(recordsOf(8000))
+	pool := poolOf(testRecords(8000))
 	hash := uint64(0)
 	require.Zero(t, testing.AllocsPerRun(100, func() {
 		var chosen rankedTargets
@@ -171,7 +174,7 @@
 	}))
 }
 
-// changed returns a random change of a table of up to 40 targets of two services.
+// randomChange returns a random change of a table with up to 40 targets of two services.
 func randomChange(random *rand.Rand, from model.Revision) directory.Changes {
 	change := directory.Changes{From: from, To: from + 1, Version: 3}
 	for range 1 + random.IntN(4) {
@@ -180,7 +183,7 @@
 			change.Forgotten = append(change.Forgotten, token)
 			continue
 		}
-		changed := entry(token, []string{"feed", "ledger"}[token%2], directory.TargetState(1+random.IntN(4)))
+		changed := targetEntry(token, []string{"feed", "ledger"}[token%2], directory.TargetState(1+random.IntN(4)))
 		changed.Zone = []string{"a", "b", "c"}[random.IntN(3)]
 		changed.Capacity = 1 + random.IntN(3)
 		changed.Cold = time.Duration(random.IntN(2)) * time.Second
@@ -204,41 +207,41 @@
 	return change
 }
 
-// shapeOf describes the services of a table.
-func shapeOf(table *Table) map[serviceKey]string {
-	shapes := make(map[serviceKey]string)
+// describeServices returns a text for each service of a table that two tables can be compared by.
+func describeServices(table *Table) map[serviceKey]string {
+	descriptions := make(map[serviceKey]string)
 	for key, known := range table.services {
-		taking := make(map[directory.Token]bool)
-		known.pool.forEach(func(target *targetRecord) { taking[target.Token] = true })
+		active := make(map[directory.Token]bool)
+		known.pool.forEach(func(target *targetRecord) { active[target.Token] = true })
 		held := make(map[directory.Token]bool)
 		for _, target := range known.heldCold {
 			held[target.Token] = true
 		}
-		shapes[key] = fmt.Sprint(taking, held, known.coldCount, known.targetCount, known.capacity, known.slotsByZone, known.localZoneSlots,
+		descriptions[key] = fmt.Sprint(active, held, known.coldCount, known.targetCount, known.capacity, known.slotsByZone, known.localZoneSlots,
 			known.maxLocalZoneWeight, known.coldFlowRate, known.evacuatedSince, known.pool.count, known.pool.groups[0].slots)
 	}
-	return shapes
+	return descriptions
 }
 
-// TestServicesFollowTheirTargets: a table that takes changes one by one has the services of
-// one that takes everything at once.
-func TestServicesFollowTheirTargets(t *testing.T) {
+// TestIncrementalUpdatesMatchAFullRebuild: a table that applies changes one by one must have the
+// same services as one that applies a full snapshot.
+func TestIncrementalUpdatesMatchAFullRebuild(t *testing.T) {
 	options := DefaultOptions()
 	options.Self, options.Zone = "self", "a"
 	options.Regions = map[string]string{"a": "north", "b": "north", "c": "south"}
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(41))
-	properties.Property("services", prop.ForAll(func(seed uint64) bool {
+	properties.Property("services are the same", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
-		followed := NewTable(options)
-		first := whole(0)
+		incremental := NewTable(options)
+		first := fullSnapshot(0)
 		first.Zones, first.ColdLimits = &directory.Zones{}, &directory.ColdLimits{}
-		require.True(t, followed.Apply(first, start))
+		require.True(t, incremental.Apply(first, start))
 		for range 60 {
-			require.True(t, followed.Apply(randomChange(random, followed.Revision()), start))
-			fresh := NewTable(options)
-			require.True(t, fresh.Apply(followed.Snapshot(), start))
-			if fmt.Sprint(shapeOf(followed)) != fmt.Sprint(shapeOf(fresh)) {
-				t.Logf("followed %v\nfresh %v", shapeOf(followed), shapeOf(fresh))
+			require.True(t, incremental.Apply(randomChange(random, incremental.Revision()), start))
+			rebuilt := NewTable(options)
+			require.True(t, rebuilt.Apply(incremental.Snapshot(), start))
+			if fmt.Sprint(describeServices(incremental)) != fmt.Sprint(describeServices(rebuilt)) {
+				t.Logf("incremental %v\nrebuilt %v", describeServices(incremental), describeServices(rebuilt))
 				return false
 			}
 		}
@@ -247,11 +250,11 @@
 	properties.TestingRun(t)
 }
 
-// fleetOf returns a first table of count targets in five zones.
-func fleetOf(count int) directory.Changes {
-	changes := whole(0)
+// fleetSnapshot returns a snapshot of count targets in five zones.
+func fleetSnapshot(count int) directory.Changes {
+	changes := fullSnapshot(0)
 	for number := range count {
-		added := entry(directory.Token(number+1), "feed", directory.TargetReady)
+		added := targetEntry(directory.Token(number+1), "feed", directory.TargetReady)
 		added.Address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(number >> 8), byte(number)}), 8080)
 		added.Zone = fmt.Sprint("zone-", number%5)
 		changes.Targets = append(changes.Targets, added)
@@ -259,26 +262,26 @@
 	return changes
 }
 
-// BenchmarkFleet shows what one opening packet, and the change of one target, cost in a
-// service of many targets.
+// BenchmarkFleet measures an opening packet, and the change of one target, in a service with many
+// targets.
 func BenchmarkFleet(b *testing.B) {
 	options := DefaultOptions()
 	options.Zone = "zone-0"
 	for _, count := range []int{480, 2000, 8000, 16000} {
 		table := NewTable(options)
-		table.Apply(fleetOf(count), start)
+		table.Apply(fleetSnapshot(count), start)
 		table.Confirm(start)
 		b.Run(fmt.Sprintf("open/targets=%d", count), func(b *testing.B) {
 			b.ReportAllocs()
 			port := 0
 			for b.Loop() {
 				port++
-				table.Decide(opening(port), start)
+				table.Decide(openingPacket(port), start)
 			}
 		})
 		b.Run(fmt.Sprintf("change/targets=%d", count), func(b *testing.B) {
 			b.ReportAllocs()
-			change := directory.Changes{From: table.Revision(), To: table.Revision(), Version: 3, Targets: fleetOf(1).Targets}
+			change := directory.Changes{From: table.Revision(), To: table.Revision(), Version: 3, Targets: fleetSnapshot(1).Targets}
 			for b.Loop() {
 				change.From = change.To
 				change.To++
