--- a/internal/direct/balancernode/metrics.go
+++ b/internal/direct/balancernode/metrics.go
@@ -71,7 +71,7 @@
 		evacuatedDesc: prometheus.NewDesc("merlinpaddle_direct_evacuated_zones",
 			"Zones that an operator has evacuated: their targets get no new flows from this balancer.", nil, nil),
 		decisions: make([]atomic.Uint64, len(steer.Reasons())),
-		places:    make([]atomic.Uint64, len(steer.Places())),
+		places:    make([]atomic.Uint64, len(steer.Localities())),
 		flowsDesc: prometheus.NewDesc("merlinpaddle_direct_flows_total",
 			"New flows, by the zone of their target: near (local zone), elsewhere (remote zone, by hash), or spilled (remote zone, because near targets had no room).",
 			[]string{"place"}, nil),
@@ -114,7 +114,7 @@
 		count := float64(metrics.decisions[reason].Load())
 		collected <- prometheus.MustNewConstMetric(metrics.packetsDesc, prometheus.CounterValue, count, reason.String())
 	}
-	for _, place := range steer.Places() {
+	for _, place := range steer.Localities() {
 		count := float64(metrics.places[place].Load())
 		collected <- prometheus.MustNewConstMetric(metrics.flowsDesc, prometheus.CounterValue, count, place.String())
 	}
@@ -124,7 +124,7 @@
 	collected <- prometheus.MustNewConstMetric(metrics.revisionDesc, prometheus.GaugeValue, float64(metrics.table.Revision()))
 	collected <- prometheus.MustNewConstMetric(metrics.versionDesc, prometheus.GaugeValue, float64(metrics.table.Version()))
 	collected <- prometheus.MustNewConstMetric(metrics.confirmedDesc, prometheus.GaugeValue, confirmed)
-	collected <- prometheus.MustNewConstMetric(metrics.evacuatedDesc, prometheus.GaugeValue, float64(metrics.table.Evacuated()))
+	collected <- prometheus.MustNewConstMetric(metrics.evacuatedDesc, prometheus.GaugeValue, float64(metrics.table.EvacuatedZones()))
 	malformed := float64(metrics.malformed.Load())
 	collected <- prometheus.MustNewConstMetric(metrics.malformedDesc, prometheus.CounterValue, malformed)
 }
@@ -141,7 +141,7 @@
 	local, remote := metrics.book.Totals()
 	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(local), "this")
 	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(remote), "others")
-	collected <- prometheus.MustNewConstMetric(metrics.reliableDesc, prometheus.GaugeValue, boolGauge(metrics.book.Known()))
+	collected <- prometheus.MustNewConstMetric(metrics.reliableDesc, prometheus.GaugeValue, boolGauge(metrics.book.Reliable()))
 }
 
 func (metrics *metrics) collectEgress(collected chan<- prometheus.Metric) {
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -73,11 +73,11 @@
 	options.Self = model.NodeName(config.Node)
 	options.Zone = config.Zone
 	options.Regions = regionsOf(config.Direct.Zones)
-	options.NearWeight = config.Direct.NearWeight
-	options.SpillCandidates = config.Direct.SpillCandidates
+	options.LocalZoneWeight = config.Direct.NearWeight
+	options.SpilloverCandidates = config.Direct.SpillCandidates
 	options.Candidates = config.Direct.LoadCandidates
-	options.FullCrowd = config.Direct.LoadCrowd
-	options.AdmitShare = config.Direct.LoadAdmission
+	options.MaxOccupancy = config.Direct.LoadCrowd
+	options.MaxObjectiveShare = config.Direct.LoadAdmission
 	options.Loads = book
 	return steer.NewTable(options)
 }
@@ -138,7 +138,7 @@
 			zap.Int("targets", len(changes.Targets)),
 			zap.Int("routes", len(changes.Routes)),
 			zap.Int("removed", len(changes.Removed)),
-			zap.Int("evacuated_zones", table.Evacuated()),
+			zap.Int("evacuated_zones", table.EvacuatedZones()),
 			zap.String("from", string(from)))
 	})
 }
@@ -237,7 +237,7 @@
 	runners := []*board.Runner{
 		board.NewRunner(deps.Subscriber, subscribeInterval, deps.Subscriber.Sources()...),
 		board.NewRunner(deps.Publisher, publishInterval,
-			append(deps.Publisher.Sources(), deps.Table.Watch(), deps.Table.WatchConfirmed())...),
+			append(deps.Publisher.Sources(), deps.Table.Watch(), deps.Table.WatchConfirmations())...),
 		board.NewRunner(deps.Reports, time.Second, deps.Reports.Sources()...),
 		board.NewRunner(deps.Tracker, outcomesInterval),
 		board.NewRunner(deps.Watcher, requestsInterval),
--- a/internal/direct/forwarder/forwarder.go
+++ b/internal/direct/forwarder/forwarder.go
@@ -57,7 +57,7 @@
 	// PreviousTargets returns the targets that the last opening packets of the segment's flow were
 	// forwarded to, the latest first, as far as they are known. seen reports whether a request of
 	// the flow is open.
-	PreviousTargets(segment steer.Segment) (targets [steer.TriesKnown]directory.Token, seen bool)
+	PreviousTargets(segment steer.Segment) (targets [steer.TrackedAttempts]directory.Token, seen bool)
 	// PacketForwarded records that a packet was forwarded to the target of its flow.
 	PacketForwarded(segment steer.Segment, target requests.Target, now time.Time)
 	// Queued records that the packet which was forwarded at now waits in the queue for the link.
@@ -176,7 +176,7 @@
 func (forwarder *Forwarder) process(buffer []byte, headroom int, segment steer.Segment, now time.Time) {
 	packet := buffer[headroom:]
 	if segment.Opening && segment.Attempt > 0 {
-		segment.Tried, segment.Seen = forwarder.requests.PreviousTargets(segment)
+		segment.Tried, segment.AlreadyForwarded = forwarder.requests.PreviousTargets(segment)
 	}
 	decision := forwarder.admission.Review(segment, forwarder.table.Decide(segment, now), now)
 	if decision.Action == steer.Drop && shouldPark(decision.Reason) {
@@ -240,7 +240,7 @@
 func (forwarder *Forwarder) sendToTarget(segment steer.Segment, content []byte, to netip.AddrPort, now time.Time) {
 	datagram := datagramOf(segment, content, to)
 	datagram.Opening = segment.Opening
-	datagram.PureAcknowledgement = segment.Acknowledges()
+	datagram.PureAcknowledgement = segment.IsPureAck()
 	datagram.Acknowledgement = segment.Acknowledgement
 	datagram.Tracked = NeedsTracking(segment)
 	forwarder.egress.Send(datagram, now)
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -115,7 +115,7 @@
 }
 
 // Tried implements Requests.
-func (counter *counter) PreviousTargets(steer.Segment) (targets [steer.TriesKnown]directory.Token, seen bool) {
+func (counter *counter) PreviousTargets(steer.Segment) (targets [steer.TrackedAttempts]directory.Token, seen bool) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	return targets, counter.placed > 0
@@ -160,7 +160,7 @@
 
 // Review implements Admission.
 func (admission *admission) Review(segment steer.Segment, decision steer.Decision, _ time.Time) steer.Decision {
-	if admission.full.Load() && segment.Opening && !segment.Seen {
+	if admission.full.Load() && segment.Opening && !segment.AlreadyForwarded {
 		return decision.RefuseForLink(time.Second)
 	}
 	return decision
--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -207,7 +207,7 @@
 // Typical implements steer.Loads. It returns how long a request takes on an idle target of the
 // service, averaged over its targets, or zero while too few answers were seen. The average is
 // kept per service because in a large system a balancer sees a single target only rarely.
-func (counter *Counter) Typical(service string) time.Duration {
+func (counter *Counter) TypicalServiceTime(service string) time.Duration {
 	return counter.servingTimes.typical(service)
 }
 
@@ -229,7 +229,7 @@
 }
 
 // Coming implements steer.Loads.
-func (counter *Counter) Coming(token directory.Token) int {
+func (counter *Counter) Pending(token directory.Token) int {
 	if !counter.reliability.usable() {
 		return 0
 	}
@@ -243,20 +243,20 @@
 }
 
 // Known implements steer.Loads.
-func (counter *Counter) Known() bool { return counter.reliability.usable() }
+func (counter *Counter) Reliable() bool { return counter.reliability.usable() }
 
 // Evidence implements steer.Loads.
 func (counter *Counter) Evidence(token directory.Token, now time.Time) steer.Evidence {
-	evidence := steer.Evidence{HeardAgo: steer.NeverHeard}
+	evidence := steer.Evidence{ReportedAgo: steer.NeverReported}
 	if reportedAt := counter.remoteReportAt.Load(); reportedAt != 0 {
-		evidence.HeardAgo = time.Duration(now.UnixNano() - reportedAt)
+		evidence.ReportedAgo = time.Duration(now.UnixNano() - reportedAt)
 	}
-	evidence.Gaps, evidence.Missed = counter.reliability.proportions()
+	evidence.Gaps, evidence.Unanswered = counter.reliability.proportions()
 	shard := counter.shard(token)
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
 	if count := shard.counts[token]; count != nil {
-		evidence.Own, evidence.Others, evidence.Coming = count.local, count.remote, count.pending
+		evidence.LocalOpen, evidence.RemoteOpen, evidence.Pending = count.local, count.remote, count.pending
 	}
 	return evidence
 }
@@ -265,7 +265,7 @@
 func (counter *Counter) noteRemoteReport(now time.Time) { counter.remoteReportAt.Store(now.UnixNano()) }
 
 // Proven implements steer.Loads.
-func (counter *Counter) Proven(now time.Time) bool {
+func (counter *Counter) SufficientForRefusal(now time.Time) bool {
 	return counter.reliability.sufficientEvidence(now)
 }
 
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -278,8 +278,8 @@
 			open, serving := counter.Load(7)
 			require.Zero(t, open)
 			require.Equal(t, test.want, serving)
-			require.InDelta(t, test.want, counter.Typical("feed"), 1, "the service has a single target")
-			require.Zero(t, counter.Typical("ledger"))
+			require.InDelta(t, test.want, counter.TypicalServiceTime("feed"), 1, "the service has a single target")
+			require.Zero(t, counter.TypicalServiceTime("ledger"))
 		})
 	}
 	counter := NewCounter()
@@ -294,7 +294,7 @@
 	counter.Ended(fresh, requests.Answered, time.Millisecond)
 	_, serving = counter.Load(8)
 	require.Zero(t, serving, "the new target has only one answer")
-	require.Greater(t, counter.Typical("feed"), 70*time.Millisecond, "one answer hardly changes the service's average")
+	require.Greater(t, counter.TypicalServiceTime("feed"), 70*time.Millisecond, "one answer hardly changes the service's average")
 }
 
 // TestEndOfALoadSpikeDoesNotRaiseServingTime sends ten requests at once to a target that serves two
@@ -312,7 +312,7 @@
 			counter.Ended(target, requests.Answered, each*time.Duration(answered/2+1))
 		}
 	}
-	require.InDelta(t, each, counter.Typical("feed"), float64(10*time.Millisecond))
+	require.InDelta(t, each, counter.TypicalServiceTime("feed"), float64(10*time.Millisecond))
 }
 
 func TestCountsOfIdleTargetsAreRemoved(t *testing.T) {
@@ -386,7 +386,7 @@
 	cluster.isolated["m0"] = true
 	cluster.run(minReportExpiry + 100*time.Millisecond)
 	answers(200 * time.Millisecond)
-	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.Typical("first"), 1)
+	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.TypicalServiceTime("first"), 1)
 }
 
 // TestBalancerStartedUnderLoadReceivesServingTimes: such a balancer only observes answers of
@@ -402,8 +402,8 @@
 		begin(balancer, 7, 1)
 	}
 	begin(cluster.balancers[0], 7, 1)
-	require.Zero(t, cluster.balancers[0].counter.Typical("first"))
+	require.Zero(t, cluster.balancers[0].counter.TypicalServiceTime("first"))
 	cluster.run(settleTime + 2*servingTimeInterval)
-	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.Typical("first"), 1)
-	require.Zero(t, cluster.balancers[0].counter.Typical("second"))
+	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.TypicalServiceTime("first"), 1)
+	require.Zero(t, cluster.balancers[0].counter.TypicalServiceTime("second"))
 }
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -56,7 +56,7 @@
 // proportions returns the figures behind the decision: the share of data behind a gap, and the
 // share of requests whose answer was not seen.
 func (reliability *reliability) proportions() (gaps, unanswered steer.Proportion) {
-	gaps.Share, gaps.Cases = reliability.continuity.Gaps()
-	unanswered = steer.Proportion{Share: reliability.unanswered.Value(), Cases: reliability.unanswered.Samples()}
+	gaps.Share, gaps.Samples = reliability.continuity.Gaps()
+	unanswered = steer.Proportion{Share: reliability.unanswered.Value(), Samples: reliability.unanswered.Samples()}
 	return gaps, unanswered
 }
--- a/internal/direct/load/waiting_test.go
+++ b/internal/direct/load/waiting_test.go
@@ -17,17 +17,17 @@
 	one.counter.Waiting(target, true)
 	now := run(start, 3*interval, nil, one, other)
 	require.Equal(t, 2, openAt(one, 7))
-	require.Equal(t, 1, one.counter.Coming(7))
+	require.Equal(t, 1, one.counter.Pending(7))
 	require.Equal(t, 2, openAt(other, 7))
-	require.Zero(t, other.counter.Coming(7))
+	require.Zero(t, other.counter.Pending(7))
 	one.counter.Waiting(target, false)
 	run(now, 3*interval, nil, one, other)
 	require.Equal(t, 3, openAt(one, 7))
-	require.Zero(t, one.counter.Coming(7))
+	require.Zero(t, one.counter.Pending(7))
 	require.Equal(t, 3, openAt(other, 7))
 	for range 10 {
 		one.counter.Ended(target, requests.Unanswered, 0)
 	}
 	one.counter.Waiting(target, true)
-	require.Zero(t, one.counter.Coming(7), "counts are not used where flows are sprayed")
+	require.Zero(t, one.counter.Pending(7), "counts are not used where flows are sprayed")
 }
--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -67,7 +67,7 @@
 	sameColdness := (known.Cold > 0) == (reported.Cold > 0)
 	unchanged := exists &&
 		known.Started == reported.Started &&
-		(sameColdness || !relay.table.ColdBounded(known.Service)) &&
+		(sameColdness || !relay.table.HasColdLimit(known.Service)) &&
 		known.State == directory.TargetReady &&
 		reported.State == directory.TargetReady &&
 		known.Address == reported.Address &&
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -193,7 +193,7 @@
 // PreviousTargets returns the targets that the last opening packets of the segment's flow were
 // forwarded to, the latest first, as far as they are known. seen reports whether a request of the
 // flow is open here: an earlier copy was forwarded, and the flow may have opened.
-func (watcher *Watcher) PreviousTargets(segment steer.Segment) (targets [steer.TriesKnown]directory.Token, seen bool) {
+func (watcher *Watcher) PreviousTargets(segment steer.Segment) (targets [steer.TrackedAttempts]directory.Token, seen bool) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
@@ -202,7 +202,7 @@
 	if !known || open.hasData {
 		return targets, known
 	}
-	return [steer.TriesKnown]directory.Token{open.target.Token, open.previousTarget}, true
+	return [steer.TrackedAttempts]directory.Token{open.target.Token, open.previousTarget}, true
 }
 
 // PacketForwarded records that a packet was forwarded to the target of an open flow.
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -162,11 +162,11 @@
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	watcher.OpeningForwarded(openingSegment(1), targetOf(7), start)
 	require.Equal(t, 1, recorder.open[7], "a copy to the same target is the same request")
-	require.Equal(t, [steer.TriesKnown]directory.Token{7}, previousTargets(watcher))
+	require.Equal(t, [steer.TrackedAttempts]directory.Token{7}, previousTargets(watcher))
 	watcher.OpeningForwarded(openingSegment(1), targetOf(8), start.Add(200*time.Millisecond))
 	require.Equal(t, 0, recorder.open[7])
 	require.Equal(t, 1, recorder.open[8])
-	require.Equal(t, [steer.TriesKnown]directory.Token{8, 7}, previousTargets(watcher))
+	require.Equal(t, [steer.TrackedAttempts]directory.Token{8, 7}, previousTargets(watcher))
 	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), start.Add(210*time.Millisecond))
 	require.Equal(t, 1, recorder.open[7], "the flow opened at the first target after all")
 	require.Equal(t, 0, recorder.open[8])
@@ -178,7 +178,7 @@
 }
 
 // previousTargets returns the previous targets of the first flow.
-func previousTargets(watcher *Watcher) [steer.TriesKnown]directory.Token {
+func previousTargets(watcher *Watcher) [steer.TrackedAttempts]directory.Token {
 	targets, _ := watcher.PreviousTargets(openingSegment(1))
 	return targets
 }
--- a/internal/direct/transfer/admission.go
+++ b/internal/direct/transfer/admission.go
@@ -88,7 +88,7 @@
 // an earlier copy was forwarded, because the answer to that copy may be under way.
 func (admission *Admission) Review(segment steer.Segment, decision steer.Decision, now time.Time) steer.Decision {
 	assignsTarget := decision.Action == steer.Forward && decision.Reason == steer.ReasonChosen
-	if !assignsTarget || segment.Seen {
+	if !assignsTarget || segment.AlreadyForwarded {
 		return decision
 	}
 	if wait := admission.link.ShortWait(); admission.options.ObjectiveShare > 0 && wait > maxShortWait {
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -113,7 +113,7 @@
 	repeated := opening
 	repeated.Attempt = 1
 	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its previous copy was lost in front of the link")
-	repeated.Seen = true
+	repeated.AlreadyForwarded = true
 	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its previous copy was forwarded")
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner, Token: 7}
 	require.Equal(t, owner, admission.Review(steer.Segment{Service: uploads, Token: 7}, owner, start))
@@ -250,7 +250,7 @@
 		{"a short queue", maxShortWait, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
 		{"a long queue", maxShortWait + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
 		{"an open flow", time.Second, steer.Segment{Service: calls}, owner, 0.5, false},
-		{"a retransmission of a forwarded packet", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
+		{"a retransmission of a forwarded packet", time.Second, steer.Segment{Service: calls, Opening: true, AlreadyForwarded: true}, chosen, 0.5, false},
 		{"admission control disabled", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
 	}
 	for _, test := range cases {
