--- a/internal/direct/balancernode/observer.go
+++ b/internal/direct/balancernode/observer.go
@@ -9,9 +9,8 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// observer counts decisions and writes a line for each one that opens, refuses
-// or resets a flow. Packets of open flows that reach their owner are counted
-// only.
+// observer counts decisions and logs each one, except for packets of open flows that are forwarded to
+// their owner, which are only counted.
 type observer struct {
 	metrics *metrics
 	table   *steer.Table
@@ -31,13 +30,13 @@
 		return
 	}
 	if decision.Reason == steer.ReasonChosen {
-		observer.metrics.observeAge(decision.ConfirmedAgo)
-		observer.metrics.places[decision.Place].Add(1)
+		observer.metrics.observeTableAge(decision.ConfirmedAgo)
+		observer.metrics.places[decision.Locality].Add(1)
 	}
 	message := "packet dropped"
 	switch {
 	case decision.Reason == steer.ReasonRestarted:
-		message = "packet of a former start forwarded"
+		message = "packet of a previous incarnation forwarded"
 	case decision.Action == steer.Forward:
 		message = "flow opened"
 	case decision.Action == steer.Reset:
@@ -55,7 +54,7 @@
 		zap.Int("attempt", segment.Attempt),
 		zap.Uint32("token", uint32(max(decision.Token, segment.Token))),
 		zap.Uint64("target", uint64(decision.ID)),
-		zap.Stringer("place", decision.Place),
+		zap.Stringer("place", decision.Locality),
 		zap.Uint32("suspect", uint32(decision.Suspect)),
 		zap.Int("open", decision.Open),
 		zap.Duration("expected", decision.Expected),
@@ -70,17 +69,18 @@
 	entry.Write(fields...)
 }
 
-// evidenceFields tell what the open requests of a target rest on that a flow was refused for.
+// evidenceFields returns log fields with the evidence for the open requests at a target that was too
+// loaded for a new flow.
 func evidenceFields(evidence steer.Evidence) []zap.Field {
 	return []zap.Field{
-		zap.Int("open_own", evidence.Own),
-		zap.Int("open_others", evidence.Others),
-		zap.Int("coming", evidence.Coming),
-		zap.String("others_heard_ago", ageText(evidence.HeardAgo)),
+		zap.Int("open_own", evidence.LocalOpen),
+		zap.Int("open_others", evidence.RemoteOpen),
+		zap.Int("coming", evidence.Pending),
+		zap.String("others_heard_ago", ageText(evidence.ReportedAgo)),
 		zap.Float64("gaps", evidence.Gaps.Share),
-		zap.Int("gaps_cases", evidence.Gaps.Cases),
-		zap.Float64("missed", evidence.Missed.Share),
-		zap.Int("missed_cases", evidence.Missed.Cases),
+		zap.Int("gaps_cases", evidence.Gaps.Samples),
+		zap.Float64("missed", evidence.Unanswered.Share),
+		zap.Int("missed_cases", evidence.Unanswered.Samples),
 		zap.Duration("serving_for", evidence.ServingFor),
 	}
 }
@@ -91,9 +91,9 @@
 	observer.logger.Info("packet malformed", zap.Error(err))
 }
 
-// ageText returns the age of a table, or of what others told, in words.
+// ageText formats the age of a table or of the reports of other balancers, or returns "never".
 func ageText(age time.Duration) string {
-	if age == steer.NeverConfirmed || age == steer.NeverHeard {
+	if age == steer.NeverConfirmed || age == steer.NeverReported {
 		return "never"
 	}
 	return age.String()
--- a/internal/direct/balancernode/observer_test.go
+++ b/internal/direct/balancernode/observer_test.go
@@ -13,16 +13,16 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// TestRefusalTellsWhatItRestsOn: whether a target was full or only seemed so is told by the
-// line of the refusal; other lines stay short.
-func TestRefusalTellsWhatItRestsOn(t *testing.T) {
+// TestOverloadRefusalsLogTheirEvidence: the log line of a refusal shows whether a target was overloaded or
+// only appeared to be. Other lines do not contain the evidence.
+func TestOverloadRefusalsLogTheirEvidence(t *testing.T) {
 	core, lines := logged.New(zap.InfoLevel)
 	table := steer.NewTable(steer.DefaultOptions())
-	observer := newObserver(newMetrics(table, load.NewBook()), table, zap.New(core))
+	observer := newObserver(newMetrics(table, load.NewCounter()), table, zap.New(core))
 	segment := steer.Segment{Caller: netip.MustParseAddrPort("192.0.2.1:1"), Service: netip.MustParseAddrPort("192.0.2.2:2"), Opening: true}
 	observer.Decided(segment, steer.Decision{Action: steer.Reset, Reason: steer.ReasonOverloaded, Open: 5, Evidence: steer.Evidence{
-		Own: 1, Others: 4, HeardAgo: 20 * time.Millisecond,
-		Gaps: steer.Proportion{Share: 0.05, Cases: 1}, Missed: steer.Proportion{Cases: 2}, ServingFor: time.Second,
+		LocalOpen: 1, RemoteOpen: 4, ReportedAgo: 20 * time.Millisecond,
+		Gaps: steer.Proportion{Share: 0.05, Samples: 1}, Unanswered: steer.Proportion{Samples: 2}, ServingFor: time.Second,
 	}})
 	observer.Decided(segment, steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen})
 
--- a/internal/direct/requests/waiting.go
+++ b/internal/direct/requests/waiting.go
@@ -6,86 +6,87 @@
 	"merlinpaddle/internal/direct/steer"
 )
 
-// whereabouts tells how far a request has come on its way to its target.
-type whereabouts uint8
+// stage is how far the data of a request has come on the way to its target.
+type stage uint8
 
-// The whereabouts.
+// The stages.
 const (
-	// atTarget: the target has all of it that came.
-	atTarget whereabouts = iota
-	// inFrontOfLink: its latest packet waits in front of the balancer's link.
-	inFrontOfLink
-	// stillComing: it is long, and more of its data comes.
-	stillComing
+	// atTarget: all data received so far was sent to the target.
+	atTarget stage = iota
+	// inLinkQueue: the latest packet waits in the queue for the balancer's link.
+	inLinkQueue
+	// receivingData: the request is long and more of its data is expected.
+	receivingData
 )
 
-func (open *request) whereabouts() whereabouts {
+func (open *request) stage() stage {
 	switch {
 	case open.content.receiving():
-		return stillComing
-	case open.waiting:
-		return inFrontOfLink
+		return receivingData
+	case open.queued:
+		return inLinkQueue
 	}
 	return atTarget
 }
 
-// tellMove tells the listeners that a request at a target moved on.
-func (watcher *Watcher) tellMove(target Target, before, after whereabouts) {
+// notifyTransition notifies the listeners that a request at a target changed its stage.
+func (watcher *Watcher) notifyTransition(target Target, before, after stage) {
 	if before == after {
 		return
 	}
-	watcher.tellWhereabouts(target, before, false)
-	watcher.tellWhereabouts(target, after, true)
+	watcher.notifyStage(target, before, false)
+	watcher.notifyStage(target, after, true)
 }
 
-func (watcher *Watcher) tellWhereabouts(target Target, place whereabouts, there bool) {
+// notifyStage notifies the listeners that a request entered or left a stage.
+func (watcher *Watcher) notifyStage(target Target, stage stage, entered bool) {
 	for _, listener := range watcher.listeners {
-		switch place {
-		case inFrontOfLink:
-			listener.Waiting(target, there)
-		case stillComing:
-			listener.Receiving(target, there)
+		switch stage {
+		case inLinkQueue:
+			listener.Waiting(target, entered)
+		case receivingData:
+			listener.Receiving(target, entered)
 		}
 	}
 }
 
-// Waits takes in that the packet which was placed or noted at now waits in front of the
-// balancer's link. Left is called for the packet, or for a later copy of it, unless it is lost.
-// A packet that is sent again changes nothing: its target may have the first copy.
-func (watcher *Watcher) Waits(segment steer.Segment, now time.Time) {
+// Queued records that the packet which was forwarded at now waits in the queue for the balancer's
+// link. Dequeued follows for the packet or for a later copy of it, unless it is lost. A
+// retransmission changes nothing, because its target may have received the first copy.
+func (watcher *Watcher) Queued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if open, known := shard.requests[key]; known && open.since.Equal(now) && open.hangsOn(segment) {
-		watcher.setWaiting(shard, key, open, true)
+	if open, known := shard.requests[key]; known && open.progressAt.Equal(now) && open.dependsOn(segment) {
+		watcher.setQueued(shard, key, open, true)
 	}
 }
 
-// Left takes in that a packet which waited in front of the balancer's link left it at now.
-func (watcher *Watcher) Left(segment steer.Segment, now time.Time) {
+// Dequeued records that a packet which waited in the queue for the balancer's link was sent at now.
+func (watcher *Watcher) Dequeued(segment steer.Segment, now time.Time) {
 	key := keyOf(segment)
 	shard := watcher.shard(key)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if open, known := shard.requests[key]; known && open.waiting && open.hangsOn(segment) {
-		open.since = now
-		watcher.setWaiting(shard, key, open, false)
+	if open, known := shard.requests[key]; known && open.queued && open.dependsOn(segment) {
+		open.progressAt = now
+		watcher.setQueued(shard, key, open, false)
 	}
 }
 
-func (watcher *Watcher) setWaiting(shard *shard, key flowKey, open request, waiting bool) {
-	before := open.whereabouts()
-	open.waiting = waiting
+func (watcher *Watcher) setQueued(shard *shard, key flowKey, open request, queued bool) {
+	before := open.stage()
+	open.queued = queued
 	shard.requests[key] = open
-	watcher.tellMove(open.target, before, open.whereabouts())
+	watcher.notifyTransition(open.target, before, open.stage())
 }
 
-// hangsOn tells whether the target can go on with the request once it has the packet: the
-// opening packet, or the latest new data.
-func (open *request) hangsOn(segment steer.Segment) bool {
-	if open.asked {
-		return segment.HasData && segment.Sequence == open.content.latest
+// dependsOn reports whether the target needs the packet to continue with the request: whether it
+// is the opening packet, or the latest new data.
+func (open *request) dependsOn(segment steer.Segment) bool {
+	if open.hasData {
+		return segment.HasData && segment.Sequence == open.content.latestSequence
 	}
 	return segment.Opening
 }
--- a/internal/direct/transfer/admission_test.go
+++ b/internal/direct/transfer/admission_test.go
@@ -17,23 +17,24 @@
 	other   = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// start is when the open requests of the tests sent their latest packet.
+// start is when the open requests of the tests sent their latest packet, unless stated otherwise.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// rate is what the link of the tests carries, in bytes a second.
+// rate is the capacity of the link in the tests, in bytes per second.
 const rate = 100_000
 
-// objective is in which an upload alone takes two fifths of what is allowed.
+// objective is chosen so that a single upload takes two fifths of the time that is allowed for it.
 const objective = 2 * time.Second
 
-func learned() *Sizes {
+// learnedSizes returns the sizes of an upload (40,000 bytes) and of a short call (900 bytes).
+func learnedSizes() *Sizes {
 	sizes := NewSizes()
-	sizes.Whole(uploads, 40_000)
-	sizes.Whole(calls, 900)
+	sizes.RequestCompleted(uploads, 40_000)
+	sizes.RequestCompleted(calls, 900)
 	return sizes
 }
 
-// linkState is what waits in front of a link.
+// linkState is the state of the queue in front of a link.
 type linkState struct {
 	idle      bool
 	shortWait time.Duration
@@ -45,8 +46,8 @@
 // ShortWait implements Link.
 func (state linkState) ShortWait() time.Duration { return state.shortWait }
 
-// visiting returns an Open that visits the requests.
-func visiting(open ...requests.Progress) Open {
+// visiting returns a VisitOpen that visits the given requests.
+func visiting(open ...requests.Progress) VisitOpen {
 	return func(visit func(progress requests.Progress)) {
 		for _, progress := range open {
 			if progress.LastAt.IsZero() {
@@ -57,13 +58,13 @@
 	}
 }
 
-func TestConsider(t *testing.T) {
+func TestDecide(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	half := requests.Progress{Route: uploads, Brought: 20_000}
-	long := requests.Progress{Route: uploads, Brought: 200_000}
-	whole := requests.Progress{Route: uploads, Brought: 40_000, Complete: true}
-	unknown := requests.Progress{Route: other, Brought: 30_000}
-	call := requests.Progress{Route: calls, Brought: 900}
+	half := requests.Progress{Route: uploads, ReceivedBytes: 20_000}
+	long := requests.Progress{Route: uploads, ReceivedBytes: 200_000}
+	complete := requests.Progress{Route: uploads, ReceivedBytes: 40_000, Complete: true}
+	unknown := requests.Progress{Route: other, ReceivedBytes: 30_000}
+	call := requests.Progress{Route: calls, ReceivedBytes: 900}
 	cases := []struct {
 		name      string
 		open      []requests.Progress
@@ -72,105 +73,105 @@
 		ahead     int
 		refused   bool
 	}{
-		{"a free link", nil, uploads, objective, 0, false},
-		{"room for both", []requests.Progress{half}, uploads, objective, 20_000, false},
-		{"room for both, to the byte", []requests.Progress{begun, half}, uploads, objective, 60_000, false},
+		{"idle link", nil, uploads, objective, 0, false},
+		{"capacity for both", []requests.Progress{half}, uploads, objective, 20_000, false},
+		{"exactly enough capacity", []requests.Progress{begun, half}, uploads, objective, 60_000, false},
 		{"one too many", []requests.Progress{begun, begun}, uploads, objective, 80_000, true},
-		{"those that came whole do not count", []requests.Progress{whole, whole, whole, half}, uploads, objective, 20_000, false},
-		{"longer than usual", []requests.Progress{long}, uploads, objective, leastRemaining, false},
-		{"long on a route whose size is not known", []requests.Progress{unknown}, uploads, objective, leastRemaining, false},
+		{"complete requests do not count", []requests.Progress{complete, complete, complete, half}, uploads, objective, 20_000, false},
+		{"open request longer than usual", []requests.Progress{long}, uploads, objective, minRemaining, false},
+		{"long open request on a route of unknown size", []requests.Progress{unknown}, uploads, objective, minRemaining, false},
 		{"short requests do not count", []requests.Progress{call, call, call}, uploads, objective, 0, false},
-		{"a short request passes", []requests.Progress{begun, begun, begun}, calls, objective, 0, false},
-		{"a request of unknown size passes", []requests.Progress{begun, begun, begun}, other, objective, 0, false},
+		{"a short request is accepted", []requests.Progress{begun, begun, begun}, calls, objective, 0, false},
+		{"a request of unknown size is accepted", []requests.Progress{begun, begun, begun}, other, objective, 0, false},
 		{"a route without an objective", []requests.Progress{begun, begun, begun}, uploads, 0, 0, false},
-		{"a long request that is late by itself", nil, uploads, objective / 4, 0, false},
+		{"a long request that misses its objective on an idle link", nil, uploads, objective / 4, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(test.open...))
-			verdict := admission.Consider(test.route, test.objective, start)
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(test.open...))
+			verdict := admission.Decide(test.route, test.objective, start)
 			require.Equal(t, test.refused, verdict.Refused)
-			require.Equal(t, test.ahead, verdict.Ahead)
+			require.Equal(t, test.ahead, verdict.BytesAhead)
 		})
 	}
 }
 
-func TestConsiderTellsWhatDecided(t *testing.T) {
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(requests.Progress{Route: uploads, Brought: 10_000}))
-	require.Equal(t, Verdict{Size: 40_000, Ahead: 30_000, Expected: 700 * time.Millisecond}, admission.Consider(uploads, objective, start))
+func TestVerdictContainsItsReasons(t *testing.T) {
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(requests.Progress{Route: uploads, ReceivedBytes: 10_000}))
+	require.Equal(t, Verdict{TypicalSize: 40_000, BytesAhead: 30_000, ExpectedTime: 700 * time.Millisecond}, admission.Decide(uploads, objective, start))
 }
 
-// TestReviewRefusesNewFlowsAlone: packets of open flows, copies of opening packets
-// and what the table refused stay as they were decided.
-func TestReviewRefusesNewFlowsAlone(t *testing.T) {
+// TestReviewRefusesOnlyNewFlows: packets of open flows, retransmissions of forwarded opening packets
+// and packets that the table refused keep their decision.
+func TestReviewRefusesOnlyNewFlows(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(begun, begun))
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Token: 7, Objective: objective, Revision: 5, Version: 3}
 	opening := steer.Segment{Service: uploads, Opening: true}
 	refused := steer.Decision{Action: steer.Reset, Reason: steer.ReasonLinkFull, Expected: 1200 * time.Millisecond, Revision: 5, Version: 3}
 	require.Equal(t, refused, admission.Review(opening, chosen, start))
 	repeated := opening
 	repeated.Attempt = 1
-	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its former copy was lost in front of the link")
-	repeated.Seen = true
-	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its former copy was sent on")
+	require.Equal(t, refused, admission.Review(repeated, chosen, start), "its previous copy was lost in front of the link")
+	repeated.AlreadyForwarded = true
+	require.Equal(t, chosen, admission.Review(repeated, chosen, start), "its previous copy was forwarded")
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner, Token: 7}
 	require.Equal(t, owner, admission.Review(steer.Segment{Service: uploads, Token: 7}, owner, start))
 	unknown := steer.Decision{Action: steer.Reset, Reason: steer.ReasonNoRoute}
 	require.Equal(t, unknown, admission.Review(opening, unknown, start))
 }
 
-func TestAdmissionSwitchedOff(t *testing.T) {
+func TestAdmissionDisabled(t *testing.T) {
 	full := visiting(requests.Progress{Route: uploads}, requests.Progress{Route: uploads}, requests.Progress{Route: uploads})
-	require.True(t, New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), full).Consider(uploads, objective, start).Refused)
-	require.False(t, New(Options{BytesPerSecond: rate}, learned(), full).Consider(uploads, objective, start).Refused)
-	require.False(t, New(Options{Share: 0.5}, learned(), full).Consider(uploads, objective, start).Refused, "a link without a bound")
+	require.True(t, NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{BytesPerSecond: rate}, learnedSizes(), full).Decide(uploads, objective, start).Refused)
+	require.False(t, NewAdmission(Options{ObjectiveShare: 0.5}, learnedSizes(), full).Decide(uploads, objective, start).Refused, "a link of unlimited capacity")
 }
 
-// TestMoreAreRefusedWhereMostAre: with few refusals a link takes what the objective
-// allows, with many only what it has room for. A free link takes any.
-func TestMoreAreRefusedWhereMostAre(t *testing.T) {
+// TestHighRefusedShareShortensAllowedWait: while few requests are refused, one may wait as long as
+// the objective allows; while many are, only for minAllowedWait. An idle link accepts any.
+func TestHighRefusedShareShortensAllowedWait(t *testing.T) {
 	begun := requests.Progress{Route: uploads}
-	nearlyDone := requests.Progress{Route: uploads, Brought: 40_000 - int(rate*roomFrom.Seconds())}
-	nearlyDone.Brought = min(nearlyDone.Brought, 40_000-leastRemaining)
+	nearlyDone := requests.Progress{Route: uploads, ReceivedBytes: 40_000 - int(rate*minAllowedWait.Seconds())}
+	nearlyDone.ReceivedBytes = min(nearlyDone.ReceivedBytes, 40_000-minRemaining)
 	var open []requests.Progress
-	admission := New(Options{BytesPerSecond: 2 * rate, Share: 0.5}, learned(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
-	refused := func(now ...requests.Progress) bool {
-		open = now
-		return admission.Consider(uploads, objective, start).Refused
+	admission := NewAdmission(Options{BytesPerSecond: 2 * rate, ObjectiveShare: 0.5}, learnedSizes(), func(visit func(requests.Progress)) { visiting(open...)(visit) })
+	refused := func(current ...requests.Progress) bool {
+		open = current
+		return admission.Decide(uploads, objective, start).Refused
 	}
 	require.False(t, refused(begun, begun))
 	for range 10 {
 		require.True(t, refused(begun, begun, begun, begun, begun), "more than the objective allows")
 	}
-	require.True(t, refused(begun), "others are refused, too, so that one is enough")
-	require.False(t, refused(nearlyDone), "the link has room")
-	require.False(t, refused(), "a free link")
+	require.True(t, refused(begun), "the refused share is high, so one open request is enough to refuse")
+	require.False(t, refused(nearlyDone), "the wait is at most minAllowedWait")
+	require.False(t, refused(), "idle link")
 	for range 20 {
 		refused()
 	}
-	require.False(t, refused(begun, begun), "few are refused again")
+	require.False(t, refused(begun, begun), "the refused share is low again")
 }
 
-// TestRequestsThatUseTheLinkNoMore: a request that is quiet counts while data waits in
-// front of the link, perhaps its own, and no more once none does.
-func TestRequestsThatUseTheLinkNoMore(t *testing.T) {
+// TestInactiveRequestsAreNotCountedOnIdleLink: a request without recent packets counts while the
+// queue in front of the link has data, which may be its own, but not on an idle link.
+func TestInactiveRequestsAreNotCountedOnIdleLink(t *testing.T) {
 	cases := []struct {
-		name    string
-		idle    bool
-		quiet   time.Duration
-		refused bool
+		name     string
+		idle     bool
+		inactive time.Duration
+		refused  bool
 	}{
-		{"busy link", false, 2 * quietAfter, true},
-		{"idle link, its data may be on the way", true, quietAfter, true},
-		{"idle link, and quiet for long", true, quietAfter + time.Millisecond, false},
+		{"busy link", false, 2 * inactiveAfter, true},
+		{"idle link, the data may be under way", true, inactiveAfter, true},
+		{"idle link, inactive too long", true, inactiveAfter + time.Millisecond, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			begun := requests.Progress{Route: uploads}
-			admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), visiting(begun, begun))
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), visiting(begun, begun))
 			admission.ObserveLink(linkState{idle: test.idle})
-			require.Equal(t, test.refused, admission.Consider(uploads, objective, start.Add(test.quiet)).Refused)
+			require.Equal(t, test.refused, admission.Decide(uploads, objective, start.Add(test.inactive)).Refused)
 		})
 	}
 }
@@ -178,45 +179,45 @@
 func TestSizesAreLearnedByRoute(t *testing.T) {
 	sizes := NewSizes()
 	require.Zero(t, sizes.Typical(uploads))
-	sizes.Whole(uploads, 30_000)
-	sizes.Whole(uploads, 50_000)
-	require.Equal(t, 40_000, sizes.Typical(uploads), "the first ones weigh alike")
+	sizes.RequestCompleted(uploads, 30_000)
+	sizes.RequestCompleted(uploads, 50_000)
+	require.Equal(t, 40_000, sizes.Typical(uploads), "the first requests have equal weight")
 	require.Zero(t, sizes.Typical(calls))
 	for range 200 {
-		sizes.Whole(uploads, 1000)
+		sizes.RequestCompleted(uploads, 1000)
 	}
-	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "sizes that change are followed")
+	require.InDelta(t, 1000, sizes.Typical(uploads), 10, "the average follows a change of sizes")
 }
 
-// TestSizesAreGuessedUntilOneCameWhole: a link that is full from its start on lets no
-// request through for long.
-func TestSizesAreGuessedUntilOneCameWhole(t *testing.T) {
+// TestSizesAreEstimatedUntilOneRequestCompletes: on a link that is saturated from its start, it
+// takes long until a request completes.
+func TestSizesAreEstimatedUntilOneRequestCompletes(t *testing.T) {
 	sizes := NewSizes()
-	sizes.Growing(uploads, 10_000)
+	sizes.RequestGrowing(uploads, 10_000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 8000)
+	sizes.RequestGrowing(uploads, 8000)
 	require.Equal(t, 20_000, sizes.Typical(uploads))
-	sizes.Growing(uploads, 30_000)
+	sizes.RequestGrowing(uploads, 30_000)
 	require.Equal(t, 60_000, sizes.Typical(uploads))
-	sizes.Whole(uploads, 40_000)
-	require.Equal(t, 40_000, sizes.Typical(uploads), "what is known replaces the guess")
-	sizes.Growing(uploads, 90_000)
+	sizes.RequestCompleted(uploads, 40_000)
+	require.Equal(t, 40_000, sizes.Typical(uploads), "the known size replaces the estimate")
+	sizes.RequestGrowing(uploads, 90_000)
 	require.Equal(t, 40_000, sizes.Typical(uploads))
 }
 
 func TestSizesAreBounded(t *testing.T) {
 	sizes := NewSizes()
-	for port := range routesKept + 100 {
-		sizes.Whole(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
+	for port := range maxRoutes + 100 {
+		sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), uint16(port+1)), 500)
 	}
-	require.Len(t, sizes.averages, routesKept)
-	sizes.Whole(netip.AddrPortFrom(uploads.Addr(), 1), 700)
-	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "known routes go on")
+	require.Len(t, sizes.averages, maxRoutes)
+	sizes.RequestCompleted(netip.AddrPortFrom(uploads.Addr(), 1), 700)
+	require.Equal(t, 600, sizes.Typical(netip.AddrPortFrom(uploads.Addr(), 1)), "recorded routes are still updated")
 }
 
-// BenchmarkConsider decides about an upload while a watcher follows as many requests
-// as a busy balancer has open: the most expensive decision.
-func BenchmarkConsider(b *testing.B) {
+// BenchmarkDecide measures the most expensive decision: about an upload, while a watcher follows as
+// many requests as a busy balancer has open.
+func BenchmarkDecide(b *testing.B) {
 	const openRequests = 256
 	watcher := requests.NewWatcher()
 	for port := range uint16(openRequests) {
@@ -224,19 +225,18 @@
 			Caller:  netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port+1024),
 			Service: calls, HasData: true, Length: 900, Sequence: 1,
 		}
-		watcher.Note(segment, requests.Target{Token: 7}, start)
+		watcher.PacketForwarded(segment, requests.Target{Token: 7}, start)
 	}
-	admission := New(Options{BytesPerSecond: rate, Share: 0.5}, learned(), watcher.EachOpen)
+	admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: 0.5}, learnedSizes(), watcher.EachOpen)
 	b.ReportAllocs()
 	for b.Loop() {
-		admission.Consider(uploads, objective, start)
+		admission.Decide(uploads, objective, start)
 	}
 }
 
-// TestNewFlowsAreRefusedBeforeOpenOnesSuffer is a link that short datagrams alone keep full:
-// from half of the time on after which senders repeat, each new flow would make the link
-// carry more of it twice.
-func TestNewFlowsAreRefusedBeforeOpenOnesSuffer(t *testing.T) {
+// TestNewFlowsAreRefusedWhenShortFlowsSaturateTheLink: from half of the senders' retransmission
+// timeout on, each new flow would make the link transmit more of its data twice.
+func TestNewFlowsAreRefusedWhenShortFlowsSaturateTheLink(t *testing.T) {
 	chosen := steer.Decision{Action: steer.Forward, Reason: steer.ReasonChosen, Objective: objective}
 	owner := steer.Decision{Action: steer.Forward, Reason: steer.ReasonOwner}
 	cases := []struct {
@@ -247,15 +247,15 @@
 		share   float64
 		refused bool
 	}{
-		{"a short queue", shortWaitMost, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
-		{"a long queue", shortWaitMost + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
+		{"a short queue", maxShortWait, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, false},
+		{"a long queue", maxShortWait + 1, steer.Segment{Service: calls, Opening: true}, chosen, 0.5, true},
 		{"an open flow", time.Second, steer.Segment{Service: calls}, owner, 0.5, false},
-		{"a copy of what was sent on", time.Second, steer.Segment{Service: calls, Opening: true, Seen: true}, chosen, 0.5, false},
-		{"switched off", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
+		{"a retransmission of a forwarded packet", time.Second, steer.Segment{Service: calls, Opening: true, AlreadyForwarded: true}, chosen, 0.5, false},
+		{"admission control disabled", time.Second, steer.Segment{Service: calls, Opening: true}, chosen, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			admission := New(Options{BytesPerSecond: rate, Share: test.share}, learned(), visiting())
+			admission := NewAdmission(Options{BytesPerSecond: rate, ObjectiveShare: test.share}, learnedSizes(), visiting())
 			admission.ObserveLink(linkState{shortWait: test.wait})
 			decision := admission.Review(test.segment, test.given, start)
 			require.Equal(t, test.refused, decision.Reason == steer.ReasonLinkFull)
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -81,13 +81,13 @@
 		return kernel.Program{Mailbox: mailbox}
 	}
 	member.group = group
-	renewed := registrar.NewRenewed()
+	renewed := registrar.NewRenewalTable()
 	proposer := registrar.NewProposer(mailbox, dispatcher, group, member.Directory, seed)
-	health := registrar.NewHealth(registrar.HealthOptions{
-		SilentAfter: 5 * time.Second,
-		MissedAfter: renewalInterval * 8 / 5,
-		ProbePause:  700 * time.Millisecond,
-		ForgetAfter: flowLife + 15*time.Second,
+	health := registrar.NewHealthMonitor(registrar.HealthOptions{
+		SilentAfter:       5 * time.Second,
+		MissedAfter:       renewalInterval * 8 / 5,
+		MinProbeInterval:  700 * time.Millisecond,
+		RemoveFailedAfter: flowLife + 15*time.Second,
 	}, mailbox, dispatcher, group, member.Directory, renewed, world.prober(member.process), zap.NewNop())
 	publisher := feed.NewPublisher(feed.PublisherOptions{Limit: world.options.Followers, TellsMembers: true},
 		mailbox, dispatcher, member.Directory, memberSource{member: member})
@@ -97,7 +97,7 @@
 		Capacities: directory.NewCapacityIndex(member.Directory),
 	}
 	world.options.Parts.Collecting(&collecting)
-	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxOutlet{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
+	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
 	keeper := reconfigure.New(reconfigure.DefaultOptions(world.options.ToleratedLosses), group, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
@@ -122,7 +122,7 @@
 
 // Confirmed implements feed.Source.
 func (source memberSource) Confirmed(now time.Time) (time.Duration, bool) {
-	return 0, registrar.Fresh(source.member.group, now)
+	return 0, registrar.QuorumConfirmed(source.member.group, now)
 }
 
 // Depth implements feed.Source.
@@ -140,7 +140,7 @@
 
 // prober returns a prober whose probes cross the packet network.
 func (world *World) prober(process *kernel.Process) *probe.Prober {
-	return probe.NewWith(func(address netip.AddrPort, done func(probe.Outcome)) {
+	return probe.NewWithStarter(func(address netip.AddrPort, done func(probe.Outcome)) {
 		answered := false
 		answer := func(outcome probe.Outcome) {
 			if !answered {
