--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -279,7 +279,7 @@
 
 // Report tells of the back end's behaviour without ending a request: a feed
 // whose answer has begun, or a health probe of the agent's own.
-func (controller *Controller) Report(now time.Time, result Result) []Decision {
+func (controller *Controller) RecordResult(now time.Time, result Result) []Decision {
 	controller.lock.Lock()
 	defer controller.lock.Unlock()
 	return append(controller.judge(now, result), controller.dispatch(now)...)
@@ -306,7 +306,7 @@
 
 // judge updates breaker and capacity after a result.
 func (controller *Controller) judge(now time.Time, result Result) []Decision {
-	controller.health.Result(now, result)
+	controller.health.RecordResult(now, result)
 	switch result {
 	case ResultAnswered:
 		if controller.breaker.success() {
@@ -371,7 +371,7 @@
 }
 
 // HealthReport records a health report of the back end.
-func (controller *Controller) HealthReport(good bool) { controller.health.Report(good) }
+func (controller *Controller) RecordHealthReport(good bool) { controller.health.RecordReport(good) }
 
 // Resize changes the bounds of a running controller. Requests that run or wait
 // keep their places.
@@ -394,6 +394,6 @@
 		Feeds:   len(controller.feeds),
 		Slots:   controller.capacity.usable(now),
 		Cold:    controller.capacity.cold(now),
-		Healthy: controller.health.Good(now, controller.breaker.closed(), controller.breaker.wait(now) == 0),
+		Healthy: controller.health.IsHealthy(now, controller.breaker.closed(), controller.breaker.wait(now) == 0),
 	}
 }
--- a/internal/admission/health.go
+++ b/internal/admission/health.go
@@ -26,7 +26,7 @@
 }
 
 // Result records one of the agent's own results.
-func (health *Health) Result(now time.Time, result Result) {
+func (health *Health) RecordResult(now time.Time, result Result) {
 	if result != ResultAnswered && result != ResultFailed {
 		return
 	}
@@ -37,7 +37,7 @@
 }
 
 // Report records one health report; a report that did not come is a bad one.
-func (health *Health) Report(good bool) {
+func (health *Health) RecordReport(good bool) {
 	health.lock.Lock()
 	defer health.lock.Unlock()
 	if good {
@@ -51,7 +51,7 @@
 // the state of the circuit breaker, and probeDue whether it would let a probe
 // through: then a good report is enough to invite new flows, whose requests
 // are the probes.
-func (health *Health) Good(now time.Time, breakerClosed, probeDue bool) bool {
+func (health *Health) IsHealthy(now time.Time, breakerClosed, probeDue bool) bool {
 	health.lock.Lock()
 	defer health.lock.Unlock()
 	if !breakerClosed {
--- a/internal/agent/requests/gate.go
+++ b/internal/agent/requests/gate.go
@@ -78,7 +78,7 @@
 
 // Report passes on a result of the back end that ends no request.
 func (gate *Gate) Report(result admission.Result) {
-	gate.deliver(gate.controller.Report(time.Now(), result))
+	gate.deliver(gate.controller.RecordResult(time.Now(), result))
 }
 
 // Load returns the present load.
@@ -178,7 +178,7 @@
 }
 
 // HealthReport passes on a health report of the back end.
-func (gate *Gate) HealthReport(good bool) { gate.controller.HealthReport(good) }
+func (gate *Gate) HealthReport(good bool) { gate.controller.RecordHealthReport(good) }
 
 // SetClosed ends or begins the starting of requests. Closing refuses those
 // that wait.
