--- a/internal/balancer/carrier_bench_test.go
+++ b/internal/balancer/carrier_bench_test.go
@@ -15,21 +15,23 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// carrier carries datagrams from its socket to a sink, in loops on threads of
-// their own, so that the processor time they take can be told apart.
-type carrier struct {
-	socket  *net.UDPConn
+// measuredForwarder forwards datagrams from its socket to a sink. Each of its loops runs
+// on its own thread, so that their processor time can be measured separately.
+type measuredForwarder struct {
+	socket *net.UDPConn
+	// elapsed is the time of all turns in which the forwarder was measured.
 	elapsed time.Duration
-	// threads has the processor time of each loop after its end.
-	threads []chan time.Duration
+	// processorTimes has a channel for each loop, which receives the loop's processor
+	// time when it ends.
+	processorTimes []chan time.Duration
 }
 
-// startCarrier runs loops until the socket is closed.
-func startCarrier(b *testing.B, socket *net.UDPConn, loops ...func()) *carrier {
-	created := &carrier{socket: socket}
+// startMeasuredForwarder starts loops, which must return when the socket is closed.
+func startMeasuredForwarder(b *testing.B, socket *net.UDPConn, loops ...func()) *measuredForwarder {
+	created := &measuredForwarder{socket: socket}
 	for _, loop := range loops {
 		done := make(chan time.Duration, 1)
-		created.threads = append(created.threads, done)
+		created.processorTimes = append(created.processorTimes, done)
 		go func() {
 			runtime.LockOSThread()
 			began := threadTime(b)
@@ -40,18 +42,17 @@
 	return created
 }
 
-// stop ends the loops and returns the processor time that they took.
-func (carrier *carrier) stop() time.Duration {
-	_ = carrier.socket.Close()
+// stop ends the loops and returns the processor time that they used.
+func (forwarder *measuredForwarder) stop() time.Duration {
+	_ = forwarder.socket.Close()
 	var total time.Duration
-	for _, done := range carrier.threads {
+	for _, done := range forwarder.processorTimes {
 		total += <-done
 	}
 	return total
 }
 
-// threadTime returns the processor time that the calling thread took, in user
-// and kernel mode.
+// threadTime returns the processor time of the calling thread, in user and kernel mode.
 func threadTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_THREAD, &usage); err != nil {
@@ -60,11 +61,11 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// startRelay runs the baseline: a loop that receives a datagram and sends it
-// on unchanged, with nothing in between.
-func startRelay(b *testing.B, next netip.AddrPort) *carrier {
+// startRelay starts the baseline: a loop that receives a datagram and sends it to next
+// unchanged, with one system call each.
+func startRelay(b *testing.B, next netip.AddrPort) *measuredForwarder {
 	socket := benchmarkSocket(b)
-	return startCarrier(b, socket, func() {
+	return startMeasuredForwarder(b, socket, func() {
 		buffer := make([]byte, receiveBufferBytes)
 		for {
 			length, _, err := socket.ReadFromUDPAddrPort(buffer)
@@ -78,32 +79,33 @@
 	})
 }
 
-// startBatchRelay runs the same baseline with the batches that the balancer
-// uses, so that what the balancer does beyond carrying datagrams shows alone.
-func startBatchRelay(b *testing.B, next netip.AddrPort) *carrier {
+// startBatchRelay starts a baseline that receives and sends in the batches that the
+// balancer uses. The difference to it is the cost of what the balancer does besides
+// receiving and sending datagrams.
+func startBatchRelay(b *testing.B, next netip.AddrPort) *measuredForwarder {
 	socket := benchmarkSocket(b)
 	destination := net.UDPAddrFromAddrPort(next)
-	return startCarrier(b, socket, func() {
+	return startMeasuredForwarder(b, socket, func() {
 		reader, writer := batch.NewReader(socket), batch.NewWriter(socket)
 		for {
 			count, err := reader.Read()
 			if err != nil {
 				return
 			}
-			for place := range count {
-				writer.Put(writer.Header(), reader.Datagram(place), destination)
+			for position := range count {
+				writer.Put(writer.Header(), reader.Datagram(position), destination)
 			}
 			writer.Flush()
 		}
 	})
 }
 
-// startBenchmarkBalancer runs a balancer whose targets' agents are the hosts of
+// startBenchmarkBalancer starts a balancer whose targets' agents are at the addresses of
 // a sink.
-func startBenchmarkBalancer(b *testing.B, workers int, hosts []netip.AddrPort) *carrier {
+func startBenchmarkBalancer(b *testing.B, workers int, hosts []netip.AddrPort) *measuredForwarder {
 	configuration := testConfiguration()
-	for place, target := range configuration.ServiceTargets(quicService) {
-		target.Agent = hosts[place%len(hosts)]
+	for position, target := range configuration.ServiceTargets(quicService) {
+		target.Agent = hosts[position%len(hosts)]
 		configuration.Targets[target.ID] = target
 	}
 	store := rollout.NewStore()
@@ -124,5 +126,5 @@
 			}
 		})
 	}
-	return startCarrier(b, created.socket, loops...)
+	return startMeasuredForwarder(b, created.socket, loops...)
 }
--- a/internal/balancer/carry_test.go
+++ b/internal/balancer/carry_test.go
@@ -14,9 +14,9 @@
 	"merlinpaddle/internal/packet"
 )
 
-// innerSegment returns an IP packet with a TCP segment, which the stand-in
-// fabric cannot make.
-func innerSegment(t *testing.T, flow model.FiveTuple, header layers.TCP, payload string) []byte {
+// innerSegment returns an IP packet with a TCP segment. The stand-in fabric sends UDP
+// only, so tests of TCP build the packets themselves.
+func buildInnerTCP(t *testing.T, flow model.FiveTuple, header layers.TCP, payload string) []byte {
 	t.Helper()
 	header.SrcPort = layers.TCPPort(flow.Source.Port())
 	header.DstPort = layers.TCPPort(flow.Destination.Port())
@@ -35,7 +35,9 @@
 	return buffer.Bytes()
 }
 
-func TestBalancerCarriesPacketsUnchanged(t *testing.T) {
+// The fabric's packets reach the agent in Geneve with their inner bytes unchanged, for
+// each protocol and IP version.
+func TestBalancerForwardsPacketsUnchanged(t *testing.T) {
 	flow4 := model.FiveTuple{Source: caller, Destination: netip.MustParseAddrPort("127.1.0.9:443")}
 	flow6 := model.FiveTuple{
 		Source: netip.MustParseAddrPort("[2001:db8::9]:5000"), Destination: netip.MustParseAddrPort("[2001:db8::1]:443"),
@@ -51,10 +53,10 @@
 		inner    []byte
 		opening  bool
 	}{
-		{"TCP SYN over IPv4", model.ProtocolTCP, flow4, innerSegment(t, flow4, syn, ""), true},
-		{"TCP data over IPv4", model.ProtocolTCP, flow4, innerSegment(t, flow4, ack, "receipt"), false},
-		{"TCP SYN over IPv6", model.ProtocolTCP, flow6, innerSegment(t, flow6, syn, ""), true},
-		{"TCP data over IPv6", model.ProtocolTCP, flow6, innerSegment(t, flow6, ack, "receipt"), false},
+		{"TCP SYN over IPv4", model.ProtocolTCP, flow4, buildInnerTCP(t, flow4, syn, ""), true},
+		{"TCP data over IPv4", model.ProtocolTCP, flow4, buildInnerTCP(t, flow4, ack, "receipt"), false},
+		{"TCP SYN over IPv6", model.ProtocolTCP, flow6, buildInnerTCP(t, flow6, syn, ""), true},
+		{"TCP data over IPv6", model.ProtocolTCP, flow6, buildInnerTCP(t, flow6, ack, "receipt"), false},
 		{"QUIC Initial over IPv4", model.ProtocolQUIC, flow4, packet.BuildInnerUDP(flow4, quicInitial), true},
 		{"QUIC short header over IPv6", model.ProtocolQUIC, flow6, packet.BuildInnerUDP(flow6, quicShort), false},
 		{"plain UDP over IPv4", model.ProtocolUDP, flow4, packet.BuildInnerUDP(flow4, nil), true},
@@ -62,9 +64,9 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			agent, carrier := openSocket(t), openSocket(t)
+			agent, sender := openSocket(t), openSocket(t)
 			defer agent.Close()
-			defer carrier.Close()
+			defer sender.Close()
 			configuration := model.NewConfiguration()
 			configuration.Revision = 5
 			addService(configuration, 1, test.protocol, test.flow.Destination, 1)
@@ -75,7 +77,7 @@
 
 			data, err := packet.Encode(packet.Encapsulated{Kind: packet.KindIngress, Inner: test.inner})
 			require.NoError(t, err)
-			_, err = carrier.WriteToUDPAddrPort(data, balancer.Address())
+			_, err = sender.WriteToUDPAddrPort(data, balancer.Address())
 			require.NoError(t, err)
 			require.NoError(t, agent.SetReadDeadline(time.Now().Add(conditionTimeout)))
 			buffer := make([]byte, receiveBufferBytes)
--- a/internal/balancer/controller.go
+++ b/internal/balancer/controller.go
@@ -8,11 +8,12 @@
 	"merlinpaddle/internal/process"
 )
 
-// readinessPart is the balancer's part of the process's readiness: it is ready
-// once it has a configuration, and stays so when it is cut off.
+// readinessPart names the balancer's part of the process's readiness. The part is
+// ready from the first configuration on, also while the balancer has no contact
+// with the control plane, until a planned stop begins.
 const readinessPart = "configuration"
 
-// Configurations gives the configuration that the balancer runs.
+// Configurations returns the configuration that the balancer runs.
 // *rollout.Store implements it.
 type Configurations interface {
 	Current() *model.Configuration
@@ -25,9 +26,9 @@
 	limits         *Limits
 	readiness      *process.Readiness
 	metrics        *metrics
-	// current is read by the packet path.
+	// current is the published index, which the packet path loads.
 	current atomic.Pointer[Index]
-	// stopping tells that a planned stop began.
+	// stopping is true once a planned stop has begun.
 	stopping atomic.Bool
 }
 
@@ -45,7 +46,9 @@
 // Name implements board.Controller.
 func (controller *IndexController) Name() string { return "balancer index" }
 
-// Reconcile implements board.Controller.
+// Reconcile implements board.Controller. It publishes a new index if the running
+// configuration has a higher revision than the published one, and updates the
+// readiness.
 func (controller *IndexController) Reconcile(now time.Time) {
 	running := controller.configurations.Current()
 	previous := controller.current.Load()
@@ -56,7 +59,7 @@
 	controller.readiness.Set(readinessPart, running.Revision > 0 && !controller.stopping.Load())
 }
 
-// beginStop makes the process unready while it still forwards.
+// beginStop marks the process as not ready while it keeps forwarding.
 func (controller *IndexController) beginStop() {
 	controller.stopping.Store(true)
 	controller.readiness.Set(readinessPart, false)
--- a/internal/balancer/controller_test.go
+++ b/internal/balancer/controller_test.go
@@ -12,6 +12,7 @@
 	"merlinpaddle/internal/rollout"
 )
 
+// newTestController returns a controller with the store and the readiness that it uses.
 func newTestController() (*IndexController, *rollout.Store, *process.Readiness) {
 	store := rollout.NewStore()
 	readiness := process.NewReadiness()
@@ -32,15 +33,16 @@
 
 	published := controller.current.Load()
 	controller.Reconcile(startTime)
-	require.Same(t, published, controller.current.Load(), "no change publishes nothing")
+	require.Same(t, published, controller.current.Load(), "without a change the published index stays")
 }
 
-// revertingConfigurations gives an older configuration after a newer one.
+// revertingConfigurations is a source whose configuration a test can set back to an
+// older revision, which *rollout.Store never does.
 type revertingConfigurations struct{ current *model.Configuration }
 
 func (reverting *revertingConfigurations) Current() *model.Configuration { return reverting.current }
 
-func TestControllerNeverGoesBack(t *testing.T) {
+func TestControllerIgnoresOlderConfigurations(t *testing.T) {
 	controller, _, _ := newTestController()
 	source := &revertingConfigurations{current: testConfiguration()}
 	controller.configurations = source
@@ -52,7 +54,7 @@
 	require.EqualValues(t, 5, controller.current.Load().Revision())
 }
 
-func TestStoppingBalancerIsNotReadyAndStillFollows(t *testing.T) {
+func TestStoppingBalancerIsUnreadyAndFollowsChanges(t *testing.T) {
 	controller, store, readiness := newTestController()
 	store.Advance(testConfiguration())
 	controller.Reconcile(startTime)
@@ -66,17 +68,17 @@
 	require.EqualValues(t, 6, controller.current.Load().Revision())
 }
 
-func TestIndexOfTwoServicesAtOneAddressTakesTheLater(t *testing.T) {
+func TestIndexKeepsTheLaterOfTwoServicesAtOneAddress(t *testing.T) {
 	configuration := testConfiguration()
 	addService(configuration, 9, model.ProtocolQUIC, quicAddress, 2)
-	for range 20 { // Maps are walked in a different order each time.
+	for range 20 { // Map iteration order differs each time.
 		index := newIndex(startTime, configuration, nil, NewLimits(0))
 		key := serviceKey{protocol: model.ProtocolUDP, destination: quicAddress}
 		require.EqualValues(t, 9, index.services[key].id)
 	}
 }
 
-func TestIndexLeavesOutServicesWithoutBuckets(t *testing.T) {
+func TestIndexOmitsServicesWithoutBuckets(t *testing.T) {
 	configuration := testConfiguration()
 	delete(configuration.Buckets, quicService)
 	configuration.Buckets[udpService] = &model.BucketTable{Service: udpService}
--- a/internal/balancer/decision.go
+++ b/internal/balancer/decision.go
@@ -11,11 +11,11 @@
 	"merlinpaddle/internal/routing"
 )
 
-// Verdict is what becomes of a packet.
+// Verdict is the outcome of handling a packet.
 type Verdict uint8
 
-// The verdicts. Each but VerdictForward drops the packet, and each has a
-// counter.
+// The verdicts. Each has a counter. All but VerdictForward and VerdictHint drop
+// the packet.
 const (
 	VerdictForward Verdict = iota
 	VerdictUnknownService
@@ -30,7 +30,7 @@
 	VerdictHintUnknownService
 	VerdictHintForeignTarget
 	VerdictHintForeignSender
-	// VerdictHint is a hint that was taken.
+	// VerdictHint is a hint that was accepted: the flow cache was updated.
 	VerdictHint
 	verdictCount
 )
@@ -40,76 +40,78 @@
 	"too_large", "send_failed", "send_buffer_full", "hint_unknown_service", "hint_foreign_target", "hint_foreign_sender", "hint",
 }
 
-// String returns the name of the verdict in metrics.
+// String returns the verdict's label in metrics.
 func (verdict Verdict) String() string { return verdictNames[verdict] }
 
-// Router takes the routing decision for one packet. It is safe for several
-// goroutines, performs no input or output, and does not allocate.
+// Router makes the routing decision for each packet. It is safe for concurrent
+// use, performs no I/O, and does not allocate.
 type Router struct {
 	cache  *flow.Cache
 	limits *Limits
 }
 
-// NewRouter returns a router over a flow cache.
+// NewRouter returns a router with the given flow cache and limits.
 func NewRouter(cache *flow.Cache, limits *Limits) *Router {
 	return &Router{cache: cache, limits: limits}
 }
 
 // Route turns an ingress packet into the packet to forward, in place, and
-// returns the target whose agent gets it, or nil. Chain's memory is used
-// again. The packet's other fields stay.
-func (router *Router) Route(now time.Time, index *Index, carried *packet.Encapsulated) (*targetEntry, Verdict) {
-	service, known := index.services[keyOf(carried.Flow)]
+// returns the target whose agent receives it; the target is nil unless the verdict
+// is VerdictForward. The memory of the packet's Chain is reused. Fields that Route does
+// not set stay as they are.
+func (router *Router) Route(now time.Time, index *Index, encapsulated *packet.Encapsulated) (*targetEntry, Verdict) {
+	service, known := index.services[keyOf(encapsulated.Flow)]
 	if !known {
 		return nil, VerdictUnknownService
 	}
-	carried.Flow.Protocol = service.protocol
-	carried.Opening = packet.IsOpening(service.protocol, carried.Payload)
-	hash := routing.FlowHash(carried.Flow)
+	encapsulated.Flow.Protocol = service.protocol
+	encapsulated.Opening = packet.IsOpening(service.protocol, encapsulated.Payload)
+	hash := routing.FlowHash(encapsulated.Flow)
 	bucket := service.buckets.Bucket(routing.BucketOf(hash, service.buckets.Count()))
-	carried.Chain = routing.AppendChain(carried.Chain[:0], bucket)
-	position, isCached := router.cachedPosition(hash, carried)
-	if !isCached && carried.Opening {
-		if verdict := router.allowOpening(now, service, carried); verdict != VerdictForward {
+	encapsulated.Chain = routing.AppendChain(encapsulated.Chain[:0], bucket)
+	position, isCached := router.cachedPosition(hash, encapsulated)
+	if !isCached && encapsulated.Opening {
+		if verdict := router.allowOpening(now, service, encapsulated); verdict != VerdictForward {
 			return nil, verdict
 		}
 	}
-	target, position := index.reachable(service.id, carried.Chain, position)
+	target, position := index.selectTarget(service.id, encapsulated.Chain, position)
 	if target == nil {
 		return nil, VerdictNoTarget
 	}
-	carried.Kind = packet.KindForward
-	carried.Service = service.id
-	carried.Revision = index.revision
-	carried.Position = uint8(position)
-	carried.Stage = model.StageLookup
-	carried.Passes = 0
-	carried.HeadLoad = 0
+	encapsulated.Kind = packet.KindForward
+	encapsulated.Service = service.id
+	encapsulated.Revision = index.revision
+	encapsulated.Position = uint8(position)
+	encapsulated.Stage = model.StageLookup
+	encapsulated.Passes = 0
+	encapsulated.HeadLoad = 0
 	return target, VerdictForward
 }
 
-// cachedPosition returns the place of the flow's cached owner in the chain.
-// An owner that is not in the chain is left out: by the invariant of bucket
-// tables it owns the flow only if the agents know a newer row, and then they
-// pass the packet on.
-func (router *Router) cachedPosition(hash uint64, carried *packet.Encapsulated) (int, bool) {
-	owner, cached := router.cache.Lookup(hash, carried.Flow)
+// cachedPosition returns the position of the flow's cached owner in the chain, and
+// whether there is one. An owner that is not in the chain is ignored: by the
+// invariant of bucket tables it can own the flow only if the agents have a newer row,
+// and then they forward the packet along that row.
+func (router *Router) cachedPosition(hash uint64, encapsulated *packet.Encapsulated) (int, bool) {
+	owner, cached := router.cache.Lookup(hash, encapsulated.Flow)
 	if !cached {
 		return 0, false
 	}
-	position := slices.Index(carried.Chain, owner)
+	position := slices.Index(encapsulated.Chain, owner)
 	if position < 0 {
 		return 0, false
 	}
 	return position, true
 }
 
-// allowOpening applies the limits to packets that open a flow beyond doubt.
-func (router *Router) allowOpening(now time.Time, service *serviceEntry, carried *packet.Encapsulated) Verdict {
+// allowOpening applies the rate limits to a packet that opens a flow. Plain UDP is
+// exempt, because any of its packets may be the first of a flow.
+func (router *Router) allowOpening(now time.Time, service *serviceEntry, encapsulated *packet.Encapsulated) Verdict {
 	if service.protocol == model.ProtocolUDP {
 		return VerdictForward
 	}
-	if !router.limits.allowSource(now, carried.Flow.Source.Addr()) {
+	if !router.limits.allowSource(now, encapsulated.Flow.Source.Addr()) {
 		return VerdictSourceLimit
 	}
 	if !service.openings.AllowN(now, 1) {
@@ -118,28 +120,29 @@
 	return VerdictForward
 }
 
-// reachable returns the target at position, or the first one behind it, and
-// then before it, that is known, not dead, and of the service: whatever a
-// bucket table says, no packet leaves for a target of another service. It
-// returns nil if there is none.
-func (index *Index) reachable(service model.ServiceID, chain []model.TargetID, position int) (*targetEntry, int) {
+// selectTarget returns the first target of the chain that is known, not dead, and
+// of the service, and its position. It starts at position and wraps around at the
+// end of the chain. The check of the service guarantees that no packet is sent to a
+// target of another service, whatever the bucket table says. It returns nil if no
+// target qualifies.
+func (index *Index) selectTarget(service model.ServiceID, chain []model.TargetID, position int) (*targetEntry, int) {
 	for step := range chain {
-		place := (position + step) % len(chain)
-		target, known := index.targets[chain[place]]
+		candidate := (position + step) % len(chain)
+		target, known := index.targets[chain[candidate]]
 		if known && !target.isDead && target.service == service {
-			return target, place
+			return target, candidate
 		}
 	}
 	return nil, 0
 }
 
-// Hint remembers the owner that an agent reports for a flow. It takes only
-// hints about the service that has the flow's destination, which name a target
-// of that service and come from that target's machine. A hint that is old by
-// the time it is used costs passes between agents and breaks no flow.
+// Hint caches the owner that an agent reports for a flow. It accepts a hint only if
+// the hint's service has the flow's destination address, the owner is a target of
+// that service, and the sender is that target's agent. A hint that is stale when it
+// is used costs extra hops between agents but breaks no flow.
 //
-// A hint about an opening packet takes a free entry of the cache at most, so
-// that a flood of opening packets pushes no established flow out.
+// A hint about an opening packet only fills a free cache entry, so that a flood of
+// opening packets evicts no established flow.
 func (router *Router) Hint(index *Index, sender netip.Addr, hint *packet.Encapsulated) Verdict {
 	service, known := index.services[keyOf(hint.Flow)]
 	if !known || service.id != hint.Service {
--- a/internal/balancer/decision_test.go
+++ b/internal/balancer/decision_test.go
@@ -42,32 +42,32 @@
 			router, limits := newTestRouter(0)
 			configuration := testConfiguration()
 			index := newIndex(startTime, configuration, nil, limits)
-			carried := ingressPacket(test.protocol, test.destination, test.payload)
-			target, verdict := router.Route(startTime, index, carried)
+			encapsulated := ingressPacket(test.protocol, test.destination, test.payload)
+			target, verdict := router.Route(startTime, index, encapsulated)
 			require.Equal(t, test.verdict, verdict)
 			if verdict != VerdictForward {
 				return
 			}
 			row := rowOf(t, configuration, test.service)
 			require.Equal(t, configuration.Targets[row.Head].Agent, target.agent)
-			require.Equal(t, packet.KindForward, carried.Kind)
-			require.Equal(t, test.service, carried.Service)
-			require.Equal(t, model.Revision(5), carried.Revision)
-			require.Equal(t, routing.Chain(row), carried.Chain)
-			require.Zero(t, carried.Position)
-			require.Equal(t, test.opening, carried.Opening)
-			require.Equal(t, test.flow, carried.Flow.Protocol)
+			require.Equal(t, packet.KindForward, encapsulated.Kind)
+			require.Equal(t, test.service, encapsulated.Service)
+			require.Equal(t, model.Revision(5), encapsulated.Revision)
+			require.Equal(t, routing.Chain(row), encapsulated.Chain)
+			require.Zero(t, encapsulated.Position)
+			require.Equal(t, test.opening, encapsulated.Opening)
+			require.Equal(t, test.flow, encapsulated.Flow.Protocol)
 		})
 	}
 }
 
-// The chain in a packet is the whole row whatever the cache and the phases
-// say; they choose the position only.
+// The chain in a packet is always the complete row. The flow cache and the targets'
+// phases affect only the position at which the packet enters it.
 func TestRouteChoosesThePositionInTheChain(t *testing.T) {
-	const stranger model.TargetID = 99
+	const targetOutsideChain model.TargetID = 99
 	cases := []struct {
 		name string
-		// cached is the place of the cached owner in the chain, or -1.
+		// cached is the position of the cached owner in the chain, or -1.
 		cached int
 		owner  model.TargetID
 		phases map[int]model.TargetPhase
@@ -78,7 +78,7 @@
 		{"alternate cached", 1, 0, nil, nil, 1},
 		{"earlier target cached", 2, 0, nil, nil, 2},
 		{"cached owner drains", 2, 0, map[int]model.TargetPhase{2: model.PhaseDraining}, nil, 2},
-		{"cached owner not in the chain", -1, stranger, nil, nil, 0},
+		{"cached owner not in the chain", -1, targetOutsideChain, nil, nil, 0},
 		{"head drains", -1, 0, map[int]model.TargetPhase{0: model.PhaseDraining}, nil, 0},
 		{"head dead", -1, 0, map[int]model.TargetPhase{0: model.PhaseDead}, nil, 1},
 		{"head unknown", -1, 0, nil, []int{0}, 1},
@@ -90,37 +90,37 @@
 		t.Run(test.name, func(t *testing.T) {
 			router, limits := newTestRouter(0)
 			configuration := testConfiguration()
-			row := withEarlierTarget(t, configuration)
+			row := addEarlierTarget(t, configuration)
 			chain := routing.Chain(row)
-			for place, phase := range test.phases {
-				target := configuration.Targets[chain[place]]
+			for position, phase := range test.phases {
+				target := configuration.Targets[chain[position]]
 				target.Phase = phase
-				configuration.Targets[chain[place]] = target
+				configuration.Targets[chain[position]] = target
 			}
-			for _, place := range test.remove {
-				delete(configuration.Targets, chain[place])
+			for _, position := range test.remove {
+				delete(configuration.Targets, chain[position])
 			}
 			index := newIndex(startTime, configuration, nil, limits)
-			carried := ingressPacket(model.ProtocolUDP, quicAddress, quicShort)
+			encapsulated := ingressPacket(model.ProtocolUDP, quicAddress, quicShort)
 			owner := test.owner
 			if test.cached >= 0 {
 				owner = chain[test.cached]
 			}
-			cachedFlow := carried.Flow
+			cachedFlow := encapsulated.Flow
 			cachedFlow.Protocol = model.ProtocolQUIC
 			router.cache.Insert(routing.FlowHash(cachedFlow), cachedFlow, owner)
-			target, verdict := router.Route(startTime, index, carried)
+			target, verdict := router.Route(startTime, index, encapsulated)
 			require.Equal(t, VerdictForward, verdict)
-			require.Equal(t, chain, carried.Chain)
-			require.Equal(t, test.want, int(carried.Position))
+			require.Equal(t, chain, encapsulated.Chain)
+			require.Equal(t, test.want, int(encapsulated.Position))
 			require.Equal(t, configuration.Targets[chain[test.want]].Agent, target.agent)
 		})
 	}
 }
 
-// withEarlierTarget gives the row of the test's QUIC flow an earlier target
-// and returns the row.
-func withEarlierTarget(t *testing.T, configuration *model.Configuration) model.Bucket {
+// withEarlierTarget adds an earlier target to the row of the test's QUIC flow, and
+// returns the row.
+func addEarlierTarget(t *testing.T, configuration *model.Configuration) model.Bucket {
 	t.Helper()
 	row := rowOf(t, configuration, quicService)
 	for _, target := range configuration.ServiceTargets(quicService) {
@@ -135,8 +135,8 @@
 	return row
 }
 
-// A bucket table that names a target of another service, which no committed
-// change can make, sends it no packet.
+// A bucket table that names a target of another service must not cause a packet to be
+// sent to it. No committed change produces such a table.
 func TestRouteNeverChoosesATargetOfAnotherService(t *testing.T) {
 	const foreign model.TargetID = 21
 	cases := []struct {
@@ -147,7 +147,7 @@
 	}{
 		{"foreign head", model.Bucket{Head: foreign, Alternate: 12}, VerdictForward, 12},
 		{"foreign alternate", model.Bucket{Head: 12, Alternate: foreign}, VerdictForward, 12},
-		{"foreign targets alone", model.Bucket{Head: foreign, Alternate: 31}, VerdictNoTarget, 0},
+		{"only foreign targets", model.Bucket{Head: foreign, Alternate: 31}, VerdictNoTarget, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,11 +159,11 @@
 			table.Set(row)
 			configuration.Buckets[quicService] = table
 			index := newIndex(startTime, configuration, nil, limits)
-			carried := ingressPacket(model.ProtocolUDP, quicAddress, quicInitial)
-			cachedFlow := carried.Flow
+			encapsulated := ingressPacket(model.ProtocolUDP, quicAddress, quicInitial)
+			cachedFlow := encapsulated.Flow
 			cachedFlow.Protocol = model.ProtocolQUIC
 			router.cache.Insert(routing.FlowHash(cachedFlow), cachedFlow, foreign)
-			target, verdict := router.Route(startTime, index, carried)
+			target, verdict := router.Route(startTime, index, encapsulated)
 			require.Equal(t, test.verdict, verdict)
 			if verdict == VerdictForward {
 				require.Equal(t, configuration.Targets[test.want].Agent, target.agent)
@@ -232,19 +232,19 @@
 	require.Equal(t, configuration.Targets[row.Alternate].Agent, target.agent)
 }
 
-// Neither the packets of cached flows nor opening packets and the hints about
-// them allocate, with as many flows in the cache as one balancer holds.
+// Packets of cached flows, opening packets, and hints about new flows are all handled
+// without allocation while the cache holds benchmarkFlows flows.
 func TestPacketPathDoesNotAllocate(t *testing.T) {
 	router, index := filledRouter(t)
 	agent := testConfiguration().Targets[12].Agent.Addr()
-	carried := newBenchmarkPacket()
+	encapsulated := newBenchmarkPacket()
 	number := 0
 	send := func(payload []byte) {
 		number++
-		carried.Flow.Protocol = model.ProtocolUDP
-		carried.Flow.Source = benchmarkSource(number)
-		carried.Payload = payload
-		_, verdict := router.Route(startTime, index, carried)
+		encapsulated.Flow.Protocol = model.ProtocolUDP
+		encapsulated.Flow.Source = benchmarkSource(number)
+		encapsulated.Payload = payload
+		_, verdict := router.Route(startTime, index, encapsulated)
 		require.Equal(t, VerdictForward, verdict)
 	}
 	hint := ingressPacket(model.ProtocolQUIC, quicAddress, nil)
--- a/internal/balancer/fixture_test.go
+++ b/internal/balancer/fixture_test.go
@@ -17,7 +17,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout bounds waits for a condition; it is no measure of speed.
+// conditionTimeout limits the wait for a condition, so that a test that fails ends.
+// No test depends on its length.
 const conditionTimeout = 20 * time.Second
 
 // receiveBufferBytes is the largest datagram over loopback, in bytes.
@@ -37,8 +38,8 @@
 	startTime   = time.Unix(1_000_000, 0)
 )
 
-// addService adds a service whose targets have the IDs 10 times the service's
-// and up, with agents at 127.0.SERVICE.TARGET:6081.
+// addService adds a service with serving targets, whose IDs count up from 10 times
+// the service's ID and whose agents are at 127.0.SERVICE.TARGET:6081.
 func addService(configuration *model.Configuration, id model.ServiceID, protocol model.Protocol, address netip.AddrPort, targets int) {
 	configuration.Services[id] = model.Service{
 		ID: id, Tenant: "riga", Name: fmt.Sprintf("service-%d", id), Protocol: protocol, Address: address,
@@ -53,8 +54,8 @@
 	configuration.Buckets[id] = routing.NewTable(id, configuration.ServiceTargets(id), configuration.Revision)
 }
 
-// testConfiguration has a QUIC and a TCP service at one address and a UDP
-// service, with four targets each.
+// testConfiguration returns a configuration at revision 5 with a QUIC and a TCP
+// service at one address and a UDP service, with four targets each.
 func testConfiguration() *model.Configuration {
 	configuration := model.NewConfiguration()
 	configuration.Revision = 5
@@ -64,19 +65,20 @@
 	return configuration
 }
 
+// newTestRouter returns a router with an empty cache for 1000 flows, and its limits.
 func newTestRouter(openingsPerSource float64) (*Router, *Limits) {
 	limits := NewLimits(openingsPerSource)
 	return NewRouter(flow.NewCache(1000), limits), limits
 }
 
-// quicInitial is the start of a QUIC version 1 Initial, and quicShort that of
+// quicInitial is the start of a QUIC version 1 Initial packet, quicShort the start of
 // a packet with a short header.
 var (
 	quicInitial = []byte{0xc3, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8}
 	quicShort   = []byte{0x43, 1, 2, 3, 4, 5, 6, 7, 8}
 )
 
-// ingressPacket is a decoded packet as the fabric sends it.
+// ingressPacket returns a packet as decoded from the fabric, sent by caller.
 func ingressPacket(protocol model.Protocol, destination netip.AddrPort, payload []byte) *packet.Encapsulated {
 	return &packet.Encapsulated{
 		Kind:    packet.KindIngress,
@@ -85,12 +87,12 @@
 	}
 }
 
-// rowOf returns the bucket row of the flow from caller to a service.
+// rowOf returns the bucket of the flow from caller to a service.
 func rowOf(t testing.TB, configuration *model.Configuration, service model.ServiceID) model.Bucket {
 	t.Helper()
-	row, exists := configuration.Services[service]
+	definition, exists := configuration.Services[service]
 	require.True(t, exists)
 	table := configuration.Buckets[service]
-	flow := model.FiveTuple{Protocol: row.Protocol, Source: caller, Destination: row.Address}
+	flow := model.FiveTuple{Protocol: definition.Protocol, Source: caller, Destination: definition.Address}
 	return table.Bucket(routing.BucketOf(routing.FlowHash(flow), table.Count()))
 }
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// senderCount is the number of sources: sending costs the kernel more than
-	// receiving, so one alone would be what is measured.
+	// senderCount is the number of senders. Sending costs the kernel more than
+	// receiving, so with one sender the benchmark would measure the sender.
 	senderCount = 3
-	// forwardRound is the number of packets after which a benchmark changes
-	// between carriers; a multiple of pumpBatch.
-	forwardRound = 4096
+	// packetsPerTurn is the number of packets after which a benchmark switches to the
+	// next forwarder; a multiple of sendBatchSize.
+	packetsPerTurn = 4096
 )
 
-// BenchmarkForwarding measures whole forwarding through Geneve beside two bare
-// UDP relays: "relay" makes one system call a datagram, "batch-relay" uses the
-// balancer's batches. All carry the same datagrams in turns of forwardRound
-// packets, so that the machine's noise hits all.
+// BenchmarkForwarding compares complete forwarding in Geneve with two plain UDP relays:
+// "relay" makes one system call to receive and one to send each datagram, "batch-relay"
+// uses the balancer's batches. All forward the same datagrams in turns of packetsPerTurn
+// packets, so that noise on the machine affects all alike.
 //
-// "ratio" and "batch-ratio" are the balancer's processor time a packet over
-// that of each relay; "elapsed-ratio" compares elapsed times with the first
-// relay, which include the senders and the sink.
+// "ratio" and "batch-ratio" are the balancer's processor time per packet divided by that
+// of each relay. "elapsed-ratio" is the balancer's elapsed time divided by that of
+// "relay"; it includes the senders and the sink.
 func BenchmarkForwarding(b *testing.B) {
 	arrivals := startSink(b, 1)
 	next := arrivals.addresses[0]
@@ -32,10 +32,10 @@
 	senders := startSenders(b, senderCount, ingressDatagrams(b))
 	packets := 0
 	for b.Loop() {
-		for _, turn := range []*carrier{relay, batchRelay, balancer} {
-			turn.elapsed += pump(b, senders, socketAddress(turn.socket), arrivals, forwardRound)
+		for _, forwarder := range []*measuredForwarder{relay, batchRelay, balancer} {
+			forwarder.elapsed += sendAndAwait(b, senders, socketAddress(forwarder.socket), arrivals, packetsPerTurn)
 		}
-		packets += forwardRound
+		packets += packetsPerTurn
 	}
 	relayTime, batchRelayTime, balancerTime := relay.stop(), batchRelay.stop(), balancer.stop()
 	perPacket := func(total time.Duration) float64 { return float64(total.Nanoseconds()) / float64(packets) }
@@ -48,31 +48,30 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkForwardingWorkers measures balancers with several workers on their
-// one socket, in turns. "cpu-ns" is the processor time of all workers for a
-// packet: what grows with their number is what they wait for in each other's
-// way. "packets/s" includes as many senders as there are workers, and is
-// bounded by them where the machine has no processors left.
+// BenchmarkForwardingWorkers measures balancers with different numbers of workers on one
+// socket, in turns. "cpu-ns" is the processor time of all workers per packet; its growth
+// with the number of workers is the cost of contention. "packets/s" is measured with as
+// many senders as workers; on a machine with too few processors the senders limit it.
 func BenchmarkForwardingWorkers(b *testing.B) {
 	arrivals := startSink(b, 4)
 	datagrams := ingressDatagrams(b)
 	workerCounts := []int{1, 4, 8}
-	balancers := make([]*carrier, len(workerCounts))
+	balancers := make([]*measuredForwarder, len(workerCounts))
 	senders := make([][]*sender, len(workerCounts))
-	for place, workers := range workerCounts {
-		balancers[place] = startBenchmarkBalancer(b, workers, arrivals.addresses)
-		senders[place] = startSenders(b, workers, datagrams)
+	for position, workers := range workerCounts {
+		balancers[position] = startBenchmarkBalancer(b, workers, arrivals.addresses)
+		senders[position] = startSenders(b, workers, datagrams)
 	}
 	packets := 0
 	for b.Loop() {
-		for place, balancer := range balancers {
-			balancer.elapsed += pump(b, senders[place], socketAddress(balancer.socket), arrivals, forwardRound)
+		for position, balancer := range balancers {
+			balancer.elapsed += sendAndAwait(b, senders[position], socketAddress(balancer.socket), arrivals, packetsPerTurn)
 		}
-		packets += forwardRound
+		packets += packetsPerTurn
 	}
-	for place, balancer := range balancers {
+	for position, balancer := range balancers {
 		processorTime := balancer.stop()
-		name := fmt.Sprintf("workers=%d-", workerCounts[place])
+		name := fmt.Sprintf("workers=%d-", workerCounts[position])
 		b.ReportMetric(float64(processorTime.Nanoseconds())/float64(packets), name+"cpu-ns")
 		b.ReportMetric(float64(packets)/balancer.elapsed.Seconds(), name+"packets/s")
 	}
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -10,9 +10,10 @@
 	"merlinpaddle/internal/routing"
 )
 
-// FuzzForward checks what a balancer sends on for any datagram: a packet with
-// the caller's bytes unchanged, for the service that has the destination, with
-// the row of the flow's bucket, to an agent of that service.
+// FuzzForward checks that whatever datagram arrives, a packet that the balancer forwards
+// has the caller's bytes unchanged, names the service at the destination address, has a
+// chain that begins with the head of the flow's bucket, and goes to an agent of that
+// service.
 func FuzzForward(f *testing.F) {
 	for _, flow := range []model.FiveTuple{
 		{Source: caller, Destination: quicAddress},
@@ -21,12 +22,12 @@
 	} {
 		for _, payload := range [][]byte{nil, quicInitial, quicShort} {
 			inner := packet.BuildInnerUDP(flow, payload)
-			for _, carried := range []packet.Encapsulated{
+			for _, encapsulated := range []packet.Encapsulated{
 				{Kind: packet.KindIngress, Inner: inner},
 				{Kind: packet.KindHint, Service: quicService, Owner: 11, Flow: flow},
 				{Kind: packet.KindForward, Service: quicService, Chain: []model.TargetID{11, 12}, Inner: inner},
 			} {
-				data, err := packet.Encode(carried)
+				data, err := packet.Encode(encapsulated)
 				if err != nil {
 					f.Fatal(err)
 				}
@@ -71,6 +72,8 @@
 	})
 }
 
+// checkForwarded checks the service, the target and the head of the chain of a packet
+// that was forwarded to target.
 func checkForwarded(t *testing.T, configuration *model.Configuration, forwarded packet.Encapsulated, target *targetEntry) {
 	t.Helper()
 	service, known := configuration.Services[forwarded.Service]
--- a/internal/balancer/index.go
+++ b/internal/balancer/index.go
@@ -10,33 +10,34 @@
 	"merlinpaddle/internal/model"
 )
 
-// serviceKey is what a packet shows of its service: the protocol of the wire
-// and the destination.
+// serviceKey identifies a service by what a packet contains: the protocol in the
+// IP header and the destination.
 type serviceKey struct {
 	protocol    model.Protocol
 	destination netip.AddrPort
 }
 
-// serviceEntry is a service with what the packet path needs of it.
+// serviceEntry holds what the packet path needs to know of a service.
 type serviceEntry struct {
 	id       model.ServiceID
 	protocol model.Protocol
 	buckets  *model.BucketTable
-	// openings bounds the opening packets of the service at this balancer.
+	// openings limits the service's opening packets at this balancer.
 	openings *rate.Limiter
 }
 
-// targetEntry is what the packet path needs of a target.
+// targetEntry holds what the packet path needs to know of a target.
 type targetEntry struct {
 	service model.ServiceID
-	// agent is the agent's address, and destination the same for sending.
+	// agent is the address of the target's agent; destination is the same address
+	// in the form that the batch writer takes.
 	agent       netip.AddrPort
 	destination *net.UDPAddr
 	isDead      bool
 }
 
-// Index is one configuration in the form that the packet path reads. A
-// published index is never written.
+// Index holds one configuration as lookup tables for the packet path. A published
+// index is immutable, apart from the state of its rate limiters.
 type Index struct {
 	revision model.Revision
 	services map[serviceKey]*serviceEntry
@@ -55,14 +56,14 @@
 	return protocol
 }
 
-// keyOf returns the key of a flow towards a service.
+// keyOf returns the key of the service that a flow is addressed to.
 func keyOf(flow model.FiveTuple) serviceKey {
 	return serviceKey{protocol: wireProtocol(flow.Protocol), destination: flow.Destination}
 }
 
-// newIndex returns the index of a configuration. Services that stay keep the
-// limiters of the previous index, so that a change of configuration gives
-// nobody a fresh burst.
+// newIndex returns the index of a configuration. Services that exist in the
+// previous index, which may be nil, keep their limiters, so that a configuration
+// change does not refill their token buckets.
 func newIndex(now time.Time, configuration *model.Configuration, previous *Index, limits *Limits) *Index {
 	created := &Index{
 		revision: configuration.Revision,
@@ -82,13 +83,14 @@
 		}
 	}
 	for id, service := range configuration.Services {
-		created.addService(service, configuration.Buckets[id], limits.service(now, service, serving[id], previous))
+		created.addService(service, configuration.Buckets[id], limits.serviceLimiter(now, service, serving[id], previous))
 	}
 	return created
 }
 
-// addService enters a service. Two services at one address cannot be
-// committed; should it happen, the later service has the address.
+// addService adds a service to the index, unless it has no buckets. The control
+// plane never commits two services at one address; if it happens all the same, the
+// service with the higher ID gets the address.
 func (index *Index) addService(service model.Service, buckets *model.BucketTable, openings *rate.Limiter) {
 	if buckets == nil || buckets.Count() == 0 {
 		return
@@ -105,7 +107,8 @@
 	}
 }
 
-// limiterOf returns the limiter of a service, or nil.
+// limiterOf returns the service's limiter in the index, or nil if the index is nil
+// or does not have the service.
 func (index *Index) limiterOf(service model.Service) *rate.Limiter {
 	if index == nil {
 		return nil
--- a/internal/balancer/index_bench_test.go
+++ b/internal/balancer/index_bench_test.go
@@ -11,8 +11,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// indexBenchConfiguration spreads targets over services, with the usual number
-// of buckets.
+// indexBenchConfiguration returns a configuration with targets spread evenly over
+// services, and model.BucketsPerTarget buckets for each target.
 func indexBenchConfiguration(services, targets int) *model.Configuration {
 	configuration := model.NewConfiguration()
 	configuration.Revision = 1
@@ -31,9 +31,9 @@
 	return configuration
 }
 
-// BenchmarkIndex gives the slope of docs/CAPACITY.md for what a change of the
-// configuration costs a balancer beside applying it: the packet path's index,
-// its time and its heap.
+// BenchmarkIndex measures the time and the heap that building the index takes, which a
+// configuration change costs a balancer in addition to applying it. Its results over the
+// sizes give the slope in docs/CAPACITY.md.
 func BenchmarkIndex(b *testing.B) {
 	for _, size := range []struct{ services, targets int }{{600, 5125}, {1200, 10250}, {2400, 20500}, {4800, 41000}} {
 		b.Run(fmt.Sprintf("services=%d,targets=%d", size.services, size.targets), func(b *testing.B) {
@@ -41,16 +41,17 @@
 			limits := NewLimits(0)
 			before := heapInUse()
 			index := newIndex(startTime, configuration, nil, limits)
-			held := heapInUse() - before
+			indexBytes := heapInUse() - before
 			for b.Loop() {
 				index = newIndex(startTime, configuration, index, limits)
 			}
 			require.Len(b, index.targets, size.targets)
-			b.ReportMetric(held/1e6, "heap-MB")
+			b.ReportMetric(indexBytes/1e6, "heap-MB")
 		})
 	}
 }
 
+// heapInUse returns the bytes of live heap objects after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	var statistics runtime.MemStats
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// sourceRows is the number of limiters that watch one source address. A
-	// source is refused only if all of them refuse, so a quiet source suffers
-	// from a busy one only if it shares all its limiters with busy ones.
+	// sourceRows is the number of limiters that each source address is hashed to.
+	// A source is refused only if all of them refuse, so busy sources limit a
+	// quiet one only if every one of its limiters is shared with a busy source.
 	sourceRows = 2
-	// sourceColumns is the number of limiters in a row. The memory is fixed,
-	// however many sources there are.
+	// sourceColumns is the number of limiters in a row. Memory does not grow with
+	// the number of sources.
 	sourceColumns = 1 << 13
-	// openingPacketsPerFlow allows for an Initial that spans datagrams and for
-	// repeated opening packets of one flow.
+	// openingPacketsPerFlow allows for a QUIC Initial that spans several datagrams
+	// and for retransmitted opening packets of one flow.
 	openingPacketsPerFlow = 4
 )
 
-// Limits bounds opening packets, for each source address and each service.
-// Each limiter has a lock of its own.
+// Limits rate-limits opening packets by token buckets, for each source address and
+// for each service. It is safe for concurrent use: each limiter has its own lock.
 type Limits struct {
-	// sources is nil when there is no bound for sources.
+	// sources has sourceRows rows of sourceColumns limiters; it is nil when source
+	// addresses are not limited.
 	sources [][]*rate.Limiter
 }
 
-// NewLimits returns limits with the bound of opening packets a second for each
-// source address; zero means none.
+// NewLimits returns limits that allow openingsPerSource opening packets per second
+// from each source address; zero means no limit. The burst is one second's worth, and at
+// least one packet.
 func NewLimits(openingsPerSource float64) *Limits {
 	limits := &Limits{}
 	if openingsPerSource <= 0 {
@@ -49,7 +51,8 @@
 	return limits
 }
 
-// allowSource takes a token of the source and tells whether it may open.
+// allowSource takes a token from the source's limiters and reports whether the
+// source may send an opening packet now.
 func (limits *Limits) allowSource(now time.Time, source netip.Addr) bool {
 	if limits.sources == nil {
 		return true
@@ -60,19 +63,19 @@
 	binary.BigEndian.PutUint64(halves[:], hash)
 	first := binary.BigEndian.Uint32(halves[:4]) % sourceColumns
 	second := binary.BigEndian.Uint32(halves[4:]) % sourceColumns
-	// Both take their token, so that neither is left behind.
+	// Take a token from both limiters, so that a source uses them up equally.
 	isFirstAllowed := limits.sources[0][first].AllowN(now, 1)
 	isSecondAllowed := limits.sources[1][second].AllowN(now, 1)
 	return isFirstAllowed || isSecondAllowed
 }
 
-// service returns the limiter of a service with the given number of serving
-// targets: that of the previous index, brought up to date, or a new one.
+// serviceLimiter returns the limiter of a service with the given number of serving
+// targets: the one of the previous index, with rate and burst updated, or a new one.
 //
-// The limit is what all the service's targets together may open. The fabric
-// spreads openings over all balancers, so a balancer that sees more than that
-// alone is being flooded.
-func (limits *Limits) service(now time.Time, service model.Service, servingTargets int, previous *Index) *rate.Limiter {
+// The limit is the number of flows that all the service's targets together may
+// open, times openingPacketsPerFlow. The fabric spreads opening packets over all
+// balancers, so a balancer that alone receives more than that is being flooded.
+func (limits *Limits) serviceLimiter(now time.Time, service model.Service, servingTargets int, previous *Index) *rate.Limiter {
 	bounds := service.Limits
 	perSecond, burst := bounds.NewFlowsPerSecond, bounds.NewFlowBurst
 	if perSecond <= 0 {
--- a/internal/balancer/limits_test.go
+++ b/internal/balancer/limits_test.go
@@ -18,7 +18,8 @@
 		protocol    model.Protocol
 		destination netip.AddrPort
 		payload     []byte
-		// newFlows is the service's limit a target; zero means the default.
+		// newFlows is the service's limit of new flows per second for each target;
+		// zero means the default.
 		newFlows float64
 		sources  int
 		packets  int
@@ -28,7 +29,7 @@
 		{"one source floods with Initials", model.ProtocolUDP, quicAddress, quicInitial, 0, 1, 40, perSource, VerdictSourceLimit},
 		{"established packets have no limit", model.ProtocolUDP, quicAddress, quicShort, 1, 1, 400, 400, VerdictForward},
 		{"plain UDP has no limit", model.ProtocolUDP, udpAddress, quicInitial, 1, 1, 400, 400, VerdictForward},
-		// Four targets with one flow a second each, and four packets a flow.
+		// 16: four targets with one flow per second each, and four packets per flow.
 		{"many sources flood one service", model.ProtocolUDP, quicAddress, quicInitial, 1, 100, 100, 16, VerdictServiceLimit},
 	}
 	for _, test := range cases {
@@ -43,9 +44,9 @@
 			index := newIndex(startTime, configuration, nil, limits)
 			allowed := 0
 			for sequence := range test.packets {
-				carried := ingressPacket(test.protocol, test.destination, test.payload)
-				carried.Flow.Source = netip.AddrPortFrom(sourceNumber(sequence%test.sources), 7)
-				_, verdict := router.Route(startTime, index, carried)
+				encapsulated := ingressPacket(test.protocol, test.destination, test.payload)
+				encapsulated.Flow.Source = netip.AddrPortFrom(sourceAddress(sequence%test.sources), 7)
+				_, verdict := router.Route(startTime, index, encapsulated)
 				if verdict == VerdictForward {
 					allowed++
 					continue
@@ -57,7 +58,8 @@
 	}
 }
 
-func sourceNumber(number int) netip.Addr {
+// sourceAddress returns a distinct loopback address for each number.
+func sourceAddress(number int) netip.Addr {
 	var address [4]byte
 	binary.BigEndian.PutUint32(address[:], 0x7f030000+uint32(number))
 	return netip.AddrFrom4(address)
@@ -77,28 +79,29 @@
 	}
 }
 
-// A busy source must not exhaust the share of quiet ones. Sources share
-// limiters only by chance, so a few in thousands may be refused.
-func TestBusySourceLeavesQuietSourcesAlone(t *testing.T) {
+// A source that has used up its limit must not cause other sources to be refused. A
+// source shares both limiters with the busy one only by a hash collision in both rows,
+// which none of these 5000 does.
+func TestBusySourceDoesNotLimitQuietSources(t *testing.T) {
 	limits := NewLimits(10)
-	busy := sourceNumber(1 << 15)
+	busy := sourceAddress(1 << 15)
 	for range 1000 {
 		limits.allowSource(startTime, busy)
 	}
 	require.False(t, limits.allowSource(startTime, busy))
 	refused := 0
 	for number := range 5000 {
-		if !limits.allowSource(startTime, sourceNumber(number)) {
+		if !limits.allowSource(startTime, sourceAddress(number)) {
 			refused++
 		}
 	}
 	require.Zero(t, refused)
-	require.True(t, limits.allowSource(startTime.Add(time.Second), busy), "tokens come back with time")
+	require.True(t, limits.allowSource(startTime.Add(time.Second), busy), "tokens are refilled with time")
 }
 
-// A flood against one tenant's service, from more sources than the limits for
-// sources can tell apart, takes nothing of another tenant's share.
-func TestFloodOfOneTenantLeavesOthersTheirShare(t *testing.T) {
+// A flood of one tenant's service, from more sources than there are limiters for
+// sources, must not use up the limit of another tenant's service.
+func TestFloodOfOneTenantDoesNotLimitOtherTenants(t *testing.T) {
 	configuration := testConfiguration()
 	for id, service := range configuration.Services {
 		service.Tenant = model.TenantName(service.Name)
@@ -110,9 +113,9 @@
 	syn := make([]byte, 20)
 	syn[13] = 0x02
 	open := func(number int, protocol model.Protocol, destination netip.AddrPort, payload []byte) Verdict {
-		carried := ingressPacket(protocol, destination, payload)
-		carried.Flow.Source = netip.AddrPortFrom(sourceNumber(number), 7)
-		_, verdict := router.Route(startTime, index, carried)
+		encapsulated := ingressPacket(protocol, destination, payload)
+		encapsulated.Flow.Source = netip.AddrPortFrom(sourceAddress(number), 7)
+		_, verdict := router.Route(startTime, index, encapsulated)
 		return verdict
 	}
 	for number := range 10_000 {
@@ -131,8 +134,8 @@
 	configuration := testConfiguration()
 	first := newIndex(startTime, configuration, nil, limits)
 	key := serviceKey{protocol: model.ProtocolUDP, destination: quicAddress}
-	spent := first.services[key].openings
-	require.True(t, spent.AllowN(startTime, spent.Burst()))
+	limiter := first.services[key].openings
+	require.True(t, limiter.AllowN(startTime, limiter.Burst()))
 
 	next := testConfiguration()
 	next.Revision++
@@ -140,12 +143,12 @@
 	service.Limits.NewFlowsPerSecond = 1
 	next.Services[quicService] = service
 	second := newIndex(startTime, next, first, limits)
-	require.Same(t, spent, second.services[key].openings)
-	require.False(t, spent.AllowN(startTime, 1), "a change gives no fresh burst")
-	require.EqualValues(t, 16, spent.Limit())
+	require.Same(t, limiter, second.services[key].openings)
+	require.False(t, limiter.AllowN(startTime, 1), "a configuration change refills no token bucket")
+	require.EqualValues(t, 16, limiter.Limit())
 
 	delete(next.Services, quicService)
 	addService(next, 8, model.ProtocolQUIC, quicAddress, 1)
 	third := newIndex(startTime, next, second, limits)
-	require.NotSame(t, spent, third.services[key].openings, "another service starts with its own share")
+	require.NotSame(t, limiter, third.services[key].openings, "another service at the address gets its own limiter")
 }
--- a/internal/balancer/module.go
+++ b/internal/balancer/module.go
@@ -16,12 +16,13 @@
 	"merlinpaddle/internal/settings"
 )
 
-// indexInterval is how often the index controller runs without a notice.
+// indexInterval is how often the index controller runs without a change notification.
 const indexInterval = time.Second
 
-// Module returns the parts of the balancer process. It belongs behind
-// rollout.NodeModule in the list of modules: parts stop in reverse order, and
-// the node must stay subscribed during the stop's grace.
+// Module returns the components of the balancer process. It must come after
+// rollout.NodeModule in the list of modules: components stop in reverse order,
+// and the node must stay subscribed to configurations during the grace period of
+// a planned stop.
 func Module() fx.Option {
 	return fx.Module("balancer",
 		fx.Provide(newFromSettings),
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -17,6 +17,8 @@
 	"merlinpaddle/internal/rollout"
 )
 
+// All workers read the same cumulative count of the socket, at different moments. Each
+// lost datagram must be counted once, also when the 32-bit count wraps around.
 func TestLostDatagramsAreCountedOnceForAllWorkers(t *testing.T) {
 	cases := []struct {
 		name string
@@ -24,8 +26,8 @@
 		want float64
 	}{
 		{"none", []uint32{0, 0}, 0},
-		{"two workers see the same", []uint32{3, 3, 7, 7}, 7},
-		{"a worker is late", []uint32{8, 5, 9}, 9},
+		{"two workers read the same count", []uint32{3, 3, 7, 7}, 7},
+		{"a worker reports an older count", []uint32{8, 5, 9}, 9},
 		{"the count wraps around", []uint32{math.MaxInt32, math.MaxUint32 - 1, 4}, math.MaxUint32 + 5},
 	}
 	for _, test := range cases {
@@ -34,13 +36,14 @@
 			for _, seen := range test.seen {
 				counters.countLost(seen)
 			}
-			require.Equal(t, test.want, testutil.ToFloat64(counters.lost))
+			require.Equal(t, test.want, testutil.ToFloat64(counters.lostDatagrams))
 		})
 	}
 }
 
-// ingressData returns an ingress datagram of an established flow.
-func ingressData(t *testing.T, source netip.AddrPort) []byte {
+// ingressData returns the datagram that the fabric sends for a packet of an
+// established flow.
+func ingressDatagram(t *testing.T, source netip.AddrPort) []byte {
 	t.Helper()
 	tuple := model.FiveTuple{Source: source, Destination: quicAddress}
 	data, err := packet.Encode(packet.Encapsulated{Kind: packet.KindIngress, Inner: packet.BuildInnerUDP(tuple, quicShort)})
@@ -48,14 +51,14 @@
 	return data
 }
 
-// A balancer that is not scheduled in time loses packets in its socket; it
-// counts each of them and forwards the others.
-func TestBalancerCountsWhatItsSocketLost(t *testing.T) {
+// A balancer that is not scheduled in time loses packets because its receive buffer is
+// full. It must count each lost packet and forward the others.
+func TestBalancerCountsDatagramsLostByItsSocket(t *testing.T) {
 	agent, sender := openSocket(t), openSocket(t)
 	defer agent.Close()
 	defer sender.Close()
 	store := rollout.NewStore()
-	store.Advance(configurationTowards(socketAddress(agent)))
+	store.Advance(configurationWithAgent(socketAddress(agent)))
 	created, err := New(Options{
 		Packets: freePort, CacheFlows: 1000, Workers: 2, Configurations: store,
 		Readiness: process.NewReadiness(), Registry: prometheus.NewRegistry(),
@@ -65,7 +68,7 @@
 	require.NoError(t, created.socket.SetReadBuffer(8<<10))
 	sent := 0
 	send := func() {
-		_, err := sender.WriteToUDPAddrPort(ingressData(t, caller), created.Address())
+		_, err := sender.WriteToUDPAddrPort(ingressDatagram(t, caller), created.Address())
 		require.NoError(t, err)
 		sent++
 	}
@@ -74,11 +77,11 @@
 	}
 	runUntilEnd(t, created.Run)
 	accounted := func() float64 {
-		return testutil.ToFloat64(created.metrics.lost) + testutil.ToFloat64(created.metrics.verdicts[VerdictForward])
+		return testutil.ToFloat64(created.metrics.lostDatagrams) + testutil.ToFloat64(created.metrics.verdicts[VerdictForward])
 	}
-	// The kernel tells the loss with the next datagram that it takes.
+	// The kernel reports the loss with the next datagram that it queues, so keep sending.
 	require.Eventually(t, func() bool {
-		if testutil.ToFloat64(created.metrics.lost) > 0 && accounted() == float64(sent) {
+		if testutil.ToFloat64(created.metrics.lostDatagrams) > 0 && accounted() == float64(sent) {
 			return true
 		}
 		send()
@@ -86,9 +89,9 @@
 	}, conditionTimeout, time.Millisecond)
 }
 
-// configurationTowards is the test configuration with one agent address for
-// all targets of the QUIC service.
-func configurationTowards(agent netip.AddrPort) *model.Configuration {
+// configurationTowards returns the test configuration with the given agent address
+// for all targets of the QUIC service.
+func configurationWithAgent(agent netip.AddrPort) *model.Configuration {
 	configuration := testConfiguration()
 	for _, target := range configuration.ServiceTargets(quicService) {
 		target.Agent = agent
@@ -97,9 +100,9 @@
 	return configuration
 }
 
-// A target whose agent is gone, or takes nothing from its socket, does not
-// keep the packets of other targets back.
-func TestOneTargetDoesNotHoldUpOthers(t *testing.T) {
+// A target whose agent has closed its port, or does not read from its socket, must not
+// delay packets to other targets.
+func TestUnresponsiveTargetDoesNotDelayOtherTargets(t *testing.T) {
 	cases := []struct {
 		name     string
 		isClosed bool
@@ -109,14 +112,14 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			stuck, agent, sender := openSocket(t), openSocket(t), openSocket(t)
-			defer stuck.Close()
+			unresponsive, agent, sender := openSocket(t), openSocket(t), openSocket(t)
+			defer unresponsive.Close()
 			defer agent.Close()
 			defer sender.Close()
-			require.NoError(t, stuck.SetReadBuffer(4<<10))
-			configuration := configurationTowards(socketAddress(stuck))
+			require.NoError(t, unresponsive.SetReadBuffer(4<<10))
+			configuration := configurationWithAgent(socketAddress(unresponsive))
 			if test.isClosed {
-				require.NoError(t, stuck.Close())
+				require.NoError(t, unresponsive.Close())
 			}
 			address := netip.MustParseAddrPort("127.1.0.3:443")
 			addService(configuration, 9, model.ProtocolUDP, address, 1)
@@ -132,7 +135,7 @@
 			const rounds = 20
 			for range rounds {
 				for number := range 10 {
-					_, err := sender.WriteToUDPAddrPort(ingressData(t, benchmarkSource(number)), balancer.Address())
+					_, err := sender.WriteToUDPAddrPort(ingressDatagram(t, benchmarkSource(number)), balancer.Address())
 					require.NoError(t, err)
 				}
 				_, err := sender.WriteToUDPAddrPort(other, balancer.Address())
--- a/internal/balancer/path_test.go
+++ b/internal/balancer/path_test.go
@@ -25,7 +25,8 @@
 
 var freePort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// runUntilEnd runs a part until the test ends and checks that it ends clean.
+// runUntilEnd runs a component until stop is called or the test ends, and requires that
+// it then returns without an error.
 func runUntilEnd(t *testing.T, run func(ctx context.Context) error) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -42,7 +43,7 @@
 	return stop
 }
 
-// testBalancer is a running balancer over a store of its own.
+// testBalancer is a running balancer with its own configuration store.
 type testBalancer struct {
 	*Balancer
 	store *rollout.Store
@@ -75,8 +76,8 @@
 	return platform.Machine{Name: name, Role: "balancer", Zone: "z", Address: balancer.Address().String(), State: platform.StateLive}
 }
 
-// fakeAgent answers each forwarded datagram through the fabric with the name
-// of its target, and sends the balancer a hint.
+// fakeAgent answers each forwarded datagram through the fabric with a text that names
+// its target, and sends a hint to the balancer.
 type fakeAgent struct {
 	socket *net.UDPConn
 	target model.TargetID
@@ -139,8 +140,8 @@
 	return err
 }
 
-// testPath is a whole path over loopback: caller, fabric, two balancers, and
-// one agent for each of the service's targets.
+// testPath is a complete packet path over loopback: the fabric, two balancers, and one
+// agent for each of the service's targets. Callers are added by openFlow.
 type testPath struct {
 	fabric        *fabric.Fabric
 	machines      *fabric.Machines
@@ -151,18 +152,18 @@
 func startPath(t *testing.T) *testPath {
 	t.Helper()
 	machines := fabric.NewMachines()
-	carrier, err := fabric.New(fabric.Options{
+	testFabric, err := fabric.New(fabric.Options{
 		Addresses: []netip.AddrPort{freePort}, Geneve: freePort, Seed: 3,
 		Machines: machines, Registry: prometheus.NewRegistry(),
 	})
 	require.NoError(t, err)
-	runUntilEnd(t, carrier.Run)
-	path := &testPath{fabric: carrier, machines: machines}
+	runUntilEnd(t, testFabric.Run)
+	path := &testPath{fabric: testFabric, machines: machines}
 	path.configuration = model.NewConfiguration()
 	path.configuration.Revision = 5
-	addService(path.configuration, udpService, model.ProtocolUDP, carrier.Addresses()[0], 3)
+	addService(path.configuration, udpService, model.ProtocolUDP, testFabric.Addresses()[0], 3)
 	for id, target := range path.configuration.Targets {
-		agent := &fakeAgent{socket: openSocket(t), target: id, fabric: carrier.Geneve()}
+		agent := &fakeAgent{socket: openSocket(t), target: id, fabric: testFabric.Geneve()}
 		target.Agent = socketAddress(agent.socket)
 		path.configuration.Targets[id] = target
 		runUntilEnd(t, agent.run)
@@ -170,12 +171,12 @@
 	for range 2 {
 		path.balancers = append(path.balancers, startBalancer(t, path.configuration))
 	}
-	path.list(path.balancers...)
+	path.setBalancers(path.balancers...)
 	return path
 }
 
-// list makes the fabric spray over the given balancers.
-func (path *testPath) list(balancers ...*testBalancer) {
+// setBalancers makes the fabric spray packets over the given balancers.
+func (path *testPath) setBalancers(balancers ...*testBalancer) {
 	var machines []platform.Machine
 	for index, balancer := range balancers {
 		machines = append(machines, balancer.machine(fmt.Sprint("balancer-", index)))
@@ -183,7 +184,7 @@
 	path.machines.Replace(machines)
 }
 
-// testCaller is one flow.
+// testCaller is a caller with one flow, which is that of its socket.
 type testCaller struct {
 	socket *net.UDPConn
 	path   *testPath
@@ -197,6 +198,7 @@
 	return &testCaller{socket: socket, path: path}
 }
 
+// exchange sends text to the service and returns the answer.
 func (caller *testCaller) exchange(t *testing.T, text string) string {
 	t.Helper()
 	address := caller.path.fabric.Addresses()[0]
@@ -209,13 +211,14 @@
 	return string(buffer[:length])
 }
 
+// expectedTarget returns the head of the flow's bucket.
 func (caller *testCaller) expectedTarget(path *testPath) model.TargetID {
 	table := path.configuration.Buckets[udpService]
 	flow := model.FiveTuple{Protocol: model.ProtocolUDP, Source: socketAddress(caller.socket), Destination: path.fabric.Addresses()[0]}
 	return table.Heads[routing.BucketOf(routing.FlowHash(flow), table.Count())]
 }
 
-func TestFlowsKeepTheirTargetWhileBalancersComeAndGo(t *testing.T) {
+func TestFlowsKeepTheirTargetWhenBalancersJoinAndLeave(t *testing.T) {
 	path := startPath(t)
 	var callers []*testCaller
 	for range 20 {
@@ -235,19 +238,19 @@
 	}, conditionTimeout, time.Millisecond)
 
 	joined := startBalancer(t, path.configuration)
-	path.list(joined)
-	exchangeAll("over a balancer that just joined")
+	path.setBalancers(joined)
+	exchangeAll("over a balancer that has just joined")
 
-	path.list(path.balancers[1])
+	path.setBalancers(path.balancers[1])
 	joined.stop()
 	path.balancers[0].stop()
-	exchangeAll("over the balancer that is left")
+	exchangeAll("over the remaining balancer")
 }
 
 func TestBalancerFollowsAConfigurationChange(t *testing.T) {
 	path := startPath(t)
 	balancer := path.balancers[0]
-	path.list(balancer)
+	path.setBalancers(balancer)
 	caller := path.openFlow(t)
 	caller.exchange(t, "before")
 
@@ -260,7 +263,7 @@
 	require.Eventually(t, func() bool { return balancer.counted(VerdictUnknownService) == 1 }, conditionTimeout, time.Millisecond)
 }
 
-func TestBalancerCountsWhatItDrops(t *testing.T) {
+func TestBalancerCountsDropsByVerdict(t *testing.T) {
 	inner := packet.BuildInnerUDP(model.FiveTuple{Source: caller, Destination: quicAddress}, quicInitial)
 	unknown := packet.BuildInnerUDP(model.FiveTuple{Source: caller, Destination: caller}, nil)
 	cases := []struct {
@@ -296,7 +299,7 @@
 	}
 }
 
-func TestPacketAddressTaken(t *testing.T) {
+func TestNewFailsWhenThePacketAddressIsInUse(t *testing.T) {
 	socket := openSocket(t)
 	defer socket.Close()
 	_, err := New(Options{Packets: socketAddress(socket), Configurations: rollout.NewStore(), Registry: prometheus.NewRegistry()})
--- a/internal/balancer/route_bench_test.go
+++ b/internal/balancer/route_bench_test.go
@@ -17,33 +17,33 @@
 )
 
 const (
-	// benchmarkFlows is the number of flows that one balancer holds.
+	// benchmarkFlows is the number of flows that one balancer is expected to cache.
 	benchmarkFlows = 500_000
-	// benchmarkCapacity leaves so much room that sets of the cache which get
-	// more than their share evict nothing.
-	benchmarkCapacity = 1_000_000
+	// benchmarkCacheCapacity is large enough that even cache sets to which more flows
+	// than the average hash evict nothing.
+	benchmarkCacheCapacity = 1_000_000
 )
 
-// benchmarkSource returns the caller of the flow with a number.
+// benchmarkSource returns the source address of the flow with a number.
 func benchmarkSource(number int) netip.AddrPort {
 	var address [4]byte
 	binary.BigEndian.PutUint32(address[:], 0x0a000000+uint32(number>>8))
 	return netip.AddrPortFrom(netip.AddrFrom4(address), uint16(1024+number&0xff))
 }
 
-// filledRouter returns a router whose cache holds benchmarkFlows flows.
+// filledRouter returns a router whose cache holds benchmarkFlows flows, and its index.
 func filledRouter(t testing.TB) (*Router, *Index) {
 	t.Helper()
 	limits := NewLimits(2000)
-	router := NewRouter(flow.NewCache(benchmarkCapacity), limits)
+	router := NewRouter(flow.NewCache(benchmarkCacheCapacity), limits)
 	configuration := testConfiguration()
 	index := newIndex(startTime, configuration, nil, limits)
 	fillCache(router.cache, configuration)
 	return router, index
 }
 
-// fillCache enters the alternates of their buckets as the owners of
-// benchmarkFlows flows.
+// fillCache inserts benchmarkFlows flows into the cache, each owned by the alternate of
+// its bucket.
 func fillCache(cache *flow.Cache, configuration *model.Configuration) {
 	table := configuration.Buckets[quicService]
 	for number := range benchmarkFlows {
@@ -62,8 +62,8 @@
 	for _, workers := range []int{1, 4, 8} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
 			hits := runOnThreads(b, workers, func(worker, count int) int64 {
-				carried := newBenchmarkPacket()
-				return routeRandom(b, router, index, carried, uint64(worker)<<32, count)
+				encapsulated := newBenchmarkPacket()
+				return routeRandom(b, router, index, encapsulated, uint64(worker)<<32, count)
 			})
 			b.ReportMetric(float64(hits)/float64(b.N), "cache-hits/op")
 			b.ReportMetric(float64(router.cache.Len()), "flows")
@@ -71,8 +71,8 @@
 	}
 }
 
-// runOnThreads spreads b.N operations over threads, reports their processor
-// time for each operation, and returns the sum of what run returned.
+// runOnThreads spreads b.N operations over threads, reports the processor time per
+// operation, and returns the sum of the results of run.
 func runOnThreads(b *testing.B, threads int, run func(thread, count int) int64) int64 {
 	b.ReportAllocs()
 	var total, processorTime atomic.Int64
@@ -97,35 +97,36 @@
 	return total.Load()
 }
 
+// newBenchmarkPacket returns an ingress packet of an established flow whose chain has
+// enough memory for every row.
 func newBenchmarkPacket() *packet.Encapsulated {
-	carried := ingressPacket(model.ProtocolUDP, quicAddress, quicShort)
-	carried.Chain = make([]model.TargetID, 0, packet.MaximumChain)
-	return carried
+	encapsulated := ingressPacket(model.ProtocolUDP, quicAddress, quicShort)
+	encapsulated.Chain = make([]model.TargetID, 0, packet.MaximumChain)
+	return encapsulated
 }
 
-// routeRandom routes count packets of random cached flows, and returns how
-// many of them the cache knew.
-func routeRandom(b *testing.B, router *Router, index *Index, carried *packet.Encapsulated, first uint64, count int) int64 {
+// routeRandom routes count packets of random cached flows, and returns the number of
+// cache hits. A hit enters the chain at position 1, the alternate.
+func routeRandom(b *testing.B, router *Router, index *Index, encapsulated *packet.Encapsulated, first uint64, count int) int64 {
 	hits := int64(0)
 	for sequence := first; sequence < first+uint64(count); sequence++ {
-		// The multiplier is the golden ratio of 64 bits; it spreads the numbers.
+		// Fibonacci hashing: the multiplier is 2^64 divided by the golden ratio.
 		number := int(sequence * 0x9E3779B97F4A7C15 >> 32 % benchmarkFlows)
-		carried.Flow.Protocol = model.ProtocolUDP
-		carried.Flow.Source = benchmarkSource(number)
-		if _, verdict := router.Route(startTime, index, carried); verdict != VerdictForward {
+		encapsulated.Flow.Protocol = model.ProtocolUDP
+		encapsulated.Flow.Source = benchmarkSource(number)
+		if _, verdict := router.Route(startTime, index, encapsulated); verdict != VerdictForward {
 			b.Errorf("packet of flow %d: %s", number, verdict)
 		}
-		if carried.Position == 1 {
+		if encapsulated.Position == 1 {
 			hits++
 		}
 	}
 	return hits
 }
 
-// BenchmarkNewFlow measures what a new flow costs a balancer beyond its later
-// packets: its opening packet, which the cache does not know and the limits
-// are asked about, and the hint of the agent that opened it. The cache is full
-// of other flows.
+// BenchmarkNewFlow measures the cost of a new flow, without its later packets: the
+// opening packet, which misses the cache and goes through the rate limits, and the hint
+// of the agent that opened the flow. The cache is full of other flows.
 func BenchmarkNewFlow(b *testing.B) {
 	configuration := testConfiguration()
 	service := configuration.Services[quicService]
@@ -136,7 +137,7 @@
 	index := newIndex(startTime, configuration, nil, limits)
 	router := NewRouter(flow.NewCache(benchmarkFlows), limits)
 	fillCache(router.cache, configuration)
-	carried := newBenchmarkPacket()
+	encapsulated := newBenchmarkPacket()
 	hint := ingressPacket(model.ProtocolQUIC, quicAddress, nil)
 	hint.Service = quicService
 	now := startTime
@@ -144,17 +145,17 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		number++
-		// So much time that the limits always have tokens.
+		// Enough time for the limiters to always have tokens.
 		now = now.Add(time.Millisecond)
-		carried.Flow.Protocol = model.ProtocolUDP
-		carried.Flow.Source = benchmarkSource(number)
-		carried.Payload = quicInitial
-		target, verdict := router.Route(now, index, carried)
+		encapsulated.Flow.Protocol = model.ProtocolUDP
+		encapsulated.Flow.Source = benchmarkSource(number)
+		encapsulated.Payload = quicInitial
+		target, verdict := router.Route(now, index, encapsulated)
 		if verdict != VerdictForward {
 			b.Fatalf("opening packet of flow %d: %s", number, verdict)
 		}
-		hint.Flow = carried.Flow
-		hint.Owner = carried.Chain[0]
+		hint.Flow = encapsulated.Flow
+		hint.Owner = encapsulated.Chain[0]
 		if verdict := router.Hint(index, target.agent.Addr(), hint); verdict != VerdictHint {
 			b.Fatalf("hint about flow %d: %s", number, verdict)
 		}
--- a/internal/balancer/steering_test.go
+++ b/internal/balancer/steering_test.go
@@ -16,17 +16,17 @@
 	"merlinpaddle/internal/steering"
 )
 
-// steeredService is the QUIC service of the test configuration with the real
-// decision makers of its agents, joined in memory.
-type steeredService struct {
+// steeredService is the QUIC service of the test configuration. Its agents make their
+// decisions with the real steering code and are connected in memory.
+type simulatedService struct {
 	now    time.Time
 	stores map[model.TargetID]*rollout.Store
 	owners map[model.TargetID]*flow.Owners
 	agents map[model.TargetID]*steering.Steering
 }
 
-func newSteeredService(configuration *model.Configuration) *steeredService {
-	created := &steeredService{
+func newSimulatedService(configuration *model.Configuration) *simulatedService {
+	created := &simulatedService{
 		now:    startTime.Add(time.Hour),
 		stores: make(map[model.TargetID]*rollout.Store),
 		owners: make(map[model.TargetID]*flow.Owners),
@@ -51,34 +51,35 @@
 	return created
 }
 
-// advance gives agents another configuration.
-func (service *steeredService) advance(configuration *model.Configuration, targets ...model.TargetID) {
+// advance advances the agents of targets to another configuration.
+func (service *simulatedService) advance(configuration *model.Configuration, targets ...model.TargetID) {
 	for _, target := range targets {
 		service.stores[target].Advance(configuration)
 	}
 }
 
-// carry follows a forwarded packet from agent to agent, and returns the target
+// deliver follows a forwarded packet from agent to agent, and returns the target
 // that delivers it, or zero.
-func (service *steeredService) carry(carried *packet.Encapsulated) (model.TargetID, steering.Decision) {
-	owner, decision, _ := service.carryCounting(carried)
+func (service *simulatedService) deliver(encapsulated *packet.Encapsulated) (model.TargetID, steering.Decision) {
+	owner, decision, _ := service.deliverCountingPasses(encapsulated)
 	return owner, decision
 }
 
-// carryCounting does what carry does, and returns the number of passes.
-func (service *steeredService) carryCounting(carried *packet.Encapsulated) (model.TargetID, steering.Decision, int) {
-	at := carried.Chain[carried.Position]
+// deliverCountingPasses does what deliver does, and also returns the number of passes
+// from agent to agent.
+func (service *simulatedService) deliverCountingPasses(encapsulated *packet.Encapsulated) (model.TargetID, steering.Decision, int) {
+	current := encapsulated.Chain[encapsulated.Position]
 	input := steering.Input{
-		Flow: carried.Flow, Service: carried.Service, Revision: carried.Revision, Opening: carried.Opening,
-		Chain: carried.Chain, Position: int(carried.Position),
+		Flow: encapsulated.Flow, Service: encapsulated.Service, Revision: encapsulated.Revision, Opening: encapsulated.Opening,
+		Chain: encapsulated.Chain, Position: int(encapsulated.Position),
 	}
 	for {
-		decision := service.agents[at].Decide(service.now, input)
+		decision := service.agents[current].Decide(service.now, input)
 		switch decision.Action {
 		case steering.ActionDeliver:
-			return at, decision, int(input.Passes)
+			return current, decision, int(input.Passes)
 		case steering.ActionPass:
-			at = decision.Next
+			current = decision.Next
 			input.Chain, input.Position, input.Revision = decision.Chain, decision.Position, decision.Revision
 			input.Stage, input.Passes, input.PasserLoad = decision.Stage, decision.Passes, decision.PasserLoad
 		default:
@@ -87,19 +88,20 @@
 	}
 }
 
-func (service *steeredService) send(t *testing.T, router *Router, index *Index, source netip.AddrPort, payload []byte) model.TargetID {
+// send routes one packet by index, and returns the target that delivers it, or zero.
+func (service *simulatedService) send(t *testing.T, router *Router, index *Index, source netip.AddrPort, payload []byte) model.TargetID {
 	t.Helper()
-	carried := ingressPacket(model.ProtocolUDP, quicAddress, payload)
-	carried.Flow.Source = source
-	_, verdict := router.Route(service.now, index, carried)
+	encapsulated := ingressPacket(model.ProtocolUDP, quicAddress, payload)
+	encapsulated.Flow.Source = source
+	_, verdict := router.Route(service.now, index, encapsulated)
 	require.Equal(t, VerdictForward, verdict)
-	owner, _ := service.carry(carried)
+	owner, _ := service.deliver(encapsulated)
 	return owner
 }
 
-// drained returns the configuration after the drain of a target, by the real
-// rebalancing.
-func drained(configuration *model.Configuration, target model.TargetID) *model.Configuration {
+// configurationAfterDrain returns the configuration in which a target drains and
+// routing.Rebalance has moved its buckets.
+func configurationAfterDrain(configuration *model.Configuration, target model.TargetID) *model.Configuration {
 	next := testConfiguration()
 	next.Revision = configuration.Revision + 1
 	leaving := next.Targets[target]
@@ -113,9 +115,11 @@
 	return next
 }
 
+// A wrong entry in the flow cache must not make a packet reach another target than the
+// flow's owner.
 func TestStaleHintBreaksNoFlow(t *testing.T) {
 	configuration := testConfiguration()
-	service := newSteeredService(configuration)
+	service := newSimulatedService(configuration)
 	router, limits := newTestRouter(0)
 	index := newIndex(startTime, configuration, nil, limits)
 	for number := range 50 {
@@ -123,22 +127,22 @@
 		owner := service.send(t, router, index, source, quicInitial)
 		require.NotZero(t, owner)
 		tuple := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: source, Destination: quicAddress}
-		for wrong := range service.agents {
-			router.cache.Insert(routing.FlowHash(tuple), tuple, wrong)
-			require.Equal(t, owner, service.send(t, router, index, source, quicShort), "flow %d with a hint to %d", number, wrong)
+		for hinted := range service.agents {
+			router.cache.Insert(routing.FlowHash(tuple), tuple, hinted)
+			require.Equal(t, owner, service.send(t, router, index, source, quicShort), "flow %d with a hint to %d", number, hinted)
 		}
 	}
 }
 
-// Balancers and agents run the configurations before and after a drain in
-// every mixture. Open flows reach their owner, and an opening packet that
-// arrives over two balancers opens its flow once.
-func TestFlowsSurviveADrainAtUnevenRevisions(t *testing.T) {
+// Balancers and agents run the configurations before and after a drain in every
+// combination. Packets of open flows must reach their owner, and an opening packet that
+// arrives through two balancers must open its flow at one target only.
+func TestFlowsSurviveADrainAtMixedRevisions(t *testing.T) {
 	before := testConfiguration()
 	targets := before.ServiceTargets(quicService)
 	for mixture := range 1 << len(targets) {
 		t.Run(fmt.Sprintf("agents %04b", mixture), func(t *testing.T) {
-			service := newSteeredService(before)
+			service := newSimulatedService(before)
 			router, limits := newTestRouter(0)
 			oldIndex := newIndex(startTime, before, nil, limits)
 			const flows = 40
@@ -147,20 +151,20 @@
 				owners[number] = service.send(t, router, oldIndex, benchmarkSource(number), quicInitial)
 				require.NotZero(t, owners[number])
 			}
-			after := drained(before, targets[0].ID)
-			for place, target := range targets {
-				if mixture&(1<<place) != 0 {
+			after := configurationAfterDrain(before, targets[0].ID)
+			for position, target := range targets {
+				if mixture&(1<<position) != 0 {
 					service.advance(after, target.ID)
 				}
 			}
-			newIndex := newIndex(startTime, after, oldIndex, limits)
+			updatedIndex := newIndex(startTime, after, oldIndex, limits)
 			for number, owner := range owners {
-				for _, index := range []*Index{oldIndex, newIndex} {
+				for _, index := range []*Index{oldIndex, updatedIndex} {
 					require.Equal(t, owner, service.send(t, router, index, benchmarkSource(number), quicShort), "flow %d at revision %d", number, index.Revision())
 				}
 			}
 			for number := flows; number < 2*flows; number++ {
-				first := service.send(t, router, newIndex, benchmarkSource(number), quicInitial)
+				first := service.send(t, router, updatedIndex, benchmarkSource(number), quicInitial)
 				second := service.send(t, router, oldIndex, benchmarkSource(number), quicInitial)
 				require.NotZero(t, first)
 				require.Equal(t, first, second, "flow %d opened twice", number)
--- a/internal/balancer/traffic_bench_test.go
+++ b/internal/balancer/traffic_bench_test.go
@@ -17,16 +17,18 @@
 )
 
 const (
-	// forwardWindow is the number of packets under way at once; they fit into
-	// the socket buffers, so none is lost.
-	forwardWindow = 256
-	// pumpBatch is the number of packets that the sender and the sink hand to
-	// the kernel at once, so that they are not what is measured.
-	pumpBatch = 32
-	// stallTimeout is when a benchmark gives up on packets that do not arrive.
+	// maximumInFlight is the largest number of packets that are sent and have not
+	// arrived. They fit into the socket buffers, so none is lost.
+	maximumInFlight = 256
+	// sendBatchSize is the number of packets that a sender or the sink exchanges with
+	// the kernel in one system call, so that they do not limit the measurement.
+	sendBatchSize = 32
+	// stallTimeout is how long a benchmark waits for packets that do not arrive
+	// before it fails.
 	stallTimeout = 10 * time.Second
 )
 
+// benchmarkSocket opens a UDP socket with large buffers on a free loopback port.
 func benchmarkSocket(b *testing.B) *net.UDPConn {
 	b.Helper()
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(freePort))
@@ -39,7 +41,8 @@
 	return socket
 }
 
-// sink counts the datagrams that arrive at target hosts.
+// sink receives and counts the datagrams that are sent to its addresses, one for each
+// target host.
 type sink struct {
 	addresses []netip.AddrPort
 	received  atomic.Int64
@@ -57,9 +60,9 @@
 }
 
 func (arrivals *sink) receive(connection *ipv4.PacketConn) {
-	messages := make([]ipv4.Message, pumpBatch)
-	for place := range messages {
-		messages[place].Buffers = [][]byte{make([]byte, receiveBufferBytes)}
+	messages := make([]ipv4.Message, sendBatchSize)
+	for position := range messages {
+		messages[position].Buffers = [][]byte{make([]byte, receiveBufferBytes)}
 	}
 	for {
 		count, err := connection.ReadBatch(messages, 0)
@@ -70,16 +73,16 @@
 	}
 }
 
-// pump sends count datagrams to destination from all senders, and returns how
-// long it took until all of them arrived at the sink.
-func pump(b *testing.B, senders []*sender, destination netip.AddrPort, arrivals *sink, count int) time.Duration {
+// sendAndAwait sends count datagrams to destination from all senders together, and
+// returns the time until all of them have arrived at the sink.
+func sendAndAwait(b *testing.B, senders []*sender, destination netip.AddrPort, arrivals *sink, count int) time.Duration {
 	b.Helper()
-	var admitted atomic.Int64
+	var assigned atomic.Int64
 	var group sync.WaitGroup
 	before := arrivals.received.Load()
 	began := time.Now()
 	for _, from := range senders {
-		group.Go(func() { from.send(b, destination, arrivals, before, &admitted, int64(count)) })
+		group.Go(func() { from.send(b, destination, arrivals, before, &assigned, int64(count)) })
 	}
 	group.Wait()
 	awaitArrivals(b, arrivals, before+int64(count))
@@ -98,26 +101,27 @@
 	for range count {
 		senders = append(senders, &sender{
 			connection: ipv4.NewPacketConn(benchmarkSocket(b)),
-			messages:   make([]ipv4.Message, pumpBatch),
+			messages:   make([]ipv4.Message, sendBatchSize),
 			datagrams:  datagrams,
 		})
 	}
 	return senders
 }
 
-// send takes batches from the shared count of admitted datagrams until all are
-// sent.
-func (from *sender) send(b *testing.B, destination netip.AddrPort, arrivals *sink, before int64, admitted *atomic.Int64, count int64) {
+// send sends batches of datagrams until all senders together have sent count. Each batch
+// is reserved by adding it to assigned, which the senders share. before is the sink's
+// count at the start.
+func (from *sender) send(b *testing.B, destination netip.AddrPort, arrivals *sink, before int64, assigned *atomic.Int64, count int64) {
 	address := net.UDPAddrFromAddrPort(destination)
 	for {
-		last := admitted.Add(pumpBatch)
+		last := assigned.Add(sendBatchSize)
 		if last > count {
 			return
 		}
-		awaitArrivals(b, arrivals, before+last-forwardWindow)
-		for place := range from.messages {
-			from.messages[place].Buffers = [][]byte{from.datagrams[(int(last)+place)%len(from.datagrams)]}
-			from.messages[place].Addr = address
+		awaitArrivals(b, arrivals, before+last-maximumInFlight)
+		for position := range from.messages {
+			from.messages[position].Buffers = [][]byte{from.datagrams[(int(last)+position)%len(from.datagrams)]}
+			from.messages[position].Addr = address
 		}
 		for waiting := from.messages; len(waiting) > 0; {
 			written, err := from.connection.WriteBatch(waiting, 0)
@@ -130,6 +134,7 @@
 	}
 }
 
+// awaitArrivals waits until the sink has received wanted datagrams since its start.
 func awaitArrivals(b *testing.B, arrivals *sink, wanted int64) {
 	b.Helper()
 	var stalled time.Time
@@ -145,8 +150,8 @@
 	}
 }
 
-// ingressDatagrams returns Geneve packets of many established flows with full
-// QUIC packets inside.
+// ingressDatagrams returns the Geneve packets of 4096 established flows, each with a
+// QUIC packet of 1200 bytes.
 func ingressDatagrams(b *testing.B) [][]byte {
 	payload := append(bytes.Clone(quicShort), make([]byte, 1200-len(quicShort))...)
 	var datagrams [][]byte
--- a/internal/balancer/worker.go
+++ b/internal/balancer/worker.go
@@ -11,7 +11,8 @@
 	"merlinpaddle/internal/packet/batch"
 )
 
-// worker is one receive loop with memory of its own.
+// worker is one receive loop. It has its own buffers and shares the socket, the
+// router and the index with the other workers.
 type worker struct {
 	reader  *batch.Reader
 	writer  *batch.Writer
@@ -20,9 +21,9 @@
 	indexes *IndexController
 	metrics *metrics
 
-	decoder packet.Decoder
-	encoder *packet.Encoder
-	carried packet.Encapsulated
+	decoder      packet.Decoder
+	encoder      *packet.Encoder
+	encapsulated packet.Encapsulated
 }
 
 func newWorker(balancer *Balancer) *worker {
@@ -37,7 +38,7 @@
 	}
 }
 
-// run handles packets until the socket is closed.
+// run receives and handles packets until the socket is closed.
 func (worker *worker) run() error {
 	for {
 		count, err := worker.reader.Read()
@@ -48,13 +49,13 @@
 	}
 }
 
-// handleBatch routes the packets of a batch by one index, and sends them in
-// one call. Their inner packets stay in the reader's memory until then.
+// handleBatch routes the count packets of a batch by one index and sends them in one
+// call. The inner packets stay in the reader's buffers until they are sent.
 func (worker *worker) handleBatch(count int) {
 	index := worker.indexes.current.Load()
 	now := time.Now()
-	for place := range count {
-		verdict := worker.handle(now, index, place)
+	for position := range count {
+		verdict := worker.handle(now, index, position)
 		if verdict != VerdictForward {
 			worker.metrics.count(verdict)
 		}
@@ -63,36 +64,40 @@
 	worker.metrics.countLost(worker.reader.Dropped())
 }
 
-func (worker *worker) handle(now time.Time, index *Index, place int) Verdict {
-	if err := worker.decoder.Decode(worker.reader.Datagram(place), &worker.carried); err != nil {
+// handle routes or caches the datagram at a position of the batch, and returns its
+// verdict.
+func (worker *worker) handle(now time.Time, index *Index, position int) Verdict {
+	if err := worker.decoder.Decode(worker.reader.Datagram(position), &worker.encapsulated); err != nil {
 		return VerdictMalformed
 	}
-	switch worker.carried.Kind {
+	switch worker.encapsulated.Kind {
 	case packet.KindIngress:
 		return worker.forward(now, index)
 	case packet.KindHint:
-		return worker.router.Hint(index, worker.reader.Sender(place).Addr(), &worker.carried)
+		return worker.router.Hint(index, worker.reader.Sender(position).Addr(), &worker.encapsulated)
 	default:
 		return VerdictUnexpectedKind
 	}
 }
 
-// forward hands the packet to the writer, which has room for a whole batch.
+// forward routes the decoded packet and queues it in the writer, which has room for
+// a full batch.
 func (worker *worker) forward(now time.Time, index *Index) Verdict {
-	target, verdict := worker.router.Route(now, index, &worker.carried)
+	target, verdict := worker.router.Route(now, index, &worker.encapsulated)
 	if verdict != VerdictForward {
 		return verdict
 	}
-	worker.carried.Balancer = worker.address
-	header, err := worker.encoder.AppendHeader(worker.writer.Header(), &worker.carried)
+	worker.encapsulated.Balancer = worker.address
+	header, err := worker.encoder.AppendHeader(worker.writer.Header(), &worker.encapsulated)
 	if err != nil {
-		return verdictOf(err)
+		return encodeErrorVerdict(err)
 	}
-	worker.writer.Put(header, worker.carried.Inner, target.destination)
+	worker.writer.Put(header, worker.encapsulated.Inner, target.destination)
 	return VerdictForward
 }
 
-func verdictOf(err error) Verdict {
+// encodeErrorVerdict returns the verdict on a packet that could not be encoded.
+func encodeErrorVerdict(err error) Verdict {
 	if faults.CodeOf(err) == faults.PacketTooLarge {
 		return VerdictTooLarge
 	}
