--- a/internal/balancer/carry_test.go
+++ b/internal/balancer/carry_test.go
@@ -14,7 +14,7 @@
 	"merlinpaddle/internal/packet"
 )
 
-// innerSegment returns an IP packet with a TCP segment. The stand-in fabric sends UDP
+// buildInnerTCP returns an IP packet with a TCP segment. The stand-in fabric sends UDP
 // only, so tests of TCP build the packets themselves.
 func buildInnerTCP(t *testing.T, flow model.FiveTuple, header layers.TCP, payload string) []byte {
 	t.Helper()
--- a/internal/balancer/decision_test.go
+++ b/internal/balancer/decision_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// withEarlierTarget adds an earlier target to the row of the test's QUIC flow, and
+// addEarlierTarget adds an earlier target to the row of the test's QUIC flow, and
 // returns the row.
 func addEarlierTarget(t *testing.T, configuration *model.Configuration) model.Bucket {
 	t.Helper()
--- a/internal/balancer/overload_test.go
+++ b/internal/balancer/overload_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// ingressData returns the datagram that the fabric sends for a packet of an
+// ingressDatagram returns the datagram that the fabric sends for a packet of an
 // established flow.
 func ingressDatagram(t *testing.T, source netip.AddrPort) []byte {
 	t.Helper()
@@ -89,7 +89,7 @@
 	}, conditionTimeout, time.Millisecond)
 }
 
-// configurationTowards returns the test configuration with the given agent address
+// configurationWithAgent returns the test configuration with the given agent address
 // for all targets of the QUIC service.
 func configurationWithAgent(agent netip.AddrPort) *model.Configuration {
 	configuration := testConfiguration()
--- a/internal/balancer/steering_test.go
+++ b/internal/balancer/steering_test.go
@@ -16,7 +16,7 @@
 	"merlinpaddle/internal/steering"
 )
 
-// steeredService is the QUIC service of the test configuration. Its agents make their
+// simulatedService is the QUIC service of the test configuration. Its agents make their
 // decisions with the real steering code and are connected in memory.
 type simulatedService struct {
 	now    time.Time
