--- a/internal/admission/breaker.go
+++ b/internal/admission/breaker.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Bounds of the circuit breaker.
+// Settings of the circuit breaker.
 const (
-	// breakerThreshold is the number of failures in a row that open it.
-	breakerThreshold = 5
-	// breakerSuccesses is the number of good probes that close it.
-	breakerSuccesses = 2
-	// breakerFirstPause and breakerLongestPause bound the wait before a
-	// probe; it doubles with each failed probe.
-	breakerFirstPause   = 500 * time.Millisecond
-	breakerLongestPause = 15 * time.Second
+	// breakerFailureThreshold is the number of consecutive failures that open it.
+	breakerFailureThreshold = 5
+	// breakerProbeSuccesses is the number of successful probes that close it.
+	breakerProbeSuccesses = 2
+	// breakerInitialBackoff and breakerMaximumBackoff bound the wait before
+	// a probe, which doubles with each failed probe.
+	breakerInitialBackoff = 500 * time.Millisecond
+	breakerMaximumBackoff = 15 * time.Second
 )
 
 type breakerState uint8
@@ -22,75 +22,78 @@
 	breakerHalfOpen
 )
 
-// breaker is a circuit breaker that is driven by the results of the agent's
-// own requests. While half-open it lets one probe through at a time.
+// breaker is a circuit breaker that is driven by the results of the agent's requests
+// to the back end. While half-open it allows one request at a time, the probe.
 type breaker struct {
-	state     breakerState
+	state breakerState
+	// failures counts consecutive failures, successes the successful probes since the
+	// breaker became half-open.
 	failures  int
 	successes int
-	pause     time.Duration
-	openUntil time.Time
-	probing   bool
+	// backoff is the latest wait before a probe, and openUntil when it ends.
+	backoff       time.Duration
+	openUntil     time.Time
+	probeInFlight bool
 }
 
-// allow tells whether a request may go to the back end now. In the half-open
-// state it reserves the probe, which success, failure or neutral gives back.
+// allow reports whether a request may go to the back end now. In the half-open state
+// it reserves the probe, which recordSuccess, recordFailure or releaseProbe releases.
 func (breaker *breaker) allow(now time.Time) bool {
 	if breaker.state == breakerOpen && !now.Before(breaker.openUntil) {
 		breaker.state = breakerHalfOpen
 		breaker.successes = 0
-		breaker.probing = false
+		breaker.probeInFlight = false
 	}
 	switch breaker.state {
 	case breakerClosed:
 		return true
 	case breakerHalfOpen:
-		if breaker.probing {
+		if breaker.probeInFlight {
 			return false
 		}
-		breaker.probing = true
+		breaker.probeInFlight = true
 		return true
 	default:
 		return false
 	}
 }
 
-// success records a good result and tells whether it closed the breaker.
-func (breaker *breaker) success() bool {
+// recordSuccess records a successful result and reports whether it closed the breaker.
+func (breaker *breaker) recordSuccess() bool {
 	breaker.failures = 0
-	breaker.probing = false
+	breaker.probeInFlight = false
 	if breaker.state != breakerHalfOpen {
 		return false
 	}
 	breaker.successes++
-	if breaker.successes < breakerSuccesses {
+	if breaker.successes < breakerProbeSuccesses {
 		return false
 	}
 	breaker.state = breakerClosed
-	breaker.pause = 0
+	breaker.backoff = 0
 	return true
 }
 
-// failure records a failed result and tells whether it opened the breaker.
-func (breaker *breaker) failure(now time.Time) bool {
-	breaker.probing = false
+// recordFailure records a failed result and reports whether it opened the breaker.
+func (breaker *breaker) recordFailure(now time.Time) bool {
+	breaker.probeInFlight = false
 	breaker.failures++
 	switch {
 	case breaker.state == breakerOpen:
 		return false
-	case breaker.state == breakerClosed && breaker.failures < breakerThreshold:
+	case breaker.state == breakerClosed && breaker.failures < breakerFailureThreshold:
 		return false
 	}
 	breaker.state = breakerOpen
-	breaker.pause = min(max(breaker.pause*2, breakerFirstPause), breakerLongestPause)
-	breaker.openUntil = now.Add(breaker.pause)
+	breaker.backoff = min(max(breaker.backoff*2, breakerInitialBackoff), breakerMaximumBackoff)
+	breaker.openUntil = now.Add(breaker.backoff)
 	return true
 }
 
-// neutral gives a probe back whose result says nothing of the back end.
-func (breaker *breaker) neutral() { breaker.probing = false }
+// releaseProbe releases a probe whose result is no evidence about the back end.
+func (breaker *breaker) releaseProbe() { breaker.probeInFlight = false }
 
-// wait returns how long it is until the next probe may start.
+// wait returns the time until the next probe may start, or zero unless the breaker is open.
 func (breaker *breaker) wait(now time.Time) time.Duration {
 	if breaker.state != breakerOpen {
 		return 0
--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Health reports of back ends lag and lie; the agent's own results go first.
-func TestHealthJudgesOwnResultsFirst(t *testing.T) {
-	bad := func(health *Health, count int) {
+// A back end's health reports can be stale or wrong, so recent results of the agent's
+// requests take precedence.
+func TestHealthPrefersRequestResultsOverReports(t *testing.T) {
+	reportBad := func(health *Health, count int) {
 		for range count {
 			health.RecordReport(false)
 		}
@@ -22,29 +23,29 @@
 		probeDue      bool
 		good          bool
 	}{
-		{"nothing known", func(*Health) {}, 0, true, true, true},
-		{"reports say bad, answers are good", func(health *Health) {
-			bad(health, reportsToDoubt)
+		{"no reports and no results", func(*Health) {}, 0, true, true, true},
+		{"bad reports, recent good answers", func(health *Health) {
+			reportBad(health, badReportThreshold)
 			health.RecordResult(start, ResultAnswered)
 		}, time.Second, true, true, true},
-		{"reports say bad, good answers are old", func(health *Health) {
-			bad(health, reportsToDoubt)
+		{"bad reports, old good answers", func(health *Health) {
+			reportBad(health, badReportThreshold)
 			health.RecordResult(start, ResultAnswered)
-		}, ownResultsCount, true, true, false},
-		{"one bad report", func(health *Health) { bad(health, 1) }, 0, true, true, true},
-		{"reports say bad, no answers", func(health *Health) { bad(health, reportsToDoubt) }, 0, true, true, false},
-		{"reports frozen at good, own results open the breaker", func(health *Health) {
+		}, resultValidity, true, true, false},
+		{"one bad report", func(health *Health) { reportBad(health, 1) }, 0, true, true, true},
+		{"bad reports, no answers", func(health *Health) { reportBad(health, badReportThreshold) }, 0, true, true, false},
+		{"good reports, breaker opened by failed results", func(health *Health) {
 			health.RecordReport(true)
 			health.RecordResult(start, ResultFailed)
 		}, 0, false, false, false},
-		{"breaker ready to probe, reports good", func(health *Health) { health.RecordReport(true) }, 0, false, true, true},
-		{"breaker ready to probe, reports bad", func(health *Health) { bad(health, 1) }, 0, false, true, false},
-		{"reports recover", func(health *Health) {
-			bad(health, reportsToDoubt)
+		{"probe due, good reports", func(health *Health) { health.RecordReport(true) }, 0, false, true, true},
+		{"probe due, one bad report", func(health *Health) { reportBad(health, 1) }, 0, false, true, false},
+		{"good report after bad ones", func(health *Health) {
+			reportBad(health, badReportThreshold)
 			health.RecordReport(true)
 		}, 0, true, true, true},
-		{"a shed answer and a cancelled request say nothing", func(health *Health) {
-			bad(health, reportsToDoubt)
+		{"shed and neutral results are ignored", func(health *Health) {
+			reportBad(health, badReportThreshold)
 			health.RecordResult(start, ResultShed)
 			health.RecordResult(start, ResultNeutral)
 		}, 0, true, true, false},
--- a/internal/admission/property_test.go
+++ b/internal/admission/property_test.go
@@ -13,20 +13,22 @@
 	"merlinpaddle/internal/model"
 )
 
-// history follows one controller and checks what must always hold.
-type history struct {
+// checkedController drives a controller with random steps and checks its decisions and limits
+// after each.
+type checkedController struct {
 	controller *Controller
 	random     *rand.Rand
 	options    Options
 	now        time.Time
-	classes    map[RequestID]model.RequestClass
-	open       map[RequestID]bool
-	running    map[RequestID]bool
-	feeds      map[RequestID]bool
-	err        error
+	// classes has the class of every request that was offered.
+	classes   map[RequestID]model.RequestClass
+	undecided map[RequestID]bool
+	running   map[RequestID]bool
+	feeds     map[RequestID]bool
+	err       error
 }
 
-func newHistory(seed uint64) *history {
+func newCheckedController(seed uint64) *checkedController {
 	random := rand.New(rand.NewPCG(seed, 1))
 	options := Options{
 		Slots:        1 + random.IntN(4),
@@ -36,90 +38,96 @@
 		StartedAt:    start,
 		Seed:         seed,
 	}
-	return &history{
+	return &checkedController{
 		controller: New(options), random: random, options: options, now: start,
-		classes: make(map[RequestID]model.RequestClass), open: make(map[RequestID]bool),
+		classes: make(map[RequestID]model.RequestClass), undecided: make(map[RequestID]bool),
 		running: make(map[RequestID]bool), feeds: make(map[RequestID]bool),
 	}
 }
 
-func (history *history) fail(format string, arguments ...any) {
-	if history.err == nil {
-		history.err = fmt.Errorf(format, arguments...)
+// fail records the first violation.
+func (checked *checkedController) fail(format string, arguments ...any) {
+	if checked.err == nil {
+		checked.err = fmt.Errorf(format, arguments...)
 	}
 }
 
-// take checks decisions: each request gets exactly one verdict.
-func (history *history) take(decisions []Decision) {
+// checkDecisions records decisions and checks that each request gets exactly one verdict, and
+// that a refusal has a code and a Retry-After time.
+func (checked *checkedController) checkDecisions(decisions []Decision) {
 	for _, decision := range decisions {
-		if !history.open[decision.ID] {
-			history.fail("request %d was decided twice or never offered", decision.ID)
+		if !checked.undecided[decision.ID] {
+			checked.fail("request %d was decided twice or never offered", decision.ID)
 			return
 		}
-		delete(history.open, decision.ID)
+		delete(checked.undecided, decision.ID)
 		switch {
 		case decision.Verdict == VerdictRefuse:
 			if decision.Code == 0 || decision.RetryAfter < minimumRetryAfter {
-				history.fail("refusal without code or time: %+v", decision)
+				checked.fail("refusal without code or time: %+v", decision)
 			}
-		case history.classes[decision.ID] == model.ClassFeed:
-			history.feeds[decision.ID] = true
+		case checked.classes[decision.ID] == model.ClassFeed:
+			checked.feeds[decision.ID] = true
 		default:
-			history.running[decision.ID] = true
+			checked.running[decision.ID] = true
 		}
 	}
-	history.checkBounds()
+	checked.checkBounds()
 }
 
-func (history *history) checkBounds() {
+// checkBounds checks the numbers of running requests, running uploads, feeds and queued
+// requests against the limits.
+func (checked *checkedController) checkBounds() {
 	uploads := 0
-	for id := range history.running {
-		if history.classes[id] == model.ClassUpload {
+	for id := range checked.running {
+		if checked.classes[id] == model.ClassUpload {
 			uploads++
 		}
 	}
 	switch {
-	case len(history.running) > history.options.Slots:
-		history.fail("%d requests run in %d slots", len(history.running), history.options.Slots)
-	case uploads > max(history.options.Slots-1, 1):
-		history.fail("%d uploads run in %d slots", uploads, history.options.Slots)
-	case len(history.feeds) > history.options.MaximumFeeds:
-		history.fail("%d feeds", len(history.feeds))
-	case history.controller.Load(history.now).Waiting != len(history.open):
-		history.fail("%d wait, %d are open", history.controller.Load(history.now).Waiting, len(history.open))
-	case len(history.open) > history.options.MaximumQueue:
-		history.fail("%d wait in a queue of %d", len(history.open), history.options.MaximumQueue)
+	case len(checked.running) > checked.options.Slots:
+		checked.fail("%d requests run in %d slots", len(checked.running), checked.options.Slots)
+	case uploads > max(checked.options.Slots-1, 1):
+		checked.fail("%d uploads run in %d slots", uploads, checked.options.Slots)
+	case len(checked.feeds) > checked.options.MaximumFeeds:
+		checked.fail("%d feeds", len(checked.feeds))
+	case checked.controller.Load(checked.now).Waiting != len(checked.undecided):
+		checked.fail("%d requests wait, want %d that have no verdict", checked.controller.Load(checked.now).Waiting, len(checked.undecided))
+	case len(checked.undecided) > checked.options.MaximumQueue:
+		checked.fail("%d wait in a queue of %d", len(checked.undecided), checked.options.MaximumQueue)
 	}
 }
 
-func (history *history) step(id RequestID) {
-	history.now = history.now.Add(time.Duration(history.random.IntN(60)) * time.Millisecond)
-	switch history.random.IntN(5) {
+// randomStep advances the time and offers request id, finishes a request, or reconciles.
+func (checked *checkedController) randomStep(id RequestID) {
+	checked.now = checked.now.Add(time.Duration(checked.random.IntN(60)) * time.Millisecond)
+	switch checked.random.IntN(5) {
 	case 0, 1:
-		history.offer(id)
+		checked.offer(id)
 	case 2, 3:
-		history.finish()
+		checked.finish()
 	default:
-		history.take(history.controller.Reconcile(history.now))
+		checked.checkDecisions(checked.controller.Reconcile(checked.now))
 	}
 }
 
-func (history *history) offer(id RequestID) {
-	class := []model.RequestClass{model.ClassCall, model.ClassUpload, model.ClassFeed}[history.random.IntN(3)]
-	history.classes[id] = class
-	history.open[id] = true
-	history.take(history.controller.Offer(history.now, Request{
-		ID: id, Class: class, Weight: uint32(history.random.IntN(3)), Arrived: history.now,
-		Deadline: history.now.Add(time.Duration(50+history.random.IntN(2000)) * time.Millisecond),
+func (checked *checkedController) offer(id RequestID) {
+	class := []model.RequestClass{model.ClassCall, model.ClassUpload, model.ClassFeed}[checked.random.IntN(3)]
+	checked.classes[id] = class
+	checked.undecided[id] = true
+	checked.checkDecisions(checked.controller.Offer(checked.now, Request{
+		ID: id, Class: class, Weight: uint32(checked.random.IntN(3)), Arrived: checked.now,
+		Deadline: checked.now.Add(time.Duration(50+checked.random.IntN(2000)) * time.Millisecond),
 	}))
 }
 
-func (history *history) finish() {
+// finish ends one running request or open feed with a random result.
+func (checked *checkedController) finish() {
 	results := []Result{ResultAnswered, ResultAnswered, ResultAnswered, ResultShed, ResultFailed, ResultNeutral}
-	for _, held := range []map[RequestID]bool{history.running, history.feeds} {
+	for _, held := range []map[RequestID]bool{checked.running, checked.feeds} {
 		for id := range held {
 			delete(held, id)
-			history.take(history.controller.Finish(history.now, id, results[history.random.IntN(len(results))]))
+			checked.checkDecisions(checked.controller.Finish(checked.now, id, results[checked.random.IntN(len(results))]))
 			return
 		}
 	}
@@ -129,18 +137,18 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20260101)
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
-	properties.Property("one verdict a request, bounds kept, nothing left over", prop.ForAll(
+	properties.Property("one verdict per request, limits respected, no request left undecided", prop.ForAll(
 		func(seed uint64) (bool, error) {
-			history := newHistory(seed)
-			for id := RequestID(1); id <= 200 && history.err == nil; id++ {
-				history.step(id)
+			checked := newCheckedController(seed)
+			for id := RequestID(1); id <= 200 && checked.err == nil; id++ {
+				checked.randomStep(id)
 			}
-			history.now = history.now.Add(time.Minute)
-			history.take(history.controller.Reconcile(history.now))
-			if history.err == nil && len(history.open) > 0 {
-				history.fail("%d requests never got a verdict", len(history.open))
+			checked.now = checked.now.Add(time.Minute)
+			checked.checkDecisions(checked.controller.Reconcile(checked.now))
+			if checked.err == nil && len(checked.undecided) > 0 {
+				checked.fail("%d requests never got a verdict", len(checked.undecided))
 			}
-			return history.err == nil, history.err
+			return checked.err == nil, checked.err
 		},
 		gen.UInt64(),
 	))
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -8,28 +8,29 @@
 	"merlinpaddle/internal/model"
 )
 
-// RequestID names one request within one controller.
+// RequestID identifies a request within one controller. IDs ascend in the order of
+// arrival.
 type RequestID uint64
 
-// Request is a request that asks to run.
+// Request is a request that is offered to a controller.
 type Request struct {
 	ID    RequestID
 	Class model.RequestClass
-	// Weight is the worth of one delivered request; zero counts as one.
+	// Weight is the value of one delivered request; zero counts as one.
 	Weight  uint32
 	Arrived time.Time
-	// Deadline is when the caller no longer waits for the answer.
+	// Deadline is the time until which the caller waits for the answer.
 	Deadline time.Time
 }
 
-// Verdict is what happens to a request.
+// Verdict is the outcome of the decision on a request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// VerdictRun lets the request go to the back end.
+	// VerdictRun sends the request to the back end.
 	VerdictRun Verdict = iota + 1
-	// VerdictRefuse answers the request at once; it did not run.
+	// VerdictRefuse answers the request with an error; it did not run.
 	VerdictRefuse
 )
 
@@ -37,47 +38,48 @@
 type Decision struct {
 	ID      RequestID
 	Verdict Verdict
-	// Code and RetryAfter are set with VerdictRefuse.
+	// Code is the reason of a refusal, and RetryAfter the time after which the caller
+	// should retry. Both are set only with VerdictRefuse.
 	Code       faults.Code
 	RetryAfter time.Duration
 }
 
-// Result tells how a request that ran has ended, as far as it shows the state
-// of the back end.
+// Result is the outcome of a request that ran, as evidence about the back end.
 type Result uint8
 
 // The results.
 const (
-	// ResultAnswered: the back end gave a whole answer of its own.
+	// ResultAnswered means that the back end sent a complete answer.
 	ResultAnswered Result = iota + 1
-	// ResultShed: the back end refused the request for want of capacity.
+	// ResultShed means that the back end refused the request for lack of capacity.
 	ResultShed
-	// ResultFailed: the back end could not be reached, or its answer was
-	// late, short or another request's.
+	// ResultFailed means that the back end could not be reached, or that its answer
+	// was late, truncated, or that to another request.
 	ResultFailed
-	// ResultNeutral: the request ended for a reason on the caller's side.
+	// ResultNeutral means that the request ended for a reason on the caller's side.
 	ResultNeutral
 )
 
-// waiting is a request in the queue.
-type waiting struct {
+// queuedRequest is a request in the queue, with its place in the queue's order.
+type queuedRequest struct {
 	Request
-	// due orders the queue: the arrival plus the allowed time divided by the
-	// weight, so a request of weight two goes before one of weight one that
-	// came at the same time with the same deadline. It never changes, so a
-	// light request is passed only for a bounded time.
-	due time.Time
+	// weightedDeadline orders the queue. It is the arrival time plus the time until the
+	// deadline divided by the weight, so a request of weight two precedes one of weight
+	// one with the same arrival and deadline. It never changes, so later requests can
+	// precede a request of low weight only for a bounded time.
+	weightedDeadline time.Time
 }
 
-func newWaiting(request Request) waiting {
+func newQueuedRequest(request Request) queuedRequest {
 	allowed := request.Deadline.Sub(request.Arrived)
 	weight := max(request.Weight, 1)
-	return waiting{Request: request, due: request.Arrived.Add(allowed / time.Duration(weight))}
+	return queuedRequest{Request: request, weightedDeadline: request.Arrived.Add(allowed / time.Duration(weight))}
 }
 
-// compareWaiting orders by due time, then by arrival at the controller.
-func compareWaiting(left, right waiting) int {
-	if order := left.due.Compare(right.due); order != 0 {
+// compareQueued orders by weighted deadline, then by ID, which is the order of arrival at the
+// controller.
+func compareQueued(left, right queuedRequest) int {
+	if order := left.weightedDeadline.Compare(right.weightedDeadline); order != 0 {
 		return order
 	}
 	return cmp.Compare(left.ID, right.ID)
