--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -7,11 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Health reports of back ends lag and lie; the agent's own results go first.
-func TestHealthJudgesOwnResultsFirst(t *testing.T) {
-	bad := func(health *Health, count int) {
+// A back end's health reports can be stale or wrong, so recent results of the agent's
+// requests take precedence.
+func TestHealthPrefersRequestResultsOverReports(t *testing.T) {
+	reportBad := func(health *Health, count int) {
 		for range count {
-			health.Report(false)
+			health.RecordReport(false)
 		}
 	}
 	cases := []struct {
@@ -22,38 +23,38 @@
 		probeDue      bool
 		good          bool
 	}{
-		{"nothing known", func(*Health) {}, 0, true, true, true},
-		{"reports say bad, answers are good", func(health *Health) {
-			bad(health, reportsToDoubt)
-			health.Result(start, ResultAnswered)
+		{"no reports and no results", func(*Health) {}, 0, true, true, true},
+		{"bad reports, recent good answers", func(health *Health) {
+			reportBad(health, badReportThreshold)
+			health.RecordResult(start, ResultAnswered)
 		}, time.Second, true, true, true},
-		{"reports say bad, good answers are old", func(health *Health) {
-			bad(health, reportsToDoubt)
-			health.Result(start, ResultAnswered)
-		}, ownResultsCount, true, true, false},
-		{"one bad report", func(health *Health) { bad(health, 1) }, 0, true, true, true},
-		{"reports say bad, no answers", func(health *Health) { bad(health, reportsToDoubt) }, 0, true, true, false},
-		{"reports frozen at good, own results open the breaker", func(health *Health) {
-			health.Report(true)
-			health.Result(start, ResultFailed)
+		{"bad reports, old good answers", func(health *Health) {
+			reportBad(health, badReportThreshold)
+			health.RecordResult(start, ResultAnswered)
+		}, resultValidity, true, true, false},
+		{"one bad report", func(health *Health) { reportBad(health, 1) }, 0, true, true, true},
+		{"bad reports, no answers", func(health *Health) { reportBad(health, badReportThreshold) }, 0, true, true, false},
+		{"good reports, breaker opened by failed results", func(health *Health) {
+			health.RecordReport(true)
+			health.RecordResult(start, ResultFailed)
 		}, 0, false, false, false},
-		{"breaker ready to probe, reports good", func(health *Health) { health.Report(true) }, 0, false, true, true},
-		{"breaker ready to probe, reports bad", func(health *Health) { bad(health, 1) }, 0, false, true, false},
-		{"reports recover", func(health *Health) {
-			bad(health, reportsToDoubt)
-			health.Report(true)
+		{"probe due, good reports", func(health *Health) { health.RecordReport(true) }, 0, false, true, true},
+		{"probe due, one bad report", func(health *Health) { reportBad(health, 1) }, 0, false, true, false},
+		{"good report after bad ones", func(health *Health) {
+			reportBad(health, badReportThreshold)
+			health.RecordReport(true)
 		}, 0, true, true, true},
-		{"a shed answer and a cancelled request say nothing", func(health *Health) {
-			bad(health, reportsToDoubt)
-			health.Result(start, ResultShed)
-			health.Result(start, ResultNeutral)
+		{"shed and neutral results are ignored", func(health *Health) {
+			reportBad(health, badReportThreshold)
+			health.RecordResult(start, ResultShed)
+			health.RecordResult(start, ResultNeutral)
 		}, 0, true, true, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			health := &Health{}
 			test.prepare(health)
-			require.Equal(t, test.good, health.Good(start.Add(test.after), test.breakerClosed, test.probeDue))
+			require.Equal(t, test.good, health.IsHealthy(start.Add(test.after), test.breakerClosed, test.probeDue))
 		})
 	}
 }
