--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -145,16 +145,16 @@
 
 func provideReplica(table *steer.Table, subscriber *feed.Subscriber, listeners *changeListeners) *feed.Replica {
 	replica := feed.NewReplica(table, subscriber)
-	listeners.add(func(changes directory.Changes, _ model.NodeName) { replica.Took(changes) })
+	listeners.add(func(changes directory.Changes, _ model.NodeName) { replica.Record(changes) })
 	return replica
 }
 
 func providePublisher(config settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, replica *feed.Replica) *feed.Publisher {
-	return feed.NewPublisher(feed.PublisherOptions{Limit: config.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
+	return feed.NewPublisher(feed.PublisherOptions{MaxFollowers: config.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
 }
 
-func provideReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, subscriber *feed.Subscriber) *feed.Reports {
-	return feed.NewReports(mailbox, dispatcher, subscriber.Following)
+func provideReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, subscriber *feed.Subscriber) *feed.ReportRelay {
+	return feed.NewReportRelay(mailbox, dispatcher, subscriber.Following)
 }
 
 func provideRelay(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, table *steer.Table, subscriber *feed.Subscriber) *renewal.Relay {
@@ -213,7 +213,7 @@
 	Subscriber *feed.Subscriber
 	Table      *steer.Table
 	Publisher  *feed.Publisher
-	Reports    *feed.Reports
+	Reports    *feed.ReportRelay
 	Relay      *renewal.Relay
 	Tracker    *outcome.Tracker
 	Watcher    *requests.Watcher
--- a/internal/direct/feed/feed_test.go
+++ b/internal/direct/feed/feed_test.go
@@ -40,7 +40,7 @@
 func newMember(name model.NodeName) *member {
 	created := &member{mailbox: protocol.NewMailbox(name), directory: directory.New(), fresh: true, names: []model.NodeName{"a", "b"}}
 	created.dispatcher = protocol.NewDispatcher(created.mailbox)
-	created.publisher = NewPublisher(PublisherOptions{Limit: 64, TellsMembers: true}, created.mailbox, created.dispatcher, created.directory, created)
+	created.publisher = NewPublisher(PublisherOptions{MaxFollowers: 64, IsMember: true}, created.mailbox, created.dispatcher, created.directory, created)
 	return created
 }
 
--- a/internal/direct/feed/pack_test.go
+++ b/internal/direct/feed/pack_test.go
@@ -72,7 +72,7 @@
 	var members []*member
 	for _, name := range names {
 		made := newMember(name)
-		made.publisher.options.Limit = limit
+		made.publisher.options.MaxFollowers = limit
 		made.names = names
 		made.declareLarge(t, 1)
 		members = append(members, made)
@@ -96,7 +96,7 @@
 // current by a member that does not feed it.
 func TestRefusalConfirmsNoOlderTable(t *testing.T) {
 	only := newMember("a")
-	only.publisher.options.Limit = 0
+	only.publisher.options.MaxFollowers = 0
 	only.declare(t, 1)
 	node := newNode("n1", 16, "a")
 	fabric := newFabric([]*member{only}, node)
--- a/internal/direct/feed/peers_test.go
+++ b/internal/direct/feed/peers_test.go
@@ -21,7 +21,7 @@
 	subscriber *Subscriber
 	replica    *Replica
 	publisher  *Publisher
-	reports    *Reports
+	reports    *ReportRelay
 	// fabric is set once the node is part of one.
 	fabric *fabric
 }
@@ -43,11 +43,11 @@
 	made.dispatcher = protocol.NewDispatcher(made.mailbox)
 	made.subscriber = NewSubscriber(SubscriberOptions{
 		Seeds: seeds, Zone: "a", Serves: true,
-		OnChange: func(changes directory.Changes, _ model.NodeName) { made.replica.Took(changes) },
+		OnChange: func(changes directory.Changes, _ model.NodeName) { made.replica.Record(changes) },
 	}, made.mailbox, made.dispatcher, made.table, made)
 	made.replica = NewReplica(made.table, made.subscriber)
-	made.publisher = NewPublisher(PublisherOptions{Limit: limit}, made.mailbox, made.dispatcher, made.replica, made.replica)
-	made.reports = NewReports(made.mailbox, made.dispatcher, made.subscriber.Following)
+	made.publisher = NewPublisher(PublisherOptions{MaxFollowers: limit}, made.mailbox, made.dispatcher, made.replica, made.replica)
+	made.reports = NewReportRelay(made.mailbox, made.dispatcher, made.subscriber.Following)
 	return made
 }
 
@@ -263,7 +263,7 @@
 // balancers all have the newest table, through each other.
 func TestMembersFeedNoMoreThanTheirLimit(t *testing.T) {
 	only := newMember("a")
-	only.publisher.options.Limit = 2
+	only.publisher.options.MaxFollowers = 2
 	only.declare(t, 1)
 	var nodes []*node
 	for index := range 20 {
@@ -296,7 +296,7 @@
 	take := func() {
 		changes := source.directory.ChangesSince(table.Revision())
 		require.True(t, table.Apply(changes, start))
-		replica.Took(changes)
+		replica.Record(changes)
 	}
 	source.declare(t, 1)
 	take()
--- a/internal/direct/feed/publisher.go
+++ b/internal/direct/feed/publisher.go
@@ -91,11 +91,11 @@
 
 // PublisherOptions are what a publisher works with.
 type PublisherOptions struct {
-	// Limit bounds the balancers that are fed.
-	Limit int
-	// TellsMembers tells that the node is a member, which tells the other
+	// MaxFollowers bounds the balancers that are fed.
+	MaxFollowers int
+	// IsMember tells that the node is a member, which tells the other
 	// members of its followers.
-	TellsMembers bool
+	IsMember bool
 }
 
 // NewPublisher returns the publisher of one node.
@@ -219,7 +219,7 @@
 func (publisher *Publisher) tellMembers(now time.Time) {
 	since := now.Sub(publisher.toldAt)
 	grown := len(publisher.followers) > publisher.toldFollowers && since >= tellPause
-	if !publisher.options.TellsMembers || !grown && since < tellInterval {
+	if !publisher.options.IsMember || !grown && since < tellInterval {
 		return
 	}
 	publisher.toldAt = now
@@ -277,7 +277,7 @@
 		known := publisher.followers[received.From]
 		switch {
 		case known != nil:
-		case len(publisher.followers) >= publisher.options.Limit:
+		case len(publisher.followers) >= publisher.options.MaxFollowers:
 			known = &follower{}
 			publisher.refused[received.From] = known
 		default:
@@ -308,7 +308,7 @@
 		update.Peers = peers
 		known.peers = peers
 	}
-	if publisher.options.TellsMembers {
+	if publisher.options.IsMember {
 		publisher.tellNeighbours(name, known, &update)
 	}
 	known.sent = max(known.sent, update.Changes.To)
--- a/internal/direct/feed/replica.go
+++ b/internal/direct/feed/replica.go
@@ -20,16 +20,16 @@
 // Invariant: recent is a chain without gaps that ends at the table's revision.
 type Replica struct {
 	table *steer.Table
-	view  View
+	view  UpstreamView
 
 	lock    sync.Mutex
 	recent  []directory.Changes
 	entries int
 }
 
-// View is what a balancer knows of the nodes around it; Subscriber implements
+// UpstreamView is what a balancer knows of the nodes around it; Subscriber implements
 // it.
-type View interface {
+type UpstreamView interface {
 	// Members returns the members of the control group that are known.
 	Members() []model.NodeName
 	// Depth returns the number of balancers between this one and the member
@@ -38,12 +38,12 @@
 }
 
 // NewReplica returns the replica of table.
-func NewReplica(table *steer.Table, view View) *Replica {
+func NewReplica(table *steer.Table, view UpstreamView) *Replica {
 	return &Replica{table: table, view: view}
 }
 
-// Took records changes that the table took in.
-func (replica *Replica) Took(changes directory.Changes) {
+// Record records changes that the table took in.
+func (replica *Replica) Record(changes directory.Changes) {
 	replica.lock.Lock()
 	defer replica.lock.Unlock()
 	if changes.Whole {
--- a/internal/direct/feed/reports.go
+++ b/internal/direct/feed/reports.go
@@ -12,19 +12,19 @@
 // are cut off from all members may follow each other for a moment.
 const maximumHops = 3
 
-// Reports is the controller that passes on what other balancers found out
+// ReportRelay is the controller that passes on what other balancers found out
 // about targets, to the node that this one follows.
-type Reports struct {
+type ReportRelay struct {
 	mailbox  *protocol.Mailbox
 	health   *board.Queue[protocol.Envelope]
 	outcomes *board.Queue[protocol.Envelope]
 	follows  func() model.NodeName
 }
 
-// NewReports returns the controller. follows returns the node that gets the
+// NewReportRelay returns the controller. follows returns the node that gets the
 // reports.
-func NewReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, follows func() model.NodeName) *Reports {
-	return &Reports{
+func NewReportRelay(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, follows func() model.NodeName) *ReportRelay {
+	return &ReportRelay{
 		mailbox:  mailbox,
 		health:   dispatcher.Handle(HealthReport{}),
 		outcomes: dispatcher.Handle(OutcomeReport{}),
@@ -33,15 +33,15 @@
 }
 
 // Name implements board.Controller.
-func (reports *Reports) Name() string { return "passed reports" }
+func (reports *ReportRelay) Name() string { return "passed reports" }
 
 // Sources returns the channels whose notices call for a Reconcile.
-func (reports *Reports) Sources() []<-chan struct{} {
+func (reports *ReportRelay) Sources() []<-chan struct{} {
 	return []<-chan struct{}{reports.health.Watch(), reports.outcomes.Watch()}
 }
 
 // Reconcile implements board.Controller.
-func (reports *Reports) Reconcile(time.Time) {
+func (reports *ReportRelay) Reconcile(time.Time) {
 	for _, received := range protocol.Receive[HealthReport](reports.health) {
 		report := received.Message
 		if node, passes := reports.next(received.From, report.Hops); passes {
@@ -59,7 +59,7 @@
 }
 
 // next returns the node that gets a report, unless it goes no further.
-func (reports *Reports) next(from model.NodeName, hops uint8) (model.NodeName, bool) {
+func (reports *ReportRelay) next(from model.NodeName, hops uint8) (model.NodeName, bool) {
 	node := reports.follows()
 	return node, node != "" && node != from && hops < maximumHops
 }
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -141,7 +141,7 @@
 }
 
 func providePublisher(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, state *directory.Directory, group *replica.Controller) *feed.Publisher {
-	return feed.NewPublisher(feed.PublisherOptions{Limit: chosen.Direct.Followers, TellsMembers: true},
+	return feed.NewPublisher(feed.PublisherOptions{MaxFollowers: chosen.Direct.Followers, IsMember: true},
 		mailbox, dispatcher, state, memberSource{group: group})
 }
 
--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -84,11 +84,11 @@
 		Seeds:    balancer.world.seeds(),
 		Zone:     balancer.process.Zone,
 		Serves:   true,
-		OnChange: func(changes directory.Changes, _ model.NodeName) { replica.Took(changes) },
+		OnChange: func(changes directory.Changes, _ model.NodeName) { replica.Record(changes) },
 	}, mailbox, dispatcher, balancer.table, noConnector{})
 	replica = feed.NewReplica(balancer.table, subscriber)
-	publisher := feed.NewPublisher(feed.PublisherOptions{Limit: peerFollowers}, mailbox, dispatcher, replica, replica)
-	reports := feed.NewReports(mailbox, dispatcher, subscriber.Following)
+	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: peerFollowers}, mailbox, dispatcher, replica, replica)
+	reports := feed.NewReportRelay(mailbox, dispatcher, subscriber.Following)
 	balancer.subscriber = subscriber
 	tracker := outcome.NewTracker(mailbox, subscriber.Following)
 	balancer.watcher = requests.NewWatcher(tracker, book)
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -89,7 +89,7 @@
 		MinProbeInterval:  700 * time.Millisecond,
 		RemoveFailedAfter: flowLife + 15*time.Second,
 	}, mailbox, dispatcher, group, member.Directory, renewed, world.prober(member.process), zap.NewNop())
-	publisher := feed.NewPublisher(feed.PublisherOptions{Limit: world.options.Followers, TellsMembers: true},
+	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: world.options.Followers, IsMember: true},
 		mailbox, dispatcher, member.Directory, memberSource{member: member})
 	member.Registrar = registrar.NewRegistrar(member.Directory, proposer, group, renewed, publisher.Peers, zap.NewNop())
 	collecting := load.CollectorOptions{
