--- a/internal/direct/feed/feed.go
+++ b/internal/direct/feed/feed.go
@@ -1,19 +1,17 @@
-// Package feed carries the directory of direct services from the control
-// group to the balancers.
+// Package feed sends the directory of direct services from the control group to the balancers.
 //
-// A balancer follows one member at a time: it subscribes with the revision
-// that it has, and the member sends what changed as soon as it is committed,
-// and a sign of life at an interval. A member that says nothing for a while,
-// or that has lost its quorum, is left for another one. A balancer's table
-// never goes back, whichever member it follows.
+// A balancer follows one member at a time. It subscribes with the revision that it has; the member
+// sends changes as soon as they are committed, and keepalives at an interval. When the member sends
+// nothing for a while, or has lost its quorum, the balancer follows another one. The revision of a
+// balancer's table never decreases, whichever member it follows.
 //
-// Balancers pass the feed on: members tell each balancer of a few others, and
-// a balancer that reaches no member, or whose members feed as many as they may,
-// follows another balancer. What it learns there is as old as that balancer's
-// own last word of a member; the age travels along and only grows, so that two
-// balancers that are cut off together confirm nothing to each other. The
-// number of balancers on the way travels along too and is bounded, so that
-// balancers which follow each other in a circle notice it.
+// Balancers relay the feed. Members send each balancer the names of a few others. A balancer that
+// reaches no member, or whose members already feed as many balancers as they may, follows another
+// balancer. Its table then counts as current only as of the last quorum confirmation that reached
+// that balancer. Each update carries the age of this confirmation, which only grows, so two
+// balancers that are both cut off from all members cannot confirm each other's tables. Each update
+// also carries the number of balancers on its path from the member. The number is bounded, so
+// balancers that follow each other in a cycle detect it.
 package feed
 
 import (
@@ -24,71 +22,69 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Subscribe asks a member, or another balancer, for what changed after Have.
-// Balancers repeat it.
+// Subscribe asks a member, or another balancer, for the changes after the revision Have. Balancers
+// repeat it, as followers that stop subscribing are removed.
 type Subscribe struct {
 	Have model.Revision
 	// Zone is the balancer's zone.
 	Zone model.ZoneName
-	// Serves tells that other balancers may follow this one, at its name.
+	// Serves means that other balancers may follow this one. They reach it by its node name.
 	Serves bool
-	// Renewals is the address at which the balancer takes renewals of targets;
-	// empty when it takes none.
+	// Renewals is the address at which the balancer accepts renewals of targets; empty if it
+	// accepts none.
 	Renewals string
 }
 
-// Update answers a Subscribe, and follows each commit.
+// Update answers a Subscribe. It is also sent after each commit and as a keepalive.
 type Update struct {
 	Changes directory.Changes
-	// Packed has the changes instead when there are many.
+	// Packed holds the changes in compressed form if there are many. Changes then has no entries.
 	Packed []byte
-	// Fresh tells that the sender knows of a confirmed quorum: as a member that
-	// leads or hears its leader, or as a balancer that follows such a member.
+	// Fresh means that the sender has a recent quorum confirmation: a member that leads or is in
+	// contact with its leader, or a balancer that follows such a member.
 	Fresh bool
-	// Age is how long ago the quorum was confirmed.
+	// Age is the time since the quorum was confirmed.
 	Age time.Duration
-	// Depth is the number of balancers between the sender and the member that
-	// it hears of: zero for a member.
+	// Depth is the number of balancers on the path from the member to the sender, including the
+	// sender: zero for a member.
 	Depth uint8
-	// Elsewhere tells that the sender feeds as many as it may; this answer is
-	// its only one, and the balancer is to follow another node.
+	// Elsewhere means that the sender already has as many followers as it may have. This update is
+	// its only answer to the subscription, and the balancer should follow another node.
 	Elsewhere bool
-	// Peers are balancers to follow when no member can be reached; set when
-	// they changed since the last update to this balancer.
+	// Peers are balancers to follow when no member can be reached. Peers, Neighbours and Members
+	// are only set if they changed since the last update to this balancer, and in the first update
+	// after each of its subscriptions.
 	Peers []model.NodeName
-	// Neighbours are the balancers to tell of the load of targets. Members set
-	// them, and NeighboursTold, when they changed since the last update to this
-	// balancer.
+	// Neighbours are the balancers to exchange the load of targets with. Only members set them.
+	// NeighboursTold means that they are set, as they may be empty.
 	Neighbours     []model.NodeName
 	NeighboursTold bool
-	// Members are the names of the group's members; set when they changed
-	// since the last update to this balancer.
+	// Members are the names of the group's members.
 	Members []model.NodeName
 }
 
-// Peer is a balancer that others may follow, at its name.
+// Peer is a balancer that others may follow. They reach it by its node name.
 type Peer struct {
 	Name model.NodeName
 	Zone model.ZoneName
-	// Renewals is the address at which it takes renewals of targets; empty
-	// when it takes none.
+	// Renewals is the address at which it accepts renewals of targets; empty if it accepts none.
 	Renewals string
 }
 
-// Followers tells the other members which balancers follow this one, so that
-// each can tell its own followers of enough others.
+// Followers is sent by a member to the other members and lists balancers that follow it, so that
+// each member can name enough peers to its own followers.
 type Followers struct {
 	Peers []Peer
 }
 
-// Verdict is what a balancer found out about a target that did not answer.
+// Verdict is the result of a balancer's probe of a target that did not answer.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// VerdictRefused: nothing listens at the target's address.
+	// VerdictRefused means that nothing listens at the target's address.
 	VerdictRefused Verdict = iota + 1
-	// VerdictSilent: the target's machine does not answer.
+	// VerdictSilent means that the target's machine does not answer.
 	VerdictSilent
 )
 
@@ -104,33 +100,30 @@
 	}
 }
 
-// HealthReport tells the node that a balancer follows about a target that a
-// probe found dead. Balancers pass it on to the node that they follow, members
-// to the leader.
+// HealthReport reports a target that failed a balancer's probe. It goes to the node that the
+// balancer follows. Balancers forward it to the node that they follow, members to the leader.
 type HealthReport struct {
-	// Hops is the number of balancers that passed the report on.
+	// Hops is the number of balancers that forwarded the report.
 	Hops    uint8
 	Token   directory.Token
 	Verdict Verdict
-	// Balancer is the balancer that probed.
+	// Balancer is the balancer that probed the target.
 	Balancer model.NodeName
 }
 
-// OutcomeCount has the requests that a balancer sent to a target, by whether
-// and how they were answered.
+// OutcomeCount counts the requests that a balancer sent to a target, by outcome.
 type OutcomeCount struct {
 	Token      directory.Token
 	Answered   uint32
 	Unanswered uint32
-	// Hasty are those of the answered ones whose answers came far sooner, and were far
-	// shorter, than others of their routes.
+	// Hasty counts the answered requests whose answers came much sooner, and were much shorter,
+	// than is usual on their routes. Such answers are probably errors; see package outcome.
 	Hasty uint32
 }
 
-// OutcomeReport tells the node that a balancer follows how requests ended lately.
-// It goes the way of a HealthReport.
+// OutcomeReport reports the outcomes of recent requests. It is forwarded like a HealthReport.
 type OutcomeReport struct {
-	// Hops is the number of balancers that passed the report on.
+	// Hops is the number of balancers that forwarded the report.
 	Hops   uint8
 	Counts []OutcomeCount
 }
--- a/internal/direct/feed/feed_test.go
+++ b/internal/direct/feed/feed_test.go
@@ -16,34 +16,35 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// member is one member's publisher with its directory.
+// member is a member of the control group: a directory with its publisher. It implements Source.
 type member struct {
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
 	directory  *directory.Directory
 	publisher  *Publisher
-	fresh      bool
-	index      model.Revision
-	// names are the members of the group.
-	names []model.NodeName
+	confirmed  bool
+	revision   model.Revision
+	// memberNames are the members of the group.
+	memberNames []model.NodeName
 }
 
 // Confirmed implements Source.
-func (member *member) Confirmed(time.Time) (time.Duration, bool) { return 0, member.fresh }
+func (member *member) Confirmed(time.Time) (time.Duration, bool) { return 0, member.confirmed }
 
 // Depth implements Source.
 func (member *member) Depth() uint8 { return 0 }
 
 // Members implements Source.
-func (member *member) Members() []model.NodeName { return member.names }
+func (member *member) Members() []model.NodeName { return member.memberNames }
 
 func newMember(name model.NodeName) *member {
-	created := &member{mailbox: protocol.NewMailbox(name), directory: directory.New(), fresh: true, names: []model.NodeName{"a", "b"}}
+	created := &member{mailbox: protocol.NewMailbox(name), directory: directory.New(), confirmed: true, memberNames: []model.NodeName{"a", "b"}}
 	created.dispatcher = protocol.NewDispatcher(created.mailbox)
 	created.publisher = NewPublisher(PublisherOptions{MaxFollowers: 64, IsMember: true}, created.mailbox, created.dispatcher, created.directory, created)
 	return created
 }
 
+// declare applies a declared configuration with one route, whose timeout is version seconds.
 func (member *member) declare(t *testing.T, version uint64) {
 	t.Helper()
 	next := &declared.Configuration{Version: version, Services: []declared.Service{{Name: "feed"}}, Routes: []declared.Route{{
@@ -53,11 +54,11 @@
 	difference := declared.Compare(member.directory.Configuration(), next)
 	data, err := directory.EncodeCommand(directory.Command{Declare: &difference})
 	require.NoError(t, err)
-	member.index++
-	member.directory.Apply(member.index, start, data)
+	member.revision++
+	member.directory.Apply(member.revision, start, data)
 }
 
-// connector records which members a balancer is connected to.
+// connector is a Connector that records the members that a balancer is connected to.
 type connector map[model.NodeName]bool
 
 // Connect implements Connector.
@@ -69,58 +70,58 @@
 // Disconnect implements Connector.
 func (connector connector) Disconnect(member model.NodeName) { delete(connector, member) }
 
-// pair is a balancer's subscriber and the members that it may follow, on one
-// clock. Messages arrive at once, unless lose tells otherwise.
-type pair struct {
-	t          *testing.T
-	now        time.Time
-	members    map[model.NodeName]*member
-	mailbox    *protocol.Mailbox
-	dispatcher *protocol.Dispatcher
-	subscriber *Subscriber
-	table      *steer.Table
-	connected  connector
-	lose       func(envelope protocol.Envelope) bool
+// testHarness runs a balancer's subscriber and the members that it may follow on one simulated
+// clock. Messages arrive at once, except those for which drop returns true.
+type testHarness struct {
+	t           *testing.T
+	now         time.Time
+	members     map[model.NodeName]*member
+	mailbox     *protocol.Mailbox
+	dispatcher  *protocol.Dispatcher
+	subscriber  *Subscriber
+	table       *steer.Table
+	connections connector
+	drop        func(envelope protocol.Envelope) bool
 }
 
-func newPair(t *testing.T, members ...*member) *pair {
-	made := &pair{
+func newTestHarness(t *testing.T, members ...*member) *testHarness {
+	created := &testHarness{
 		t: t, now: start, members: make(map[model.NodeName]*member), mailbox: protocol.NewMailbox("balancer"),
-		table: steer.NewTable(steer.DefaultOptions()), connected: make(connector),
-		lose: func(protocol.Envelope) bool { return false },
+		table: steer.NewTable(steer.DefaultOptions()), connections: make(connector),
+		drop: func(protocol.Envelope) bool { return false },
 	}
 	var seeds []model.NodeName
 	for _, member := range members {
-		made.members[member.mailbox.Self] = member
+		created.members[member.mailbox.Self] = member
 		seeds = append(seeds, member.mailbox.Self)
 	}
-	made.dispatcher = protocol.NewDispatcher(made.mailbox)
-	made.subscriber = NewSubscriber(SubscriberOptions{Seeds: seeds}, made.mailbox, made.dispatcher, made.table, made.connected)
-	return made
+	created.dispatcher = protocol.NewDispatcher(created.mailbox)
+	created.subscriber = NewSubscriber(SubscriberOptions{Seeds: seeds}, created.mailbox, created.dispatcher, created.table, created.connections)
+	return created
 }
 
-// run lets time pass in steps of 10 ms.
-func (pair *pair) run(duration time.Duration) {
-	for end := pair.now.Add(duration); pair.now.Before(end); pair.now = pair.now.Add(10 * time.Millisecond) {
-		pair.dispatcher.Reconcile(pair.now)
-		pair.subscriber.Reconcile(pair.now)
-		pair.carry(pair.mailbox)
-		for _, member := range pair.members {
-			member.dispatcher.Reconcile(pair.now)
-			member.publisher.Reconcile(pair.now)
-			pair.carry(member.mailbox)
+// run advances the clock by duration in steps of 10 ms.
+func (harness *testHarness) run(duration time.Duration) {
+	for end := harness.now.Add(duration); harness.now.Before(end); harness.now = harness.now.Add(10 * time.Millisecond) {
+		harness.dispatcher.Reconcile(harness.now)
+		harness.subscriber.Reconcile(harness.now)
+		harness.deliver(harness.mailbox)
+		for _, member := range harness.members {
+			member.dispatcher.Reconcile(harness.now)
+			member.publisher.Reconcile(harness.now)
+			harness.deliver(member.mailbox)
 		}
 	}
 }
 
-func (pair *pair) carry(from *protocol.Mailbox) {
+func (harness *testHarness) deliver(from *protocol.Mailbox) {
 	for _, envelope := range from.Outbox.Drain() {
-		switch to := pair.members[envelope.To]; {
-		case pair.lose(envelope):
+		switch to := harness.members[envelope.To]; {
+		case harness.drop(envelope):
 		case to != nil:
 			to.mailbox.Inbox.Put(envelope)
-		case envelope.To == pair.mailbox.Self:
-			pair.mailbox.Inbox.Put(envelope)
+		case envelope.To == harness.mailbox.Self:
+			harness.mailbox.Inbox.Put(envelope)
 		}
 	}
 }
@@ -128,67 +129,67 @@
 func TestChangesReachTheBalancer(t *testing.T) {
 	only := newMember("a")
 	only.declare(t, 1)
-	pair := newPair(t, only)
-	pair.run(200 * time.Millisecond)
-	require.Equal(t, uint64(1), pair.table.Version())
-	require.True(t, pair.table.Fresh(pair.now))
+	harness := newTestHarness(t, only)
+	harness.run(200 * time.Millisecond)
+	require.Equal(t, uint64(1), harness.table.Version())
+	require.True(t, harness.table.Fresh(harness.now))
 	only.declare(t, 2)
-	pair.run(100 * time.Millisecond)
-	require.Equal(t, uint64(2), pair.table.Version())
+	harness.run(100 * time.Millisecond)
+	require.Equal(t, uint64(2), harness.table.Version())
 }
 
-// TestOneNodeIsAskedAtATime: an answer takes longer than the time between two
-// attempts to connect.
+// TestOneNodeIsAskedAtATime guards against subscriptions at several nodes at once, when an answer
+// takes longer than searchInterval.
 func TestOneNodeIsAskedAtATime(t *testing.T) {
 	first, second := newMember("a"), newMember("b")
 	first.declare(t, 1)
 	second.declare(t, 1)
-	pair := newPair(t, first, second)
-	asked := 0
-	pair.lose = func(envelope protocol.Envelope) bool {
+	harness := newTestHarness(t, first, second)
+	subscriptions := 0
+	harness.drop = func(envelope protocol.Envelope) bool {
 		if _, isQuestion := envelope.Message.(Subscribe); isQuestion {
-			asked++
+			subscriptions++
 		}
 		_, isAnswer := envelope.Message.(Update)
-		return isAnswer && pair.now.Sub(start) < 120*time.Millisecond
+		return isAnswer && harness.now.Sub(start) < 120*time.Millisecond
 	}
-	pair.run(140 * time.Millisecond)
-	require.Equal(t, 1, asked)
-	pair.run(answerLeast + 50*time.Millisecond)
-	require.Equal(t, 2, asked, "a node that does not answer is left")
-	require.True(t, pair.table.Serving())
+	harness.run(140 * time.Millisecond)
+	require.Equal(t, 1, subscriptions)
+	harness.run(minAnswerTimeout + 50*time.Millisecond)
+	require.Equal(t, 2, subscriptions, "the next node is tried after one that does not answer")
+	require.True(t, harness.table.Serving())
 }
 
-func TestLostUpdateIsAskedForAgain(t *testing.T) {
+func TestLostUpdateIsRequestedAgain(t *testing.T) {
 	only := newMember("a")
 	only.declare(t, 1)
-	pair := newPair(t, only)
-	pair.run(200 * time.Millisecond)
-	pair.lose = func(envelope protocol.Envelope) bool {
+	harness := newTestHarness(t, only)
+	harness.run(200 * time.Millisecond)
+	harness.drop = func(envelope protocol.Envelope) bool {
 		update, isUpdate := envelope.Message.(Update)
 		return isUpdate && update.Changes.To == 2
 	}
 	only.declare(t, 2)
-	pair.run(30 * time.Millisecond)
-	require.Equal(t, uint64(1), pair.table.Version())
+	harness.run(30 * time.Millisecond)
+	require.Equal(t, uint64(1), harness.table.Version())
 	only.declare(t, 3)
-	pair.run(200 * time.Millisecond)
-	require.Equal(t, uint64(3), pair.table.Version())
+	harness.run(200 * time.Millisecond)
+	require.Equal(t, uint64(3), harness.table.Version())
 }
 
-func TestBalancerLeavesAMemberThatIsNotCurrent(t *testing.T) {
+func TestBalancerLeavesStaleMember(t *testing.T) {
 	cases := []struct {
 		name string
-		fail func(pair *pair, member *member)
+		fail func(harness *testHarness, member *member)
 	}{
-		{"without a quorum", func(_ *pair, member *member) { member.fresh = false }},
-		{"silent", func(pair *pair, member *member) {
+		{"without a quorum", func(_ *testHarness, member *member) { member.confirmed = false }},
+		{"unresponsive", func(harness *testHarness, member *member) {
 			name := member.mailbox.Self
-			pair.lose = func(envelope protocol.Envelope) bool { return envelope.From == name || envelope.To == name }
+			harness.drop = func(envelope protocol.Envelope) bool { return envelope.From == name || envelope.To == name }
 		}},
-		{"does not hear", func(pair *pair, member *member) {
+		{"receives nothing", func(harness *testHarness, member *member) {
 			name := member.mailbox.Self
-			pair.lose = func(envelope protocol.Envelope) bool { return envelope.To == name }
+			harness.drop = func(envelope protocol.Envelope) bool { return envelope.To == name }
 		}},
 	}
 	for _, test := range cases {
@@ -196,45 +197,45 @@
 			first, second := newMember("a"), newMember("b")
 			first.declare(t, 1)
 			second.declare(t, 1)
-			pair := newPair(t, first, second)
-			pair.run(300 * time.Millisecond)
-			followed := pair.members[pair.subscriber.Following()]
+			harness := newTestHarness(t, first, second)
+			harness.run(300 * time.Millisecond)
+			followed := harness.members[harness.subscriber.Following()]
 			other := first
 			if followed == first {
 				other = second
 			}
-			test.fail(pair, followed)
+			test.fail(harness, followed)
 			other.declare(t, 2)
-			pair.run(subscriptionFor + 2*time.Second)
-			require.Equal(t, uint64(2), pair.table.Version())
-			require.Equal(t, other.mailbox.Self, pair.subscriber.Following())
-			require.Equal(t, connector{other.mailbox.Self: true}, pair.connected, "only the followed member stays connected")
+			harness.run(subscriptionTimeout + 2*time.Second)
+			require.Equal(t, uint64(2), harness.table.Version())
+			require.Equal(t, other.mailbox.Self, harness.subscriber.Following())
+			require.Equal(t, connector{other.mailbox.Self: true}, harness.connections, "only the followed member stays connected")
 		})
 	}
 }
 
-func TestMemberThatIsBehindDoesNotTurnTheTableBack(t *testing.T) {
+func TestStaleMemberDoesNotRevertTable(t *testing.T) {
 	behind, ahead := newMember("a"), newMember("b")
 	behind.declare(t, 1)
 	ahead.declare(t, 1)
 	ahead.declare(t, 5)
-	pair := newPair(t, ahead)
-	pair.run(200 * time.Millisecond)
-	require.Equal(t, uint64(5), pair.table.Version())
-	delete(pair.members, "b")
-	pair.members["a"] = behind
-	pair.subscriber.SetSeeds([]model.NodeName{"a"})
-	pair.run(3 * time.Second)
-	require.Equal(t, uint64(5), pair.table.Version())
-	require.False(t, pair.table.Fresh(pair.now), "a member that is behind confirms nothing")
+	harness := newTestHarness(t, ahead)
+	harness.run(200 * time.Millisecond)
+	require.Equal(t, uint64(5), harness.table.Version())
+	delete(harness.members, "b")
+	harness.members["a"] = behind
+	harness.subscriber.SetSeeds([]model.NodeName{"a"})
+	harness.run(3 * time.Second)
+	require.Equal(t, uint64(5), harness.table.Version())
+	require.False(t, harness.table.Fresh(harness.now), "a member with an older revision does not confirm the table")
 }
 
-func TestTableOfAMemberWithoutQuorumServesUntilABetterOneComes(t *testing.T) {
+func TestTableOfMemberWithoutQuorumServesButIsNotFresh(t *testing.T) {
 	only := newMember("a")
 	only.declare(t, 4)
-	only.fresh = false
-	pair := newPair(t, only)
-	pair.run(200 * time.Millisecond)
-	require.True(t, pair.table.Serving())
-	require.False(t, pair.table.Fresh(pair.now))
+	only.confirmed = false
+	harness := newTestHarness(t, only)
+	harness.run(200 * time.Millisecond)
+	require.True(t, harness.table.Serving())
+	require.False(t, harness.table.Fresh(harness.now))
 }
--- a/internal/direct/feed/pack.go
+++ b/internal/direct/feed/pack.go
@@ -11,16 +11,15 @@
 )
 
 const (
-	// packFrom is the number of entries from which changes are packed: whole
-	// tables of large systems are, which many balancers ask for at once after a
-	// start; the usual changes are not.
-	packFrom = 256
-	// maximumUnpacked bounds packed changes, in bytes, once they are unpacked.
-	maximumUnpacked = 256 << 20
+	// minPackedEntries is the number of entries from which changes are packed. The full tables of
+	// large systems, which many balancers request at once after a start, are packed; typical
+	// changes are not.
+	minPackedEntries = 256
+	// maxUnpackedBytes bounds the size of changes after decompression, in bytes.
+	maxUnpackedBytes = 256 << 20
 )
 
-// pack returns changes as bytes, compressed by DEFLATE (RFC 1951). They are
-// packed once for all balancers that need the same ones.
+// pack returns changes encoded by gob and compressed by DEFLATE (RFC 1951).
 func pack(changes directory.Changes) ([]byte, error) {
 	var packed bytes.Buffer
 	compressor, err := flate.NewWriter(&packed, flate.BestSpeed)
@@ -39,8 +38,8 @@
 // unpack is the inverse of pack.
 func unpack(packed []byte) (directory.Changes, error) {
 	var changes directory.Changes
-	expander := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maximumUnpacked)
-	if err := gob.NewDecoder(expander).Decode(&changes); err != nil {
+	decompressor := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes)
+	if err := gob.NewDecoder(decompressor).Decode(&changes); err != nil {
 		return directory.Changes{}, fmt.Errorf("unpack changes: %w", err)
 	}
 	return changes, nil
--- a/internal/direct/feed/pack_test.go
+++ b/internal/direct/feed/pack_test.go
@@ -16,7 +16,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// largeTable returns a whole table with as many routes and targets as given.
+// largeTable returns a full table with the given numbers of routes and targets.
 func largeTable(routes, targets int) directory.Changes {
 	changes := directory.Changes{Whole: true, To: 9, Version: 3, IdleTimeout: time.Second}
 	for index := range routes {
@@ -33,25 +33,25 @@
 	return changes
 }
 
-func TestPackedChangesComeBack(t *testing.T) {
+func TestPackAndUnpackRoundTrip(t *testing.T) {
 	changes := largeTable(300, 300)
 	packed, err := pack(changes)
 	require.NoError(t, err)
-	back, err := unpack(packed)
+	unpacked, err := unpack(packed)
 	require.NoError(t, err)
-	require.Equal(t, changes, back)
+	require.Equal(t, changes, unpacked)
 	for length := range 40 {
 		_, err := unpack(packed[:length*len(packed)/40])
 		require.Error(t, err, "cut at %d of 40", length)
 	}
 }
 
-// declareLarge gives the member a table that is packed.
-func (member *member) declareLarge(t *testing.T, version uint64) {
+// declareLargeTable applies a declared configuration whose full table is large enough to be packed.
+func (member *member) declareLargeTable(t *testing.T, version uint64) {
 	t.Helper()
 	services := []declared.Service{{Name: "feed"}}
 	next := &declared.Configuration{Version: version, Services: services}
-	for index := range packFrom {
+	for index := range minPackedEntries {
 		next.Routes = append(next.Routes, declared.Route{
 			Name: fmt.Sprint("r", index), Address: netip.AddrPortFrom(netip.MustParseAddr("198.18.0.1"), uint16(index+1)),
 			Timeout: time.Second, Kind: declared.KindSafe, Pool: []declared.PoolPart{{Service: "feed", Weight: 1}},
@@ -60,71 +60,72 @@
 	difference := declared.Compare(member.directory.Configuration(), next)
 	data, err := directory.EncodeCommand(directory.Command{Declare: &difference})
 	require.NoError(t, err)
-	member.index++
-	member.directory.Apply(member.index, start, data)
+	member.revision++
+	member.directory.Apply(member.revision, start, data)
 }
 
-// TestRefusedBalancersGetNoTable: of many balancers that know one member from their settings
-// it gives its table to as many as it feeds, and the others find the next member.
+// TestRefusedBalancersGetNoTable guards against a member that sends its large table also to
+// balancers that it refuses. All balancers know only that member from their settings; those that it
+// refuses find the other members.
 func TestRefusedBalancersGetNoTable(t *testing.T) {
 	const limit = 5
 	names := []model.NodeName{"a", "b", "c"}
 	var members []*member
 	for _, name := range names {
-		made := newMember(name)
-		made.publisher.options.MaxFollowers = limit
-		made.names = names
-		made.declareLarge(t, 1)
-		members = append(members, made)
+		created := newMember(name)
+		created.publisher.options.MaxFollowers = limit
+		created.memberNames = names
+		created.declareLargeTable(t, 1)
+		members = append(members, created)
 	}
-	var nodes []*node
+	var balancers []*testBalancer
 	for number := range 3 * limit {
-		nodes = append(nodes, newNode(model.NodeName(fmt.Sprint("n", number)), 16, "a"))
+		balancers = append(balancers, newTestBalancer(model.NodeName(fmt.Sprint("n", number)), 16, "a"))
 	}
-	fabric := newFabric(members, nodes...)
-	fabric.run(time.Second)
-	for _, node := range nodes {
-		require.True(t, node.table.Serving())
-		require.True(t, node.table.Fresh(fabric.now))
+	network := newTestNetwork(members, balancers...)
+	network.run(time.Second)
+	for _, balancer := range balancers {
+		require.True(t, balancer.table.Serving())
+		require.True(t, balancer.table.Fresh(network.now))
 	}
 	for _, name := range names {
-		require.LessOrEqual(t, fabric.packed[name], limit)
+		require.LessOrEqual(t, network.packedSent[name], limit)
 	}
 }
 
-// TestRefusalConfirmsNoOlderTable: a balancer whose table is old is not told that it is
-// current by a member that does not feed it.
-func TestRefusalConfirmsNoOlderTable(t *testing.T) {
+// TestRefusalDoesNotConfirmOlderTable guards against a refusal without changes that confirms a
+// balancer's outdated table as current.
+func TestRefusalDoesNotConfirmOlderTable(t *testing.T) {
 	only := newMember("a")
 	only.publisher.options.MaxFollowers = 0
 	only.declare(t, 1)
-	node := newNode("n1", 16, "a")
-	fabric := newFabric([]*member{only}, node)
-	fabric.run(100 * time.Millisecond)
-	require.Equal(t, uint64(1), node.table.Version(), "few changes go with a refusal")
-	only.declareLarge(t, 2)
-	fabric.run(2 * time.Second)
-	require.Equal(t, uint64(1), node.table.Version())
-	require.False(t, node.table.Fresh(fabric.now))
+	balancer := newTestBalancer("n1", 16, "a")
+	network := newTestNetwork([]*member{only}, balancer)
+	network.run(100 * time.Millisecond)
+	require.Equal(t, uint64(1), balancer.table.Version(), "a refusal carries few changes")
+	only.declareLargeTable(t, 2)
+	network.run(2 * time.Second)
+	require.Equal(t, uint64(1), balancer.table.Version())
+	require.False(t, balancer.table.Fresh(network.now))
 }
 
-// TestLargeTablesArePackedOnce: a member whose table is large sends the same
-// packed bytes to all balancers that ask for it, and they take them in.
+// TestLargeTablesArePackedOnce checks that balancers apply packed tables, and that a member sends
+// the same packed bytes to all balancers that subscribe.
 func TestLargeTablesArePackedOnce(t *testing.T) {
 	only := newMember("a")
-	only.declareLarge(t, 1)
-	one, two := newNode("n1", 16, "a"), newNode("n2", 16, "a")
-	fabric := newFabric([]*member{only}, one, two)
-	fabric.run(300 * time.Millisecond)
-	for _, node := range fabric.nodes {
-		require.Equal(t, uint64(1), node.table.Version())
-		everything := node.table.Everything()
-		require.Equal(t, packFrom, everything.Size())
+	only.declareLargeTable(t, 1)
+	one, two := newTestBalancer("n1", 16, "a"), newTestBalancer("n2", 16, "a")
+	network := newTestNetwork([]*member{only}, one, two)
+	network.run(300 * time.Millisecond)
+	for _, balancer := range network.balancers {
+		require.Equal(t, uint64(1), balancer.table.Version())
+		everything := balancer.table.Everything()
+		require.Equal(t, minPackedEntries, everything.Size())
 	}
 	only.mailbox.Inbox.Put(protocol.Envelope{From: "x1", To: "a", Message: Subscribe{}})
 	only.mailbox.Inbox.Put(protocol.Envelope{From: "x2", To: "a", Message: Subscribe{}})
-	only.dispatcher.Reconcile(fabric.now)
-	only.publisher.Reconcile(fabric.now)
+	only.dispatcher.Reconcile(network.now)
+	only.publisher.Reconcile(network.now)
 	var packs [][]byte
 	for _, envelope := range only.mailbox.Outbox.Drain() {
 		if update, isUpdate := envelope.Message.(Update); isUpdate && len(update.Packed) > 0 {
@@ -136,18 +137,18 @@
 	require.Same(t, &packs[0][0], &packs[1][0], "packed once")
 }
 
-func TestDamagedPackIsNoAnswer(t *testing.T) {
-	node := newNode("n1", 16, "a")
-	newFabric(nil, node)
-	node.mailbox.Inbox.Put(protocol.Envelope{From: "a", To: "n1", Message: Update{Packed: []byte{1, 2, 3}, Fresh: true}})
-	node.dispatcher.Reconcile(start)
-	node.subscriber.Reconcile(start)
-	require.False(t, node.table.Serving())
-	require.False(t, node.table.Fresh(start))
+func TestDamagedPackedChangesAreIgnored(t *testing.T) {
+	balancer := newTestBalancer("n1", 16, "a")
+	newTestNetwork(nil, balancer)
+	balancer.mailbox.Inbox.Put(protocol.Envelope{From: "a", To: "n1", Message: Update{Packed: []byte{1, 2, 3}, Fresh: true}})
+	balancer.dispatcher.Reconcile(start)
+	balancer.subscriber.Reconcile(start)
+	require.False(t, balancer.table.Serving())
+	require.False(t, balancer.table.Fresh(start))
 }
 
-// BenchmarkWholeTable compares a whole table as it is sent to each balancer with
-// one that is packed once.
+// BenchmarkWholeTable compares the time to encode a full table by gob with the time to pack it, and
+// the sizes of the results.
 func BenchmarkWholeTable(b *testing.B) {
 	changes := largeTable(870, 3000)
 	b.Run("gob", func(b *testing.B) {
--- a/internal/direct/feed/peers.go
+++ b/internal/direct/feed/peers.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// peersNear and peersFar are the numbers of balancers of a balancer's own
-	// zone, and of other zones, that it is told of. Two of each outlive the
-	// loss of one of them, and of a zone.
-	peersNear = 2
-	peersFar  = 2
-	// mostNeighbours is the largest number of other balancers with which a
-	// balancer shares the load of targets. In larger systems each balancer has a
-	// request or two open at a time: what a sample of them has says little, and
-	// telling all of them costs too much.
-	mostNeighbours = 16
+	// localZonePeers and remoteZonePeers are the numbers of peers from a balancer's own zone, and
+	// from other zones, that its updates name. With two of each, a peer is left after the loss of
+	// one of them, or of a zone.
+	localZonePeers  = 2
+	remoteZonePeers = 2
+	// maxNeighbours is the largest number of other balancers with which a balancer exchanges load
+	// reports. In larger systems each balancer has only one or two requests open at a time, so
+	// reports from a sample of them say little, and reports to all of them cost too much.
+	maxNeighbours = 16
 )
 
-// peerFor is how long after it was last heard of a balancer counts as one that
-// others may follow.
-const peerFor = 6 * time.Second
+// peerTimeout is how long a balancer remains a peer after it last subscribed or was announced.
+const peerTimeout = 6 * time.Second
 
-// knownPeer is a balancer that others may follow.
-type knownPeer struct {
+// peerRecord is a peer and the time at which it last subscribed or was last announced.
+type peerRecord struct {
 	Peer
-	heardAt time.Time
+	seenAt time.Time
 }
 
-// peerBook has the balancers that others may follow, sorted by name.
-type peerBook struct {
-	known []knownPeer
-	// listed is known as a list, or nil after a change.
-	listed *[]Peer
+// peerSet holds the balancers that others may follow, sorted by name.
+type peerSet struct {
+	records []peerRecord
+	// cachedList is the result of list; nil after a change.
+	cachedList *[]Peer
 }
 
-// list returns the balancers, sorted by name.
-func (book *peerBook) list() *[]Peer {
-	if book.listed == nil {
-		peers := make([]Peer, 0, len(book.known))
-		for _, known := range book.known {
-			peers = append(peers, known.Peer)
+// list returns the peers, sorted by name. The result is shared and must not be modified.
+func (set *peerSet) list() *[]Peer {
+	if set.cachedList == nil {
+		peers := make([]Peer, 0, len(set.records))
+		for _, record := range set.records {
+			peers = append(peers, record.Peer)
 		}
-		book.listed = &peers
+		set.cachedList = &peers
 	}
-	return book.listed
+	return set.cachedList
 }
 
-func (book *peerBook) find(name model.NodeName) (int, bool) {
-	return slices.BinarySearchFunc(book.known, name, func(known knownPeer, name model.NodeName) int {
+// find returns the index of the peer with the name, or the index to insert it at, and reports
+// whether it exists.
+func (set *peerSet) find(name model.NodeName) (int, bool) {
+	return slices.BinarySearchFunc(set.records, name, func(record peerRecord, name model.NodeName) int {
 		switch {
-		case known.Name < name:
+		case record.Name < name:
 			return -1
-		case known.Name > name:
+		case record.Name > name:
 			return 1
 		default:
 			return 0
@@ -62,61 +62,61 @@
 	})
 }
 
-// hear records that a balancer was heard of at now.
-func (book *peerBook) hear(heard Peer, now time.Time) {
-	place, exists := book.find(heard.Name)
+// observe adds or updates a peer that subscribed or was announced at now.
+func (set *peerSet) observe(peer Peer, now time.Time) {
+	index, exists := set.find(peer.Name)
 	if !exists {
-		book.known = slices.Insert(book.known, place, knownPeer{})
+		set.records = slices.Insert(set.records, index, peerRecord{})
 	}
-	if book.known[place].Peer != heard {
-		book.listed = nil
+	if set.records[index].Peer != peer {
+		set.cachedList = nil
 	}
-	book.known[place] = knownPeer{Peer: heard, heardAt: now}
+	set.records[index] = peerRecord{Peer: peer, seenAt: now}
 }
 
-// dropOld forgets balancers that were not heard of for long.
-func (book *peerBook) dropOld(now time.Time) {
-	before := len(book.known)
-	book.known = slices.DeleteFunc(book.known, func(known knownPeer) bool { return now.Sub(known.heardAt) > peerFor })
-	if len(book.known) != before {
-		book.listed = nil
+// removeExpired removes the peers that were not observed for longer than peerTimeout.
+func (set *peerSet) removeExpired(now time.Time) {
+	before := len(set.records)
+	set.records = slices.DeleteFunc(set.records, func(record peerRecord) bool { return now.Sub(record.seenAt) > peerTimeout })
+	if len(set.records) != before {
+		set.cachedList = nil
 	}
 }
 
-// choose returns the balancers that the one with the name is told of: those
-// that come after it in the order of names, so that each is told to as many
-// others as it is told of, and a change moves few choices.
-func (book *peerBook) choose(name model.NodeName, zone model.ZoneName) []model.NodeName {
+// choose returns the peers to name to the balancer with the given name: the ones that follow it in
+// the cyclic order of names. Each peer is therefore named to about as many balancers as are named
+// to it, and a change of the set changes few choices.
+func (set *peerSet) choose(name model.NodeName, zone model.ZoneName) []model.NodeName {
 	var chosen []model.NodeName
-	near, far := peersNear, peersFar
-	start, _ := book.find(name)
-	for step := range book.known {
-		candidate := book.known[(start+step)%len(book.known)]
-		room := &far
+	localLeft, remoteLeft := localZonePeers, remoteZonePeers
+	first, _ := set.find(name)
+	for offset := range set.records {
+		candidate := set.records[(first+offset)%len(set.records)]
+		left := &remoteLeft
 		if candidate.Zone == zone {
-			room = &near
+			left = &localLeft
 		}
-		if candidate.Name != name && *room > 0 {
-			*room--
+		if candidate.Name != name && *left > 0 {
+			*left--
 			chosen = append(chosen, candidate.Name)
 		}
-		if near+far == 0 {
+		if localLeft+remoteLeft == 0 {
 			break
 		}
 	}
 	return chosen
 }
 
-// neighbours returns all balancers but the one with the name, or none when they
-// are too many.
-func (book *peerBook) neighbours(name model.NodeName) []model.NodeName {
-	if len(book.known) > mostNeighbours+1 {
+// neighbours returns all peers except the one with the given name, or none if there are more than
+// maxNeighbours.
+func (set *peerSet) neighbours(name model.NodeName) []model.NodeName {
+	if len(set.records) > maxNeighbours+1 {
 		return nil
 	}
-	others := make([]model.NodeName, 0, len(book.known))
-	for _, known := range book.known {
-		if known.Name != name {
-			others = append(others, known.Name)
+	others := make([]model.NodeName, 0, len(set.records))
+	for _, record := range set.records {
+		if record.Name != name {
+			others = append(others, record.Name)
 		}
 	}
 	return others
--- a/internal/direct/feed/prepared.go
+++ b/internal/direct/feed/prepared.go
@@ -5,58 +5,58 @@
 	"merlinpaddle/internal/model"
 )
 
-// preparedKept bounds the starting points whose changes are kept: balancers that
-// have just started are at none, the others at one of the last few revisions.
-const preparedKept = 8
+// maxPreparedChanges bounds the start revisions whose changes are cached. Few are needed: balancers
+// that have just started are at revision zero, the others at one of the last few revisions.
+const maxPreparedChanges = 8
 
-// prepared are changes in the form in which they are sent. Those of a large table
-// are packed, and same has only what identifies them.
-type prepared struct {
-	same   directory.Changes
-	packed []byte
+// preparedChanges are changes in the form in which they are sent.
+type preparedChanges struct {
+	// changes has all changes, or only the revisions and the version if packed is set.
+	changes directory.Changes
+	packed  []byte
 }
 
-// preparedChanges keeps the changes of a store's present revision, so that
-// balancers which start one after the other, as after an outage, do not make the
-// node pack the same table for each of them.
-type preparedChanges struct {
+// preparedCache caches the changes up to a store's current revision, so that the same table is not
+// packed again for each of many balancers that start one after the other, as after an outage.
+type preparedCache struct {
 	store Store
-	// revision is the one up to which the kept changes go, and from has them by the
-	// revision that they begin at.
+	// revision is the end revision of all cached changes.
 	revision model.Revision
-	from     map[model.Revision]prepared
+	// byStart has the cached changes by their start revision.
+	byStart map[model.Revision]preparedChanges
 }
 
-func newPreparedChanges(store Store) preparedChanges {
-	return preparedChanges{store: store, from: make(map[model.Revision]prepared)}
+func newPreparedCache(store Store) preparedCache {
+	return preparedCache{store: store, byStart: make(map[model.Revision]preparedChanges)}
 }
 
-// since returns the changes after a revision.
-func (changes *preparedChanges) since(from model.Revision) prepared {
-	if revision := changes.store.Revision(); revision != changes.revision || len(changes.from) >= preparedKept {
-		changes.revision = revision
-		clear(changes.from)
+// since returns the changes after the revision from, up to the store's current revision. The result
+// is not cached if the store advanced while it was read.
+func (cache *preparedCache) since(from model.Revision) preparedChanges {
+	if revision := cache.store.Revision(); revision != cache.revision || len(cache.byStart) >= maxPreparedChanges {
+		cache.revision = revision
+		clear(cache.byStart)
 	}
-	if known, exists := changes.from[from]; exists {
-		return known
+	if cached, exists := cache.byStart[from]; exists {
+		return cached
 	}
-	made := prepare(changes.store.ChangesSince(from))
-	if made.same.To == changes.revision {
-		changes.from[from] = made
+	prepared := prepare(cache.store.ChangesSince(from))
+	if prepared.changes.To == cache.revision {
+		cache.byStart[from] = prepared
 	}
-	return made
+	return prepared
 }
 
-// prepare packs changes when there are many. Changes that cannot be packed are
-// sent as they are.
-func prepare(changes directory.Changes) prepared {
-	if changes.Size() < packFrom {
-		return prepared{same: changes}
+// prepare packs changes that have at least minPackedEntries entries. Changes that cannot be packed
+// are sent as they are.
+func prepare(changes directory.Changes) preparedChanges {
+	if changes.Size() < minPackedEntries {
+		return preparedChanges{changes: changes}
 	}
 	packed, err := pack(changes)
 	if err != nil {
-		return prepared{same: changes}
+		return preparedChanges{changes: changes}
 	}
-	identity := directory.Changes{Whole: changes.Whole, From: changes.From, To: changes.To, Version: changes.Version}
-	return prepared{same: identity, packed: packed}
+	header := directory.Changes{Whole: changes.Whole, From: changes.From, To: changes.To, Version: changes.Version}
+	return preparedChanges{changes: header, packed: packed}
 }
--- a/internal/direct/feed/prepared_test.go
+++ b/internal/direct/feed/prepared_test.go
@@ -9,64 +9,64 @@
 	"merlinpaddle/internal/model"
 )
 
-// countingStore has a large table and counts how often it is asked for.
+// countingStore is a Store with a large table that counts the calls of ChangesSince.
 type countingStore struct {
 	revision model.Revision
-	asked    int
+	calls    int
 }
 
 func (store *countingStore) Revision() model.Revision { return store.revision }
 
 func (store *countingStore) ChangesSince(from model.Revision) directory.Changes {
-	store.asked++
-	changes := largeTable(packFrom, 10)
+	store.calls++
+	changes := largeTable(minPackedEntries, 10)
 	changes.Whole, changes.From, changes.To = from == 0, from, store.revision
 	return changes
 }
 
 func TestChangesArePreparedOnceForEachRevision(t *testing.T) {
 	store := &countingStore{revision: 9}
-	changes := newPreparedChanges(store)
-	whole := changes.since(0)
-	require.NotEmpty(t, whole.packed)
+	cache := newPreparedCache(store)
+	fullTable := cache.since(0)
+	require.NotEmpty(t, fullTable.packed)
 	for range 50 {
-		require.Equal(t, whole, changes.since(0))
-		require.Equal(t, model.Revision(7), changes.since(7).same.From)
+		require.Equal(t, fullTable, cache.since(0))
+		require.Equal(t, model.Revision(7), cache.since(7).changes.From)
 	}
-	require.Equal(t, 2, store.asked, "balancers that come later, and from other revisions between, cost nothing")
+	require.Equal(t, 2, store.calls, "repeated requests are served from the cache, also when other revisions are requested in between")
 	store.revision = 10
-	require.Equal(t, model.Revision(10), changes.since(0).same.To, "a change makes them old")
-	require.Equal(t, 3, store.asked)
+	require.Equal(t, model.Revision(10), cache.since(0).changes.To, "a new revision invalidates the cache")
+	require.Equal(t, 3, store.calls)
 }
 
-// TestEmptyStoresArePrepared: a member that has just started is at no revision.
+// TestEmptyStoresArePrepared covers a member that has just started and has revision zero.
 func TestEmptyStoresArePrepared(t *testing.T) {
-	changes := newPreparedChanges(&countingStore{})
-	require.Zero(t, changes.since(0).same.To)
+	cache := newPreparedCache(&countingStore{})
+	require.Zero(t, cache.since(0).changes.To)
 }
 
 func TestPreparedChangesAreBounded(t *testing.T) {
-	changes := newPreparedChanges(&countingStore{revision: 100})
-	for from := range model.Revision(5 * preparedKept) {
-		require.Equal(t, from, changes.since(from).same.From)
-		require.LessOrEqual(t, len(changes.from), preparedKept)
+	cache := newPreparedCache(&countingStore{revision: 100})
+	for from := range model.Revision(5 * maxPreparedChanges) {
+		require.Equal(t, from, cache.since(from).changes.From)
+		require.LessOrEqual(t, len(cache.byStart), maxPreparedChanges)
 	}
 }
 
-// TestChangesDuringThePreparationAreNotKept: a store that moves on while it is read
-// may answer with a later revision than it told.
-func TestChangesDuringThePreparationAreNotKept(t *testing.T) {
-	store := &movingStore{}
-	changes := newPreparedChanges(store)
-	require.Equal(t, model.Revision(2), changes.since(0).same.To)
-	require.Empty(t, changes.from)
+// TestChangesDuringPreparationAreNotCached covers a store that advances while it is read, so that
+// the changes go up to a later revision than Revision returned.
+func TestChangesDuringPreparationAreNotCached(t *testing.T) {
+	store := &advancingStore{}
+	cache := newPreparedCache(store)
+	require.Equal(t, model.Revision(2), cache.since(0).changes.To)
+	require.Empty(t, cache.byStart)
 }
 
-// movingStore moves on between the two questions.
-type movingStore struct{}
+// advancingStore is a Store that advances between the calls of Revision and ChangesSince.
+type advancingStore struct{}
 
-func (*movingStore) Revision() model.Revision { return 1 }
+func (*advancingStore) Revision() model.Revision { return 1 }
 
-func (*movingStore) ChangesSince(model.Revision) directory.Changes {
+func (*advancingStore) ChangesSince(model.Revision) directory.Changes {
 	return directory.Changes{Whole: true, To: 2}
 }
--- a/internal/direct/feed/subscriber.go
+++ b/internal/direct/feed/subscriber.go
@@ -15,138 +15,145 @@
 )
 
 const (
-	// subscribeInterval is the time between two subscriptions at the member
-	// that is followed.
+	// subscribeInterval is the time between two subscriptions at the followed node.
 	subscribeInterval = time.Second
-	// searchInterval is the time between two subscriptions while there is no
-	// table, and between two members that are tried.
+	// searchInterval is the time between attempts at two nodes while no node is followed.
 	searchInterval = 40 * time.Millisecond
-	// silenceLimit is how old the word of a quorum may get before another node
-	// is tried.
-	silenceLimit = 700 * time.Millisecond
-	// answerLeast is how long a node that is connected may take to answer before
-	// the next one is asked; each time that passes without an answer doubles it,
-	// up to answerMost. A whole table takes a while on a slow link, and asking
-	// several nodes at once would bring as many of them.
-	answerLeast = 150 * time.Millisecond
-	answerMost  = 1200 * time.Millisecond
-	// returnInterval is the time between two members that are tried while a
-	// balancer is followed.
-	returnInterval = time.Second
-	// maximumDepth bounds the balancers between a balancer and the member that
-	// it hears of.
-	maximumDepth = 4
+	// maxConfirmationAge is the age of the latest quorum confirmation above which the balancer
+	// leaves the followed node and tries others.
+	maxConfirmationAge = 700 * time.Millisecond
+	// minAnswerTimeout is how long a connected node may take to answer before the next one is
+	// tried. The timeout doubles with each node that does not answer, up to maxAnswerTimeout. A
+	// full table takes a while on a slow link, and subscriptions at several nodes would bring one
+	// from each.
+	minAnswerTimeout = 150 * time.Millisecond
+	maxAnswerTimeout = 1200 * time.Millisecond
+	// memberRetryInterval is the time between attempts at two members while a balancer is followed.
+	memberRetryInterval = time.Second
+	// maxDepth bounds the number of balancers on the path from a member to a balancer, including
+	// that balancer.
+	maxDepth = 4
 )
 
-// Connector makes and closes connections to members and balancers.
+// Connector opens and closes connections to members and balancers.
 type Connector interface {
-	// Connect keeps a connection to the node from now on.
+	// Connect opens a connection to the node and keeps it open until Disconnect.
 	Connect(node model.NodeName)
-	// Connected tells whether the connection stands.
+	// Connected reports whether the connection is established.
 	Connected(node model.NodeName) bool
-	// Disconnect closes it.
+	// Disconnect closes the connection.
 	Disconnect(node model.NodeName)
 }
 
-// SubscriberOptions are what a subscriber works with.
+// SubscriberOptions are the options of a subscriber.
 type SubscriberOptions struct {
-	// Seeds are the members of the settings.
+	// Seeds are the members that the settings name.
 	Seeds []model.NodeName
 	// Zone is the balancer's zone.
 	Zone model.ZoneName
-	// Serves tells that other balancers may follow this one.
+	// Serves means that other balancers may follow this one.
 	Serves bool
-	// Renewals is the address at which this balancer takes renewals; empty when
-	// it takes none.
+	// Renewals is the address at which this balancer accepts renewals of targets; empty if it
+	// accepts none.
 	Renewals string
-	// OnChange, when it is not nil, is called with each update that changed
-	// the table.
+	// OnChange, if not nil, is called with the changes of each update that changed the table, and
+	// with the node that sent it.
 	OnChange func(changes directory.Changes, from model.NodeName)
 }
 
-// Subscriber is the controller that keeps a balancer's table.
+// Subscriber is the controller that keeps a balancer's table up to date. It chooses the node to
+// follow and applies the updates that it receives.
 type Subscriber struct {
 	options   SubscriberOptions
 	mailbox   *protocol.Mailbox
 	updates   *board.Queue[protocol.Envelope]
 	table     *steer.Table
 	connector Connector
-	// seeds are the members of the settings, members those to try, and peers
-	// the balancers to try after them.
+	// seeds are the members that the settings name, members the members to try, which include the
+	// seeds, and peers the balancers to try after them.
 	seeds   []model.NodeName
 	members []model.NodeName
 	peers   []model.NodeName
-	// following is the node whose updates are awaited; empty while all known
-	// nodes are asked.
+	// following is the followed node; empty while one is searched for.
 	following model.NodeName
-	// shown and shownMembers are following and members for other goroutines.
-	shown        atomic.Value
-	shownMembers atomic.Pointer[[]model.NodeName]
-	// neighbours are the balancers that share the load of targets.
+	// followingSnapshot and membersSnapshot are following and members, for other goroutines.
+	followingSnapshot atomic.Value
+	membersSnapshot   atomic.Pointer[[]model.NodeName]
+	// neighbours are the balancers to exchange load reports with; nil until the first update with
+	// neighbours.
 	neighbours atomic.Pointer[[]model.NodeName]
 	// depth is one more than that of the followed node.
-	depth     atomic.Uint32
-	newSeeds  atomic.Pointer[[]model.NodeName]
+	depth atomic.Uint32
+	// newSeeds are the seeds that the next Reconcile will use; nil if they did not change.
+	newSeeds atomic.Pointer[[]model.NodeName]
+	// connected are the nodes to which the connector keeps a connection.
 	connected map[model.NodeName]bool
-	freshAt   time.Time
-	askedAt   time.Time
-	triedAt   time.Time
-	// tried is the node that was asked last while searching, answered tells
-	// whether it did, and patience is how long it may take once it is connected.
-	tried    model.NodeName
-	answered bool
-	patience time.Duration
-	position int
+	// confirmedAt is the time of the latest quorum confirmation from a followed node; before the
+	// first one, the time of the first Reconcile.
+	confirmedAt time.Time
+	// subscribedAt is the time of the latest regular subscription at the followed node.
+	subscribedAt time.Time
+	// attemptedAt is the time of the latest attempt at a node that was not followed.
+	attemptedAt time.Time
+	// attempted is the node of that attempt. answered means that it answered, and answerTimeout is
+	// how long it may take once it is connected.
+	attempted     model.NodeName
+	answered      bool
+	answerTimeout time.Duration
+	// nextCandidate is the index of the next node to try, modulo the number of nodes to try.
+	nextCandidate int
 }
 
-// NewSubscriber returns the controller that keeps table.
+// NewSubscriber returns the controller that keeps table up to date.
 func NewSubscriber(options SubscriberOptions, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, table *steer.Table, connector Connector) *Subscriber {
-	created := &Subscriber{
-		options:   options,
-		mailbox:   mailbox,
-		updates:   dispatcher.Handle(Update{}),
-		table:     table,
-		connector: connector,
-		seeds:     slices.Clone(options.Seeds),
-		members:   slices.Clone(options.Seeds),
-		connected: make(map[model.NodeName]bool),
-		patience:  answerLeast,
+	subscriber := &Subscriber{
+		options:       options,
+		mailbox:       mailbox,
+		updates:       dispatcher.Handle(Update{}),
+		table:         table,
+		connector:     connector,
+		seeds:         slices.Clone(options.Seeds),
+		members:       slices.Clone(options.Seeds),
+		connected:     make(map[model.NodeName]bool),
+		answerTimeout: minAnswerTimeout,
 	}
-	created.show()
-	return created
+	subscriber.updateSnapshots()
+	return subscriber
 }
 
 // Name implements board.Controller.
 func (subscriber *Subscriber) Name() string { return "direct table" }
 
-// Sources returns the channels whose notices call for a Reconcile.
+// Sources returns the channels whose notices trigger a Reconcile.
 func (subscriber *Subscriber) Sources() []<-chan struct{} {
 	return []<-chan struct{}{subscriber.updates.Watch()}
 }
 
-// SetSeeds replaces the members of the settings. It may be called from any
+// SetSeeds replaces the seeds. It takes effect with the next Reconcile. It may be called from any
 // goroutine.
 func (subscriber *Subscriber) SetSeeds(seeds []model.NodeName) {
-	replaced := slices.Clone(seeds)
-	subscriber.newSeeds.Store(&replaced)
+	newSeeds := slices.Clone(seeds)
+	subscriber.newSeeds.Store(&newSeeds)
 }
 
-func (subscriber *Subscriber) takeSeeds() {
-	if replaced := subscriber.newSeeds.Swap(nil); replaced != nil {
-		subscriber.seeds = *replaced
-		subscriber.members = merged(subscriber.members, *replaced)
+// applyNewSeeds uses the seeds of the latest SetSeeds. Previous seeds remain members to try until
+// an update names the members.
+func (subscriber *Subscriber) applyNewSeeds() {
+	if newSeeds := subscriber.newSeeds.Swap(nil); newSeeds != nil {
+		subscriber.seeds = *newSeeds
+		subscriber.members = union(subscriber.members, *newSeeds)
 	}
 }
 
-// Following returns the node that is followed, or the empty name.
-// It may be called from any goroutine.
+// Following returns the followed node, or the empty name if there is none. It may be called from
+// any goroutine.
 func (subscriber *Subscriber) Following() model.NodeName {
-	name, _ := subscriber.shown.Load().(model.NodeName)
+	name, _ := subscriber.followingSnapshot.Load().(model.NodeName)
 	return name
 }
 
-// FollowedMember returns the member that is followed, or the empty name when none
-// is. It may be called from any goroutine.
+// FollowedMember returns the followed node if it is a member, and the empty name otherwise. It may
+// be called from any goroutine.
 func (subscriber *Subscriber) FollowedMember() model.NodeName {
 	following := subscriber.Following()
 	if !slices.Contains(subscriber.Members(), following) {
@@ -155,12 +162,12 @@
 	return following
 }
 
-// Members returns the members of the control group that are known. It may be
-// called from any goroutine; the names must not be modified.
-func (subscriber *Subscriber) Members() []model.NodeName { return *subscriber.shownMembers.Load() }
+// Members returns the known members of the control group, including the seeds. It may be called
+// from any goroutine; the names must not be modified.
+func (subscriber *Subscriber) Members() []model.NodeName { return *subscriber.membersSnapshot.Load() }
 
-// Neighbours returns the balancers to tell of the load of targets. It may be
-// called from any goroutine; the names must not be modified.
+// Neighbours returns the balancers to exchange load reports with. It may be called from any
+// goroutine; the names must not be modified.
 func (subscriber *Subscriber) Neighbours() []model.NodeName {
 	if neighbours := subscriber.neighbours.Load(); neighbours != nil {
 		return *neighbours
@@ -168,67 +175,69 @@
 	return nil
 }
 
-// Depth returns the number of balancers between this one and the member that it
-// hears of, counting this one. It may be called from any goroutine.
+// Depth returns the number of balancers on the path from the member to this balancer, including
+// this one. It may be called from any goroutine.
 func (subscriber *Subscriber) Depth() uint8 { return uint8(subscriber.depth.Load()) }
 
-func (subscriber *Subscriber) show() {
+// updateSnapshots copies the followed node and the members for other goroutines.
+func (subscriber *Subscriber) updateSnapshots() {
 	members := subscriber.members
-	subscriber.shownMembers.Store(&members)
-	subscriber.shown.Store(subscriber.following)
+	subscriber.membersSnapshot.Store(&members)
+	subscriber.followingSnapshot.Store(subscriber.following)
 }
 
 // Reconcile implements board.Controller.
 func (subscriber *Subscriber) Reconcile(now time.Time) {
-	if subscriber.freshAt.IsZero() {
-		subscriber.freshAt = now
+	if subscriber.confirmedAt.IsZero() {
+		subscriber.confirmedAt = now
 	}
-	subscriber.takeSeeds()
+	subscriber.applyNewSeeds()
 	for _, received := range protocol.Receive[Update](subscriber.updates) {
 		update := received.Message
-		subscriber.take(now, received.From, update)
+		subscriber.applyUpdate(now, received.From, update)
 	}
-	if now.Sub(subscriber.freshAt) > silenceLimit {
-		subscriber.lose()
+	if now.Sub(subscriber.confirmedAt) > maxConfirmationAge {
+		subscriber.unfollow()
 	}
-	subscriber.show()
+	subscriber.updateSnapshots()
 	switch {
 	case subscriber.following == "":
-		subscriber.searchAnew(now)
-	case now.Sub(subscriber.askedAt) >= subscribeInterval:
-		subscriber.askedAt = now
-		subscriber.ask(subscriber.following)
+		subscriber.search(now)
+	case now.Sub(subscriber.subscribedAt) >= subscribeInterval:
+		subscriber.subscribedAt = now
+		subscriber.subscribe(subscriber.following)
 	case !subscriber.isMember(subscriber.following):
-		subscriber.search(now, returnInterval, subscriber.membersInOrder())
+		subscriber.tryNext(now, memberRetryInterval, subscriber.membersInOrder())
 	}
 }
 
-// searchAnew asks the next node once the one before it does not connect, or
-// does not answer.
-func (subscriber *Subscriber) searchAnew(now time.Time) {
-	pause := searchInterval
-	if !subscriber.answered && subscriber.tried != "" && subscriber.connector.Connected(subscriber.tried) {
-		pause = subscriber.patience
+// search tries the next node. It does so after searchInterval if the previous one is not connected,
+// or answered and is not followed; otherwise after answerTimeout.
+func (subscriber *Subscriber) search(now time.Time) {
+	interval := searchInterval
+	if !subscriber.answered && subscriber.attempted != "" && subscriber.connector.Connected(subscriber.attempted) {
+		interval = subscriber.answerTimeout
 	}
-	if now.Sub(subscriber.triedAt) < pause {
+	if now.Sub(subscriber.attemptedAt) < interval {
 		return
 	}
-	if pause == subscriber.patience {
-		subscriber.patience = min(2*subscriber.patience, answerMost)
+	if interval == subscriber.answerTimeout {
+		subscriber.answerTimeout = min(2*subscriber.answerTimeout, maxAnswerTimeout)
 	}
-	subscriber.search(now, pause, subscriber.candidates())
+	subscriber.tryNext(now, interval, subscriber.candidates())
 }
 
 func (subscriber *Subscriber) isMember(node model.NodeName) bool {
 	return slices.Contains(subscriber.members, node)
 }
 
-// candidates are the nodes to try in turn: all members, beginning at a place of
-// this balancer's own so that balancers spread over them, and then balancers.
+// candidates returns the nodes to try in turn: first all members, then the peers.
 func (subscriber *Subscriber) candidates() []model.NodeName {
 	return append(subscriber.membersInOrder(), subscriber.peers...)
 }
 
+// membersInOrder returns the members in the order in which this balancer tries them. The order
+// starts at a hash of the balancer's name, so that the balancers spread over the members.
 func (subscriber *Subscriber) membersInOrder() []model.NodeName {
 	members := subscriber.members
 	if len(members) == 0 {
@@ -238,9 +247,10 @@
 	return slices.Concat(members[start:], members[:start])
 }
 
-// take applies an update. A gap makes the subscriber ask again from what it
-// has.
-func (subscriber *Subscriber) take(now time.Time, from model.NodeName, update Update) {
+// applyUpdate applies an update of the node from. If changes before those in the update are missing
+// and from is the followed node, it subscribes again with the table's revision. An update that
+// cannot be unpacked is ignored.
+func (subscriber *Subscriber) applyUpdate(now time.Time, from model.NodeName, update Update) {
 	if len(update.Packed) > 0 {
 		changes, err := unpack(update.Packed)
 		if err != nil {
@@ -249,7 +259,7 @@
 		update.Changes = changes
 	}
 	if len(update.Members) > 0 {
-		subscriber.members = merged(update.Members, subscriber.seeds)
+		subscriber.members = union(update.Members, subscriber.seeds)
 	}
 	if len(update.Peers) > 0 {
 		subscriber.peers = update.Peers
@@ -257,59 +267,60 @@
 	if update.NeighboursTold {
 		subscriber.neighbours.Store(&update.Neighbours)
 	}
-	subscriber.answered = subscriber.answered || from == subscriber.tried
-	before := subscriber.table.Revision()
+	subscriber.answered = subscriber.answered || from == subscriber.attempted
+	previousRevision := subscriber.table.Revision()
 	current := subscriber.table.Apply(update.Changes, now)
-	if subscriber.table.Revision() > before && subscriber.options.OnChange != nil {
+	if subscriber.table.Revision() > previousRevision && subscriber.options.OnChange != nil {
 		subscriber.options.OnChange(update.Changes, from)
 	}
 	switch {
 	case current && update.Fresh:
-		subscriber.confirm(now, from, update)
-	case !current && update.Changes.From > before && from == subscriber.following:
-		subscriber.ask(from)
+		subscriber.handleConfirmation(now, from, update)
+	case !current && update.Changes.From > previousRevision && from == subscriber.following:
+		subscriber.subscribe(from)
 	}
 }
 
-// confirm takes in that the table was current a while ago.
-func (subscriber *Subscriber) confirm(now time.Time, from model.NodeName, update Update) {
+// handleConfirmation records that the table was current update.Age ago, and follows the sender if
+// that is better than the followed node. It leaves the followed node if that is too deep, as in a
+// cycle of balancers.
+func (subscriber *Subscriber) handleConfirmation(now time.Time, from model.NodeName, update Update) {
 	confirmedAt := now.Add(-update.Age)
 	subscriber.table.Confirm(confirmedAt)
-	near := update.Depth < maximumDepth
-	if !update.Elsewhere && near && update.Age <= silenceLimit {
-		subscriber.consider(now, from)
+	withinDepth := update.Depth < maxDepth
+	if !update.Elsewhere && withinDepth && update.Age <= maxConfirmationAge {
+		subscriber.followIfBetter(now, from)
 	}
 	if from != subscriber.following {
 		return
 	}
 	subscriber.depth.Store(uint32(update.Depth) + 1)
 	switch {
-	case !near:
-		subscriber.lose()
-	case confirmedAt.After(subscriber.freshAt):
-		subscriber.freshAt = confirmedAt
+	case !withinDepth:
+		subscriber.unfollow()
+	case confirmedAt.After(subscriber.confirmedAt):
+		subscriber.confirmedAt = confirmedAt
 	}
 }
 
-// lose ends the following of a node; the search for another one begins at the
-// members.
-func (subscriber *Subscriber) lose() {
+// unfollow stops following the node, if any. The search for another one begins with the members.
+func (subscriber *Subscriber) unfollow() {
 	if subscriber.following != "" {
 		subscriber.following = ""
-		subscriber.position = 0
+		subscriber.nextCandidate = 0
 	}
 }
 
-// consider follows a node that is current when none is followed, and a member
-// rather than another balancer.
-func (subscriber *Subscriber) consider(now time.Time, node model.NodeName) {
+// followIfBetter follows a node that is current if no node is followed, or if the node is a member
+// and the followed one is not. It closes the connections to all other nodes.
+func (subscriber *Subscriber) followIfBetter(now time.Time, node model.NodeName) {
 	better := subscriber.isMember(node) && !subscriber.isMember(subscriber.following)
 	if node == subscriber.following || subscriber.following != "" && !better {
 		return
 	}
 	subscriber.following = node
-	subscriber.patience = answerLeast
-	subscriber.askedAt = now
+	subscriber.answerTimeout = minAnswerTimeout
+	subscriber.subscribedAt = now
 	for other := range subscriber.connected {
 		if other != node {
 			subscriber.disconnect(other)
@@ -322,24 +333,25 @@
 	delete(subscriber.connected, node)
 }
 
-// search asks nodes in turn.
-func (subscriber *Subscriber) search(now time.Time, pause time.Duration, nodes []model.NodeName) {
-	if now.Sub(subscriber.triedAt) < pause || len(nodes) == 0 {
+// tryNext connects to the next of nodes and subscribes there, at most once per interval.
+func (subscriber *Subscriber) tryNext(now time.Time, interval time.Duration, nodes []model.NodeName) {
+	if now.Sub(subscriber.attemptedAt) < interval || len(nodes) == 0 {
 		return
 	}
-	subscriber.triedAt = now
-	node := nodes[subscriber.position%len(nodes)]
-	subscriber.position++
-	subscriber.tried = node
+	subscriber.attemptedAt = now
+	node := nodes[subscriber.nextCandidate%len(nodes)]
+	subscriber.nextCandidate++
+	subscriber.attempted = node
 	subscriber.answered = false
 	if !subscriber.connected[node] {
 		subscriber.connected[node] = true
 		subscriber.connector.Connect(node)
 	}
-	subscriber.ask(node)
+	subscriber.subscribe(node)
 }
 
-func (subscriber *Subscriber) ask(node model.NodeName) {
+// subscribe sends the node a subscription with the table's revision.
+func (subscriber *Subscriber) subscribe(node model.NodeName) {
 	subscriber.mailbox.Send(node, Subscribe{
 		Have:     subscriber.table.Revision(),
 		Zone:     subscriber.options.Zone,
@@ -348,9 +360,9 @@
 	})
 }
 
-// merged returns the sorted union of two lists of names.
-func merged(first, second []model.NodeName) []model.NodeName {
-	union := append(slices.Clone(first), second...)
-	slices.Sort(union)
-	return slices.Compact(union)
+// union returns the sorted union of two lists of names.
+func union(first, second []model.NodeName) []model.NodeName {
+	names := append(slices.Clone(first), second...)
+	slices.Sort(names)
+	return slices.Compact(names)
 }
--- a/internal/direct/feed/zones_test.go
+++ b/internal/direct/feed/zones_test.go
@@ -10,27 +10,28 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// evacuate applies an order to empty a zone and returns its revision.
+// evacuate applies an order to evacuate the zone.
 func (member *member) evacuate(t *testing.T, zone string) {
 	t.Helper()
 	_, base := member.directory.Evacuations()
 	data, err := directory.EncodeCommand(directory.Command{Evacuate: &directory.EvacuationOrder{Zone: zone, Base: base}})
 	require.NoError(t, err)
-	member.index++
-	member.directory.Apply(member.index, start, data)
+	member.revision++
+	member.directory.Apply(member.revision, start, data)
 }
 
-// TestBalancersLearnOfEvacuations by whole tables, by changes and by packed ones.
-func TestBalancersLearnOfEvacuations(t *testing.T) {
+// TestBalancersReceiveEvacuations checks evacuations in full tables, in changes and in packed
+// changes.
+func TestBalancersReceiveEvacuations(t *testing.T) {
 	member := newMember("a")
 	member.declare(t, 1)
 	member.evacuate(t, "x")
-	pair := newPair(t, member)
-	pair.run(2 * time.Second)
-	require.Equal(t, 1, pair.table.Evacuated(), "with the first table")
+	harness := newTestHarness(t, member)
+	harness.run(2 * time.Second)
+	require.Equal(t, 1, harness.table.Evacuated(), "with the first table")
 	member.evacuate(t, "y")
-	pair.run(time.Second)
-	require.Equal(t, 2, pair.table.Evacuated(), "with a change")
+	harness.run(time.Second)
+	require.Equal(t, 2, harness.table.Evacuated(), "with a change")
 
 	packed, err := pack(member.directory.ChangesSince(0))
 	require.NoError(t, err)
@@ -41,21 +42,22 @@
 	require.NoError(t, err)
 	unpacked, err = unpack(packed)
 	require.NoError(t, err)
-	require.NotNil(t, unpacked.Zones, "a whole table without evacuations ends those that a reader knows")
+	require.NotNil(t, unpacked.Zones, "a full table without evacuations ends those that a balancer knows")
 }
 
-// TestMemberTellsHowManyBalancersAreBehind by the revisions that they named last.
-func TestMemberTellsHowManyBalancersAreBehind(t *testing.T) {
+// TestBehindCountsBalancersWithOlderRevision checks that Behind uses the revisions in the
+// followers' latest subscriptions.
+func TestBehindCountsBalancersWithOlderRevision(t *testing.T) {
 	member := newMember("a")
 	member.declare(t, 1)
-	pair := newPair(t, member)
-	pair.run(2 * time.Second)
-	require.Zero(t, member.publisher.Behind(member.index))
-	pair.lose = func(envelope protocol.Envelope) bool { return envelope.From == "a" }
+	harness := newTestHarness(t, member)
+	harness.run(2 * time.Second)
+	require.Zero(t, member.publisher.Behind(member.revision))
+	harness.drop = func(envelope protocol.Envelope) bool { return envelope.From == "a" }
 	member.evacuate(t, "x")
-	pair.run(300 * time.Millisecond)
-	require.Equal(t, 1, member.publisher.Behind(member.index))
-	pair.lose = func(protocol.Envelope) bool { return false }
-	pair.run(3 * time.Second)
-	require.Zero(t, member.publisher.Behind(member.index))
+	harness.run(300 * time.Millisecond)
+	require.Equal(t, 1, member.publisher.Behind(member.revision))
+	harness.drop = func(protocol.Envelope) bool { return false }
+	harness.run(3 * time.Second)
+	require.Zero(t, member.publisher.Behind(member.revision))
 }
