--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Empty implements rollout.Reporter.
-func (agent *Agent) Empty(at model.Revision) []model.BucketEmpty {
+// EmptyBuckets implements rollout.Reporter.
+func (agent *Agent) EmptyBuckets(at model.Revision) []model.BucketEmpty {
 	running := agent.running.Load()
 	if running == nil {
 		return nil
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -89,7 +89,7 @@
 
 func (reporter *testReporter) Load() *model.TargetLoad { return reporter.load }
 
-func (reporter *testReporter) Empty(at model.Revision) []model.BucketEmpty {
+func (reporter *testReporter) EmptyBuckets(at model.Revision) []model.BucketEmpty {
 	reports := slices.Clone(reporter.empty)
 	for index := range reports {
 		reports[index].At = at
--- a/internal/control/cut_test.go
+++ b/internal/control/cut_test.go
@@ -71,7 +71,7 @@
 			cluster.run(noticeWithin)
 			for _, name := range test.off {
 				node := cluster.nodes[name]
-				require.False(t, node.subscriber.Current(node.clock(cluster.elapsed)), "%s thinks that it is current", name)
+				require.False(t, node.subscriber.Confirmed(node.clock(cluster.elapsed)), "%s thinks that it is current", name)
 			}
 			relay := cluster.processes["relay-a"]
 			require.Equal(t, test.relayConfirmed, cluster.relays["relay-a"].Confirmed(relay.clock(cluster.elapsed)))
--- a/internal/control/distributor.go
+++ b/internal/control/distributor.go
@@ -137,7 +137,7 @@
 	for name, heardAt := range distributor.heardAt {
 		if now.Sub(heardAt) > forgetRelayAfter {
 			delete(distributor.heardAt, name)
-			distributor.publisher.Forget(name)
+			distributor.publisher.Remove(name)
 		}
 	}
 }
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -147,7 +147,7 @@
 
 func provideReconfigure(chosen settings.Settings, group *replica.Controller, logger *zap.Logger) *reconfigure.Controller {
 	options := reconfigure.DefaultOptions(chosen.Direct.ToleratedLosses)
-	options.ToleratesZone = chosen.Direct.ToleratedZones > 0
+	options.ToleratesZoneLoss = chosen.Direct.ToleratedZones > 0
 	return reconfigure.New(options, group, logger.Named("membership"))
 }
 
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -305,7 +305,7 @@
 			return false
 		}
 		liveness.registry.Empty.Delete(key)
-		if rollout.AwaitsEmpty(configuration, row.Value) {
+		if rollout.AwaitsEmptyReport(configuration, row.Value) {
 			batch = append(batch, row.Value)
 		}
 		return true
--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -39,9 +39,9 @@
 	// ToleratedLosses is the number of members that may be lost at once; the
 	// group wants twice as many voters and one more, and three at the least.
 	ToleratedLosses int
-	// ToleratesZone tells that all members of a zone may be lost at once; the
+	// ToleratesZoneLoss means that all members of a zone may be lost at once; the
 	// group then wants five voters at the least, spread over the zones.
-	ToleratesZone bool
+	ToleratesZoneLoss bool
 	// SilentAfter is how long a voter may be silent before a learner takes its
 	// place.
 	SilentAfter time.Duration
@@ -230,7 +230,7 @@
 
 func (plan *planner) wantedVoters() int {
 	wanted := max(leastVoters, 2*plan.options.ToleratedLosses+1)
-	if plan.options.ToleratesZone {
+	if plan.options.ToleratesZoneLoss {
 		wanted = max(wanted, leastVotersForZones)
 	}
 	return wanted
--- a/internal/reconfigure/reconfigure_test.go
+++ b/internal/reconfigure/reconfigure_test.go
@@ -115,7 +115,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			status := replica.Status{Self: 1, Leading: true, LeaderSince: began, Peers: test.peers, Candidates: test.candidates}
 			options := DefaultOptions(test.losses)
-			options.ToleratesZone = test.zone
+			options.ToleratesZoneLoss = test.zone
 			got := Plan(options, status, now)
 			got.Cause = ""
 			require.Equal(t, test.want, got)
--- a/internal/relay/controller.go
+++ b/internal/relay/controller.go
@@ -193,7 +193,7 @@
 	for _, envelope := range controller.queues.unsubscribes.Drain() {
 		if unsubscribe, isUnsubscribe := envelope.Message.(protocol.Unsubscribe); isUnsubscribe {
 			controller.nodes.move(envelope.From, unsubscribe.Incarnation)
-			controller.publisher.Forget(envelope.From)
+			controller.publisher.Remove(envelope.From)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 			continue
 		}
 		if heartbeat.Leaving {
-			controller.publisher.Forget(envelope.From)
+			controller.publisher.Remove(envelope.From)
 			continue
 		}
 		controller.confirmNode(now, envelope.From, heartbeat)
@@ -225,7 +225,7 @@
 
 func (controller *Controller) forgetNodes(now time.Time) {
 	for _, name := range controller.nodes.forget(now) {
-		controller.publisher.Forget(name)
+		controller.publisher.Remove(name)
 	}
 }
 
--- a/internal/relay/passage.go
+++ b/internal/relay/passage.go
@@ -95,7 +95,7 @@
 			continue
 		}
 		delete(passage.children, child)
-		passage.publisher.Forget(child)
+		passage.publisher.Remove(child)
 		for relay, via := range passage.below {
 			if via == child {
 				delete(passage.below, relay)
--- a/internal/rollout/heartbeat.go
+++ b/internal/rollout/heartbeat.go
@@ -49,7 +49,7 @@
 	}
 	if subscriber.reporter != nil {
 		heartbeat.Load = subscriber.reporter.Load()
-		heartbeat.Empty = awaitedEmpty(running, subscriber.reporter.Empty(running.Revision))
+		heartbeat.Empty = awaitedEmpty(running, subscriber.reporter.EmptyBuckets(running.Revision))
 	}
 	return heartbeat
 }
@@ -88,16 +88,16 @@
 		if len(awaited) == maximumEmptyReports {
 			break
 		}
-		if AwaitsEmpty(running, report) {
+		if AwaitsEmptyReport(running, report) {
 			awaited = append(awaited, report)
 		}
 	}
 	return awaited
 }
 
-// AwaitsEmpty tells whether the configuration waits for the report: the bucket
+// AwaitsEmptyReport tells whether the configuration waits for the report: the bucket
 // still lists the target as an earlier one that moved by the reported revision.
-func AwaitsEmpty(running *model.Configuration, report model.BucketEmpty) bool {
+func AwaitsEmptyReport(running *model.Configuration, report model.BucketEmpty) bool {
 	table, known := running.Buckets[report.Service]
 	if !known {
 		return false
--- a/internal/rollout/module.go
+++ b/internal/rollout/module.go
@@ -135,5 +135,5 @@
 // Reconcile implements board.Controller.
 func (controller *supervised) Reconcile(now time.Time) {
 	controller.subscriber.Reconcile(now)
-	controller.readiness.Set(readinessPart, controller.subscriber.Current(now))
+	controller.readiness.Set(readinessPart, controller.subscriber.Confirmed(now))
 }
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -112,8 +112,8 @@
 	publisher.lacking[subscriber] = struct{}{}
 }
 
-// Forget removes a subscriber.
-func (publisher *Publisher) Forget(subscriber model.NodeName) {
+// Remove removes a subscriber.
+func (publisher *Publisher) Remove(subscriber model.NodeName) {
 	delete(publisher.subscribers, subscriber)
 	delete(publisher.lacking, subscriber)
 }
--- a/internal/rollout/subscriber.go
+++ b/internal/rollout/subscriber.go
@@ -14,9 +14,9 @@
 	// Load returns the load of the agent's target, or nil when it does not
 	// know its target yet.
 	Load() *model.TargetLoad
-	// Empty returns the buckets that hold no flow, as of the configuration
+	// EmptyBuckets returns the buckets that hold no flow, as of the configuration
 	// revision at.
-	Empty(at model.Revision) []model.BucketEmpty
+	EmptyBuckets(at model.Revision) []model.BucketEmpty
 }
 
 // SubscriberOptions are the settings of a Subscriber.
@@ -156,9 +156,9 @@
 // It may be called from any goroutine.
 func (subscriber *Subscriber) RelayName() model.NodeName { return subscriber.selector.name() }
 
-// Current tells whether a configuration was installed and its relay is
+// Confirmed reports whether a configuration was installed and its relay is
 // confirmed: the node is ready to take its place.
-func (subscriber *Subscriber) Current(now time.Time) bool { return subscriber.lease.Valid(now) }
+func (subscriber *Subscriber) Confirmed(now time.Time) bool { return subscriber.lease.Valid(now) }
 
 func (subscriber *Subscriber) receiveUpdates() {
 	for _, envelope := range subscriber.updates.Drain() {
--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -205,8 +205,8 @@
 	}
 }
 
-// Empty implements rollout.Reporter.
-func (life *agentLife) Empty(at model.Revision) []model.BucketEmpty {
+// EmptyBuckets implements rollout.Reporter.
+func (life *agentLife) EmptyBuckets(at model.Revision) []model.BucketEmpty {
 	if life.steering == nil {
 		return nil
 	}
