--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -44,7 +44,7 @@
 	ToleratesZoneLoss bool
 	// SilentAfter is how long a voter may be silent before a learner takes its
 	// place.
-	SilentAfter time.Duration
+	ReplaceVoterAfter time.Duration
 	// DropLearnerAfter is how long a learner may be silent before it is
 	// dropped. It returns by itself as a new learner.
 	DropLearnerAfter time.Duration
@@ -53,19 +53,19 @@
 // DefaultOptions returns the bounds of processes for a number of losses.
 func DefaultOptions(toleratedLosses int) Options {
 	return Options{
-		ToleratedLosses:  toleratedLosses,
-		SilentAfter:      3 * time.Second,
-		DropLearnerAfter: 10 * time.Second,
+		ToleratedLosses:   toleratedLosses,
+		ReplaceVoterAfter: 3 * time.Second,
+		DropLearnerAfter:  10 * time.Second,
 	}
 }
 
 const (
 	// recentFor is how recently a member must have answered to count as
 	// present.
-	recentFor = time.Second
+	presentWithin = time.Second
 	// settleTime is how long a new leader waits before it changes anything, so
 	// that every member had time to answer it.
-	settleTime = 400 * time.Millisecond
+	leaderSettleTime = 400 * time.Millisecond
 	// changeTimeout is how long a proposed change may take before the next one
 	// is tried.
 	changeTimeout = 2 * time.Second
@@ -78,12 +78,12 @@
 	logger  *zap.Logger
 	// pendingSince is when the change under way was proposed; zero without one.
 	pendingSince time.Time
-	settled      chan struct{}
+	changeDone   chan struct{}
 }
 
 // New returns the controller of one member.
 func New(options Options, group Group, logger *zap.Logger) *Controller {
-	return &Controller{options: options, group: group, logger: logger, settled: make(chan struct{}, 1)}
+	return &Controller{options: options, group: group, logger: logger, changeDone: make(chan struct{}, 1)}
 }
 
 // Name implements board.Controller.
@@ -92,7 +92,7 @@
 // Reconcile implements board.Controller.
 func (controller *Controller) Reconcile(now time.Time) {
 	status := controller.group.StatusAt(now)
-	if !status.Leading || now.Sub(status.LeaderSince) < settleTime {
+	if !status.Leading || now.Sub(status.LeaderSince) < leaderSettleTime {
 		controller.pendingSince = time.Time{}
 		return
 	}
@@ -107,7 +107,7 @@
 
 func (controller *Controller) pending(now time.Time) bool {
 	select {
-	case <-controller.settled:
+	case <-controller.changeDone:
 		controller.pendingSince = time.Time{}
 	default:
 	}
@@ -127,7 +127,7 @@
 	done := func(err error) {
 		controller.logger.Info("membership change ended", append(fields, zap.Error(err))...)
 		select {
-		case controller.settled <- struct{}{}:
+		case controller.changeDone <- struct{}{}:
 		default:
 		}
 	}
@@ -180,7 +180,7 @@
 // pure function.
 func Plan(options Options, status replica.Status, now time.Time) Change {
 	plan := planner{options: options, status: status, now: now}
-	for _, step := range []func() Change{plan.replaceLostDisks, plan.dropSilentLearners, plan.promote, plan.replaceSilentVoter, plan.admit} {
+	for _, step := range []func() Change{plan.removeMemberWithLostDisk, plan.removeUnresponsiveLearner, plan.promoteLearner, plan.removeUnresponsiveVoter, plan.admitCandidates} {
 		if change := step(); change.Kind != ChangeNone {
 			return change
 		}
@@ -196,7 +196,7 @@
 
 // silence is how long the member has not answered, counted at the earliest
 // from when this leader began to send to it.
-func (plan *planner) silence(peer raft.Peer) time.Duration {
+func (plan *planner) timeSinceAnswer(peer raft.Peer) time.Duration {
 	latest := peer.HeardAt
 	if peer.AddedAt.After(latest) {
 		latest = peer.AddedAt
@@ -204,17 +204,17 @@
 	return plan.now.Sub(latest)
 }
 
-func (plan *planner) present(peer raft.Peer) bool {
-	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < recentFor
+func (plan *planner) responsive(peer raft.Peer) bool {
+	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < presentWithin
 }
 
-func (plan *planner) voters() (all, present int) {
+func (plan *planner) countVoters() (all, present int) {
 	for _, peer := range plan.status.Peers {
 		if peer.Learner {
 			continue
 		}
 		all++
-		if plan.present(peer) {
+		if plan.responsive(peer) {
 			present++
 		}
 	}
@@ -223,15 +223,15 @@
 
 const (
 	// leastVoters is the least number of voters that a group wants.
-	leastVoters = 3
+	minimumVoters = 3
 	// leastVotersForZones is that number where a zone may be lost.
-	leastVotersForZones = 5
+	minimumVotersForZoneLoss = 5
 )
 
 func (plan *planner) wantedVoters() int {
-	wanted := max(leastVoters, 2*plan.options.ToleratedLosses+1)
+	wanted := max(minimumVoters, 2*plan.options.ToleratedLosses+1)
 	if plan.options.ToleratesZoneLoss {
-		wanted = max(wanted, leastVotersForZones)
+		wanted = max(wanted, minimumVotersForZoneLoss)
 	}
 	return wanted
 }
@@ -239,13 +239,13 @@
 // mayRemoveVoter tells whether the voters that answer are a majority with and
 // without one that does not.
 func (plan *planner) mayRemoveVoter() bool {
-	all, present := plan.voters()
+	all, present := plan.countVoters()
 	return all > 1 && present > all/2 && present > (all-1)/2
 }
 
 // replaceLostDisks removes members whose machine asks for a place with another
 // disk: the disk that the member was tied to is gone for good.
-func (plan *planner) replaceLostDisks() Change {
+func (plan *planner) removeMemberWithLostDisk() Change {
 	for _, candidate := range plan.status.Candidates {
 		for _, peer := range plan.status.Peers {
 			if peer.Name != candidate.Name || peer.Disk == candidate.Disk || peer.Disk == 0 || peer.ID == plan.status.Self {
@@ -259,9 +259,9 @@
 	return Change{}
 }
 
-func (plan *planner) dropSilentLearners() Change {
+func (plan *planner) removeUnresponsiveLearner() Change {
 	for _, peer := range plan.status.Peers {
-		if peer.Learner && plan.silence(peer) > plan.options.DropLearnerAfter {
+		if peer.Learner && plan.timeSinceAnswer(peer) > plan.options.DropLearnerAfter {
 			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the learner is silent"}
 		}
 	}
@@ -270,17 +270,17 @@
 
 // standby returns a learner that can become a voter at once: one in the zone
 // that has the fewest voters that answer.
-func (plan *planner) standby() (raft.Peer, bool) {
+func (plan *planner) replacementLearner() (raft.Peer, bool) {
 	voters := make(map[model.ZoneName]int)
 	for _, peer := range plan.status.Peers {
-		if !peer.Learner && plan.present(peer) {
+		if !peer.Learner && plan.responsive(peer) {
 			voters[peer.Zone]++
 		}
 	}
 	var best raft.Peer
 	found := false
 	for _, peer := range plan.status.Peers {
-		if !peer.Learner || !peer.CaughtUp || !plan.present(peer) {
+		if !peer.Learner || !peer.CaughtUp || !plan.responsive(peer) {
 			continue
 		}
 		if !found || voters[peer.Zone] < voters[best.Zone] {
@@ -290,21 +290,21 @@
 	return best, found
 }
 
-func (plan *planner) promote() Change {
-	all, _ := plan.voters()
-	learner, found := plan.standby()
+func (plan *planner) promoteLearner() Change {
+	all, _ := plan.countVoters()
+	learner, found := plan.replacementLearner()
 	if !found || all >= plan.wantedVoters() {
 		return Change{}
 	}
 	return Change{Kind: ChangePromote, ID: learner.ID, Name: learner.Name, Cause: "the group wants more voters"}
 }
 
-func (plan *planner) replaceSilentVoter() Change {
-	if _, found := plan.standby(); !found || !plan.mayRemoveVoter() {
+func (plan *planner) removeUnresponsiveVoter() Change {
+	if _, found := plan.replacementLearner(); !found || !plan.mayRemoveVoter() {
 		return Change{}
 	}
 	for _, peer := range plan.status.Peers {
-		if !peer.Learner && peer.ID != plan.status.Self && plan.silence(peer) > plan.options.SilentAfter {
+		if !peer.Learner && peer.ID != plan.status.Self && plan.timeSinceAnswer(peer) > plan.options.ReplaceVoterAfter {
 			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the voter is silent and a learner is ready"}
 		}
 	}
@@ -314,10 +314,10 @@
 // admit adds learners for all candidates whose names no member has. One change for all
 // keeps the first start of a group from growing with its members: each change is a round
 // of the whole group, and a member without a place can take no calls.
-func (plan *planner) admit() Change {
+func (plan *planner) admitCandidates() Change {
 	var admitted []replica.Candidate
 	for _, candidate := range plan.status.Candidates {
-		if !plan.named(candidate.Name) {
+		if !plan.hasMember(candidate.Name) {
 			admitted = append(admitted, candidate)
 		}
 	}
@@ -327,7 +327,7 @@
 	return Change{Kind: ChangeAdd, Admitted: admitted, Cause: "empty disks ask for a place"}
 }
 
-func (plan *planner) named(name model.NodeName) bool {
+func (plan *planner) hasMember(name model.NodeName) bool {
 	for _, peer := range plan.status.Peers {
 		if peer.Name == name {
 			return true
--- a/internal/reconfigure/reconfigure_test.go
+++ b/internal/reconfigure/reconfigure_test.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	now   = began.Add(time.Minute)
+	leaderSince = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	now         = leaderSince.Add(time.Minute)
 )
 
 // peer returns a member of which this leader has known since its begin.
 func peer(id replica.MemberID, name model.NodeName, change ...func(*raft.Peer)) raft.Peer {
 	made := raft.Peer{
 		Member:   raft.Member{ID: id, Name: name, Disk: uint64(id) * 100},
-		AddedAt:  began,
+		AddedAt:  leaderSince,
 		HeardAt:  now.Add(-50 * time.Millisecond),
 		CaughtUp: true,
 	}
@@ -31,16 +31,16 @@
 }
 
 func learner(peer *raft.Peer) { peer.Learner = true }
-func in(zone model.ZoneName) func(*raft.Peer) {
+func inZone(zone model.ZoneName) func(*raft.Peer) {
 	return func(peer *raft.Peer) { peer.Zone = zone }
 }
-func behind(peer *raft.Peer) { peer.CaughtUp = false }
-func silentFor(duration time.Duration) func(*raft.Peer) {
+func notCaughtUp(peer *raft.Peer) { peer.CaughtUp = false }
+func lastHeardAgo(duration time.Duration) func(*raft.Peer) {
 	return func(peer *raft.Peer) { peer.HeardAt = now.Add(-duration) }
 }
 
 // addedFor makes a member that was added a while ago and never answered.
-func addedFor(duration time.Duration) func(*raft.Peer) {
+func addedAndNeverHeard(duration time.Duration) func(*raft.Peer) {
 	return func(peer *raft.Peer) {
 		peer.AddedAt = now.Add(-duration)
 		peer.HeardAt = time.Time{}
@@ -60,16 +60,16 @@
 	}{
 		{name: "nothing to do", losses: 1, peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c")}},
 		{name: "silent voter without a standby stays", losses: 1,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(long))}},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long))}},
 		{name: "silent voter is replaced once a learner is ready", losses: 1,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(long)), peer(4, "d", learner)},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", learner)},
 			want:  Change{Kind: ChangeRemove, ID: 3, Name: "c"}},
 		{name: "a voter that was silent for a moment stays", losses: 1,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(2*time.Second)), peer(4, "d", learner)}},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(2*time.Second)), peer(4, "d", learner)}},
 		{name: "a learner that is behind replaces nobody", losses: 1,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(long)), peer(4, "d", learner, behind)}},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", learner, notCaughtUp)}},
 		{name: "no removal without a majority that answers", losses: 2,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(long)), peer(4, "d", silentFor(long)), peer(5, "e", silentFor(long)), peer(6, "f", learner)}},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", lastHeardAgo(long)), peer(5, "e", lastHeardAgo(long)), peer(6, "f", learner)}},
 		{name: "learner is promoted while voters are missing", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
@@ -85,10 +85,10 @@
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
 		{name: "the learner of the zone with the fewest voters is promoted", losses: 2,
-			peers: []raft.Peer{peer(1, "a", in("x")), peer(2, "b", in("y")), peer(3, "c", in("x")), peer(4, "d", learner, in("x")), peer(5, "e", learner, in("y"))},
+			peers: []raft.Peer{peer(1, "a", inZone("x")), peer(2, "b", inZone("y")), peer(3, "c", inZone("x")), peer(4, "d", learner, inZone("x")), peer(5, "e", learner, inZone("y"))},
 			want:  Change{Kind: ChangePromote, ID: 5, Name: "e"}},
 		{name: "lost disk of a voter", losses: 1,
-			peers:      []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", silentFor(time.Second))},
+			peers:      []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(time.Second))},
 			candidates: []replica.Candidate{{Name: "c", Disk: 7, At: now}},
 			want:       Change{Kind: ChangeRemove, ID: 3, Name: "c"}},
 		{name: "the leader does not remove itself", losses: 1,
@@ -105,15 +105,15 @@
 			},
 			want: Change{Kind: ChangeAdd, Admitted: []replica.Candidate{{Name: "d", Disk: 7, At: now}, {Name: "e", Disk: 8, At: now}}}},
 		{name: "learner that was just added and has not answered yet stays", losses: 1,
-			peers:      []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedFor(100*time.Millisecond))},
+			peers:      []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedAndNeverHeard(100*time.Millisecond))},
 			candidates: []replica.Candidate{{Name: "c", Disk: 400, At: now}}},
 		{name: "learner that never answered is dropped", losses: 1,
-			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedFor(long))},
+			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedAndNeverHeard(long))},
 			want:  Change{Kind: ChangeRemove, ID: 4, Name: "c"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			status := replica.Status{Self: 1, Leading: true, LeaderSince: began, Peers: test.peers, Candidates: test.candidates}
+			status := replica.Status{Self: 1, Leading: true, LeaderSince: leaderSince, Peers: test.peers, Candidates: test.candidates}
 			options := DefaultOptions(test.losses)
 			options.ToleratesZoneLoss = test.zone
 			got := Plan(options, status, now)
--- a/internal/relay/claims.go
+++ b/internal/relay/claims.go
@@ -8,98 +8,102 @@
 )
 
 const (
-	// claimHold is how long a claim waits for a leader to be known.
-	claimHold = 500 * time.Millisecond
-	// claimMemory is how long the relay remembers which claims it passed on.
-	claimMemory = time.Minute
+	// leaderWait is how long a claim is held while the relay knows no control leader.
+	leaderWait = 500 * time.Millisecond
+	// forwardRecordLifetime is how long the relay remembers that it forwarded a claim.
+	forwardRecordLifetime = time.Minute
 )
 
-// claimID names one claim message of one agent process.
+// claimID identifies one claim message of one agent process.
 type claimID struct {
 	agent       model.NodeName
 	incarnation model.Incarnation
 	correlation uint64
 }
 
-// passedClaim counts how often a claim was passed to control.
-type passedClaim struct {
-	times int
+// forwardRecord counts how often a claim was forwarded to control, and has the time of the last
+// time.
+type forwardRecord struct {
+	count int
 	last  time.Time
 }
 
-// heldClaim is a message that waits for a leader.
+// heldClaim is a claim request or outcome that is held until a leader is known.
 type heldClaim struct {
 	message any
 	id      claimID
 	since   time.Time
 }
 
-// claimRouter passes claims from agents to the control leader and answers
-// back. It says "unavailable" only for a claim that reached no control member.
+// claimRouter forwards claim requests and outcomes from agents to the control leader, and the
+// replies back to the agents. It answers "unavailable" only for a claim that reached no control
+// member.
 type claimRouter struct {
-	mailbox   *protocol.Mailbox
-	passage   *passage
-	held      []heldClaim
-	passed    map[claimID]passedClaim
-	cleanedAt time.Time
+	mailbox     *protocol.Mailbox
+	downstream  *downstreamRelays
+	held        []heldClaim
+	forwarded   map[claimID]forwardRecord
+	lastCleanup time.Time
 }
 
-func newClaimRouter(mailbox *protocol.Mailbox, passage *passage) *claimRouter {
-	return &claimRouter{mailbox: mailbox, passage: passage, passed: make(map[claimID]passedClaim)}
+func newClaimRouter(mailbox *protocol.Mailbox, downstream *downstreamRelays) *claimRouter {
+	return &claimRouter{mailbox: mailbox, downstream: downstream, forwarded: make(map[claimID]forwardRecord)}
 }
 
 func (router *claimRouter) reconcile(now time.Time, queues queues, leader model.NodeName) {
 	for _, envelope := range queues.claimRequests.Drain() {
 		if request, isRequest := envelope.Message.(protocol.ClaimRequest); isRequest {
 			id := claimID{agent: request.Agent, incarnation: request.Incarnation, correlation: request.Correlation}
-			router.hold(envelope, id, now, leader)
+			router.accept(envelope, id, now, leader)
 		}
 	}
 	for _, envelope := range queues.claimOutcomes.Drain() {
 		if outcome, isOutcome := envelope.Message.(protocol.ClaimOutcome); isOutcome {
 			id := claimID{agent: outcome.Agent, incarnation: outcome.Incarnation, correlation: outcome.Correlation}
-			router.hold(envelope, id, now, leader)
+			router.accept(envelope, id, now, leader)
 		}
 	}
-	router.passHeld(now, leader)
-	router.passReplies(queues)
-	router.clean(now)
+	router.forwardHeld(now, leader)
+	router.forwardReplies(queues)
+	router.removeOldRecords(now)
 }
 
-// hold keeps a claim of one of this relay's agents until a leader is known. A
-// claim that a relay below took in goes on as that relay's; without a leader it
-// is dropped there, which leaves it unanswered and so repeated.
-func (router *claimRouter) hold(envelope protocol.Envelope, id claimID, now time.Time, leader model.NodeName) {
+// accept holds a claim of one of this relay's own agents until a leader is known. A claim that a
+// downstream relay received is forwarded in that relay's name. Without a leader it is dropped: it
+// stays unanswered, so the agent repeats it.
+func (router *claimRouter) accept(envelope protocol.Envelope, id claimID, now time.Time, leader model.NodeName) {
 	switch {
 	case id.agent == envelope.From:
 		router.held = append(router.held, heldClaim{message: envelope.Message, id: id, since: now})
-	case leader != "" && router.passage.hasChild(envelope.From):
-		router.passage.up(leader, envelope.From, envelope.Message)
+	case leader != "" && router.downstream.hasChild(envelope.From):
+		router.downstream.sendUp(leader, envelope.From, envelope.Message)
 	}
 }
 
-func (router *claimRouter) passHeld(now time.Time, leader model.NodeName) {
+// forwardHeld sends the held claims to the leader. Without a leader it answers those that were
+// held for leaderWait, and keeps the others.
+func (router *claimRouter) forwardHeld(now time.Time, leader model.NodeName) {
 	var kept []heldClaim
 	for _, claim := range router.held {
 		switch {
 		case leader != "":
 			router.mailbox.Send(leader, claim.message)
-			passed := router.passed[claim.id]
-			router.passed[claim.id] = passedClaim{times: passed.times + 1, last: now}
-		case now.Sub(claim.since) < claimHold:
+			record := router.forwarded[claim.id]
+			router.forwarded[claim.id] = forwardRecord{count: record.count + 1, last: now}
+		case now.Sub(claim.since) < leaderWait:
 			kept = append(kept, claim)
 		default:
-			router.refuse(claim)
+			router.answerUnavailable(claim)
 		}
 	}
 	router.held = kept
 }
 
-// refuse answers a claim that found no leader. A claim that was passed on
-// before, or an outcome, stays unanswered: its fate is not known.
-func (router *claimRouter) refuse(claim heldClaim) {
+// answerUnavailable answers a claim request for which no leader was found. A request that was
+// forwarded before, and an outcome, stay unanswered: control may already have processed them.
+func (router *claimRouter) answerUnavailable(claim heldClaim) {
 	_, isRequest := claim.message.(protocol.ClaimRequest)
-	if !isRequest || router.passed[claim.id].times > 0 {
+	if !isRequest || router.forwarded[claim.id].count > 0 {
 		return
 	}
 	router.mailbox.Send(claim.id.agent, protocol.ClaimReply{
@@ -109,38 +113,41 @@
 	})
 }
 
-func (router *claimRouter) passReplies(queues queues) {
+// forwardReplies sends control's replies to the agents.
+func (router *claimRouter) forwardReplies(queues queues) {
 	for _, envelope := range queues.claimReplies.Drain() {
 		reply, isReply := envelope.Message.(protocol.ClaimReply)
 		if !isReply {
 			continue
 		}
-		if reply.State == protocol.ClaimUnavailable && router.passedMoreThanOnce(reply) {
+		if reply.State == protocol.ClaimUnavailable && router.forwardedMoreThanOnce(reply) {
 			continue
 		}
 		router.mailbox.Send(reply.Agent, reply)
 	}
 }
 
-// passedMoreThanOnce tells whether another copy of the claim may have been
-// proposed by another member, so that "unavailable" may not be true.
-func (router *claimRouter) passedMoreThanOnce(reply protocol.ClaimReply) bool {
-	for id, passed := range router.passed {
-		if id.agent == reply.Agent && id.correlation == reply.Correlation && passed.times > 1 {
+// forwardedMoreThanOnce reports whether the claim was forwarded more than once. Another member may
+// then have proposed another copy of it, so a reply of "unavailable" may be wrong.
+func (router *claimRouter) forwardedMoreThanOnce(reply protocol.ClaimReply) bool {
+	for id, record := range router.forwarded {
+		if id.agent == reply.Agent && id.correlation == reply.Correlation && record.count > 1 {
 			return true
 		}
 	}
 	return false
 }
 
-func (router *claimRouter) clean(now time.Time) {
-	if now.Sub(router.cleanedAt) < housekeepingInterval {
+// removeOldRecords removes the records of claims that were last forwarded more than
+// forwardRecordLifetime ago.
+func (router *claimRouter) removeOldRecords(now time.Time) {
+	if now.Sub(router.lastCleanup) < housekeepingInterval {
 		return
 	}
-	router.cleanedAt = now
-	for id, passed := range router.passed {
-		if now.Sub(passed.last) > claimMemory {
-			delete(router.passed, id)
+	router.lastCleanup = now
+	for id, record := range router.forwarded {
+		if now.Sub(record.last) > forwardRecordLifetime {
+			delete(router.forwarded, id)
 		}
 	}
 }
--- a/internal/relay/controller.go
+++ b/internal/relay/controller.go
@@ -14,15 +14,14 @@
 	Self        model.NodeName
 	Zone        model.ZoneName
 	Incarnation model.Incarnation
-	// Control lists the control members, or relays through which to reach
-	// them.
+	// Control lists the control members, or the relays through which this relay reaches them.
 	Control []model.NodeName
 	// ReportInterval is the time between reports to control.
 	ReportInterval time.Duration
 }
 
-// Controller is the relay's one controller. It is pure: it reads queues,
-// writes queues, and takes the time as given.
+// Controller implements the whole relay. It performs no input or output and reads no clock: it
+// reads messages from queues, writes messages to the mailbox, and gets the time as a parameter.
 type Controller struct {
 	options Options
 	mailbox *protocol.Mailbox
@@ -31,17 +30,18 @@
 	decoder   *protocol.UpdateDecoder
 	receiver  *rollout.Receiver
 	publisher *rollout.Publisher
-	// confirmation is the latest that control sent; the relay passes it on
-	// and never advances it.
+	// confirmation is the latest one that control sent. The relay sends it on unchanged, so that it
+	// never shows its configuration as more recent than control confirmed.
 	confirmation rollout.Confirmation
 
-	upstream *upstream
-	nodes    *nodeTable
-	claims   *claimRouter
-	loads    *loadFolder
-	passage  *passage
-	// heldAt is when the nodes that wait for control were last looked at.
-	heldAt time.Time
+	upstream   *upstream
+	nodes      *nodeTable
+	claims     *claimRouter
+	loads      *loadAggregator
+	downstream *downstreamRelays
+	// deferredCheckedAt is when the relay last checked whether the deferred heartbeats can be
+	// answered.
+	deferredCheckedAt time.Time
 }
 
 // queues are the inboxes of the controller, one for each type of message.
@@ -55,7 +55,8 @@
 	claimRequests *board.Queue[protocol.Envelope]
 	claimOutcomes *board.Queue[protocol.Envelope]
 	claimReplies  *board.Queue[protocol.Envelope]
-	// reports and passed come from relays below this one.
+	// reports come from relays that have this one as their upstream. passed has messages that such
+	// relays forward to control, and control's answers to them.
 	reports *board.Queue[protocol.Envelope]
 	passed  *board.Queue[protocol.Envelope]
 }
@@ -64,7 +65,7 @@
 func NewController(options Options, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher) *Controller {
 	receiver := rollout.NewReceiver(&rollout.History{})
 	publisher := rollout.NewPublisher(mailbox, receiver)
-	passage := newPassage(options, mailbox, publisher)
+	downstream := newDownstreamRelays(options, mailbox, publisher)
 	return &Controller{
 		options: options,
 		mailbox: mailbox,
@@ -81,21 +82,22 @@
 			reports:       dispatcher.Handle(protocol.Report{}),
 			passed:        dispatcher.Handle(protocol.Passed{}),
 		},
-		decoder:   protocol.NewUpdateDecoder(),
-		receiver:  receiver,
-		publisher: publisher,
-		upstream:  newUpstream(options),
-		nodes:     newNodeTable(),
-		claims:    newClaimRouter(mailbox, passage),
-		loads:     newLoadFolder(mailbox),
-		passage:   passage,
+		decoder:    protocol.NewUpdateDecoder(),
+		receiver:   receiver,
+		publisher:  publisher,
+		upstream:   newUpstream(options),
+		nodes:      newNodeTable(),
+		claims:     newClaimRouter(mailbox, downstream),
+		loads:      newLoadAggregator(mailbox),
+		downstream: downstream,
 	}
 }
 
 // Name implements board.Controller.
 func (controller *Controller) Name() string { return "relay" }
 
-// Queues returns the queues whose notices should run the controller at once.
+// Queues returns the queues whose messages should run the controller at once. Load digests and
+// unsubscriptions wait for its next run.
 func (controller *Controller) Queues() []*board.Queue[protocol.Envelope] {
 	all := controller.queues
 	return []*board.Queue[protocol.Envelope]{
@@ -113,8 +115,8 @@
 	controller.receiveUnsubscribes()
 	controller.receiveHeartbeats(now)
 	controller.upstream.advance(now)
-	controller.forgetNodes(now)
-	controller.passage.reconcile(now, controller.queues, controller.upstream.member())
+	controller.expireNodes(now)
+	controller.downstream.reconcile(now, controller.queues, controller.upstream.member())
 	controller.publisher.Publish(now, controller.confirmation)
 	controller.answerHeartbeats(now)
 	controller.report(now)
@@ -122,14 +124,15 @@
 	controller.loads.reconcile(now, controller.queues.loads, controller.receiver.Current(), controller.nodes)
 }
 
-// Revision returns the revision of the configuration that the relay holds.
+// Revision returns the revision of the configuration that the relay has.
 func (controller *Controller) Revision() model.Revision {
 	return controller.receiver.Current().Revision
 }
 
-// Confirmed tells whether the control leader confirms this relay at present.
+// Confirmed reports whether the relay is current: at now it has a valid grant of the control leader
+// and has the revision that the grant confirms.
 func (controller *Controller) Confirmed(now time.Time) bool {
-	_, found := controller.upstream.grantFor(now, controller.Revision(), latestSequence)
+	_, found := controller.upstream.grantFor(now, controller.Revision(), anySequence)
 	return found
 }
 
@@ -148,11 +151,13 @@
 	}
 }
 
+// apply applies an update to the relay's configuration. It asks the sender for the missing deltas
+// if the update starts after the configuration's revision.
 func (controller *Controller) apply(from model.NodeName, update protocol.Update) {
 	if update.Snapshot != nil {
-		controller.receiver.Snapshot(update.Snapshot)
+		controller.receiver.ApplySnapshot(update.Snapshot)
 	}
-	if controller.receiver.Deltas(update.Deltas).Resync {
+	if controller.receiver.ApplyDeltas(update.Deltas).Resync {
 		controller.resync(from)
 	}
 	if update.Committed >= controller.confirmation.Committed && update.ConfirmedAt.After(controller.confirmation.ConfirmedAt) {
@@ -160,15 +165,15 @@
 	}
 }
 
-// resync asks a control member for what follows the held configuration.
+// resync asks an upstream process for the deltas that follow the relay's configuration.
 func (controller *Controller) resync(member model.NodeName) {
-	held := controller.receiver.Current()
+	configuration := controller.receiver.Current()
 	controller.mailbox.Send(member, protocol.Subscribe{
 		Role:        model.RoleRelay,
 		Zone:        controller.options.Zone,
 		Incarnation: controller.options.Incarnation,
-		Have:        held.Revision,
-		Digest:      held.Digest(),
+		Have:        configuration.Revision,
+		Digest:      configuration.Digest(),
 		Types:       controller.decoder.Types(),
 	})
 }
@@ -192,7 +197,7 @@
 func (controller *Controller) receiveUnsubscribes() {
 	for _, envelope := range controller.queues.unsubscribes.Drain() {
 		if unsubscribe, isUnsubscribe := envelope.Message.(protocol.Unsubscribe); isUnsubscribe {
-			controller.nodes.move(envelope.From, unsubscribe.Incarnation)
+			controller.nodes.markMoved(envelope.From, unsubscribe.Incarnation)
 			controller.publisher.Remove(envelope.From)
 		}
 	}
@@ -212,59 +217,64 @@
 	}
 }
 
-// confirmNode tells the publisher what the node runs. A node that has only
-// just started runs nothing yet but was already sent what it waits to install.
+// confirmNode reports to the publisher the revision that the node has received. The digest is
+// compared only if the node also runs that revision: a node that has just started holds a
+// configuration that it has not installed yet.
 func (controller *Controller) confirmNode(now time.Time, name model.NodeName, heartbeat protocol.Heartbeat) {
 	digest := heartbeat.Digest
 	if heartbeat.Received != heartbeat.Applied {
 		digest = 0
 	}
-	agrees := controller.publisher.Confirm(now, name, heartbeat.Received, digest)
-	controller.nodes.rows[name].agrees = agrees
+	digestMatches := controller.publisher.Confirm(now, name, heartbeat.Received, digest)
+	controller.nodes.rows[name].digestMatches = digestMatches
 }
 
-func (controller *Controller) forgetNodes(now time.Time) {
-	for _, name := range controller.nodes.forget(now) {
+// expireNodes stops sending updates to nodes that the node table expires.
+func (controller *Controller) expireNodes(now time.Time) {
+	for _, name := range controller.nodes.expire(now) {
 		controller.publisher.Remove(name)
 	}
 }
 
-// answerHeartbeats acknowledges the heartbeats that can be answered now. The
-// first ones of a node wait until control knows the node, and are looked at
-// again after each grant and at an interval: with each message it would cost
-// the square of the nodes when many arrive together.
+// answerHeartbeats acknowledges the heartbeats that can be answered now. The first heartbeats of a
+// node are deferred until control knows the node. They are checked again after each grant and at
+// deferredInterval. To check them with each message would cost time quadratic in the number of
+// nodes when many arrive together.
 func (controller *Controller) answerHeartbeats(now time.Time) {
-	held := now.Sub(controller.heldAt) >= heldInterval || controller.upstream.grantedAt.After(controller.heldAt)
-	if held {
-		controller.heldAt = now
+	includeDeferred := now.Sub(controller.deferredCheckedAt) >= deferredInterval || controller.upstream.grantedAt.After(controller.deferredCheckedAt)
+	if includeDeferred {
+		controller.deferredCheckedAt = now
 	}
-	for _, name := range controller.nodes.unanswered(held) {
+	for _, name := range controller.nodes.unanswered(includeDeferred) {
 		controller.answer(now, name)
 	}
 }
 
+// answer acknowledges the node's latest heartbeat, or defers the answer while no grant covers the
+// node yet. The acknowledgement extends the node's lease only if the node runs at least the
+// revision that the grant confirms and its digest matches.
 func (controller *Controller) answer(now time.Time, name model.NodeName) {
 	node := controller.nodes.rows[name]
 	acknowledgement := protocol.HeartbeatAck{Sequence: node.heartbeat.Sequence}
-	current, confirmed := controller.upstream.grantFor(now, controller.Revision(), node.knownSince)
-	if !confirmed && controller.upstream.mayConfirm(now) && now.Sub(node.receivedAt) < answerWithin {
-		controller.nodes.hold(name)
+	currentGrant, confirmed := controller.upstream.grantFor(now, controller.Revision(), node.knownSince)
+	if !confirmed && controller.upstream.hasLeader(now) && now.Sub(node.receivedAt) < answerTimeout {
+		controller.nodes.deferAnswer(name)
 		return
 	}
 	if confirmed {
-		acknowledgement.CurrentFor = current.until.Sub(now)
-		acknowledgement.Committed = current.committed
+		acknowledgement.CurrentFor = currentGrant.until.Sub(now)
+		acknowledgement.Committed = currentGrant.committed
 	}
-	lease, leased := controller.upstream.grantFor(now, node.heartbeat.Applied, node.countedSince)
-	if leased && node.agrees {
-		acknowledgement.LeaseFor = lease.until.Sub(now)
-		controller.nodes.extendLease(name, lease.until.Add(rollout.ClockMargin))
+	leaseGrant, leased := controller.upstream.grantFor(now, node.heartbeat.Applied, node.countedSince)
+	if leased && node.digestMatches {
+		acknowledgement.LeaseFor = leaseGrant.until.Sub(now)
+		controller.nodes.extendLease(name, leaseGrant.until.Add(rollout.ClockMargin))
 	}
 	node.answered = true
 	controller.mailbox.Send(name, acknowledgement)
 }
 
-// report sends control what changed since the last acknowledged report.
+// report sends control the changes since the last acknowledged report, if a report is due.
 func (controller *Controller) report(now time.Time) {
 	member, full, due := controller.upstream.reportDue(now, controller.nodes.urgent())
 	if !due {
--- a/internal/relay/grants.go
+++ b/internal/relay/grants.go
@@ -6,24 +6,24 @@
 	"merlinpaddle/internal/model"
 )
 
-// grant is the control leader's leave to grant leases.
+// grant is the control leader's permission to extend leases of nodes.
 type grant struct {
-	// sequence is that of the report which the grant answers: control knows
-	// the nodes of that report and of earlier ones.
+	// sequence is that of the report which the grant answers. Control knows the nodes that this
+	// report and earlier ones name.
 	sequence uint64
 	// committed is the revision that was committed when the leader granted.
 	committed model.Revision
-	// until is when the grant runs out, by the relay's clock.
+	// until is when the grant expires, by the relay's clock.
 	until time.Time
 }
 
 // maximumGrants bounds the grants that are kept; one comes with each report.
 const maximumGrants = 64
 
-// latestSequence is a report sequence that no grant requires.
-const latestSequence = 0
+// anySequence is the sequence for which every grant qualifies: reports are numbered from 1.
+const anySequence = 0
 
-// grantList has the grants that still run, the oldest first.
+// grantList has the grants that have not expired, the oldest first.
 type grantList struct {
 	grants []grant
 }
@@ -46,8 +46,8 @@
 	list.grants = kept
 }
 
-// best returns the grant that runs longest among those that confirm no more
-// than applied and were made when control knew reports up to knownSince.
+// best returns the grant that expires last among those that confirm a revision up to applied and
+// answer the report knownSince or a later one. The bool reports whether there is one.
 func (list *grantList) best(now time.Time, applied model.Revision, knownSince uint64) (grant, bool) {
 	var best grant
 	found := false
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -15,75 +15,80 @@
 const (
 	// loadInterval is the time between two load digests to agents.
 	loadInterval = time.Second
-	// unchangedLoadInterval is the time after which a digest that did not
-	// change is sent again, for agents that missed it.
+	// unchangedLoadInterval is the time after which an unchanged digest is sent again, for agents
+	// that did not receive it.
 	unchangedLoadInterval = 10 * time.Second
 )
 
-// loadFolder sends the agents of each service the loads of its targets: those
-// of this relay's own agents and those that control passed on from others.
-type loadFolder struct {
-	mailbox *protocol.Mailbox
-	remote  map[model.TargetID]model.TargetLoad
-	sentAt  time.Time
-	last    map[model.ServiceID]sentLoads
+// loadAggregator sends the agents of each service the loads of its targets: those that this
+// relay's own agents report, and those that control sent from other relays.
+type loadAggregator struct {
+	mailbox  *protocol.Mailbox
+	remote   map[model.TargetID]model.TargetLoad
+	sentAt   time.Time
+	lastSent map[model.ServiceID]sentLoads
 }
 
+// sentLoads is the digest that was last sent for a service, and the number of agents it went to.
 type sentLoads struct {
 	loads  []model.TargetLoad
 	agents int
 	at     time.Time
 }
 
-// serviceLoads are the agents and loads of one service.
+// serviceLoads has the local agents of one service and the loads of its targets.
 type serviceLoads struct {
 	agents []model.NodeName
 	loads  map[model.TargetID]model.TargetLoad
 }
 
-func newLoadFolder(mailbox *protocol.Mailbox) *loadFolder {
-	return &loadFolder{
-		mailbox: mailbox,
-		remote:  make(map[model.TargetID]model.TargetLoad),
-		last:    make(map[model.ServiceID]sentLoads),
+func newLoadAggregator(mailbox *protocol.Mailbox) *loadAggregator {
+	return &loadAggregator{
+		mailbox:  mailbox,
+		remote:   make(map[model.TargetID]model.TargetLoad),
+		lastSent: make(map[model.ServiceID]sentLoads),
 	}
 }
 
-func (folder *loadFolder) reconcile(now time.Time, received *board.Queue[protocol.Envelope], configuration *model.Configuration, nodes *nodeTable) {
-	if now.Sub(folder.sentAt) < loadInterval {
+func (aggregator *loadAggregator) reconcile(now time.Time, received *board.Queue[protocol.Envelope], configuration *model.Configuration, nodes *nodeTable) {
+	if now.Sub(aggregator.sentAt) < loadInterval {
 		return
 	}
-	folder.sentAt = now
-	folder.receive(received, configuration)
-	services := folder.fold(now, configuration, nodes)
+	aggregator.sentAt = now
+	aggregator.receive(received, configuration)
+	services := aggregator.aggregate(now, configuration, nodes)
 	for _, id := range slices.Sorted(maps.Keys(services)) {
-		folder.send(now, id, services[id])
+		aggregator.send(now, id, services[id])
 	}
-	for id := range folder.last {
+	for id := range aggregator.lastSent {
 		if _, present := services[id]; !present {
-			delete(folder.last, id)
+			delete(aggregator.lastSent, id)
 		}
 	}
 }
 
-func (folder *loadFolder) receive(received *board.Queue[protocol.Envelope], configuration *model.Configuration) {
+// receive stores the loads that control sent, and drops those of targets that are no longer in the
+// configuration.
+func (aggregator *loadAggregator) receive(received *board.Queue[protocol.Envelope], configuration *model.Configuration) {
 	for _, envelope := range received.Drain() {
 		digest, isDigest := envelope.Message.(protocol.LoadDigest)
 		if !isDigest {
 			continue
 		}
 		for _, load := range digest.Loads {
-			folder.remote[load.Target] = load
+			aggregator.remote[load.Target] = load
 		}
 	}
-	for target := range folder.remote {
+	for target := range aggregator.remote {
 		if _, known := configuration.Targets[target]; !known {
-			delete(folder.remote, target)
+			delete(aggregator.remote, target)
 		}
 	}
 }
 
-func (folder *loadFolder) fold(now time.Time, configuration *model.Configuration, nodes *nodeTable) map[model.ServiceID]*serviceLoads {
+// aggregate returns the agents and loads of each service that has an agent with a fresh heartbeat
+// at this relay.
+func (aggregator *loadAggregator) aggregate(now time.Time, configuration *model.Configuration, nodes *nodeTable) map[model.ServiceID]*serviceLoads {
 	services := make(map[model.ServiceID]*serviceLoads)
 	for name, row := range nodes.rows {
 		if row.heartbeat.Load == nil || row.gone || now.Sub(row.receivedAt) > rollout.FreshWithin {
@@ -101,12 +106,13 @@
 		service.agents = append(service.agents, name)
 		service.loads[target.ID] = *row.heartbeat.Load
 	}
-	folder.addRemote(configuration, services)
+	aggregator.addRemote(configuration, services)
 	return services
 }
 
-func (folder *loadFolder) addRemote(configuration *model.Configuration, services map[model.ServiceID]*serviceLoads) {
-	for id, load := range folder.remote {
+// addRemote adds the loads of targets whose agents report to other relays.
+func (aggregator *loadAggregator) addRemote(configuration *model.Configuration, services map[model.ServiceID]*serviceLoads) {
+	for id, load := range aggregator.remote {
 		service, wanted := services[configuration.Targets[id].Service]
 		if !wanted {
 			continue
@@ -117,20 +123,22 @@
 	}
 }
 
-func (folder *loadFolder) send(now time.Time, id model.ServiceID, service *serviceLoads) {
+// send sends the service's digest to its agents if the loads or the number of agents changed, or
+// if unchangedLoadInterval has passed.
+func (aggregator *loadAggregator) send(now time.Time, id model.ServiceID, service *serviceLoads) {
 	loads := make([]model.TargetLoad, 0, len(service.loads))
 	for _, load := range service.loads {
 		loads = append(loads, load)
 	}
 	slices.SortFunc(loads, func(left, right model.TargetLoad) int { return cmp.Compare(left.Target, right.Target) })
-	last := folder.last[id]
+	last := aggregator.lastSent[id]
 	unchanged := slices.Equal(loads, last.loads) && last.agents == len(service.agents)
 	if unchanged && now.Sub(last.at) < unchangedLoadInterval {
 		return
 	}
-	folder.last[id] = sentLoads{loads: loads, agents: len(service.agents), at: now}
+	aggregator.lastSent[id] = sentLoads{loads: loads, agents: len(service.agents), at: now}
 	slices.Sort(service.agents)
 	for _, agent := range service.agents {
-		folder.mailbox.Send(agent, protocol.LoadDigest{Service: id, Loads: loads})
+		aggregator.mailbox.Send(agent, protocol.LoadDigest{Service: id, Loads: loads})
 	}
 }
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -13,9 +13,10 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// TestLoadDigestsLeaveInOrderOfTheirService keeps a simulated run a function of
-// its seed: the order of messages decides about their random delays.
-func TestLoadDigestsLeaveInOrderOfTheirService(t *testing.T) {
+// TestLoadDigestsAreSentInServiceOrder guards the reproducibility of simulated runs. The order of
+// messages determines their random delays, so sending in the order of a map would make runs with
+// the same seed differ.
+func TestLoadDigestsAreSentInServiceOrder(t *testing.T) {
 	const services = 12
 	start := time.Date(2030, time.January, 1, 0, 0, 0, 0, time.UTC)
 	mailbox := protocol.NewMailbox("relay-1")
@@ -28,7 +29,7 @@
 			Incarnation: 1, Sequence: 1, Role: model.RoleAgent, Load: &model.TargetLoad{Target: target},
 		})
 	}
-	newLoadFolder(mailbox).reconcile(start, board.NewQueue[protocol.Envelope]("loads", services), configuration, nodes)
+	newLoadAggregator(mailbox).reconcile(start, board.NewQueue[protocol.Envelope]("loads", services), configuration, nodes)
 	var order []model.ServiceID
 	for _, envelope := range mailbox.Outbox.Drain() {
 		order = append(order, envelope.Message.(protocol.LoadDigest).Service)
--- a/internal/relay/module.go
+++ b/internal/relay/module.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// runInterval is how often the controller runs without a notice.
+	// runInterval is the time between runs of the controller when no message arrives.
 	runInterval = 50 * time.Millisecond
-	// readinessPart is the relay's part of the process's readiness.
+	// readinessPart names the relay's part of the process's readiness.
 	readinessPart = "control"
 )
 
-// Module runs the relay role. It provides model.Role and *Controller, includes
-// transport.Module, and needs what the process base provides.
+// Module runs the relay role. It provides model.Role and *Controller and includes
+// transport.Module. It depends on what the process package's module provides.
 func Module() fx.Option {
 	return fx.Module("relay",
 		fx.Supply(model.RoleRelay),
@@ -55,7 +55,7 @@
 	for _, queue := range controller.Queues() {
 		sources = append(sources, queue.Watch())
 	}
-	runner := board.NewRunner(&supervised{controller: controller, readiness: readiness}, runInterval, sources...)
+	runner := board.NewRunner(&readinessController{relay: controller, readiness: readiness}, runInterval, sources...)
 	lifecycle.Append(fx.StartHook(func() {
 		tasks.Go("relay", func(ctx context.Context) error {
 			runner.Run(ctx)
@@ -64,18 +64,18 @@
 	}))
 }
 
-// supervised runs the controller and shows in the process's readiness whether
-// the control leader confirms the relay.
-type supervised struct {
-	controller *Controller
-	readiness  *process.Readiness
+// readinessController runs the relay's controller and sets the process's readiness by whether the
+// control leader confirms the relay.
+type readinessController struct {
+	relay     *Controller
+	readiness *process.Readiness
 }
 
 // Name implements board.Controller.
-func (supervised *supervised) Name() string { return supervised.controller.Name() }
+func (controller *readinessController) Name() string { return controller.relay.Name() }
 
 // Reconcile implements board.Controller.
-func (supervised *supervised) Reconcile(now time.Time) {
-	supervised.controller.Reconcile(now)
-	supervised.readiness.Set(readinessPart, supervised.controller.Confirmed(now))
+func (controller *readinessController) Reconcile(now time.Time) {
+	controller.relay.Reconcile(now)
+	controller.readiness.Set(readinessPart, controller.relay.Confirmed(now))
 }
--- a/internal/relay/nodes.go
+++ b/internal/relay/nodes.go
@@ -10,124 +10,132 @@
 )
 
 const (
-	// forgetAfter is how long a silent node is kept and reported.
-	forgetAfter = 30 * time.Second
-	// housekeepingInterval is how often silent nodes are looked for.
+	// expireAfter is the age of its last heartbeat at which a node is marked as gone, and the age
+	// of its last message at which a downstream relay is removed.
+	expireAfter = 30 * time.Second
+	// housekeepingInterval is the time between two checks for expired nodes and for old records of
+	// forwarded claims.
 	housekeepingInterval = time.Second
-	// loadReportInterval is the shortest time between two reports of a node
-	// of which only the load or the empty buckets changed.
+	// loadReportInterval is the shortest time between two reports of a node of which only the load
+	// or the empty buckets changed.
 	loadReportInterval = time.Second
 )
 
-// nodeRow is what the relay knows of one node.
+// nodeRow is the relay's state of one node.
 type nodeRow struct {
 	heartbeat  protocol.Heartbeat
 	receivedAt time.Time
 	answered   bool
-	// agrees tells that the node's digest did not differ.
-	agrees bool
-	// knownSince is the sequence of the first report that named this
-	// incarnation of the node.
+	// digestMatches is false when the digest in the latest heartbeat differs from that of the
+	// relay's configuration at the same revision.
+	digestMatches bool
+	// knownSince is the sequence of the first report that named this incarnation of the node, or
+	// unknownSequence.
 	knownSince uint64
-	// countedSince is the sequence of the first report since which control
-	// counts the node among those that may hold a lease.
+	// countedSince is the sequence of the report from which on control counts the node among those
+	// that may hold a lease, or unknownSequence while it does not.
 	countedSince uint64
-	// leaseUntil is the end of the longest lease that was granted, with the
-	// margin for a node whose clock runs slower.
+	// leaseUntil is the latest end of a lease that the relay granted, plus rollout.ClockMargin for a
+	// node whose clock runs slower.
 	leaseUntil time.Time
-	// version grows with each change that control should hear of, and
-	// loadVersion with each change of the load alone.
+	// version increases with each change that a report to control must include, and loadVersion
+	// with each change of the load alone.
 	version, loadVersion uint64
-	// reported has both versions in the latest report that control
-	// acknowledged.
-	reported reportedVersions
-	// told is what the latest report with the node's name said of it.
-	told standing
-	// dirty tells that a change of the load or the empty buckets waits to be
-	// noted; notedAt is when one was last noted.
+	// acknowledged has both versions as of the latest report that control acknowledged.
+	acknowledged rowVersions
+	// reportedStatus is the node's status as of the latest report. A change of it is included in
+	// that report.
+	reportedStatus nodeStatus
+	// loadDirty and emptyDirty mean that the load or the empty buckets changed and the row is not
+	// marked for a report yet. markedAt is when it was last marked for such a change.
 	loadDirty, emptyDirty bool
-	notedAt               time.Time
-	gone                  bool
-	// moved tells that the node uses another relay. It counts until the last
-	// lease that this one granted is over.
+	markedAt              time.Time
+	// gone means that the node left, expired or moved away. The row stays until control has
+	// acknowledged a report that says so.
+	gone bool
+	// moved means that the node uses another relay. The row is kept until the last lease that this
+	// relay granted has expired.
 	moved bool
 }
 
-// nodeTable has the nodes that heartbeat to this relay.
+// nodeTable has the nodes that send heartbeats to this relay.
 type nodeTable struct {
 	rows map[model.NodeName]*nodeRow
-	// waiting has the nodes whose latest heartbeat was not looked at yet, and
-	// held those that wait until control knows them.
-	waiting   map[model.NodeName]struct{}
-	held      map[model.NodeName]struct{}
-	urgentSet bool
-	cleanedAt time.Time
-	// version is the latest version of any row. Rows share the count, so that
-	// an acknowledgement of what an earlier process said of itself never
-	// counts for the next one.
+	// arrived has the nodes with a new heartbeat that the relay has not tried to answer yet, and
+	// deferred those whose answer waits until control knows them.
+	arrived  map[model.NodeName]struct{}
+	deferred map[model.NodeName]struct{}
+	// reportUrgent means that a change should be reported before the report interval ends.
+	reportUrgent bool
+	lastExpiry   time.Time
+	// version is the latest version of any row. All rows draw from this counter, so an
+	// acknowledgement of a version of an earlier incarnation's row never covers the row of a later
+	// incarnation.
 	version uint64
-	// committed is the revision that the latest grant confirmed.
+	// committed is the highest revision that a grant has confirmed.
 	committed model.Revision
-	// floors has for each role the revision that all its nodes run but those
-	// that are behind.
+	// floors has for each role the revision that all its nodes run or have passed, except those
+	// that are reported as behind.
 	floors map[model.Role]model.Revision
-	// reports has, for each report under way, the versions it carried.
-	reports map[uint64]map[model.NodeName]reportedVersions
+	// unacknowledged has, by sequence of the report, the row versions in each report that control
+	// has not acknowledged yet.
+	unacknowledged map[uint64]map[model.NodeName]rowVersions
 }
 
 func newNodeTable() *nodeTable {
 	return &nodeTable{
-		rows:    make(map[model.NodeName]*nodeRow),
-		waiting: make(map[model.NodeName]struct{}),
-		held:    make(map[model.NodeName]struct{}),
-		floors:  make(map[model.Role]model.Revision),
-		reports: make(map[uint64]map[model.NodeName]reportedVersions),
+		rows:           make(map[model.NodeName]*nodeRow),
+		arrived:        make(map[model.NodeName]struct{}),
+		deferred:       make(map[model.NodeName]struct{}),
+		floors:         make(map[model.Role]model.Revision),
+		unacknowledged: make(map[uint64]map[model.NodeName]rowVersions),
 	}
 }
 
-// receive takes a heartbeat and tells whether it is the node's newest.
+// receive records a heartbeat. It returns false and records nothing if the heartbeat is not newer
+// than the last recorded one of the node.
 func (table *nodeTable) receive(now time.Time, name model.NodeName, heartbeat protocol.Heartbeat) bool {
 	row, known := table.rows[name]
 	if known && !newer(row.heartbeat, heartbeat) {
 		return false
 	}
-	// Control may have dropped one that was gone, so it starts anew.
+	// Control may have removed a node that was reported as gone, so such a node gets a new row.
 	if !known || row.gone || heartbeat.Incarnation != row.heartbeat.Incarnation {
-		row = &nodeRow{knownSince: unknownSequence, countedSince: unknownSequence, agrees: true}
-		table.change(row)
+		row = &nodeRow{knownSince: unknownSequence, countedSince: unknownSequence, digestMatches: true}
+		table.markChanged(row)
 		table.rows[name] = row
-		table.urgentSet = true
+		table.reportUrgent = true
 	}
-	table.noteChange(now, row, heartbeat)
+	table.recordChanges(now, row, heartbeat)
 	row.heartbeat = heartbeat
 	row.receivedAt = now
 	row.answered = false
 	row.gone = heartbeat.Leaving
 	row.moved = false
 	if heartbeat.Leaving {
-		// The node gave its lease back with this heartbeat.
+		// The node releases its lease when it sends this heartbeat.
 		row.leaseUntil = time.Time{}
 	}
-	table.waiting[name] = struct{}{}
+	table.arrived[name] = struct{}{}
 	return true
 }
 
-// change marks the row for the next report.
-func (table *nodeTable) change(row *nodeRow) { row.version = table.nextVersion() }
+// markChanged includes the row in the next report.
+func (table *nodeTable) markChanged(row *nodeRow) { row.version = table.nextVersion() }
 
 func (table *nodeTable) nextVersion() uint64 {
 	table.version++
 	return table.version
 }
 
-// move notes that the node went to another relay.
-func (table *nodeTable) move(name model.NodeName, incarnation model.Incarnation) {
+// markMoved records that the node uses another relay now.
+func (table *nodeTable) markMoved(name model.NodeName, incarnation model.Incarnation) {
 	if row, known := table.rows[name]; known && row.heartbeat.Incarnation == incarnation {
 		row.moved = true
 	}
 }
 
-// newer tells whether next was sent after previous.
+// newer reports whether next was sent after previous.
 func newer(previous, next protocol.Heartbeat) bool {
 	if next.Incarnation != previous.Incarnation {
 		return next.Incarnation > previous.Incarnation
@@ -135,34 +143,34 @@
 	return next.Sequence > previous.Sequence
 }
 
-// noteChange marks the row for the next report. The progress of a balancer is
-// urgent because control waits for it to call a change in force; it is told by
-// the floor unless the node is behind.
-func (table *nodeTable) noteChange(now time.Time, row *nodeRow, next protocol.Heartbeat) {
+// recordChanges marks the row for the next report if the heartbeat next has a change to report. A
+// new applied revision of a balancer makes the report urgent, because control waits for it before
+// a change counts as in force. The floor reports the revision, unless the node is behind.
+func (table *nodeTable) recordChanges(now time.Time, row *nodeRow, next protocol.Heartbeat) {
 	previous := row.heartbeat
 	if next.Applied != previous.Applied || next.Leaving != previous.Leaving {
-		table.urgentSet = table.urgentSet || next.Role == model.RoleBalancer || next.Leaving
+		table.reportUrgent = table.reportUrgent || next.Role == model.RoleBalancer || next.Leaving
 	}
 	if next.Leaving != previous.Leaving || targetOf(next.Load) != targetOf(previous.Load) ||
-		(row.told.behind && next.Applied != previous.Applied) {
-		table.change(row)
+		(row.reportedStatus.behind && next.Applied != previous.Applied) {
+		table.markChanged(row)
 	}
 	row.loadDirty = row.loadDirty || !equalLoads(previous.Load, next.Load)
 	row.emptyDirty = row.emptyDirty || len(next.Empty) > 0
-	if now.Sub(row.notedAt) < loadReportInterval || !(row.loadDirty || row.emptyDirty) {
+	if now.Sub(row.markedAt) < loadReportInterval || !(row.loadDirty || row.emptyDirty) {
 		return
 	}
 	if row.emptyDirty {
-		table.change(row)
+		table.markChanged(row)
 	}
 	if row.loadDirty {
 		row.loadVersion = table.nextVersion()
 	}
 	row.loadDirty, row.emptyDirty = false, false
-	row.notedAt = now
+	row.markedAt = now
 }
 
-// targetOf returns the target of a load, or zero without one.
+// targetOf returns the target of a load, or zero for a nil load.
 func targetOf(load *model.TargetLoad) model.TargetID {
 	if load == nil {
 		return 0
@@ -184,46 +192,45 @@
 	}
 }
 
-// unanswered returns the nodes whose latest heartbeat has no answer yet: those
-// that came since the last call, and with held also those that hold returned.
-func (table *nodeTable) unanswered(held bool) []model.NodeName {
-	if held {
-		maps.Copy(table.waiting, table.held)
-		clear(table.held)
+// unanswered returns, sorted, the nodes whose latest heartbeat is not answered yet: those whose
+// heartbeat came since the last call and, with includeDeferred, those that deferAnswer recorded.
+func (table *nodeTable) unanswered(includeDeferred bool) []model.NodeName {
+	if includeDeferred {
+		maps.Copy(table.arrived, table.deferred)
+		clear(table.deferred)
 	}
 	var names []model.NodeName
-	for name := range table.waiting {
+	for name := range table.arrived {
 		if row, known := table.rows[name]; known && !row.answered && !row.gone {
 			names = append(names, name)
 		}
 	}
-	clear(table.waiting)
+	clear(table.arrived)
 	slices.Sort(names)
 	return names
 }
 
-// hold keeps a node that cannot be answered yet.
-func (table *nodeTable) hold(name model.NodeName) { table.held[name] = struct{}{} }
+// deferAnswer records that the node's heartbeat cannot be answered yet.
+func (table *nodeTable) deferAnswer(name model.NodeName) { table.deferred[name] = struct{}{} }
 
-// urgent tells whether a report should not wait for its interval.
-func (table *nodeTable) urgent() bool { return table.urgentSet }
+// urgent reports whether the next report should be sent before its interval ends.
+func (table *nodeTable) urgent() bool { return table.reportUrgent }
 
-// forget marks nodes that were silent for long, or that moved away and have no
-// lease any more, as gone and returns them. Their rows leave once control has
-// heard of it.
-func (table *nodeTable) forget(now time.Time) []model.NodeName {
-	if now.Sub(table.cleanedAt) < housekeepingInterval {
+// expire marks as gone, and returns, the nodes that sent no heartbeat for expireAfter and those
+// that moved away and have no lease any more. acknowledge removes their rows once control knows.
+func (table *nodeTable) expire(now time.Time) []model.NodeName {
+	if now.Sub(table.lastExpiry) < housekeepingInterval {
 		return nil
 	}
-	table.cleanedAt = now
+	table.lastExpiry = now
 	var forgotten []model.NodeName
 	for name, row := range table.rows {
-		left := row.moved && !row.leased(now)
-		if row.gone || (!left && now.Sub(row.receivedAt) <= forgetAfter) {
+		departed := row.moved && !row.leased(now)
+		if row.gone || (!departed && now.Sub(row.receivedAt) <= expireAfter) {
 			continue
 		}
 		row.gone = true
-		table.change(row)
+		table.markChanged(row)
 		forgotten = append(forgotten, name)
 	}
 	return forgotten
--- a/internal/relay/passage.go
+++ b/internal/relay/passage.go
@@ -9,96 +9,102 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// passage serves relays that have this one as their upstream. They subscribe
-// to the configuration here; their reports and claims are passed on to control
-// and its answers back. The leader grants to each relay by itself, and a grant
-// counts from when the far relay sent its report, so a detour only shortens
-// it.
-type passage struct {
+// downstreamRelays serves relays that have this one as their upstream. They subscribe to the
+// configuration here. Their reports and claims are forwarded to control, and control's answers
+// back to them. The leader grants to each relay individually. The duration of a grant counts from
+// when the far relay sent its report, so the delay of forwarding only shortens it.
+type downstreamRelays struct {
 	mailbox   *protocol.Mailbox
 	publisher *rollout.Publisher
-	// upstreams are the processes that this relay may use as upstream.
+	// upstreams are the processes that this relay may use as upstream. Messages from them are
+	// answers of control; messages from other processes go to control.
 	upstreams []model.NodeName
-	// children has when each relay that is connected to this one was last
-	// heard; below has the child through which each farther one was.
-	children map[model.NodeName]time.Time
-	below    map[model.NodeName]model.NodeName
+	// lastHeard has the time of the last report or forwarded message from each child, a relay that
+	// is connected to this one.
+	lastHeard map[model.NodeName]time.Time
+	// childFor has, for each relay that reaches this one through other relays, the child that last
+	// forwarded a message of it.
+	childFor map[model.NodeName]model.NodeName
 }
 
-func newPassage(options Options, mailbox *protocol.Mailbox, publisher *rollout.Publisher) *passage {
-	return &passage{
+func newDownstreamRelays(options Options, mailbox *protocol.Mailbox, publisher *rollout.Publisher) *downstreamRelays {
+	return &downstreamRelays{
 		mailbox:   mailbox,
 		publisher: publisher,
 		upstreams: options.Control,
-		children:  make(map[model.NodeName]time.Time),
-		below:     make(map[model.NodeName]model.NodeName),
+		lastHeard: make(map[model.NodeName]time.Time),
+		childFor:  make(map[model.NodeName]model.NodeName),
 	}
 }
 
-func (passage *passage) reconcile(now time.Time, queues queues, member model.NodeName) {
+func (downstream *downstreamRelays) reconcile(now time.Time, queues queues, member model.NodeName) {
 	for _, envelope := range queues.reports.Drain() {
 		if report, isReport := envelope.Message.(protocol.Report); isReport {
-			passage.children[envelope.From] = now
-			passage.publisher.Confirm(now, envelope.From, report.Applied, report.Digest)
-			passage.up(member, envelope.From, report)
+			downstream.lastHeard[envelope.From] = now
+			downstream.publisher.Confirm(now, envelope.From, report.Applied, report.Digest)
+			downstream.sendUp(member, envelope.From, report)
 		}
 	}
 	for _, envelope := range queues.passed.Drain() {
 		passed, isPassed := envelope.Message.(protocol.Passed)
 		switch {
 		case !isPassed:
-		case slices.Contains(passage.upstreams, envelope.From):
-			passage.down(passed)
+		case slices.Contains(downstream.upstreams, envelope.From):
+			downstream.sendDown(passed)
 		default:
-			passage.forward(now, member, envelope.From, passed)
+			downstream.forwardUp(now, member, envelope.From, passed)
 		}
 	}
-	passage.forget(now)
+	downstream.expire(now)
 }
 
-// hasChild tells whether name is a relay that is connected to this one.
-func (passage *passage) hasChild(name model.NodeName) bool {
-	_, isChild := passage.children[name]
+// hasChild reports whether name is a relay that is connected to this one.
+func (downstream *downstreamRelays) hasChild(name model.NodeName) bool {
+	_, isChild := downstream.lastHeard[name]
 	return isChild
 }
 
-// up passes a child's own message on to control.
-func (passage *passage) up(member, child model.NodeName, message any) {
-	passage.mailbox.Send(member, protocol.Passed{Relay: child, Message: message, Hops: 1})
+// sendUp sends a child's own message to control, in the child's name.
+func (downstream *downstreamRelays) sendUp(member, child model.NodeName, message any) {
+	downstream.mailbox.Send(member, protocol.Passed{Relay: child, Message: message, Hops: 1})
 }
 
-// forward passes on what a child passed on.
-func (passage *passage) forward(now time.Time, member, child model.NodeName, passed protocol.Passed) {
-	passage.children[child] = now
+// forwardUp forwards to control a message that a child forwards for a farther relay. A message
+// that has made MaximumHops hops is dropped, because relays may name each other as upstream.
+func (downstream *downstreamRelays) forwardUp(now time.Time, member, child model.NodeName, passed protocol.Passed) {
+	downstream.lastHeard[child] = now
 	if passed.Hops >= protocol.MaximumHops {
 		return
 	}
-	passage.below[passed.Relay] = child
+	downstream.childFor[passed.Relay] = child
 	passed.Hops++
-	passage.mailbox.Send(member, passed)
+	downstream.mailbox.Send(member, passed)
 }
 
-// down passes an answer of control on towards its relay.
-func (passage *passage) down(passed protocol.Passed) {
-	if passage.hasChild(passed.Relay) {
-		passage.mailbox.Send(passed.Relay, passed.Message)
+// sendDown sends an answer of control to its relay, or to the child through which the relay was
+// last heard.
+func (downstream *downstreamRelays) sendDown(passed protocol.Passed) {
+	if downstream.hasChild(passed.Relay) {
+		downstream.mailbox.Send(passed.Relay, passed.Message)
 		return
 	}
-	if child, known := passage.below[passed.Relay]; known {
-		passage.mailbox.Send(child, passed)
+	if child, known := downstream.childFor[passed.Relay]; known {
+		downstream.mailbox.Send(child, passed)
 	}
 }
 
-func (passage *passage) forget(now time.Time) {
-	for child, heardAt := range passage.children {
-		if now.Sub(heardAt) <= forgetAfter {
+// expire removes children that sent no report and forwarded nothing for expireAfter, and the routes
+// through them.
+func (downstream *downstreamRelays) expire(now time.Time) {
+	for child, heardAt := range downstream.lastHeard {
+		if now.Sub(heardAt) <= expireAfter {
 			continue
 		}
-		delete(passage.children, child)
-		passage.publisher.Remove(child)
-		for relay, via := range passage.below {
+		delete(downstream.lastHeard, child)
+		downstream.publisher.Remove(child)
+		for relay, via := range downstream.childFor {
 			if via == child {
-				delete(passage.below, relay)
+				delete(downstream.childFor, relay)
 			}
 		}
 	}
--- a/internal/relay/report.go
+++ b/internal/relay/report.go
@@ -10,69 +10,68 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// laggardShare is the divisor of the share of leased nodes that may be behind
-// the floor: one node that is slow is named and does not hold the floor back.
-const laggardShare = 8
+// laggardDivisor bounds the leased nodes that may be behind the floor to one in laggardDivisor. A
+// few slow nodes are then reported by name as behind, and don't hold back the floor.
+const laggardDivisor = 8
 
-// reportedVersions are the versions of a row that one report carried.
-type reportedVersions struct {
+// rowVersions are the versions of a row as of one report.
+type rowVersions struct {
 	node, load uint64
 }
 
-// standing is what a report says of a node besides its heartbeat. Control
-// keeps it until the node is named again, so a change of it is a reason to
-// name the node.
-type standing struct {
-	// expired tells that no lease of the node still runs, and that the relay
-	// grants none until a report says otherwise.
-	expired bool
-	// silent tells that no heartbeat came lately.
-	silent bool
-	// behind tells that the node does not run the floor.
+// nodeStatus is what a report says about a node besides its heartbeat. Control assumes it
+// unchanged until a report names the node again, so a change of it puts the node into the report.
+type nodeStatus struct {
+	// leaseExpired means that the node has no lease from this relay, and that the relay grants none
+	// until a report says otherwise.
+	leaseExpired bool
+	// stale means that the last heartbeat is older than rollout.FreshWithin.
+	stale bool
+	// behind means that the node runs a lower revision than its role's floor, or that its digest
+	// does not match.
 	behind bool
 }
 
-// content is what one report says of the nodes.
-type content struct {
+// reportContent has the nodes and loads of one report.
+type reportContent struct {
 	nodes []protocol.NodeReport
 	loads []model.TargetLoad
 }
 
-// report returns what control should hear of: in a full report every node,
-// otherwise those with a change that no acknowledged report carried. Changes
-// are repeated until one is acknowledged, so a node that is left out is known
-// to control as it stands.
-func (table *nodeTable) report(now time.Time, sequence uint64, full bool) content {
-	table.urgentSet = false
+// report returns the content of the report with the given sequence: in a full report every node,
+// otherwise the nodes with a change that no acknowledged report included. A change is repeated
+// until control acknowledges it, so control has the current state of each node that is left out.
+func (table *nodeTable) report(now time.Time, sequence uint64, full bool) reportContent {
+	table.reportUrgent = false
 	table.raiseFloors(now)
-	var content content
-	versions := make(map[model.NodeName]reportedVersions)
+	var content reportContent
+	versions := make(map[model.NodeName]rowVersions)
 	for name, row := range table.rows {
-		if present := table.standing(now, row); present != row.told {
-			row.told = present
-			table.change(row)
+		if status := table.status(now, row); status != row.reportedStatus {
+			row.reportedStatus = status
+			table.markChanged(row)
 		}
-		if row.told.expired {
+		if row.reportedStatus.leaseExpired {
 			row.countedSince = unknownSequence
 		} else {
 			row.countedSince = min(row.countedSince, sequence)
 		}
 		switch {
-		case full || row.version != row.reported.node:
+		case full || row.version != row.acknowledged.node:
 			row.knownSince = min(row.knownSince, sequence)
 			content.nodes = append(content.nodes, row.report(now, name))
-		case row.loadVersion != row.reported.load && row.heartbeat.Load != nil:
+		case row.loadVersion != row.acknowledged.load && row.heartbeat.Load != nil:
 			content.loads = append(content.loads, *row.heartbeat.Load)
 		default:
 			continue
 		}
-		versions[name] = reportedVersions{node: row.version, load: row.loadVersion}
+		versions[name] = rowVersions{node: row.version, load: row.loadVersion}
 	}
 	slices.SortFunc(content.nodes, func(left, right protocol.NodeReport) int { return cmp.Compare(left.Node, right.Node) })
 	slices.SortFunc(content.loads, func(left, right model.TargetLoad) int { return cmp.Compare(left.Target, right.Target) })
-	table.reports[sequence] = versions
+	table.unacknowledged[sequence] = versions
 	if sequence > maximumOutstanding {
-		delete(table.reports, sequence-maximumOutstanding)
+		delete(table.unacknowledged, sequence-maximumOutstanding)
 	}
 	return content
 }
@@ -80,38 +79,39 @@
 func (row *nodeRow) report(now time.Time, name model.NodeName) protocol.NodeReport {
 	return protocol.NodeReport{
 		Node: name, Heartbeat: row.heartbeat, Age: now.Sub(row.receivedAt),
-		LeaseExpired: row.told.expired, Behind: row.told.behind, Gone: row.gone,
+		LeaseExpired: row.reportedStatus.leaseExpired, Behind: row.reportedStatus.behind, Gone: row.gone,
 	}
 }
 
-func (table *nodeTable) standing(now time.Time, row *nodeRow) standing {
-	return standing{
-		expired: !row.leased(now) && !table.mayLease(now, row),
-		silent:  row.silent(now),
-		behind:  !row.agrees || row.heartbeat.Applied < table.floors[row.heartbeat.Role],
+func (table *nodeTable) status(now time.Time, row *nodeRow) nodeStatus {
+	return nodeStatus{
+		leaseExpired: !row.leased(now) && !table.mayLease(now, row),
+		stale:        row.stale(now),
+		behind:       !row.digestMatches || row.heartbeat.Applied < table.floors[row.heartbeat.Role],
 	}
 }
 
-// mayLease tells whether the node could be granted a lease. Control counts it
-// from the report that says so on, and only a grant that answers this or a
-// later report can make the lease: what was called in force before is no later
-// than what that grant confirms.
+// mayLease reports whether the relay could grant the node a lease. The report that is sent next
+// says so, and control counts the node from then on. Only a grant that answers that report or a
+// later one can extend the lease: no revision that counted as in force before is higher than the
+// one which that grant confirms.
 func (table *nodeTable) mayLease(now time.Time, row *nodeRow) bool {
-	return !row.gone && !row.moved && row.agrees && !row.silent(now) && row.heartbeat.Applied >= table.committed
+	return !row.gone && !row.moved && row.digestMatches && !row.stale(now) && row.heartbeat.Applied >= table.committed
 }
 
+// leased reports whether a lease that the relay granted may still be valid.
 func (row *nodeRow) leased(now time.Time) bool { return now.Before(row.leaseUntil) }
 
-func (row *nodeRow) silent(now time.Time) bool { return now.Sub(row.receivedAt) > rollout.FreshWithin }
+// stale reports whether the last heartbeat is older than rollout.FreshWithin.
+func (row *nodeRow) stale(now time.Time) bool { return now.Sub(row.receivedAt) > rollout.FreshWithin }
 
-// raiseFloors takes the floor of each role to the highest revision that all
-// but a few of its leased nodes run. A node that gets no further loses its
-// lease and no longer counts. A floor is never lowered: a node does not go back
-// either.
+// raiseFloors raises the floor of each role to the highest revision that all but a few of its
+// leased nodes have reached. A node that makes no progress loses its lease and no longer counts. A
+// floor is never lowered, because nodes never return to a lower revision.
 func (table *nodeTable) raiseFloors(now time.Time) {
 	counts := make(map[model.Role]map[model.Revision]int)
 	for _, row := range table.rows {
-		if row.gone || row.moved || !row.agrees || row.silent(now) || !row.leased(now) {
+		if row.gone || row.moved || !row.digestMatches || row.stale(now) || !row.leased(now) {
 			continue
 		}
 		role := row.heartbeat.Role
@@ -125,8 +125,8 @@
 	}
 }
 
-// reachedByMost returns the highest revision that all but a few nodes run, by
-// the number of nodes at each revision.
+// reachedByMost returns the highest revision that all nodes have reached except at most one in
+// laggardDivisor. counts has the number of nodes at each revision.
 func reachedByMost(counts map[model.Revision]int) model.Revision {
 	total := 0
 	for _, count := range counts {
@@ -135,21 +135,21 @@
 	reached := 0
 	for _, revision := range revisionsDescending(counts) {
 		reached += counts[revision]
-		if laggardShare*(total-reached) <= total {
+		if laggardDivisor*(total-reached) <= total {
 			return revision
 		}
 	}
 	return 0
 }
 
-// floorReports returns the floors in order of role, with the digest of the held
-// configuration where it is the floor's.
-func (table *nodeTable) floorReports(held *model.Configuration) []protocol.Floor {
+// floorReports returns the floors sorted by role. A floor has a digest only if the relay's
+// configuration is at the floor's revision.
+func (table *nodeTable) floorReports(configuration *model.Configuration) []protocol.Floor {
 	var floors []protocol.Floor
 	for role, revision := range table.floors {
 		floor := protocol.Floor{Role: role, Revision: revision}
-		if held.Revision == revision {
-			floor.Digest = held.Digest()
+		if configuration.Revision == revision {
+			floor.Digest = configuration.Digest()
 		}
 		floors = append(floors, floor)
 	}
@@ -166,18 +166,19 @@
 	return revisions
 }
 
-// acknowledge records that control took the report.
+// acknowledge records that control processed the report, and removes the rows of nodes that it
+// reported as gone.
 func (table *nodeTable) acknowledge(sequence uint64) {
-	for name, versions := range table.reports[sequence] {
+	for name, versions := range table.unacknowledged[sequence] {
 		row, known := table.rows[name]
 		if !known {
 			continue
 		}
-		row.reported.node = max(row.reported.node, versions.node)
-		row.reported.load = max(row.reported.load, versions.load)
-		if row.gone && row.reported.node == row.version {
+		row.acknowledged.node = max(row.acknowledged.node, versions.node)
+		row.acknowledged.load = max(row.acknowledged.load, versions.load)
+		if row.gone && row.acknowledged.node == row.version {
 			delete(table.rows, name)
 		}
 	}
-	delete(table.reports, sequence)
+	delete(table.unacknowledged, sequence)
 }
--- a/internal/rollout/constants.go
+++ b/internal/rollout/constants.go
@@ -19,10 +19,10 @@
 	// that are behind.
 	historyCapacity = 1024
 	// maximumDeltas is the number of deltas above which a snapshot is sent.
-	maximumDeltas = 256
+	maximumDeltasPerUpdate = 256
 	// resendAfter is how long a sent update may stay unconfirmed.
 	resendAfter = time.Second
 	// silentAfter is how long after its last message a subscriber is still
 	// sent updates.
-	silentAfter = LeaseLength
+	inactiveAfter = LeaseLength
 )
--- a/internal/rollout/heartbeat.go
+++ b/internal/rollout/heartbeat.go
@@ -18,19 +18,19 @@
 	}
 	subscriber.nextHeartbeat = now.Add(subscriber.options.HeartbeatInterval)
 	if early {
-		subscriber.nextHeartbeat = now.Add(subscriber.spread())
+		subscriber.nextHeartbeat = now.Add(subscriber.delayAfterEarlyHeartbeat())
 	}
 	subscriber.lastSent = now
 	subscriber.lastApplied = applied
-	subscriber.mailbox.Send(subscriber.selector.name(), subscriber.heartbeat(now))
+	subscriber.mailbox.Send(subscriber.selector.current(), subscriber.heartbeat(now))
 }
 
 // spread is the time to the heartbeat after one that all nodes sent at once. It
 // differs by node, so that they do not go on together: a quarter of the
 // interval and a share of a whole one.
-func (subscriber *Subscriber) spread() time.Duration {
+func (subscriber *Subscriber) delayAfterEarlyHeartbeat() time.Duration {
 	interval := subscriber.options.HeartbeatInterval
-	return interval/4 + time.Duration(subscriber.share*float64(interval))
+	return interval/4 + time.Duration(subscriber.jitter*float64(interval))
 }
 
 func (subscriber *Subscriber) heartbeat(now time.Time) protocol.Heartbeat {
@@ -49,7 +49,7 @@
 	}
 	if subscriber.reporter != nil {
 		heartbeat.Load = subscriber.reporter.Load()
-		heartbeat.Empty = awaitedEmpty(running, subscriber.reporter.EmptyBuckets(running.Revision))
+		heartbeat.Empty = awaitedEmptyReports(running, subscriber.reporter.EmptyBuckets(running.Revision))
 	}
 	return heartbeat
 }
@@ -58,10 +58,10 @@
 // interval it is computed from every row, because the sum that the
 // configuration keeps does not show rows that went wrong in memory.
 func (subscriber *Subscriber) runningDigest(now time.Time, running *model.Configuration) uint64 {
-	if now.Sub(subscriber.recomputedAt) < recomputeInterval {
+	if now.Sub(subscriber.digestRecomputedAt) < recomputeInterval {
 		return running.Digest()
 	}
-	subscriber.recomputedAt = now
+	subscriber.digestRecomputedAt = now
 	return recomputedDigest(running)
 }
 
@@ -73,7 +73,7 @@
 	}
 	subscriber.leaving = true
 	subscriber.lease.Release()
-	subscriber.mailbox.Send(subscriber.selector.name(), subscriber.heartbeat(now))
+	subscriber.mailbox.Send(subscriber.selector.current(), subscriber.heartbeat(now))
 }
 
 // maximumEmptyReports bounds the empty buckets in one heartbeat; the rest
@@ -82,7 +82,7 @@
 
 // awaitedEmpty keeps the reports that the configuration waits for: buckets
 // that still list the target as an earlier one.
-func awaitedEmpty(running *model.Configuration, reports []model.BucketEmpty) []model.BucketEmpty {
+func awaitedEmptyReports(running *model.Configuration, reports []model.BucketEmpty) []model.BucketEmpty {
 	var awaited []model.BucketEmpty
 	for _, report := range reports {
 		if len(awaited) == maximumEmptyReports {
--- a/internal/rollout/module.go
+++ b/internal/rollout/module.go
@@ -20,9 +20,9 @@
 	// notice.
 	subscriberInterval = 50 * time.Millisecond
 	// farewellTime bounds the wait for the leaving heartbeat to go out.
-	farewellTime = 500 * time.Millisecond
+	drainTimeout = 500 * time.Millisecond
 	// farewellPoll is how often the outbox is looked at meanwhile.
-	farewellPoll = 10 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 	// readinessPart is the subscriber's part of the process's readiness.
 	readinessPart = "rollout"
 )
@@ -88,7 +88,7 @@
 	for _, queue := range subscriber.Queues() {
 		sources = append(sources, queue.Watch())
 	}
-	controller := &supervised{subscriber: subscriber, readiness: readiness}
+	controller := &readinessController{subscriber: subscriber, readiness: readiness}
 	runner := board.NewRunner(controller, subscriberInterval, sources...)
 	stopped := make(chan struct{})
 	runContext, cancel := context.WithCancel(context.Background())
@@ -115,25 +115,25 @@
 
 // drainOutbox waits until the links have taken the last messages.
 func drainOutbox(ctx context.Context, mailbox *protocol.Mailbox) {
-	deadline := time.Now().Add(farewellTime)
+	deadline := time.Now().Add(drainTimeout)
 	for mailbox.Outbox.Length() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		time.Sleep(farewellPoll)
+		time.Sleep(drainPollInterval)
 	}
-	time.Sleep(farewellPoll)
+	time.Sleep(drainPollInterval)
 }
 
 // supervised runs a subscriber and shows in the process's readiness whether
 // the node is confirmed.
-type supervised struct {
+type readinessController struct {
 	subscriber *Subscriber
 	readiness  *process.Readiness
 }
 
 // Name implements board.Controller.
-func (controller *supervised) Name() string { return controller.subscriber.Name() }
+func (controller *readinessController) Name() string { return controller.subscriber.Name() }
 
 // Reconcile implements board.Controller.
-func (controller *supervised) Reconcile(now time.Time) {
+func (controller *readinessController) Reconcile(now time.Time) {
 	controller.subscriber.Reconcile(now)
 	controller.readiness.Set(readinessPart, controller.subscriber.Confirmed(now))
 }
--- a/internal/rollout/pause.go
+++ b/internal/rollout/pause.go
@@ -21,9 +21,9 @@
 type Pause struct {
 	lock sync.Mutex
 	// ranAt is when the subscriber last ran; zero before its first run.
-	ranAt time.Time
+	lastRunAt time.Time
 	// wokeAt is when the latest pause was noticed; zero while there is none.
-	wokeAt time.Time
+	resumedAt time.Time
 }
 
 // NewPause returns a pause that is over.
@@ -33,29 +33,29 @@
 func (pause *Pause) Over(now time.Time) bool {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
-	return pause.wokeAt.IsZero() && !pause.stoodStill(now)
+	return pause.resumedAt.IsZero() && !pause.overdue(now)
 }
 
 // ran records a run of the subscriber.
-func (pause *Pause) ran(now time.Time) {
+func (pause *Pause) recordRun(now time.Time) {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
-	if pause.stoodStill(now) {
-		pause.wokeAt = now
+	if pause.overdue(now) {
+		pause.resumedAt = now
 	}
-	pause.ranAt = now
+	pause.lastRunAt = now
 }
 
-func (pause *Pause) stoodStill(now time.Time) bool {
-	return !pause.ranAt.IsZero() && now.Sub(pause.ranAt) > pauseLimit
+func (pause *Pause) overdue(now time.Time) bool {
+	return !pause.lastRunAt.IsZero() && now.Sub(pause.lastRunAt) > pauseLimit
 }
 
 // proved ends the pause if a relay that was asked at askedAt proved that the
 // node is up to date.
-func (pause *Pause) proved(askedAt time.Time) {
+func (pause *Pause) confirm(askedAt time.Time) {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
-	if !askedAt.Before(pause.wokeAt) {
-		pause.wokeAt = time.Time{}
+	if !askedAt.Before(pause.resumedAt) {
+		pause.resumedAt = time.Time{}
 	}
 }
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -35,16 +35,16 @@
 	subscribers map[model.NodeName]*subscription
 	// lacking are the subscribers that may lack something. The others hold,
 	// or were sent, the revision published.
-	lacking   map[model.NodeName]struct{}
+	outdated  map[model.NodeName]struct{}
 	published model.Revision
 	// packed is the latest snapshot that was encoded. It serves until the
 	// deltas no longer lead from it to the present, because encoding one takes
 	// long and nodes often restart together.
-	packed packedSnapshot
+	cached encodedSnapshot
 }
 
 // packedSnapshot is one encoded configuration.
-type packedSnapshot struct {
+type encodedSnapshot struct {
 	configuration *model.Configuration
 	update        protocol.PackedUpdate
 }
@@ -59,10 +59,10 @@
 	heardAt time.Time
 	// described tells that the subscriber was sent the type descriptions of
 	// updates.
-	described bool
+	hasDescriptions bool
 	// snapshot tells that the subscriber needs a snapshot.
-	snapshot   bool
-	snapshotAt time.Time
+	needsSnapshot  bool
+	snapshotSentAt time.Time
 }
 
 // NewPublisher returns a publisher without subscribers.
@@ -72,7 +72,7 @@
 		source:      source,
 		encoder:     protocol.NewUpdateEncoder(),
 		subscribers: make(map[model.NodeName]*subscription),
-		lacking:     make(map[model.NodeName]struct{}),
+		outdated:    make(map[model.NodeName]struct{}),
 	}
 }
 
@@ -95,9 +95,9 @@
 	}
 	current := publisher.source.Current()
 	differs := digest != 0 && revision == current.Revision && digest != current.Digest()
-	entry.snapshot = entry.snapshot || differs
-	if entry.snapshot || entry.sent < current.Revision {
-		publisher.lacking[subscriber] = struct{}{}
+	entry.needsSnapshot = entry.needsSnapshot || differs
+	if entry.needsSnapshot || entry.sent < current.Revision {
+		publisher.outdated[subscriber] = struct{}{}
 	}
 	return !differs
 }
@@ -108,14 +108,14 @@
 func (publisher *Publisher) Resync(now time.Time, subscriber model.NodeName, request protocol.Subscribe) {
 	publisher.Confirm(now, subscriber, request.Have, request.Digest)
 	publisher.subscribers[subscriber].sent = request.Have
-	publisher.subscribers[subscriber].described = request.Types == publisher.encoder.Types()
-	publisher.lacking[subscriber] = struct{}{}
+	publisher.subscribers[subscriber].hasDescriptions = request.Types == publisher.encoder.Types()
+	publisher.outdated[subscriber] = struct{}{}
 }
 
 // Remove removes a subscriber.
 func (publisher *Publisher) Remove(subscriber model.NodeName) {
 	delete(publisher.subscribers, subscriber)
-	delete(publisher.lacking, subscriber)
+	delete(publisher.outdated, subscriber)
 }
 
 // Subscribers returns the number of subscribers.
@@ -129,19 +129,19 @@
 	if current.Revision != publisher.published {
 		publisher.published = current.Revision
 		for name := range publisher.subscribers {
-			publisher.lacking[name] = struct{}{}
+			publisher.outdated[name] = struct{}{}
 		}
 	}
-	if len(publisher.lacking) == 0 {
+	if len(publisher.outdated) == 0 {
 		return
 	}
 	var names []model.NodeName
-	for _, name := range slices.Sorted(maps.Keys(publisher.lacking)) {
-		if now.Sub(publisher.subscribers[name].heardAt) <= silentAfter {
+	for _, name := range slices.Sorted(maps.Keys(publisher.outdated)) {
+		if now.Sub(publisher.subscribers[name].heardAt) <= inactiveAfter {
 			names = append(names, name)
 		}
 	}
-	clear(publisher.lacking)
+	clear(publisher.outdated)
 	names = publisher.sendSnapshots(now, names, confirmation)
 	publisher.sendDeltas(now, names, confirmation)
 }
@@ -152,12 +152,12 @@
 	var ready []model.NodeName
 	for _, name := range names {
 		entry := publisher.subscribers[name]
-		if !entry.snapshot && publisher.leads(entry.sent) {
+		if !entry.needsSnapshot && publisher.reachableByDeltas(entry.sent) {
 			ready = append(ready, name)
 			continue
 		}
-		if !entry.snapshotAt.IsZero() && now.Sub(entry.snapshotAt) < resendAfter {
-			publisher.lacking[name] = struct{}{}
+		if !entry.snapshotSentAt.IsZero() && now.Sub(entry.snapshotSentAt) < resendAfter {
+			publisher.outdated[name] = struct{}{}
 			continue
 		}
 		if publisher.sendSnapshot(now, name, confirmation) {
@@ -168,43 +168,43 @@
 }
 
 // leads tells whether few enough deltas lead from revision to the present.
-func (publisher *Publisher) leads(revision model.Revision) bool {
+func (publisher *Publisher) reachableByDeltas(revision model.Revision) bool {
 	if revision >= publisher.source.Current().Revision {
 		return true
 	}
 	deltas, reaches := publisher.source.DeltasSince(revision)
-	return reaches && len(deltas) <= maximumDeltas
+	return reaches && len(deltas) <= maximumDeltasPerUpdate
 }
 
 func (publisher *Publisher) sendSnapshot(now time.Time, name model.NodeName, confirmation Confirmation) bool {
 	entry := publisher.subscribers[name]
-	if !publisher.serves(entry) && !publisher.pack(confirmation) {
+	if !publisher.cachedSnapshotUsable(entry) && !publisher.encodeSnapshot(confirmation) {
 		return false
 	}
-	entry.snapshotAt = now
-	entry.snapshot = false
-	publisher.deliver(now, name, publisher.packed.update, publisher.packed.configuration.Revision)
+	entry.snapshotSentAt = now
+	entry.needsSnapshot = false
+	publisher.send(now, name, publisher.cached.update, publisher.cached.configuration.Revision)
 	return true
 }
 
 // serves tells whether the packed snapshot helps a subscriber. One that holds a
 // wrong configuration of a later revision would ignore it.
-func (publisher *Publisher) serves(entry *subscription) bool {
-	packed, current := publisher.packed.configuration, publisher.source.Current()
+func (publisher *Publisher) cachedSnapshotUsable(entry *subscription) bool {
+	packed, current := publisher.cached.configuration, publisher.source.Current()
 	if packed == nil || packed == current {
 		return packed != nil
 	}
-	return packed.Revision < current.Revision && packed.Revision > entry.confirmed && publisher.leads(packed.Revision)
+	return packed.Revision < current.Revision && packed.Revision > entry.confirmed && publisher.reachableByDeltas(packed.Revision)
 }
 
 // pack encodes the present configuration and tells whether it could.
-func (publisher *Publisher) pack(confirmation Confirmation) bool {
+func (publisher *Publisher) encodeSnapshot(confirmation Confirmation) bool {
 	current := publisher.source.Current()
 	update, err := publisher.encode(protocol.Update{Snapshot: current}, confirmation)
 	if err != nil {
 		return false
 	}
-	publisher.packed = packedSnapshot{configuration: current, update: update}
+	publisher.cached = encodedSnapshot{configuration: current, update: update}
 	return true
 }
 
@@ -223,7 +223,7 @@
 			continue
 		}
 		for _, name := range behind[revision] {
-			publisher.deliver(now, name, update, deltas[len(deltas)-1].To)
+			publisher.send(now, name, update, deltas[len(deltas)-1].To)
 		}
 	}
 }
@@ -236,12 +236,12 @@
 	return publisher.encoder.Encode(update)
 }
 
-func (publisher *Publisher) deliver(now time.Time, name model.NodeName, packed protocol.PackedUpdate, to model.Revision) {
+func (publisher *Publisher) send(now time.Time, name model.NodeName, packed protocol.PackedUpdate, to model.Revision) {
 	entry := publisher.subscribers[name]
 	entry.sent = to
 	entry.sentAt = now
-	if !entry.described {
-		entry.described = true
+	if !entry.hasDescriptions {
+		entry.hasDescriptions = true
 		packed = publisher.encoder.Describe(packed)
 	}
 	publisher.mailbox.Send(name, packed)
--- a/internal/rollout/publisher_test.go
+++ b/internal/rollout/publisher_test.go
@@ -12,25 +12,25 @@
 
 // growingSource is a configuration that a test takes from revision to
 // revision.
-type growingSource struct{ receiver *Receiver }
+type testSource struct{ receiver *Receiver }
 
-func newGrowingSource() *growingSource { return &growingSource{receiver: NewReceiver(&History{})} }
+func newTestSource() *testSource { return &testSource{receiver: NewReceiver(&History{})} }
 
-func (source *growingSource) Current() *model.Configuration { return source.receiver.Current() }
+func (source *testSource) Current() *model.Configuration { return source.receiver.Current() }
 
-func (source *growingSource) DeltasSince(revision model.Revision) ([]model.Delta, bool) {
+func (source *testSource) DeltasSince(revision model.Revision) ([]model.Delta, bool) {
 	return source.receiver.DeltasSince(revision)
 }
 
 // grow adds one revision that changes one service.
-func (source *growingSource) grow() {
+func (source *testSource) addRevision() {
 	from := source.receiver.Current().Revision
-	source.receiver.Deltas([]model.Delta{{From: from, To: from + 1, Services: []model.Service{{ID: 1, Limits: model.DefaultLimits()}}}})
+	source.receiver.ApplyDeltas([]model.Delta{{From: from, To: from + 1, Services: []model.Service{{ID: 1, Limits: model.DefaultLimits()}}}})
 }
 
 // sentTo returns the updates sent to one subscriber since the last call, and
 // drops those to others.
-func sentTo(t *testing.T, mailbox *protocol.Mailbox, decoder *protocol.UpdateDecoder, name model.NodeName) []protocol.Update {
+func updatesSentTo(t *testing.T, mailbox *protocol.Mailbox, decoder *protocol.UpdateDecoder, name model.NodeName) []protocol.Update {
 	t.Helper()
 	var updates []protocol.Update
 	for _, envelope := range mailbox.Outbox.Drain() {
@@ -45,34 +45,34 @@
 }
 
 func TestSilentSubscriberIsSentNothingUntilItIsHeardAgain(t *testing.T) {
-	source := newGrowingSource()
+	source := newTestSource()
 	mailbox := protocol.NewMailbox("relay-1")
 	publisher := NewPublisher(mailbox, source)
 	decoder := protocol.NewUpdateDecoder()
 	now := time.Unix(1000, 0)
-	source.grow()
+	source.addRevision()
 	publisher.Resync(now, "balancer-1", protocol.Subscribe{})
 	publisher.Publish(now, Confirmation{})
-	require.Len(t, sentTo(t, mailbox, decoder, "balancer-1"), 1)
+	require.Len(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), 1)
 	publisher.Confirm(now, "balancer-1", 1, 0)
 
 	silentSince := now
 	for now.Sub(silentSince) <= LeaseLength {
-		source.grow()
+		source.addRevision()
 		publisher.Publish(now, Confirmation{})
-		require.Len(t, sentTo(t, mailbox, decoder, "balancer-1"), 1, "a lease may still run")
+		require.Len(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), 1, "a lease may still run")
 		now = now.Add(time.Second)
 	}
 	for range 5 {
-		source.grow()
+		source.addRevision()
 		publisher.Publish(now, Confirmation{})
-		require.Empty(t, sentTo(t, mailbox, decoder, "balancer-1"), "silent for %s", now.Sub(silentSince))
+		require.Empty(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), "silent for %s", now.Sub(silentSince))
 		now = now.Add(time.Second)
 	}
 
 	publisher.Confirm(now, "balancer-1", 1, 0)
 	publisher.Publish(now, Confirmation{})
-	updates := sentTo(t, mailbox, decoder, "balancer-1")
+	updates := updatesSentTo(t, mailbox, decoder, "balancer-1")
 	require.Len(t, updates, 1)
 	require.Equal(t, model.Revision(1), updates[0].Deltas[0].From)
 	require.Equal(t, source.Current().Revision, updates[0].Deltas[len(updates[0].Deltas)-1].To)
@@ -81,26 +81,26 @@
 // TestSnapshotsServeWhileDeltasLeadOn restarts subscribers one after another
 // while the configuration grows. Each ends at the present revision, with the
 // right content.
-func TestSnapshotsServeWhileDeltasLeadOn(t *testing.T) {
-	source := newGrowingSource()
-	source.receiver.Snapshot(configurationAt(5))
+func TestCachedSnapshotIsReusedWhileDeltasReachIt(t *testing.T) {
+	source := newTestSource()
+	source.receiver.ApplySnapshot(configurationAt(5))
 	mailbox := protocol.NewMailbox("relay-1")
 	publisher := NewPublisher(mailbox, source)
 	now := time.Unix(1000, 0)
 	const growth = 16
 	for range 2 * historyCapacity / growth {
 		for range growth {
-			source.grow()
+			source.addRevision()
 		}
 		now = now.Add(time.Second)
 		publisher.Resync(now, "balancer-1", protocol.Subscribe{})
 		publisher.Publish(now, Confirmation{})
 		receiver := NewReceiver(&History{})
-		for _, update := range sentTo(t, mailbox, protocol.NewUpdateDecoder(), "balancer-1") {
+		for _, update := range updatesSentTo(t, mailbox, protocol.NewUpdateDecoder(), "balancer-1") {
 			if update.Snapshot != nil {
-				receiver.Snapshot(update.Snapshot)
+				receiver.ApplySnapshot(update.Snapshot)
 			}
-			require.False(t, receiver.Deltas(update.Deltas).Resync)
+			require.False(t, receiver.ApplyDeltas(update.Deltas).Resync)
 		}
 		require.Equal(t, source.Current().Revision, receiver.Current().Revision)
 		require.Equal(t, source.Current().Digest(), receiver.Current().Digest())
@@ -109,32 +109,32 @@
 
 // TestWrongConfigurationIsReplacedAtItsRevision has a subscriber that went
 // wrong after the latest snapshot was encoded.
-func TestWrongConfigurationIsReplacedAtItsRevision(t *testing.T) {
-	source := newGrowingSource()
-	source.receiver.Snapshot(configurationAt(5))
+func TestWrongConfigurationIsReplacedBySnapshotOfItsRevision(t *testing.T) {
+	source := newTestSource()
+	source.receiver.ApplySnapshot(configurationAt(5))
 	mailbox := protocol.NewMailbox("relay-1")
 	publisher := NewPublisher(mailbox, source)
 	decoder := protocol.NewUpdateDecoder()
 	now := time.Unix(1000, 0)
 	publisher.Resync(now, "balancer-1", protocol.Subscribe{})
 	publisher.Publish(now, Confirmation{})
-	source.grow()
+	source.addRevision()
 	publisher.Publish(now, Confirmation{})
-	sentTo(t, mailbox, decoder, "balancer-1")
+	updatesSentTo(t, mailbox, decoder, "balancer-1")
 
 	now = now.Add(resendAfter)
 	require.False(t, publisher.Confirm(now, "balancer-1", source.Current().Revision, 666))
 	publisher.Publish(now, Confirmation{})
-	updates := sentTo(t, mailbox, decoder, "balancer-1")
+	updates := updatesSentTo(t, mailbox, decoder, "balancer-1")
 	require.Len(t, updates, 1)
 	require.Equal(t, source.Current().Revision, updates[0].Snapshot.Revision)
 }
 
 // TestDescriptionsGoOnlyToThoseWithoutThem moves a subscriber to another
 // publisher of the same build, and has one lose what it knew.
-func TestDescriptionsGoOnlyToThoseWithoutThem(t *testing.T) {
-	source := newGrowingSource()
-	source.grow()
+func TestTypeDescriptionsAreSentOnlyToSubscribersWithoutThem(t *testing.T) {
+	source := newTestSource()
+	source.addRevision()
 	decoder := protocol.NewUpdateDecoder()
 	receive := func(mailbox *protocol.Mailbox) protocol.PackedUpdate {
 		envelopes := mailbox.Outbox.Drain()
--- a/internal/rollout/receiver.go
+++ b/internal/rollout/receiver.go
@@ -3,9 +3,9 @@
 import "merlinpaddle/internal/model"
 
 // Progress is what an update did to a receiver.
-type Progress struct {
+type ApplyResult struct {
 	// Advanced tells that the configuration changed.
-	Advanced bool
+	Changed bool
 	// Resync tells that the update did not continue the configuration, so
 	// that the receiver must ask again.
 	Resync bool
@@ -35,22 +35,22 @@
 // Snapshot takes a whole configuration. One of a lower revision is ignored.
 // One of the same revision replaces the working configuration only when the
 // digests differ, which repairs a node that went wrong.
-func (receiver *Receiver) Snapshot(snapshot *model.Configuration) Progress {
+func (receiver *Receiver) ApplySnapshot(snapshot *model.Configuration) ApplyResult {
 	if snapshot.Revision < receiver.current.Revision {
-		return Progress{}
+		return ApplyResult{}
 	}
 	if snapshot.Revision == receiver.current.Revision && snapshot.Digest() == recomputedDigest(receiver.current) {
-		return Progress{}
+		return ApplyResult{}
 	}
-	receiver.current = complete(snapshot)
+	receiver.current = withEmptyMaps(snapshot)
 	receiver.history.Reset()
-	return Progress{Advanced: true}
+	return ApplyResult{Changed: true}
 }
 
 // Deltas applies deltas in order. Those that are already applied are skipped;
 // one that starts later than the working configuration asks for a resync.
-func (receiver *Receiver) Deltas(deltas []model.Delta) Progress {
-	var progress Progress
+func (receiver *Receiver) ApplyDeltas(deltas []model.Delta) ApplyResult {
+	var progress ApplyResult
 	for _, delta := range deltas {
 		if delta.To <= receiver.current.Revision {
 			continue
@@ -62,13 +62,13 @@
 		}
 		receiver.current = next
 		receiver.history.Append(delta)
-		progress.Advanced = true
+		progress.Changed = true
 	}
 	return progress
 }
 
 // complete restores the empty maps that the codec leaves out.
-func complete(configuration *model.Configuration) *model.Configuration {
+func withEmptyMaps(configuration *model.Configuration) *model.Configuration {
 	completed := *configuration
 	empty := model.NewConfiguration()
 	if completed.Services == nil {
--- a/internal/rollout/receiver_test.go
+++ b/internal/rollout/receiver_test.go
@@ -35,9 +35,9 @@
 			for _, step := range steps {
 				revision := model.Revision(step/2 + 1)
 				if step%2 == 0 {
-					receiver.Snapshot(configurationAt(revision))
+					receiver.ApplySnapshot(configurationAt(revision))
 				} else {
-					receiver.Deltas([]model.Delta{deltaTo(revision)})
+					receiver.ApplyDeltas([]model.Delta{deltaTo(revision)})
 				}
 				store.Advance(receiver.Current())
 				current := store.Current()
@@ -53,44 +53,44 @@
 	properties.TestingRun(t)
 }
 
-func TestReceiverAsksAgain(t *testing.T) {
+func TestReceiverApplyResults(t *testing.T) {
 	other := configurationAt(5)
 	other.Services[1] = model.Service{ID: 1, Name: "other"}
 	cases := []struct {
 		name     string
-		take     func(receiver *Receiver) Progress
-		want     Progress
+		take     func(receiver *Receiver) ApplyResult
+		want     ApplyResult
 		revision model.Revision
 	}{
-		{name: "next delta", take: deltas(6), want: Progress{Advanced: true}, revision: 6},
-		{name: "known delta", take: deltas(4), revision: 5},
-		{name: "gap", take: deltas(7), want: Progress{Resync: true}, revision: 5},
-		{name: "known, then next", take: deltas(5, 6), want: Progress{Advanced: true}, revision: 6},
-		{name: "older snapshot", take: snapshot(configurationAt(4)), revision: 5},
-		{name: "same snapshot", take: snapshot(configurationAt(5)), revision: 5},
-		{name: "same revision, other content", take: snapshot(other), want: Progress{Advanced: true}, revision: 5},
-		{name: "newer snapshot", take: snapshot(configurationAt(9)), want: Progress{Advanced: true}, revision: 9},
+		{name: "next delta", take: applyDeltas(6), want: ApplyResult{Changed: true}, revision: 6},
+		{name: "known delta", take: applyDeltas(4), revision: 5},
+		{name: "gap", take: applyDeltas(7), want: ApplyResult{Resync: true}, revision: 5},
+		{name: "known, then next", take: applyDeltas(5, 6), want: ApplyResult{Changed: true}, revision: 6},
+		{name: "older snapshot", take: applySnapshot(configurationAt(4)), revision: 5},
+		{name: "same snapshot", take: applySnapshot(configurationAt(5)), revision: 5},
+		{name: "same revision, other content", take: applySnapshot(other), want: ApplyResult{Changed: true}, revision: 5},
+		{name: "newer snapshot", take: applySnapshot(configurationAt(9)), want: ApplyResult{Changed: true}, revision: 9},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			receiver := NewReceiver(&History{})
-			receiver.Snapshot(configurationAt(5))
+			receiver.ApplySnapshot(configurationAt(5))
 			require.Equal(t, test.want, test.take(receiver))
 			require.Equal(t, test.revision, receiver.Current().Revision)
 		})
 	}
 }
 
-func deltas(revisions ...model.Revision) func(*Receiver) Progress {
-	return func(receiver *Receiver) Progress {
+func applyDeltas(revisions ...model.Revision) func(*Receiver) ApplyResult {
+	return func(receiver *Receiver) ApplyResult {
 		var all []model.Delta
 		for _, revision := range revisions {
 			all = append(all, deltaTo(revision))
 		}
-		return receiver.Deltas(all)
+		return receiver.ApplyDeltas(all)
 	}
 }
 
-func snapshot(configuration *model.Configuration) func(*Receiver) Progress {
-	return func(receiver *Receiver) Progress { return receiver.Snapshot(configuration) }
+func applySnapshot(configuration *model.Configuration) func(*Receiver) ApplyResult {
+	return func(receiver *Receiver) ApplyResult { return receiver.ApplySnapshot(configuration) }
 }
--- a/internal/rollout/relayselector_test.go
+++ b/internal/rollout/relayselector_test.go
@@ -29,7 +29,7 @@
 	for end := test.now.Add(duration); test.now.Before(end); {
 		test.now = test.now.Add(step)
 		test.selector.advance(test.now)
-		at := test.selector.name()
+		at := test.selector.current()
 		if len(visited) == 0 || visited[len(visited)-1] != at {
 			visited = append(visited, at)
 		}
@@ -65,34 +65,34 @@
 
 // TestAliveRelayWithoutGrantsIsLeft keeps a relay answering whose own grants
 // run out: an answer alone does not hold a node.
-func TestAliveRelayWithoutGrantsIsLeft(t *testing.T) {
+func TestRelayWithoutGrantsIsAbandoned(t *testing.T) {
 	test := newSelectorTest("balancer-1")
 	test.run(2*time.Second, "own-1")
 	for range 20 {
 		test.now = test.now.Add(100 * time.Millisecond)
-		test.selector.confirm(test.now, "own-1", confirmedMargin-time.Millisecond)
+		test.selector.confirm(test.now, "own-1", minimumGrantRemaining-time.Millisecond)
 		test.selector.advance(test.now)
 	}
-	require.Equal(t, model.NodeName("own-2"), test.selector.name())
+	require.Equal(t, model.NodeName("own-2"), test.selector.current())
 }
 
 // TestNodesReturnToTheirRelaySpreadOut brings the first relay back for many
 // nodes and looks at when they return.
-func TestNodesReturnToTheirRelaySpreadOut(t *testing.T) {
+func TestReturnsToPreferredRelayAreSpreadOut(t *testing.T) {
 	const nodes = 200
-	seconds := int(preferredRetryLeast / time.Second)
+	seconds := int(minimumPreferredRetry / time.Second)
 	returned := make(map[int]int)
 	for index := range nodes {
 		test := newSelectorTest(model.NodeName(fmt.Sprintf("balancer-%d", index)))
 		test.run(2*time.Second, "own-1")
-		for test.selector.name() == "own-1" {
+		for test.selector.current() == "own-1" {
 			test.run(100 * time.Millisecond)
 		}
 		moved := test.now
-		for test.selector.name() != "own-1" {
+		for test.selector.current() != "own-1" {
 			test.run(100*time.Millisecond, "own-1", "own-2")
 		}
-		returned[int((test.now.Sub(moved)-preferredRetryLeast)/time.Second)]++
+		returned[int((test.now.Sub(moved)-minimumPreferredRetry)/time.Second)]++
 	}
 	for second, count := range returned {
 		require.GreaterOrEqual(t, second, 0)
--- a/internal/rollout/snapshot_bench_test.go
+++ b/internal/rollout/snapshot_bench_test.go
@@ -46,8 +46,8 @@
 func BenchmarkRestartedNode(b *testing.B) {
 	for _, targets := range []int{4100, 41000} {
 		b.Run(fmt.Sprintf("%d targets", targets), func(b *testing.B) {
-			source := newGrowingSource()
-			source.receiver.Snapshot(largeConfiguration(targets/10, targets))
+			source := newTestSource()
+			source.receiver.ApplySnapshot(largeConfiguration(targets/10, targets))
 			mailbox := protocol.NewMailbox("relay-1")
 			publisher := NewPublisher(mailbox, source)
 			now := time.Unix(1000, 0)
@@ -55,7 +55,7 @@
 			count := 0
 			for b.Loop() {
 				if count%10 == 0 {
-					source.grow()
+					source.addRevision()
 				}
 				count++
 				now = now.Add(time.Millisecond)
--- a/internal/rollout/subscriber.go
+++ b/internal/rollout/subscriber.go
@@ -41,7 +41,7 @@
 	// cost time in proportion to the configuration.
 	recomputeInterval = 30 * time.Second
 	// outstandingFor is how long a heartbeat's acknowledgement is awaited.
-	outstandingFor = 2 * LeaseLength
+	acknowledgementTimeout = 2 * LeaseLength
 )
 
 // Subscriber is the controller that keeps a node's configuration up to date:
@@ -62,16 +62,16 @@
 
 	acknowledgements *board.Queue[protocol.Envelope]
 	updates          *board.Queue[protocol.Envelope]
-	digests          *board.Queue[protocol.Envelope]
+	loadDigests      *board.Queue[protocol.Envelope]
 
 	decoder  *protocol.UpdateDecoder
 	receiver *Receiver
 	// proved tells that a current relay confirmed the configuration.
-	proved   bool
-	proof    proof
-	selector *relaySelector
+	mayInstall   bool
+	confirmation relayConfirmation
+	selector     *relaySelector
 
-	resync      bool
+	resubscribe bool
 	sequence    uint64
 	outstanding map[uint64]time.Time
 	lastSent    time.Time
@@ -79,14 +79,14 @@
 	// nextHeartbeat is when a heartbeat is due at the latest.
 	nextHeartbeat time.Time
 	// share differs by node, from 0 to 1; it spreads what nodes do together.
-	share   float64
+	jitter  float64
 	leaving bool
 
-	recomputedAt time.Time
+	digestRecomputedAt time.Time
 }
 
 // proof is what a current relay last confirmed.
-type proof struct {
+type relayConfirmation struct {
 	committed model.Revision
 	askedAt   time.Time
 	until     time.Time
@@ -107,12 +107,12 @@
 		reporter:         reporter,
 		acknowledgements: dispatcher.Handle(protocol.HeartbeatAck{}),
 		updates:          dispatcher.Handle(protocol.PackedUpdate{}),
-		digests:          dispatcher.Handle(protocol.LoadDigest{}),
+		loadDigests:      dispatcher.Handle(protocol.LoadDigest{}),
 		decoder:          protocol.NewUpdateDecoder(),
 		receiver:         NewReceiver(&History{}),
 		selector:         newRelaySelector(options),
 		outstanding:      make(map[uint64]time.Time),
-		share:            nodeShare(options.Self),
+		jitter:           nodeJitter(options.Self),
 	}
 }
 
@@ -126,7 +126,7 @@
 
 // Reconcile implements board.Controller.
 func (subscriber *Subscriber) Reconcile(now time.Time) {
-	subscriber.options.Pause.ran(now)
+	subscriber.options.Pause.recordRun(now)
 	subscriber.receiveUpdates()
 	subscriber.receiveAcknowledgements(now)
 	subscriber.install(now)
@@ -142,19 +142,19 @@
 
 // chooseRelay moves to another relay when it is time, and tells the one before.
 func (subscriber *Subscriber) chooseRelay(now time.Time) {
-	previous := subscriber.selector.name()
+	previous := subscriber.selector.current()
 	if !subscriber.selector.advance(now) {
 		return
 	}
-	subscriber.resync = true
-	if subscriber.selector.name() != previous && !subscriber.leaving {
+	subscriber.resubscribe = true
+	if subscriber.selector.current() != previous && !subscriber.leaving {
 		subscriber.mailbox.Send(previous, protocol.Unsubscribe{Incarnation: subscriber.options.Incarnation})
 	}
 }
 
 // RelayName returns the relay that the node uses at present, or an empty name.
 // It may be called from any goroutine.
-func (subscriber *Subscriber) RelayName() model.NodeName { return subscriber.selector.name() }
+func (subscriber *Subscriber) RelayName() model.NodeName { return subscriber.selector.current() }
 
 // Confirmed reports whether a configuration was installed and its relay is
 // confirmed: the node is ready to take its place.
@@ -168,7 +168,7 @@
 		}
 		update, err := subscriber.decoder.Decode(packed)
 		if err != nil {
-			subscriber.resync = true
+			subscriber.resubscribe = true
 			continue
 		}
 		subscriber.apply(update)
@@ -177,10 +177,10 @@
 
 func (subscriber *Subscriber) apply(update protocol.Update) {
 	if update.Snapshot != nil {
-		subscriber.receiver.Snapshot(update.Snapshot)
+		subscriber.receiver.ApplySnapshot(update.Snapshot)
 	}
-	if subscriber.receiver.Deltas(update.Deltas).Resync {
-		subscriber.resync = true
+	if subscriber.receiver.ApplyDeltas(update.Deltas).Resync {
+		subscriber.resubscribe = true
 	}
 }
 
@@ -197,7 +197,7 @@
 		subscriber.acknowledge(now, envelope.From, sentAt, acknowledgement)
 	}
 	for sequence, sentAt := range subscriber.outstanding {
-		if now.Sub(sentAt) > outstandingFor {
+		if now.Sub(sentAt) > acknowledgementTimeout {
 			delete(subscriber.outstanding, sequence)
 		}
 	}
@@ -213,18 +213,18 @@
 	if acknowledgement.CurrentFor <= 0 || !now.Before(until) {
 		return
 	}
-	subscriber.proof = proof{committed: acknowledgement.Committed, askedAt: sentAt, until: until}
+	subscriber.confirmation = relayConfirmation{committed: acknowledgement.Committed, askedAt: sentAt, until: until}
 	subscriber.selector.confirm(now, relay, acknowledgement.CurrentFor)
 }
 
 // install publishes the received configuration to the node's store.
 func (subscriber *Subscriber) install(now time.Time) {
 	received := subscriber.receiver.Current()
-	if !subscriber.proved {
-		if !now.Before(subscriber.proof.until) || received.Revision < subscriber.proof.committed {
+	if !subscriber.mayInstall {
+		if !now.Before(subscriber.confirmation.until) || received.Revision < subscriber.confirmation.committed {
 			return
 		}
-		subscriber.proved = true
+		subscriber.mayInstall = true
 	}
 	running := subscriber.store.Current()
 	if received.Revision > running.Revision {
@@ -239,14 +239,14 @@
 // endPause ends a pause of the process once a current relay was heard after it
 // and the node runs all that was committed by then.
 func (subscriber *Subscriber) endPause(now time.Time) {
-	confirmed := subscriber.proof
+	confirmed := subscriber.confirmation
 	if now.Before(confirmed.until) && subscriber.store.Current().Revision >= confirmed.committed {
-		subscriber.options.Pause.proved(confirmed.askedAt)
+		subscriber.options.Pause.confirm(confirmed.askedAt)
 	}
 }
 
 func (subscriber *Subscriber) receiveLoads() {
-	for _, envelope := range subscriber.digests.Drain() {
+	for _, envelope := range subscriber.loadDigests.Drain() {
 		if digest, isDigest := envelope.Message.(protocol.LoadDigest); isDigest {
 			subscriber.loads.Put(digest.Loads)
 		}
@@ -254,12 +254,12 @@
 }
 
 func (subscriber *Subscriber) sendSubscribe(now time.Time) {
-	if !subscriber.resync || subscriber.leaving {
+	if !subscriber.resubscribe || subscriber.leaving {
 		return
 	}
-	subscriber.resync = false
+	subscriber.resubscribe = false
 	received := subscriber.receiver.Current()
-	subscriber.mailbox.Send(subscriber.selector.name(), protocol.Subscribe{
+	subscriber.mailbox.Send(subscriber.selector.current(), protocol.Subscribe{
 		Role:        subscriber.options.Role,
 		Zone:        subscriber.options.Zone,
 		Incarnation: subscriber.options.Incarnation,
