--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -1,14 +1,14 @@
-// Package reconfigure keeps the control group at its wanted number of voters
-// without an operator: it takes in members with empty disks, replaces members
-// whose disks were lost, and drops silent members once another one can take
-// their place.
+// Package reconfigure keeps the control group at its wanted number of voters without an operator. It
+// admits processes with empty disks as learners, promotes learners to voters, removes members whose
+// disks were lost, removes unresponsive learners, and removes unresponsive voters once a learner can
+// replace them.
 //
 // Invariants:
 //   - one membership change at a time, and only by a confirmed leader;
-//   - a voter is removed only when the others that answer are a majority of
-//     the voters before and after the change;
-//   - a voter that is merely silent is removed only when a learner that has
-//     caught up can take its place at once.
+//   - a voter is removed only if the voters that respond are a majority of the voters both before
+//     and after the change;
+//   - a voter that is unresponsive, but whose disk is not known to be lost, is removed only if a
+//     learner that has caught up can replace it at once.
 package reconfigure
 
 import (
@@ -21,36 +21,35 @@
 	"merlinpaddle/internal/replica"
 )
 
-// Group is the control group as the controller changes it; replica.Controller
+// Group is the interface by which the controller changes the control group. replica.Controller
 // implements it.
 type Group interface {
 	// StatusAt returns the member's status as of now.
 	StatusAt(now time.Time) replica.Status
-	// Admit proposes to give candidates a place without a vote, in one change.
+	// Admit proposes to add the candidates as learners, in one change.
 	Admit(candidates []replica.Candidate, done func(err error))
 	// Promote proposes to make a learner a voter.
 	Promote(id replica.MemberID, done func(err error))
-	// RemoveMember proposes to take a member out.
+	// RemoveMember proposes to remove a member.
 	RemoveMember(id replica.MemberID, done func(err error))
 }
 
-// Options are the bounds of membership.
+// Options are the settings of a Controller.
 type Options struct {
-	// ToleratedLosses is the number of members that may be lost at once; the
-	// group wants twice as many voters and one more, and three at the least.
+	// ToleratedLosses is the number of members that may be lost at once. The group wants twice as
+	// many voters plus one, and at least three.
 	ToleratedLosses int
-	// ToleratesZoneLoss means that all members of a zone may be lost at once; the
-	// group then wants five voters at the least, spread over the zones.
+	// ToleratesZoneLoss means that all members of a zone may be lost at once. The group then wants
+	// at least five voters, spread over the zones.
 	ToleratesZoneLoss bool
-	// SilentAfter is how long a voter may be silent before a learner takes its
-	// place.
+	// ReplaceVoterAfter is how long a voter may be unresponsive before a learner replaces it.
 	ReplaceVoterAfter time.Duration
-	// DropLearnerAfter is how long a learner may be silent before it is
-	// dropped. It returns by itself as a new learner.
+	// DropLearnerAfter is how long a learner may be unresponsive before it is removed. If it comes
+	// back, it asks to be admitted as a new learner.
 	DropLearnerAfter time.Duration
 }
 
-// DefaultOptions returns the bounds of processes for a number of losses.
+// DefaultOptions returns the default options of a group that tolerates the given losses.
 func DefaultOptions(toleratedLosses int) Options {
 	return Options{
 		ToleratedLosses:   toleratedLosses,
@@ -60,25 +59,24 @@
 }
 
 const (
-	// recentFor is how recently a member must have answered to count as
-	// present.
+	// presentWithin is how recently a member must have answered the leader to count as responsive.
 	presentWithin = time.Second
-	// settleTime is how long a new leader waits before it changes anything, so
-	// that every member had time to answer it.
+	// leaderSettleTime is how long a new leader waits before it proposes a change, so that every
+	// member has had time to answer it.
 	leaderSettleTime = 400 * time.Millisecond
-	// changeTimeout is how long a proposed change may take before the next one
-	// is tried.
+	// changeTimeout is how long a proposed change may take before the next one is proposed.
 	changeTimeout = 2 * time.Second
 )
 
-// Controller proposes membership changes while its member leads.
+// Controller proposes membership changes while its member is the leader.
 type Controller struct {
 	options Options
 	group   Group
 	logger  *zap.Logger
-	// pendingSince is when the change under way was proposed; zero without one.
+	// pendingSince is when the pending change was proposed; zero if none is pending.
 	pendingSince time.Time
-	changeDone   chan struct{}
+	// changeDone has a value when the result of a proposed change has come.
+	changeDone chan struct{}
 }
 
 // New returns the controller of one member.
@@ -105,6 +103,7 @@
 	}
 }
 
+// pending reports whether a proposed change is neither done nor older than changeTimeout.
 func (controller *Controller) pending(now time.Time) bool {
 	select {
 	case <-controller.changeDone:
@@ -114,6 +113,7 @@
 	return !controller.pendingSince.IsZero() && now.Sub(controller.pendingSince) < changeTimeout
 }
 
+// propose proposes the change to the group, and logs it and its result.
 func (controller *Controller) propose(now time.Time, change Change) {
 	controller.pendingSince = now
 	fields := []zap.Field{
@@ -157,15 +157,16 @@
 	return [...]string{"none", "add", "promote", "remove"}[kind]
 }
 
-// Change is one membership change and its cause in words.
+// Change is one membership change.
 type Change struct {
 	Kind ChangeKind
 	// ID and Name are those of the member that is promoted or removed.
 	ID   replica.MemberID
 	Name model.NodeName
-	// Admitted are the candidates that get a place.
+	// Admitted are the candidates that become learners.
 	Admitted []replica.Candidate
-	Cause    string
+	// Cause is the reason for the change, for the log.
+	Cause string
 }
 
 func (change *Change) admittedNames() []string {
@@ -176,8 +177,8 @@
 	return names
 }
 
-// Plan returns the next change that a leader with this status makes. It is a
-// pure function.
+// Plan returns the next change that a leader with this status proposes, or one of kind ChangeNone. It
+// is a pure function.
 func Plan(options Options, status replica.Status, now time.Time) Change {
 	plan := planner{options: options, status: status, now: now}
 	for _, step := range []func() Change{plan.removeMemberWithLostDisk, plan.removeUnresponsiveLearner, plan.promoteLearner, plan.removeUnresponsiveVoter, plan.admitCandidates} {
@@ -188,14 +189,15 @@
 	return Change{}
 }
 
+// planner has the input of Plan. Each of its steps returns a change, or none if it does not apply.
 type planner struct {
 	options Options
 	status  replica.Status
 	now     time.Time
 }
 
-// silence is how long the member has not answered, counted at the earliest
-// from when this leader began to send to it.
+// timeSinceAnswer returns how long ago the member last answered this leader, but at most how long
+// ago this leader began to send to it.
 func (plan *planner) timeSinceAnswer(peer raft.Peer) time.Duration {
 	latest := peer.HeardAt
 	if peer.AddedAt.After(latest) {
@@ -204,10 +206,12 @@
 	return plan.now.Sub(latest)
 }
 
+// responsive reports whether the member answered within presentWithin.
 func (plan *planner) responsive(peer raft.Peer) bool {
 	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < presentWithin
 }
 
+// countVoters returns the number of voters, and the number of those that are responsive.
 func (plan *planner) countVoters() (all, present int) {
 	for _, peer := range plan.status.Peers {
 		if peer.Learner {
@@ -222,12 +226,13 @@
 }
 
 const (
-	// leastVoters is the least number of voters that a group wants.
+	// minimumVoters is the least number of voters that a group wants.
 	minimumVoters = 3
-	// leastVotersForZones is that number where a zone may be lost.
+	// minimumVotersForZoneLoss is that number if all members of a zone may be lost at once.
 	minimumVotersForZoneLoss = 5
 )
 
+// wantedVoters returns the number of voters up to which learners are promoted.
 func (plan *planner) wantedVoters() int {
 	wanted := max(minimumVoters, 2*plan.options.ToleratedLosses+1)
 	if plan.options.ToleratesZoneLoss {
@@ -236,15 +241,15 @@
 	return wanted
 }
 
-// mayRemoveVoter tells whether the voters that answer are a majority with and
-// without one that does not.
+// mayRemoveVoter reports whether the responsive voters are a majority of the voters, both with and
+// without an unresponsive one.
 func (plan *planner) mayRemoveVoter() bool {
 	all, present := plan.countVoters()
 	return all > 1 && present > all/2 && present > (all-1)/2
 }
 
-// replaceLostDisks removes members whose machine asks for a place with another
-// disk: the disk that the member was tied to is gone for good.
+// removeMemberWithLostDisk removes a member if a candidate has its name but another disk. The disk to
+// which the member's ID is tied is then permanently lost.
 func (plan *planner) removeMemberWithLostDisk() Change {
 	for _, candidate := range plan.status.Candidates {
 		for _, peer := range plan.status.Peers {
@@ -259,17 +264,18 @@
 	return Change{}
 }
 
+// removeUnresponsiveLearner removes a learner that has not answered for DropLearnerAfter.
 func (plan *planner) removeUnresponsiveLearner() Change {
 	for _, peer := range plan.status.Peers {
 		if peer.Learner && plan.timeSinceAnswer(peer) > plan.options.DropLearnerAfter {
-			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the learner is silent"}
+			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the learner does not respond"}
 		}
 	}
 	return Change{}
 }
 
-// standby returns a learner that can become a voter at once: one in the zone
-// that has the fewest voters that answer.
+// replacementLearner returns a responsive learner that has caught up and can become a voter at once.
+// Of several it returns one in the zone with the fewest responsive voters.
 func (plan *planner) replacementLearner() (raft.Peer, bool) {
 	voters := make(map[model.ZoneName]int)
 	for _, peer := range plan.status.Peers {
@@ -290,6 +296,7 @@
 	return best, found
 }
 
+// promoteLearner promotes a learner if the group has fewer voters than it wants.
 func (plan *planner) promoteLearner() Change {
 	all, _ := plan.countVoters()
 	learner, found := plan.replacementLearner()
@@ -299,21 +306,25 @@
 	return Change{Kind: ChangePromote, ID: learner.ID, Name: learner.Name, Cause: "the group wants more voters"}
 }
 
+// removeUnresponsiveVoter removes a voter that has not answered for ReplaceVoterAfter, if a learner is
+// ready to replace it. If the group then has fewer voters than it wants, the next change promotes the
+// learner.
 func (plan *planner) removeUnresponsiveVoter() Change {
 	if _, found := plan.replacementLearner(); !found || !plan.mayRemoveVoter() {
 		return Change{}
 	}
 	for _, peer := range plan.status.Peers {
 		if !peer.Learner && peer.ID != plan.status.Self && plan.timeSinceAnswer(peer) > plan.options.ReplaceVoterAfter {
-			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the voter is silent and a learner is ready"}
+			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the voter does not respond and a learner is ready"}
 		}
 	}
 	return Change{}
 }
 
-// admit adds learners for all candidates whose names no member has. One change for all
-// keeps the first start of a group from growing with its members: each change is a round
-// of the whole group, and a member without a place can take no calls.
+// admitCandidates adds all candidates whose names no member has as learners, in one change. Each
+// change takes a round of the whole group, and a process that is not a member can serve no calls, so
+// with one change per candidate the first start of a group would take longer the more members it
+// has.
 func (plan *planner) admitCandidates() Change {
 	var admitted []replica.Candidate
 	for _, candidate := range plan.status.Candidates {
@@ -324,9 +335,10 @@
 	if len(admitted) == 0 {
 		return Change{}
 	}
-	return Change{Kind: ChangeAdd, Admitted: admitted, Cause: "empty disks ask for a place"}
+	return Change{Kind: ChangeAdd, Admitted: admitted, Cause: "processes with empty disks ask to join"}
 }
 
+// hasMember reports whether a member has the name.
 func (plan *planner) hasMember(name model.NodeName) bool {
 	for _, peer := range plan.status.Peers {
 		if peer.Name == name {
--- a/internal/reconfigure/reconfigure_test.go
+++ b/internal/reconfigure/reconfigure_test.go
@@ -16,7 +16,8 @@
 	now         = leaderSince.Add(time.Minute)
 )
 
-// peer returns a member of which this leader has known since its begin.
+// peer returns a voter that the leader has known since it became leader and that answered recently.
+// The functions in change modify it.
 func peer(id replica.MemberID, name model.NodeName, change ...func(*raft.Peer)) raft.Peer {
 	made := raft.Peer{
 		Member:   raft.Member{ID: id, Name: name, Disk: uint64(id) * 100},
@@ -39,7 +40,7 @@
 	return func(peer *raft.Peer) { peer.HeardAt = now.Add(-duration) }
 }
 
-// addedFor makes a member that was added a while ago and never answered.
+// addedAndNeverHeard makes a member that was added the given duration ago and has never answered.
 func addedAndNeverHeard(duration time.Duration) func(*raft.Peer) {
 	return func(peer *raft.Peer) {
 		peer.AddedAt = now.Add(-duration)
@@ -59,29 +60,29 @@
 		want       Change
 	}{
 		{name: "nothing to do", losses: 1, peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c")}},
-		{name: "silent voter without a standby stays", losses: 1,
+		{name: "unresponsive voter without a replacement stays", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long))}},
-		{name: "silent voter is replaced once a learner is ready", losses: 1,
+		{name: "unresponsive voter is removed once a learner is ready", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", learner)},
 			want:  Change{Kind: ChangeRemove, ID: 3, Name: "c"}},
-		{name: "a voter that was silent for a moment stays", losses: 1,
+		{name: "voter that was unresponsive for less than ReplaceVoterAfter stays", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(2*time.Second)), peer(4, "d", learner)}},
-		{name: "a learner that is behind replaces nobody", losses: 1,
+		{name: "learner that has not caught up replaces no voter", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", learner, notCaughtUp)}},
-		{name: "no removal without a majority that answers", losses: 2,
+		{name: "no removal without a majority that responds", losses: 2,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c", lastHeardAgo(long)), peer(4, "d", lastHeardAgo(long)), peer(5, "e", lastHeardAgo(long)), peer(6, "f", learner)}},
-		{name: "learner is promoted while voters are missing", losses: 1,
+		{name: "learner is promoted while there are fewer voters than wanted", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
-		{name: "learner stays one when there are voters enough", losses: 1,
+		{name: "learner is not promoted when there are enough voters", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c"), peer(4, "d", learner)}},
-		{name: "two losses want five voters", losses: 2,
+		{name: "two tolerated losses require five voters", losses: 2,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
-		{name: "no tolerated loss still wants three voters", losses: 0,
+		{name: "no tolerated loss still requires three voters", losses: 0,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
-		{name: "a tolerated zone wants five voters", zone: true,
+		{name: "tolerated loss of a zone requires five voters", zone: true,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(3, "c"), peer(4, "d", learner)},
 			want:  Change{Kind: ChangePromote, ID: 4, Name: "d"}},
 		{name: "the learner of the zone with the fewest voters is promoted", losses: 2,
@@ -107,7 +108,7 @@
 		{name: "learner that was just added and has not answered yet stays", losses: 1,
 			peers:      []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedAndNeverHeard(100*time.Millisecond))},
 			candidates: []replica.Candidate{{Name: "c", Disk: 400, At: now}}},
-		{name: "learner that never answered is dropped", losses: 1,
+		{name: "learner that never answered is removed", losses: 1,
 			peers: []raft.Peer{peer(1, "a"), peer(2, "b"), peer(4, "c", learner, addedAndNeverHeard(long))},
 			want:  Change{Kind: ChangeRemove, ID: 4, Name: "c"}},
 	}
--- a/internal/rollout/heartbeat.go
+++ b/internal/rollout/heartbeat.go
@@ -7,8 +7,8 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// sendHeartbeat sends a heartbeat when the interval is over, or early when the
-// node runs a new revision that control waits to hear of.
+// sendHeartbeat sends a heartbeat when the interval has passed, or earlier when the node runs a new
+// revision, because control waits for that.
 func (subscriber *Subscriber) sendHeartbeat(now time.Time) {
 	applied := subscriber.store.Current().Revision
 	due := !now.Before(subscriber.nextHeartbeat)
@@ -25,17 +25,18 @@
 	subscriber.mailbox.Send(subscriber.selector.current(), subscriber.heartbeat(now))
 }
 
-// spread is the time to the heartbeat after one that all nodes sent at once. It
-// differs by node, so that they do not go on together: a quarter of the
-// interval and a share of a whole one.
+// delayAfterEarlyHeartbeat returns the time to the heartbeat that follows an early one. All nodes
+// send early heartbeats at about the same time. The delay is between 0.25 and 1.25 intervals,
+// depending on the node, so that the next heartbeats are spread out.
 func (subscriber *Subscriber) delayAfterEarlyHeartbeat() time.Duration {
 	interval := subscriber.options.HeartbeatInterval
 	return interval/4 + time.Duration(subscriber.jitter*float64(interval))
 }
 
+// heartbeat returns the next heartbeat, and records now as the time at which it is sent.
 func (subscriber *Subscriber) heartbeat(now time.Time) protocol.Heartbeat {
 	subscriber.sequence++
-	subscriber.outstanding[subscriber.sequence] = now
+	subscriber.heartbeatSentAt[subscriber.sequence] = now
 	running := subscriber.store.Current()
 	heartbeat := protocol.Heartbeat{
 		Role:        subscriber.options.Role,
@@ -54,9 +55,9 @@
 	return heartbeat
 }
 
-// runningDigest returns the digest of the running configuration. At an
-// interval it is computed from every row, because the sum that the
-// configuration keeps does not show rows that went wrong in memory.
+// runningDigest returns the digest of the running configuration. At recomputeInterval it computes
+// the digest from every row, because the sum that the configuration keeps does not show rows that
+// were corrupted in memory.
 func (subscriber *Subscriber) runningDigest(now time.Time, running *model.Configuration) uint64 {
 	if now.Sub(subscriber.digestRecomputedAt) < recomputeInterval {
 		return running.Digest()
@@ -65,8 +66,8 @@
 	return recomputedDigest(running)
 }
 
-// Leave gives the node's lease back and sends the last heartbeat of a planned
-// stop, which tells so. The controller sends nothing after it.
+// Leave releases the node's lease and sends the last heartbeat of a planned stop, which says that
+// the node is leaving. The controller sends nothing after it.
 func (subscriber *Subscriber) Leave(now time.Time) {
 	if subscriber.leaving || len(subscriber.options.Relays) == 0 {
 		return
@@ -76,12 +77,12 @@
 	subscriber.mailbox.Send(subscriber.selector.current(), subscriber.heartbeat(now))
 }
 
-// maximumEmptyReports bounds the empty buckets in one heartbeat; the rest
-// follows with the next ones, once those are taken out of the configuration.
+// maximumEmptyReports bounds the empty buckets in one heartbeat. The others follow in later
+// heartbeats, once the configuration no longer waits for the first ones.
 const maximumEmptyReports = 128
 
-// awaitedEmpty keeps the reports that the configuration waits for: buckets
-// that still list the target as an earlier one.
+// awaitedEmptyReports returns the reports that the configuration waits for, at most
+// maximumEmptyReports.
 func awaitedEmptyReports(running *model.Configuration, reports []model.BucketEmpty) []model.BucketEmpty {
 	var awaited []model.BucketEmpty
 	for _, report := range reports {
@@ -95,8 +96,8 @@
 	return awaited
 }
 
-// AwaitsEmptyReport tells whether the configuration waits for the report: the bucket
-// still lists the target as an earlier one that moved by the reported revision.
+// AwaitsEmptyReport reports whether the configuration waits for the report: the bucket still lists
+// the target as an earlier one, and moved away from it at or before the reported revision.
 func AwaitsEmptyReport(running *model.Configuration, report model.BucketEmpty) bool {
 	table, known := running.Buckets[report.Service]
 	if !known {
--- a/internal/rollout/history.go
+++ b/internal/rollout/history.go
@@ -2,14 +2,14 @@
 
 import "merlinpaddle/internal/model"
 
-// History is the bounded log of the deltas that led to the present
-// configuration. It is used by one controller.
+// History is a bounded log of the latest deltas that led to the current configuration. It is not
+// safe for concurrent use.
 type History struct {
 	deltas []model.Delta
 }
 
-// Append adds a delta. A delta that does not continue the log, as after a
-// snapshot, starts the log anew.
+// Append adds a delta. A delta that does not start where the log ends, as after a snapshot,
+// replaces the log.
 func (history *History) Append(delta model.Delta) {
 	if count := len(history.deltas); count > 0 && history.deltas[count-1].To != delta.From {
 		history.deltas = nil
@@ -23,8 +23,8 @@
 // Reset empties the log.
 func (history *History) Reset() { history.deltas = nil }
 
-// Since returns the deltas that lead from revision to the end of the log, and
-// whether the log reaches back that far.
+// Since returns the deltas that lead from revision to the end of the log. The bool reports whether
+// the log has a delta that starts at revision.
 func (history *History) Since(revision model.Revision) ([]model.Delta, bool) {
 	for index := len(history.deltas) - 1; index >= 0; index-- {
 		if history.deltas[index].From == revision {
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Lease tells whether this node is confirmed by the control leader, through
-// its relay. A node without a lease keeps forwarding what it has; it must not
-// claim to be current.
+// Lease is this node's lease, which the control leader grants through the relay. A valid lease shows
+// that the leader confirms the node. A node without one keeps forwarding with the configuration
+// that it has, but must not claim to be current. It is safe for concurrent use.
 type Lease struct {
 	until    atomic.Pointer[time.Time]
 	released atomic.Bool
 }
 
-// NewLease returns a lease that has run out.
+// NewLease returns a lease that has expired.
 func NewLease() *Lease { return &Lease{} }
 
-// Valid tells whether the lease holds at now.
+// Valid reports whether the lease is valid at now.
 func (lease *Lease) Valid(now time.Time) bool {
 	until := lease.until.Load()
 	return until != nil && now.Before(*until) && !lease.released.Load()
 }
 
-// Release ends the lease for good, as a node does that leaves.
+// Release ends the lease permanently. A node calls it when it leaves.
 func (lease *Lease) Release() {
 	lease.released.Store(true)
 	lease.until.Store(nil)
 }
 
-// Extend makes the lease hold until the given time; it never shortens it. A
-// released lease stays ended.
+// Extend extends the lease to until, and does nothing if the lease already lasts that long. A
+// released lease stays invalid.
 func (lease *Lease) Extend(until time.Time) {
 	for {
-		present := lease.until.Load()
-		if present != nil && !until.After(*present) {
+		current := lease.until.Load()
+		if current != nil && !until.After(*current) {
 			return
 		}
-		if lease.until.CompareAndSwap(present, &until) {
+		if lease.until.CompareAndSwap(current, &until) {
 			return
 		}
 	}
--- a/internal/rollout/module.go
+++ b/internal/rollout/module.go
@@ -16,21 +16,20 @@
 )
 
 const (
-	// subscriberInterval is how often a node's subscriber runs without a
-	// notice.
+	// subscriberInterval is the time between runs of the subscriber when no message arrives.
 	subscriberInterval = 50 * time.Millisecond
-	// farewellTime bounds the wait for the leaving heartbeat to go out.
+	// drainTimeout bounds the wait for the last heartbeat to be sent when the process stops.
 	drainTimeout = 500 * time.Millisecond
-	// farewellPoll is how often the outbox is looked at meanwhile.
+	// drainPollInterval is the time between two checks of the outbox during that wait.
 	drainPollInterval = 10 * time.Millisecond
-	// readinessPart is the subscriber's part of the process's readiness.
+	// readinessPart names the subscriber's part of the process's readiness.
 	readinessPart = "rollout"
 )
 
-// NodeModule runs the rollout side of a balancer or an agent. It provides
-// model.Role, *Store, *Lease, *Pause, *LoadView and *Subscriber, and includes
-// transport.Module. It needs what the process base provides; agents also
-// provide a Reporter. The subscriber starts and stops with the process.
+// NodeModule runs the subscriber of a balancer or an agent, which starts and stops with the
+// process. It provides model.Role, *Store, *Lease, *Pause, *LoadView and *Subscriber, and includes
+// transport.Module. It depends on what the process package's module provides; agents also provide
+// a Reporter.
 func NodeModule(role model.Role) fx.Option {
 	return fx.Module("rollout",
 		fx.Supply(role),
@@ -40,7 +39,7 @@
 	)
 }
 
-// subscriberParts are what a node's subscriber is made of.
+// subscriberParts are the dependencies of provideSubscriber.
 type subscriberParts struct {
 	fx.In
 
@@ -113,7 +112,8 @@
 	})
 }
 
-// drainOutbox waits until the links have taken the last messages.
+// drainOutbox waits until the links have taken the last messages from the outbox, for at most
+// drainTimeout. The final sleep leaves the links time to send them.
 func drainOutbox(ctx context.Context, mailbox *protocol.Mailbox) {
 	deadline := time.Now().Add(drainTimeout)
 	for mailbox.Outbox.Length() > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -122,8 +122,8 @@
 	time.Sleep(drainPollInterval)
 }
 
-// supervised runs a subscriber and shows in the process's readiness whether
-// the node is confirmed.
+// readinessController runs a subscriber and sets the process's readiness by whether the node is
+// confirmed.
 type readinessController struct {
 	subscriber *Subscriber
 	readiness  *process.Readiness
--- a/internal/rollout/pause.go
+++ b/internal/rollout/pause.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// pauseLimit is the longest time between two runs of the subscriber after which
-// the process still trusts what it knows. It is shorter than the shortest time
-// after which control takes a silent target for dead.
+// pauseLimit is the longest time between two runs of the subscriber that does not count as a pause
+// of the process. It is shorter than the shortest time after which control takes an unresponsive
+// target for failed.
 const pauseLimit = 900 * time.Millisecond
 
-// Pause notices that the process stood still, as after SIGSTOP or on a machine
-// that was suspended. While it stood still, control may have taken it for dead
-// and moved its buckets. Packets that waited for it meanwhile must then not
-// open flows by what it knew before.
+// Pause detects that the process did not run for a while, as after SIGSTOP or when the machine was
+// suspended. Meanwhile control may have taken the process for failed and moved its buckets. Packets
+// that queued up during the pause must then not open flows by the old configuration.
 //
-// Invariant: Over is false from a pause on, until a relay that was asked after
-// it has proved to be current and the node runs what was committed by then.
-// Every goroutine sees that at once, also one that runs before the subscriber.
+// Invariant: from a pause on, Over returns false until the process has sent a heartbeat after the
+// pause, a relay has answered it as current, and the node runs the revision that was committed by
+// then. Every goroutine sees this at once, also one that runs before the subscriber does.
 type Pause struct {
 	lock sync.Mutex
-	// ranAt is when the subscriber last ran; zero before its first run.
+	// lastRunAt is when the subscriber last ran; zero before its first run.
 	lastRunAt time.Time
-	// wokeAt is when the latest pause was noticed; zero while there is none.
+	// resumedAt is when the subscriber first ran after the latest pause; zero once the pause is over.
 	resumedAt time.Time
 }
 
 // NewPause returns a pause that is over.
 func NewPause() *Pause { return &Pause{} }
 
-// Over tells whether the process may act at now on what it knows.
+// Over reports whether the process may act on its configuration at now: no pause is going on, and
+// the latest one has ended.
 func (pause *Pause) Over(now time.Time) bool {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
 	return pause.resumedAt.IsZero() && !pause.overdue(now)
 }
 
-// ran records a run of the subscriber.
+// recordRun records a run of the subscriber, and starts a pause if the previous run is too long
+// ago.
 func (pause *Pause) recordRun(now time.Time) {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
@@ -46,12 +47,13 @@
 	pause.lastRunAt = now
 }
 
+// overdue reports whether the subscriber's last run is more than pauseLimit ago.
 func (pause *Pause) overdue(now time.Time) bool {
 	return !pause.lastRunAt.IsZero() && now.Sub(pause.lastRunAt) > pauseLimit
 }
 
-// proved ends the pause if a relay that was asked at askedAt proved that the
-// node is up to date.
+// confirm ends the pause if the heartbeat by which a relay confirmed the node as up to date was sent
+// after the pause, at askedAt.
 func (pause *Pause) confirm(askedAt time.Time) {
 	pause.lock.Lock()
 	defer pause.lock.Unlock()
--- a/internal/rollout/pause_test.go
+++ b/internal/rollout/pause_test.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// pausedNode is a subscriber whose relay is played by the test.
+// pausedNode has a subscriber whose relay the test stands in for.
 type pausedNode struct {
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
@@ -42,7 +42,8 @@
 	return heartbeats
 }
 
-// answer lets the relay prove that committed was in force when it was asked.
+// answer sends the relay's acknowledgement of heartbeat, which says that the relay is current and
+// that committed was the committed revision.
 func (node *pausedNode) answer(heartbeat protocol.Heartbeat, committed model.Revision) {
 	node.mailbox.Inbox.Put(protocol.Envelope{From: "relay-1", To: "agent-1", Message: protocol.HeartbeatAck{
 		Sequence: heartbeat.Sequence, Committed: committed, LeaseFor: LeaseLength, CurrentFor: LeaseLength,
@@ -57,19 +58,19 @@
 	require.True(t, node.pause.Over(now))
 	require.True(t, node.pause.Over(now.Add(pauseLimit)))
 
-	woke := now.Add(10 * time.Second)
-	require.False(t, node.pause.Over(woke), "a packet may come before the subscriber runs")
+	resumed := now.Add(10 * time.Second)
+	require.False(t, node.pause.Over(resumed), "a packet may come before the subscriber runs")
 	node.answer(before[0], 0)
-	after := node.run(woke)
+	after := node.run(resumed)
 	require.Len(t, after, 1)
-	node.run(woke.Add(50 * time.Millisecond))
-	require.False(t, node.pause.Over(woke.Add(50*time.Millisecond)), "the relay was asked before the pause")
+	node.run(resumed.Add(50 * time.Millisecond))
+	require.False(t, node.pause.Over(resumed.Add(50*time.Millisecond)), "the relay was asked before the pause")
 
 	node.answer(after[0], 7)
-	node.run(woke.Add(100 * time.Millisecond))
-	require.False(t, node.pause.Over(woke.Add(100*time.Millisecond)), "revision 7 has not come yet")
+	node.run(resumed.Add(100 * time.Millisecond))
+	require.False(t, node.pause.Over(resumed.Add(100*time.Millisecond)), "revision 7 has not come yet")
 
 	node.store.Advance(&model.Configuration{Revision: 7})
-	node.run(woke.Add(150 * time.Millisecond))
-	require.True(t, node.pause.Over(woke.Add(150*time.Millisecond)))
+	node.run(resumed.Add(150 * time.Millisecond))
+	require.True(t, node.pause.Over(resumed.Add(150*time.Millisecond)))
 }
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -9,58 +9,58 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Source has the configuration that a publisher sends.
+// Source provides the configuration that a publisher sends.
 type Source interface {
 	// Current returns the latest configuration.
 	Current() *model.Configuration
-	// DeltasSince returns the deltas from revision to the latest
-	// configuration, and whether they are still known.
+	// DeltasSince returns the deltas that lead from revision to the latest configuration, and
+	// whether all of them are still known.
 	DeltasSince(revision model.Revision) ([]model.Delta, bool)
 }
 
-// Confirmation is the proof of how recent a publisher's configuration is.
+// Confirmation says how recent a publisher's configuration is: the latest committed revision that
+// is known, and when a quorum of the control group last confirmed it.
 type Confirmation struct {
 	Committed   model.Revision
 	ConfirmedAt time.Time
 }
 
-// Publisher sends each subscriber what it lacks: deltas, or a snapshot when
-// the deltas do not reach back. Each update is encoded once for all
-// subscribers at the same revision. It is used by one controller, which tells
-// it what subscribers confirm; relays and control members both run one.
+// Publisher sends each subscriber the deltas that follow its revision, or a snapshot when the
+// source does not have all of them or they are too many. It encodes each update once for all
+// subscribers at the same revision. Relays and control members both run one. It is not safe for
+// concurrent use: the controller that owns it also passes it the confirmations of subscribers.
 type Publisher struct {
 	mailbox     *protocol.Mailbox
 	source      Source
 	encoder     *protocol.UpdateEncoder
 	subscribers map[model.NodeName]*subscription
-	// lacking are the subscribers that may lack something. The others hold,
-	// or were sent, the revision published.
+	// outdated has the subscribers that may need an update. All others have, or were sent, the
+	// revision published.
 	outdated  map[model.NodeName]struct{}
 	published model.Revision
-	// packed is the latest snapshot that was encoded. It serves until the
-	// deltas no longer lead from it to the present, because encoding one takes
-	// long and nodes often restart together.
+	// cached is the latest encoded snapshot. It is reused as long as deltas lead from it to the
+	// current revision, because encoding a snapshot takes long and nodes often restart together.
 	cached encodedSnapshot
 }
 
-// packedSnapshot is one encoded configuration.
+// encodedSnapshot is a configuration and the update that carries it as a snapshot.
 type encodedSnapshot struct {
 	configuration *model.Configuration
 	update        protocol.PackedUpdate
 }
 
+// subscription is the publisher's state of one subscriber.
 type subscription struct {
-	// sent is the revision that the subscriber has once all sent arrives.
+	// sent is the revision that the subscriber has once all sent updates arrive.
 	sent model.Revision
 	// confirmed is the revision that the subscriber last confirmed.
 	confirmed model.Revision
 	sentAt    time.Time
-	// heardAt is when the subscriber last confirmed or subscribed.
+	// heardAt is when the subscriber last confirmed a revision or subscribed.
 	heardAt time.Time
-	// described tells that the subscriber was sent the type descriptions of
-	// updates.
+	// hasDescriptions means that the subscriber has, or was sent, the type descriptions of updates.
 	hasDescriptions bool
-	// snapshot tells that the subscriber needs a snapshot.
+	// needsSnapshot means that the subscriber's configuration is wrong and must be replaced.
 	needsSnapshot  bool
 	snapshotSentAt time.Time
 }
@@ -76,9 +76,9 @@
 	}
 }
 
-// Confirm records that subscriber holds revision with digest, and adds it when
-// it is new. A zero digest is not compared. It returns false when the digest
-// differs, in which case the subscriber gets a snapshot.
+// Confirm records that the subscriber has the revision with the digest, and adds the subscriber if
+// it is new. It returns false if the digest differs from that of the current configuration at the
+// same revision; the subscriber then gets a snapshot. A zero digest is not compared.
 func (publisher *Publisher) Confirm(now time.Time, subscriber model.NodeName, revision model.Revision, digest uint64) bool {
 	entry, known := publisher.subscribers[subscriber]
 	if !known {
@@ -102,9 +102,9 @@
 	return !differs
 }
 
-// Resync sends subscriber what follows the revision that it has, or a snapshot,
-// even when it was sent before. Subscribers ask for it at a new publisher, and
-// when an update did not fit.
+// Resync makes the next Publish send the subscriber the deltas that follow the revision that it has,
+// or a snapshot, even if they were sent before. Subscribers request it when they switch to a
+// publisher, and when an update does not continue their configuration or cannot be decoded.
 func (publisher *Publisher) Resync(now time.Time, subscriber model.NodeName, request protocol.Subscribe) {
 	publisher.Confirm(now, subscriber, request.Have, request.Digest)
 	publisher.subscribers[subscriber].sent = request.Have
@@ -121,9 +121,9 @@
 // Subscribers returns the number of subscribers.
 func (publisher *Publisher) Subscribers() int { return len(publisher.subscribers) }
 
-// Publish sends what subscribers lack. One that has been silent for longer than
-// a lease gets nothing until it is heard again: it is dead, or went to another
-// publisher. It looks at all subscribers only once for each revision.
+// Publish sends updates to the subscribers that need one. A subscriber that sent nothing for longer
+// than inactiveAfter, the length of a lease, gets nothing until it sends something again: it has
+// failed, or uses another publisher. Publish goes over all subscribers only once for each revision.
 func (publisher *Publisher) Publish(now time.Time, confirmation Confirmation) {
 	current := publisher.source.Current()
 	if current.Revision != publisher.published {
@@ -146,8 +146,8 @@
 	publisher.sendDeltas(now, names, confirmation)
 }
 
-// sendSnapshots sends a snapshot to those who need one, and returns those who
-// can go on with deltas. A subscriber gets at most one in resendAfter.
+// sendSnapshots sends a snapshot to the subscribers that need one, and returns those that can
+// continue with deltas, if they need any. A subscriber gets at most one snapshot per resendAfter.
 func (publisher *Publisher) sendSnapshots(now time.Time, names []model.NodeName, confirmation Confirmation) []model.NodeName {
 	var ready []model.NodeName
 	for _, name := range names {
@@ -167,7 +167,8 @@
 	return ready
 }
 
-// leads tells whether few enough deltas lead from revision to the present.
+// reachableByDeltas reports whether the source has the deltas that lead from revision to the current
+// one, and they are at most maximumDeltasPerUpdate.
 func (publisher *Publisher) reachableByDeltas(revision model.Revision) bool {
 	if revision >= publisher.source.Current().Revision {
 		return true
@@ -176,6 +177,8 @@
 	return reaches && len(deltas) <= maximumDeltasPerUpdate
 }
 
+// sendSnapshot sends the cached snapshot, or a new one if that is not usable for the subscriber. It
+// returns false if the new one cannot be encoded.
 func (publisher *Publisher) sendSnapshot(now time.Time, name model.NodeName, confirmation Confirmation) bool {
 	entry := publisher.subscribers[name]
 	if !publisher.cachedSnapshotUsable(entry) && !publisher.encodeSnapshot(confirmation) {
@@ -187,8 +190,9 @@
 	return true
 }
 
-// serves tells whether the packed snapshot helps a subscriber. One that holds a
-// wrong configuration of a later revision would ignore it.
+// cachedSnapshotUsable reports whether the cached snapshot brings the subscriber up to date,
+// together with the deltas that follow it. A subscriber that has a wrong configuration of the same
+// or a later revision needs a snapshot of the current one, because it ignores older ones.
 func (publisher *Publisher) cachedSnapshotUsable(entry *subscription) bool {
 	packed, current := publisher.cached.configuration, publisher.source.Current()
 	if packed == nil || packed == current {
@@ -197,7 +201,8 @@
 	return packed.Revision < current.Revision && packed.Revision > entry.confirmed && publisher.reachableByDeltas(packed.Revision)
 }
 
-// pack encodes the present configuration and tells whether it could.
+// encodeSnapshot encodes the current configuration as the cached snapshot, and reports whether it
+// succeeded.
 func (publisher *Publisher) encodeSnapshot(confirmation Confirmation) bool {
 	current := publisher.source.Current()
 	update, err := publisher.encode(protocol.Update{Snapshot: current}, confirmation)
@@ -208,34 +213,36 @@
 	return true
 }
 
-// sendDeltas sends what follows the revision that each subscriber was sent.
+// sendDeltas sends each subscriber the deltas that follow the revision that it was sent.
 func (publisher *Publisher) sendDeltas(now time.Time, names []model.NodeName, confirmation Confirmation) {
-	behind := make(map[model.Revision][]model.NodeName)
+	namesBySent := make(map[model.Revision][]model.NodeName)
 	for _, name := range names {
 		if sent := publisher.subscribers[name].sent; sent < publisher.source.Current().Revision {
-			behind[sent] = append(behind[sent], name)
+			namesBySent[sent] = append(namesBySent[sent], name)
 		}
 	}
-	for _, revision := range slices.Sorted(maps.Keys(behind)) {
+	for _, revision := range slices.Sorted(maps.Keys(namesBySent)) {
 		deltas, _ := publisher.source.DeltasSince(revision)
 		update, err := publisher.encode(protocol.Update{Deltas: deltas}, confirmation)
 		if err != nil {
 			continue
 		}
-		for _, name := range behind[revision] {
+		for _, name := range namesBySent[revision] {
 			publisher.send(now, name, update, deltas[len(deltas)-1].To)
 		}
 	}
 }
 
-// encode packs an update. Every type in an Update is known to the codec, so a
-// failure is a programming error that the codec's own tests catch.
+// encode adds the confirmation to the update and encodes it. The codec knows every type in an
+// Update, so a failure is a programming error, which the codec's own tests catch.
 func (publisher *Publisher) encode(update protocol.Update, confirmation Confirmation) (protocol.PackedUpdate, error) {
 	update.Committed = confirmation.Committed
 	update.ConfirmedAt = confirmation.ConfirmedAt
 	return publisher.encoder.Encode(update)
 }
 
+// send sends the update, which brings the subscriber to the revision to. It adds the type
+// descriptions if the subscriber may not have them.
 func (publisher *Publisher) send(now time.Time, name model.NodeName, packed protocol.PackedUpdate, to model.Revision) {
 	entry := publisher.subscribers[name]
 	entry.sent = to
--- a/internal/rollout/publisher_test.go
+++ b/internal/rollout/publisher_test.go
@@ -10,8 +10,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// growingSource is a configuration that a test takes from revision to
-// revision.
+// testSource is a source whose configuration a test advances from revision to revision.
 type testSource struct{ receiver *Receiver }
 
 func newTestSource() *testSource { return &testSource{receiver: NewReceiver(&History{})} }
@@ -22,14 +21,14 @@
 	return source.receiver.DeltasSince(revision)
 }
 
-// grow adds one revision that changes one service.
+// addRevision adds one revision that changes one service.
 func (source *testSource) addRevision() {
 	from := source.receiver.Current().Revision
 	source.receiver.ApplyDeltas([]model.Delta{{From: from, To: from + 1, Services: []model.Service{{ID: 1, Limits: model.DefaultLimits()}}}})
 }
 
-// sentTo returns the updates sent to one subscriber since the last call, and
-// drops those to others.
+// updatesSentTo returns the updates sent to one subscriber since the last call, and drops the
+// updates to other subscribers.
 func updatesSentTo(t *testing.T, mailbox *protocol.Mailbox, decoder *protocol.UpdateDecoder, name model.NodeName) []protocol.Update {
 	t.Helper()
 	var updates []protocol.Update
@@ -44,7 +43,7 @@
 	return updates
 }
 
-func TestSilentSubscriberIsSentNothingUntilItIsHeardAgain(t *testing.T) {
+func TestUnresponsiveSubscriberIsSentNothingUntilItConfirmsAgain(t *testing.T) {
 	source := newTestSource()
 	mailbox := protocol.NewMailbox("relay-1")
 	publisher := NewPublisher(mailbox, source)
@@ -56,8 +55,8 @@
 	require.Len(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), 1)
 	publisher.Confirm(now, "balancer-1", 1, 0)
 
-	silentSince := now
-	for now.Sub(silentSince) <= LeaseLength {
+	lastConfirmed := now
+	for now.Sub(lastConfirmed) <= LeaseLength {
 		source.addRevision()
 		publisher.Publish(now, Confirmation{})
 		require.Len(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), 1, "a lease may still run")
@@ -66,7 +65,7 @@
 	for range 5 {
 		source.addRevision()
 		publisher.Publish(now, Confirmation{})
-		require.Empty(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), "silent for %s", now.Sub(silentSince))
+		require.Empty(t, updatesSentTo(t, mailbox, decoder, "balancer-1"), "no message from it for %s", now.Sub(lastConfirmed))
 		now = now.Add(time.Second)
 	}
 
@@ -78,18 +77,18 @@
 	require.Equal(t, source.Current().Revision, updates[0].Deltas[len(updates[0].Deltas)-1].To)
 }
 
-// TestSnapshotsServeWhileDeltasLeadOn restarts subscribers one after another
-// while the configuration grows. Each ends at the present revision, with the
-// right content.
+// TestCachedSnapshotIsReusedWhileDeltasReachIt restarts subscribers one after another while
+// revisions are added, so that some get an older, cached snapshot. Each must end at the current
+// revision with the right content.
 func TestCachedSnapshotIsReusedWhileDeltasReachIt(t *testing.T) {
 	source := newTestSource()
 	source.receiver.ApplySnapshot(configurationAt(5))
 	mailbox := protocol.NewMailbox("relay-1")
 	publisher := NewPublisher(mailbox, source)
 	now := time.Unix(1000, 0)
-	const growth = 16
-	for range 2 * historyCapacity / growth {
-		for range growth {
+	const revisionsPerStep = 16
+	for range 2 * historyCapacity / revisionsPerStep {
+		for range revisionsPerStep {
 			source.addRevision()
 		}
 		now = now.Add(time.Second)
@@ -107,8 +106,9 @@
 	}
 }
 
-// TestWrongConfigurationIsReplacedAtItsRevision has a subscriber that went
-// wrong after the latest snapshot was encoded.
+// TestWrongConfigurationIsReplacedBySnapshotOfItsRevision has a subscriber whose configuration went
+// wrong after the latest snapshot was encoded. The cached snapshot would not help it: receivers
+// ignore a snapshot of a lower revision.
 func TestWrongConfigurationIsReplacedBySnapshotOfItsRevision(t *testing.T) {
 	source := newTestSource()
 	source.receiver.ApplySnapshot(configurationAt(5))
@@ -130,8 +130,9 @@
 	require.Equal(t, source.Current().Revision, updates[0].Snapshot.Revision)
 }
 
-// TestDescriptionsGoOnlyToThoseWithoutThem moves a subscriber to another
-// publisher of the same build, and has one lose what it knew.
+// TestTypeDescriptionsAreSentOnlyToSubscribersWithoutThem moves a subscriber to another publisher of
+// the same build, which must not repeat the descriptions. Then the subscriber discards them because
+// of a damaged update, and must get them again.
 func TestTypeDescriptionsAreSentOnlyToSubscribersWithoutThem(t *testing.T) {
 	source := newTestSource()
 	source.addRevision()
@@ -160,5 +161,5 @@
 	damaged.Payload = second.Payload[:len(second.Payload)/2]
 	_, err = decoder.Decode(damaged)
 	require.Error(t, err)
-	require.NotEmpty(t, subscribe().Descriptions, "the decoder gave up what it knew")
+	require.NotEmpty(t, subscribe().Descriptions, "the decoder discarded its descriptions")
 }
--- a/internal/rollout/receiver.go
+++ b/internal/rollout/receiver.go
@@ -2,17 +2,17 @@
 
 import "merlinpaddle/internal/model"
 
-// Progress is what an update did to a receiver.
+// ApplyResult is the result of applying an update to a receiver.
 type ApplyResult struct {
-	// Advanced tells that the configuration changed.
+	// Changed means that the configuration changed.
 	Changed bool
-	// Resync tells that the update did not continue the configuration, so
-	// that the receiver must ask again.
+	// Resync means that the update starts after the configuration's revision, so the deltas between
+	// them must be requested.
 	Resync bool
 }
 
-// Receiver applies updates in order to a working configuration. It never goes
-// back to a lower revision. It is used by one controller.
+// Receiver applies updates in order to a working configuration, and never returns to a lower
+// revision. It is not safe for concurrent use.
 type Receiver struct {
 	current *model.Configuration
 	history *History
@@ -27,14 +27,15 @@
 // Current returns the working configuration, which must not be written.
 func (receiver *Receiver) Current() *model.Configuration { return receiver.current }
 
-// DeltasSince returns the deltas from revision to the working configuration.
+// DeltasSince returns the deltas that lead from revision to the working configuration, and whether
+// the history has all of them.
 func (receiver *Receiver) DeltasSince(revision model.Revision) ([]model.Delta, bool) {
 	return receiver.history.Since(revision)
 }
 
-// Snapshot takes a whole configuration. One of a lower revision is ignored.
-// One of the same revision replaces the working configuration only when the
-// digests differ, which repairs a node that went wrong.
+// ApplySnapshot replaces the working configuration by a full snapshot. A snapshot of a lower
+// revision is ignored. One of the same revision is applied only if the digests differ, which
+// repairs a node whose configuration is wrong.
 func (receiver *Receiver) ApplySnapshot(snapshot *model.Configuration) ApplyResult {
 	if snapshot.Revision < receiver.current.Revision {
 		return ApplyResult{}
@@ -47,8 +48,8 @@
 	return ApplyResult{Changed: true}
 }
 
-// Deltas applies deltas in order. Those that are already applied are skipped;
-// one that starts later than the working configuration asks for a resync.
+// ApplyDeltas applies deltas in order. It skips those that are already applied, and stops with
+// Resync set at one that starts after the working configuration's revision.
 func (receiver *Receiver) ApplyDeltas(deltas []model.Delta) ApplyResult {
 	var progress ApplyResult
 	for _, delta := range deltas {
@@ -67,7 +68,8 @@
 	return progress
 }
 
-// complete restores the empty maps that the codec leaves out.
+// withEmptyMaps returns a sealed copy of a decoded configuration, in which empty maps replace the
+// nil ones that the codec leaves.
 func withEmptyMaps(configuration *model.Configuration) *model.Configuration {
 	completed := *configuration
 	empty := model.NewConfiguration()
@@ -84,7 +86,7 @@
 	return &completed
 }
 
-// recomputedDigest returns the digest from every row, without the sum that the
+// recomputedDigest returns the digest computed from every row, without the sum that a sealed
 // configuration keeps.
 func recomputedDigest(configuration *model.Configuration) uint64 {
 	unsealed := model.Configuration{
--- a/internal/rollout/receiver_test.go
+++ b/internal/rollout/receiver_test.go
@@ -11,7 +11,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// configurationAt returns a configuration whose service shows its revision.
+// configurationAt returns a configuration whose only service has the revision as a limit, so that
+// each revision has its own content.
 func configurationAt(revision model.Revision) *model.Configuration {
 	configuration := model.NewConfiguration()
 	configuration.Revision = revision
@@ -19,15 +20,16 @@
 	return configuration
 }
 
+// deltaTo returns the delta from the previous revision to configurationAt(revision).
 func deltaTo(revision model.Revision) model.Delta {
 	return model.Delta{From: revision - 1, To: revision, Services: []model.Service{configurationAt(revision).Services[1]}}
 }
 
-// TestReceiverNeverGoesBack delivers snapshots and deltas of any revision in
-// any order, as late, doubled and reordered messages do.
+// TestReceiverNeverGoesBack delivers snapshots and deltas of any revision in any order, as delayed,
+// duplicated and reordered messages do.
 func TestReceiverNeverGoesBack(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	properties.Property("revision never falls and content fits it", prop.ForAll(
+	properties.Property("the revision never decreases and the content matches it", prop.ForAll(
 		func(steps []int) bool {
 			receiver := NewReceiver(&History{})
 			store := NewStore()
@@ -58,24 +60,24 @@
 	other.Services[1] = model.Service{ID: 1, Name: "other"}
 	cases := []struct {
 		name     string
-		take     func(receiver *Receiver) ApplyResult
+		apply    func(receiver *Receiver) ApplyResult
 		want     ApplyResult
 		revision model.Revision
 	}{
-		{name: "next delta", take: applyDeltas(6), want: ApplyResult{Changed: true}, revision: 6},
-		{name: "known delta", take: applyDeltas(4), revision: 5},
-		{name: "gap", take: applyDeltas(7), want: ApplyResult{Resync: true}, revision: 5},
-		{name: "known, then next", take: applyDeltas(5, 6), want: ApplyResult{Changed: true}, revision: 6},
-		{name: "older snapshot", take: applySnapshot(configurationAt(4)), revision: 5},
-		{name: "same snapshot", take: applySnapshot(configurationAt(5)), revision: 5},
-		{name: "same revision, other content", take: applySnapshot(other), want: ApplyResult{Changed: true}, revision: 5},
-		{name: "newer snapshot", take: applySnapshot(configurationAt(9)), want: ApplyResult{Changed: true}, revision: 9},
+		{name: "next delta", apply: applyDeltas(6), want: ApplyResult{Changed: true}, revision: 6},
+		{name: "applied delta", apply: applyDeltas(4), revision: 5},
+		{name: "gap", apply: applyDeltas(7), want: ApplyResult{Resync: true}, revision: 5},
+		{name: "applied delta, then next", apply: applyDeltas(5, 6), want: ApplyResult{Changed: true}, revision: 6},
+		{name: "older snapshot", apply: applySnapshot(configurationAt(4)), revision: 5},
+		{name: "same snapshot", apply: applySnapshot(configurationAt(5)), revision: 5},
+		{name: "same revision, other content", apply: applySnapshot(other), want: ApplyResult{Changed: true}, revision: 5},
+		{name: "newer snapshot", apply: applySnapshot(configurationAt(9)), want: ApplyResult{Changed: true}, revision: 9},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			receiver := NewReceiver(&History{})
 			receiver.ApplySnapshot(configurationAt(5))
-			require.Equal(t, test.want, test.take(receiver))
+			require.Equal(t, test.want, test.apply(receiver))
 			require.Equal(t, test.revision, receiver.Current().Revision)
 		})
 	}
--- a/internal/rollout/relayselector.go
+++ b/internal/rollout/relayselector.go
@@ -10,36 +10,35 @@
 )
 
 const (
-	// relaySilence is how long a relay may go without a confirmed
-	// acknowledgement before the node tries the next one. Two tries fit in one
-	// lease.
+	// relayTimeout is how long a relay may go without an acknowledgement that confirms it before the
+	// node tries the next one. Two attempts fit in one lease.
 	relayTimeout = 1500 * time.Millisecond
-	// silenceSpread is the share by which the wait at a silent relay differs
-	// between nodes.
+	// timeoutJitter is the fraction by which the timeout for a relay differs at most between nodes.
 	timeoutJitter = 0.2
-	// maximumRelaySilence bounds the wait at one relay while none is
-	// confirmed.
+	// maximumRelayTimeout bounds the timeout for one relay, before jitter, while no relay confirms.
 	maximumRelayTimeout = 6 * time.Second
-	// preferredRetryLeast is how long a node stays at a relay that is not its
-	// first choice before it tries the first one again. The wait doubles with
-	// each try that fails, up to preferredRetryMost.
+	// minimumPreferredRetry is how long a node stays at a relay that is not its first choice before
+	// it tries the first one again. The wait doubles with each attempt, up to maximumPreferredRetry,
+	// until the first one confirms.
 	minimumPreferredRetry = 10 * time.Second
 	maximumPreferredRetry = 2 * time.Minute
-	// confirmedMargin is the least time that a relay's own grant must still
-	// run for the relay to count as confirmed. A grant comes with each report,
-	// so a shorter time shows that the relay lost control.
+	// minimumGrantRemaining is the least remaining time of a relay's own grant at which the relay
+	// counts as confirmed. A relay gets a grant with each report, so a shorter time shows that it
+	// lost its connection to control.
 	minimumGrantRemaining = LeaseLength - time.Second
-	// shareSteps is the number of different shares of nodes.
+	// jitterSteps is the number of different jitters of nodes.
 	jitterSteps = 1 << 10
 )
 
-// relaySelector chooses the relay of a node. Its own zone's relays come first
-// in the settings; those of other zones follow.
+// relaySelector chooses the relay that a node uses. The relays are in order of preference: the
+// settings list those of the node's own zone first, then those of other zones. Its methods current,
+// confirm and advance are safe for concurrent use.
 type relaySelector struct {
 	relays []model.NodeName
-	// share stretches the waits. It differs by node, so that nodes do not all
+	// jitter, from 0 to 1, lengthens the waits. It differs between nodes, so that they do not all
 	// leave a relay, or return to it, at the same moment.
-	jitter     float64
+	jitter float64
+	// retryAfter is the wait, before jitter, until the next attempt at the first relay.
 	retryAfter time.Duration
 
 	lock        sync.Mutex
@@ -47,7 +46,7 @@
 	started     bool
 	chosenAt    time.Time
 	confirmedAt time.Time
-	// failures counts relays tried in a row without a confirmation.
+	// failures is the number of relays tried in a row without a confirmation.
 	failures int
 }
 
@@ -59,11 +58,14 @@
 	}
 }
 
-// nodeShare returns a share from 0 to 1 that differs by node.
+// nodeJitter returns the node's jitter, from 0 up to but not including 1: a hash of the name, so
+// that it is the same in each process of the node.
 func nodeJitter(name model.NodeName) float64 {
 	return float64(xxhash.Sum64String(string(name))%jitterSteps) / jitterSteps
 }
 
+// current returns the name of the relay that the node uses at present, or an empty name if none is
+// configured.
 func (selector *relaySelector) current() model.NodeName {
 	selector.lock.Lock()
 	defer selector.lock.Unlock()
@@ -73,8 +75,7 @@
 	return selector.relays[selector.index]
 }
 
-// confirm records an acknowledgement of a relay whose own grant still runs for
-// the given time.
+// confirm records an acknowledgement of a relay whose own grant is valid for the remaining time.
 func (selector *relaySelector) confirm(now time.Time, relay model.NodeName, remaining time.Duration) {
 	selector.lock.Lock()
 	defer selector.lock.Unlock()
@@ -88,8 +89,9 @@
 	}
 }
 
-// advance moves to another relay when it is time, and tells whether the node
-// has to subscribe.
+// advance switches to the next relay if the current one has not confirmed in time, or back to the
+// first one if an attempt at it is due. It returns true if the node has to subscribe at its relay:
+// after a switch, and at the first call.
 func (selector *relaySelector) advance(now time.Time) bool {
 	selector.lock.Lock()
 	defer selector.lock.Unlock()
@@ -120,12 +122,14 @@
 	selector.chosenAt = now
 }
 
-// wait is the time to stay at a relay that is not the first choice.
+// preferredRetryDelay returns how long to stay at a relay that is not the first choice before the
+// next attempt at the first one.
 func (selector *relaySelector) preferredRetryDelay() time.Duration {
 	return selector.retryAfter + time.Duration(selector.jitter*float64(selector.retryAfter))
 }
 
-// patience grows after each round over all relays without a confirmation.
+// confirmationTimeout returns how long the current relay may go without confirming. It increases
+// with each round over all relays without a confirmation.
 func (selector *relaySelector) confirmationTimeout() time.Duration {
 	rounds := selector.failures / len(selector.relays)
 	wait := min(relayTimeout*time.Duration(1+rounds), maximumRelayTimeout)
--- a/internal/rollout/relayselector_test.go
+++ b/internal/rollout/relayselector_test.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// selectorTest steps a selector while some relays confirm.
+// selectorTest runs a selector in simulated time while some relays confirm.
 type selectorTest struct {
 	selector *relaySelector
 	now      time.Time
@@ -21,8 +21,8 @@
 	return &selectorTest{selector: newRelaySelector(SubscriberOptions{Self: self, Relays: relays}), now: time.Unix(1000, 0)}
 }
 
-// run goes on for duration while the relays in alive confirm, and returns the
-// relays that the node was at, in order.
+// run runs the selector for duration while the relays in alive confirm, and returns the relays that
+// the node used, in order.
 func (test *selectorTest) run(duration time.Duration, alive ...model.NodeName) []model.NodeName {
 	const step = 100 * time.Millisecond
 	var visited []model.NodeName
@@ -50,8 +50,8 @@
 		visited []model.NodeName
 	}{
 		{name: "own relay alive", alive: []model.NodeName{"own-1", "own-2"}, within: 5 * time.Second, visited: []model.NodeName{"own-1"}},
-		{name: "own relay dead", alive: []model.NodeName{"own-2", "other-1"}, within: LeaseLength, visited: []model.NodeName{"own-1", "own-2"}},
-		{name: "zone dead", alive: []model.NodeName{"other-1", "other-2"}, within: 5 * time.Second, visited: []model.NodeName{"own-1", "own-2", "other-1"}},
+		{name: "own relay failed", alive: []model.NodeName{"own-2", "other-1"}, within: LeaseLength, visited: []model.NodeName{"own-1", "own-2"}},
+		{name: "all relays of the zone failed", alive: []model.NodeName{"other-1", "other-2"}, within: 5 * time.Second, visited: []model.NodeName{"own-1", "own-2", "other-1"}},
 		{name: "one relay left", alive: []model.NodeName{"other-2"}, within: 7 * time.Second, visited: []model.NodeName{"own-1", "own-2", "other-1", "other-2"}},
 	}
 	for _, each := range cases {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestAliveRelayWithoutGrantsIsLeft keeps a relay answering whose own grants
-// run out: an answer alone does not hold a node.
+// TestRelayWithoutGrantsIsAbandoned has a relay that keeps answering although its own grants run
+// out. The node must switch to the next relay: answers alone do not confirm a relay.
 func TestRelayWithoutGrantsIsAbandoned(t *testing.T) {
 	test := newSelectorTest("balancer-1")
 	test.run(2*time.Second, "own-1")
@@ -76,8 +76,8 @@
 	require.Equal(t, model.NodeName("own-2"), test.selector.current())
 }
 
-// TestNodesReturnToTheirRelaySpreadOut brings the first relay back for many
-// nodes and looks at when they return.
+// TestReturnsToPreferredRelayAreSpreadOut brings back the first relay of many nodes. Without jitter
+// the nodes would all return to it in the same second.
 func TestReturnsToPreferredRelayAreSpreadOut(t *testing.T) {
 	const nodes = 200
 	seconds := int(minimumPreferredRetry / time.Second)
--- a/internal/rollout/snapshot_bench_test.go
+++ b/internal/rollout/snapshot_bench_test.go
@@ -11,7 +11,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// largeConfiguration has the given numbers of services and targets.
+// largeConfiguration returns a configuration with the given numbers of services and targets.
 func largeConfiguration(services, targets int) *model.Configuration {
 	random := rand.New(rand.NewPCG(1, 1))
 	configuration := model.NewConfiguration()
@@ -41,8 +41,8 @@
 	return configuration
 }
 
-// BenchmarkRestartedNode is what one restarted node costs its relay: a
-// snapshot, while a change comes after every tenth node.
+// BenchmarkRestartedNode measures the cost of one restarted node to its relay, which sends it a
+// snapshot. The configuration changes before every tenth node.
 func BenchmarkRestartedNode(b *testing.B) {
 	for _, targets := range []int{4100, 41000} {
 		b.Run(fmt.Sprintf("%d targets", targets), func(b *testing.B) {
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -1,6 +1,6 @@
-// Package rollout distributes the configuration: control publishes deltas by
-// revision, relays fan them out, and nodes apply them in order and never go
-// back.
+// Package rollout distributes the configuration. Control publishes a delta for each revision,
+// relays send the deltas on to nodes, and nodes apply them in order and never return to a lower
+// revision. The package also has the nodes' side of heartbeats, leases and the choice of a relay.
 package rollout
 
 import (
@@ -10,25 +10,25 @@
 	"merlinpaddle/internal/model"
 )
 
-// Store holds the configuration that a node runs. Readers on the packet path
-// take the pointer and keep no lock.
+// Store holds the configuration that a node runs. It is safe for concurrent use. Readers on the
+// packet path load a pointer and take no lock.
 type Store struct {
 	current  atomic.Pointer[model.Configuration]
 	notifier board.Notifier
 }
 
-// NewStore returns a store with the empty configuration.
+// NewStore returns a store with an empty configuration.
 func NewStore() *Store {
 	store := &Store{}
 	store.current.Store(model.NewConfiguration())
 	return store
 }
 
-// Current returns the running configuration, which must not be written.
+// Current returns the running configuration, which must not be modified.
 func (store *Store) Current() *model.Configuration { return store.current.Load() }
 
-// Advance installs configuration if its revision is higher than the running
-// one's, and tells whether it did: a node never goes back.
+// Advance installs the configuration if its revision is higher than the running one's, because a
+// node never returns to a lower revision. It reports whether it installed it.
 func (store *Store) Advance(configuration *model.Configuration) bool {
 	for {
 		running := store.current.Load()
@@ -42,9 +42,9 @@
 	}
 }
 
-// Repair replaces the running configuration by another one of the same
-// revision, after a digest showed that the running one is wrong. It returns
-// false when the revision differs.
+// Repair replaces the running configuration by another one of the same revision, after a digest
+// showed that the running one is wrong. It returns false if the revision differs, or if the running
+// configuration was replaced meanwhile.
 func (store *Store) Repair(configuration *model.Configuration) bool {
 	running := store.current.Load()
 	if configuration.Revision != running.Revision {
@@ -57,5 +57,5 @@
 	return true
 }
 
-// Watch registers a channel that gets a notice after each change.
+// Watch returns a new channel that is notified after each change.
 func (store *Store) Watch() <-chan struct{} { return store.notifier.Watch() }
--- a/internal/rollout/subscriber.go
+++ b/internal/rollout/subscriber.go
@@ -8,14 +8,12 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Reporter gives what an agent reports with its heartbeats. Balancers have
-// none.
+// Reporter provides the load and the empty buckets that an agent reports with its heartbeats.
+// Balancers have none.
 type Reporter interface {
-	// Load returns the load of the agent's target, or nil when it does not
-	// know its target yet.
+	// Load returns the load of the agent's target, or nil while the agent does not know its target.
 	Load() *model.TargetLoad
-	// EmptyBuckets returns the buckets that hold no flow, as of the configuration
-	// revision at.
+	// EmptyBuckets returns the buckets that have no flows, as of the configuration revision at.
 	EmptyBuckets(at model.Revision) []model.BucketEmpty
 }
 
@@ -29,29 +27,28 @@
 	Relays []model.NodeName
 	// HeartbeatInterval is the time between heartbeats.
 	HeartbeatInterval time.Duration
-	// Pause is told when the process stood still; nil if nobody asks.
+	// Pause detects pauses of the process. It may be nil if no other part of the process uses it.
 	Pause *Pause
 }
 
 const (
-	// earliestHeartbeat is the shortest time between two heartbeats, one of
-	// which is sent early to tell of a new revision.
+	// earliestHeartbeat is the shortest time between a heartbeat and an early one, which reports a
+	// new revision.
 	earliestHeartbeat = 100 * time.Millisecond
-	// recomputeInterval is the time between two digests from every row, which
-	// cost time in proportion to the configuration.
+	// recomputeInterval is the time between two digests that are computed from every row, which takes
+	// time proportional to the size of the configuration.
 	recomputeInterval = 30 * time.Second
-	// outstandingFor is how long a heartbeat's acknowledgement is awaited.
+	// acknowledgementTimeout is how long after a heartbeat its acknowledgement is accepted.
 	acknowledgementTimeout = 2 * LeaseLength
 )
 
-// Subscriber is the controller that keeps a node's configuration up to date:
-// it subscribes at a relay, applies updates in order, sends heartbeats and
-// extends the lease.
+// Subscriber is the controller that keeps a node's configuration up to date. It subscribes at a
+// relay, applies updates in order, sends heartbeats and extends the lease.
 //
-// A process that has just started installs a configuration only from a relay
-// that proves to be confirmed by the control leader after the process asked,
-// and only at a revision that was committed by then. What it ran before the
-// restart is therefore never newer than what it starts with.
+// A process that has just started installs no configuration until a relay has answered one of its
+// heartbeats as current, that is, as confirmed by the control leader. The configuration must have
+// at least the revision that was committed by then. A restarted node therefore never starts with a
+// lower revision than it ran before the restart.
 type Subscriber struct {
 	options  SubscriberOptions
 	mailbox  *protocol.Mailbox
@@ -66,33 +63,40 @@
 
 	decoder  *protocol.UpdateDecoder
 	receiver *Receiver
-	// proved tells that a current relay confirmed the configuration.
+	// mayInstall means that a current relay has confirmed the received configuration since the
+	// process started, so that it may be installed.
 	mayInstall   bool
 	confirmation relayConfirmation
 	selector     *relaySelector
 
+	// resubscribe means that the next run sends a Subscribe message.
 	resubscribe bool
 	sequence    uint64
-	outstanding map[uint64]time.Time
-	lastSent    time.Time
-	lastApplied model.Revision
-	// nextHeartbeat is when a heartbeat is due at the latest.
+	// heartbeatSentAt has the time at which each heartbeat of the last acknowledgementTimeout was
+	// sent, by sequence.
+	heartbeatSentAt map[uint64]time.Time
+	lastSent        time.Time
+	lastApplied     model.Revision
+	// nextHeartbeat is when the next heartbeat is due, unless a new revision makes it early.
 	nextHeartbeat time.Time
-	// share differs by node, from 0 to 1; it spreads what nodes do together.
+	// jitter, from 0 to 1, differs between nodes. It spreads out heartbeats that would otherwise be
+	// sent at the same time.
 	jitter  float64
 	leaving bool
 
 	digestRecomputedAt time.Time
 }
 
-// proof is what a current relay last confirmed.
+// relayConfirmation is what a current relay last confirmed: that committed was the committed
+// revision when the node sent the heartbeat, at askedAt. It is valid until the relay's own grant
+// expires.
 type relayConfirmation struct {
 	committed model.Revision
 	askedAt   time.Time
 	until     time.Time
 }
 
-// NewSubscriber returns the subscriber of one node. reporter may be nil.
+// NewSubscriber returns the subscriber of one node. The reporter may be nil.
 func NewSubscriber(options SubscriberOptions, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
 	store *Store, lease *Lease, loads *LoadView, reporter Reporter) *Subscriber {
 	if options.Pause == nil {
@@ -111,7 +115,7 @@
 		decoder:          protocol.NewUpdateDecoder(),
 		receiver:         NewReceiver(&History{}),
 		selector:         newRelaySelector(options),
-		outstanding:      make(map[uint64]time.Time),
+		heartbeatSentAt:  make(map[uint64]time.Time),
 		jitter:           nodeJitter(options.Self),
 	}
 }
@@ -119,7 +123,8 @@
 // Name implements board.Controller.
 func (subscriber *Subscriber) Name() string { return "subscriber" }
 
-// Queues returns the queues whose notices should run the controller at once.
+// Queues returns the queues whose messages should run the controller at once. Load digests wait for
+// its next run.
 func (subscriber *Subscriber) Queues() []*board.Queue[protocol.Envelope] {
 	return []*board.Queue[protocol.Envelope]{subscriber.acknowledgements, subscriber.updates}
 }
@@ -140,7 +145,8 @@
 	subscriber.sendHeartbeat(now)
 }
 
-// chooseRelay moves to another relay when it is time, and tells the one before.
+// chooseRelay switches to another relay if the selector says so, and unsubscribes from the previous
+// one.
 func (subscriber *Subscriber) chooseRelay(now time.Time) {
 	previous := subscriber.selector.current()
 	if !subscriber.selector.advance(now) {
@@ -156,8 +162,8 @@
 // It may be called from any goroutine.
 func (subscriber *Subscriber) RelayName() model.NodeName { return subscriber.selector.current() }
 
-// Confirmed reports whether a configuration was installed and its relay is
-// confirmed: the node is ready to take its place.
+// Confirmed reports whether the node has a valid lease: the control leader confirmed its running
+// configuration, through its relay. The node is then ready.
 func (subscriber *Subscriber) Confirmed(now time.Time) bool { return subscriber.lease.Valid(now) }
 
 func (subscriber *Subscriber) receiveUpdates() {
@@ -175,6 +181,7 @@
 	}
 }
 
+// apply applies an update to the receiver, and resubscribes if deltas are missing.
 func (subscriber *Subscriber) apply(update protocol.Update) {
 	if update.Snapshot != nil {
 		subscriber.receiver.ApplySnapshot(update.Snapshot)
@@ -190,21 +197,21 @@
 		if !isAcknowledgement {
 			continue
 		}
-		sentAt, awaited := subscriber.outstanding[acknowledgement.Sequence]
+		sentAt, awaited := subscriber.heartbeatSentAt[acknowledgement.Sequence]
 		if !awaited {
 			continue
 		}
 		subscriber.acknowledge(now, envelope.From, sentAt, acknowledgement)
 	}
-	for sequence, sentAt := range subscriber.outstanding {
+	for sequence, sentAt := range subscriber.heartbeatSentAt {
 		if now.Sub(sentAt) > acknowledgementTimeout {
-			delete(subscriber.outstanding, sequence)
+			delete(subscriber.heartbeatSentAt, sequence)
 		}
 	}
 }
 
-// acknowledge counts everything from the moment at which the heartbeat was
-// sent, so a delay on the way can only shorten a lease.
+// acknowledge processes the acknowledgement of the heartbeat that was sent at sentAt. All durations
+// in it count from that moment, so a network delay can only shorten a lease.
 func (subscriber *Subscriber) acknowledge(now time.Time, relay model.NodeName, sentAt time.Time, acknowledgement protocol.HeartbeatAck) {
 	if acknowledgement.LeaseFor > 0 {
 		subscriber.lease.Extend(sentAt.Add(acknowledgement.LeaseFor))
@@ -217,7 +224,8 @@
 	subscriber.selector.confirm(now, relay, acknowledgement.CurrentFor)
 }
 
-// install publishes the received configuration to the node's store.
+// install installs the received configuration in the node's store: a higher revision, or a repaired
+// configuration of the running revision.
 func (subscriber *Subscriber) install(now time.Time) {
 	received := subscriber.receiver.Current()
 	if !subscriber.mayInstall {
@@ -236,8 +244,8 @@
 	}
 }
 
-// endPause ends a pause of the process once a current relay was heard after it
-// and the node runs all that was committed by then.
+// endPause ends a pause of the process once a current relay has answered a heartbeat that was sent
+// after it, and the node runs the revision that was committed by then.
 func (subscriber *Subscriber) endPause(now time.Time) {
 	confirmed := subscriber.confirmation
 	if now.Before(confirmed.until) && subscriber.store.Current().Revision >= confirmed.committed {
