--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -59,8 +59,8 @@
 }
 
 const (
-	// presentWithin is how recently a member must have answered the leader to count as responsive.
-	presentWithin = time.Second
+	// responsiveWithin is how recently a member must have answered the leader to count as responsive.
+	responsiveWithin = time.Second
 	// leaderSettleTime is how long a new leader waits before it proposes a change, so that every
 	// member has had time to answer it.
 	leaderSettleTime = 400 * time.Millisecond
@@ -206,23 +206,23 @@
 	return plan.now.Sub(latest)
 }
 
-// responsive reports whether the member answered within presentWithin.
+// responsive reports whether the member answered within responsiveWithin.
 func (plan *planner) responsive(peer raft.Peer) bool {
-	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < presentWithin
+	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < responsiveWithin
 }
 
 // countVoters returns the number of voters, and the number of those that are responsive.
-func (plan *planner) countVoters() (all, present int) {
+func (plan *planner) countVoters() (all, responsive int) {
 	for _, peer := range plan.status.Peers {
 		if peer.Learner {
 			continue
 		}
 		all++
 		if plan.responsive(peer) {
-			present++
+			responsive++
 		}
 	}
-	return all, present
+	return all, responsive
 }
 
 const (
@@ -244,8 +244,8 @@
 // mayRemoveVoter reports whether the responsive voters are a majority of the voters, both with and
 // without an unresponsive one.
 func (plan *planner) mayRemoveVoter() bool {
-	all, present := plan.countVoters()
-	return all > 1 && present > all/2 && present > (all-1)/2
+	all, responsive := plan.countVoters()
+	return all > 1 && responsive > all/2 && responsive > (all-1)/2
 }
 
 // removeMemberWithLostDisk removes a member if a candidate has its name but another disk. The disk to
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -194,11 +194,11 @@
 // together with the deltas that follow it. A subscriber that has a wrong configuration of the same
 // or a later revision needs a snapshot of the current one, because it ignores older ones.
 func (publisher *Publisher) cachedSnapshotUsable(entry *subscription) bool {
-	packed, current := publisher.cached.configuration, publisher.source.Current()
-	if packed == nil || packed == current {
-		return packed != nil
+	cached, current := publisher.cached.configuration, publisher.source.Current()
+	if cached == nil || cached == current {
+		return cached != nil
 	}
-	return packed.Revision < current.Revision && packed.Revision > entry.confirmed && publisher.reachableByDeltas(packed.Revision)
+	return cached.Revision < current.Revision && cached.Revision > entry.confirmed && publisher.reachableByDeltas(cached.Revision)
 }
 
 // encodeSnapshot encodes the current configuration as the cached snapshot, and reports whether it
