--- a/internal/rollout/snapshot_bench_test.go
+++ b/internal/rollout/snapshot_bench_test.go
@@ -11,7 +11,7 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// largeConfiguration has the given numbers of services and targets.
+// largeConfiguration returns a configuration with the given numbers of services and targets.
 func largeConfiguration(services, targets int) *model.Configuration {
 	random := rand.New(rand.NewPCG(1, 1))
 	configuration := model.NewConfiguration()
@@ -41,13 +41,13 @@
 	return configuration
 }
 
-// BenchmarkRestartedNode is what one restarted node costs its relay: a
-// snapshot, while a change comes after every tenth node.
+// BenchmarkRestartedNode measures the cost of one restarted node to its relay, which sends it a
+// snapshot. The configuration changes before every tenth node.
 func BenchmarkRestartedNode(b *testing.B) {
 	for _, targets := range []int{4100, 41000} {
 		b.Run(fmt.Sprintf("%d targets", targets), func(b *testing.B) {
-			source := newGrowingSource()
-			source.receiver.Snapshot(largeConfiguration(targets/10, targets))
+			source := newTestSource()
+			source.receiver.ApplySnapshot(largeConfiguration(targets/10, targets))
 			mailbox := protocol.NewMailbox("relay-1")
 			publisher := NewPublisher(mailbox, source)
 			now := time.Unix(1000, 0)
@@ -55,7 +55,7 @@
 			count := 0
 			for b.Loop() {
 				if count%10 == 0 {
-					source.grow()
+					source.addRevision()
 				}
 				count++
 				now = now.Add(time.Millisecond)
