--- a/internal/agent/dataplane/counters.go
+++ b/internal/agent/dataplane/counters.go
@@ -47,7 +47,7 @@
 		return DropForeign
 	case steering.ReasonNoTarget:
 		return DropNoTarget
-	case steering.ReasonPasses:
+	case steering.ReasonTooManyPasses:
 		return DropPasses
 	default:
 		return DropOther
--- a/internal/agent/dataplane/plane.go
+++ b/internal/agent/dataplane/plane.go
@@ -39,7 +39,7 @@
 	// Configurations gives the addresses of the other targets' agents.
 	Configurations steering.Configurations
 	Decider        Decider
-	Owners         *flow.Owners
+	Owners         *flow.OwnedFlows
 	Socket         *Socket
 	// Fabric is where answers go.
 	Fabric netip.AddrPort
@@ -100,7 +100,7 @@
 	case steering.ActionDeliver:
 		plane.counters.Delivered.Add(1)
 		(*receiver).Deliver(received.Flow, received.Payload)
-	case steering.ActionPass:
+	case steering.ActionForward:
 		plane.pass(received, decision)
 	case steering.ActionReset:
 		plane.counters.Reset.Add(1)
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -63,7 +63,7 @@
 type planeFixture struct {
 	plane                            *Plane
 	receiver                         *recorder
-	owners                           *flow.Owners
+	owners                           *flow.OwnedFlows
 	other, teranga, balancer, caller *net.UDPConn
 }
 
@@ -119,9 +119,9 @@
 	addTarget(ownTarget, rigaService, socket.Address())
 	addTarget(otherTarget, rigaService, addressOf(fixture.other))
 	addTarget(terangaTarget, terangaService, addressOf(fixture.teranga))
-	fixture.owners = flow.NewOwners(flow.OwnersOptions{Service: rigaService, Target: ownTarget})
+	fixture.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: rigaService, Target: ownTarget})
 	decider := steering.New(steering.Options{
-		Target: ownTarget, Configurations: fixedConfiguration{running}, Owners: fixture.owners,
+		Target: ownTarget, Configurations: fixedConfiguration{running}, OwnedFlows: fixture.owners,
 	})
 	fixture.plane = NewPlane(Options{
 		Target: ownTarget, Service: rigaService, Configurations: fixedConfiguration{running},
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -26,7 +26,7 @@
 type instance struct {
 	target  model.TargetID
 	service model.ServiceID
-	owners  *flow.Owners
+	owners  *flow.OwnedFlows
 	steer   *steering.Steering
 	plane   *dataplane.Plane
 
@@ -44,7 +44,7 @@
 // newInstance starts the work for target.
 func (agent *Agent) newInstance(target model.Target, service model.Service, fabric netip.AddrPort) (*instance, error) {
 	created := &instance{target: target.ID, service: service.ID}
-	created.owners = flow.NewOwners(flow.OwnersOptions{
+	created.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
 		Service:     service.ID,
 		Target:      target.ID,
 		IdleTimeout: flowIdle(service),
@@ -60,7 +60,7 @@
 	created.steer = steering.New(steering.Options{
 		Target:         target.ID,
 		Configurations: agent.store,
-		Owners:         created.owners,
+		OwnedFlows:     created.owners,
 		Load:           func() model.TargetLoad { return agent.loadOf(created) },
 		Draining:       agent.stopping.Load,
 		MayOpen:        agent.pause.Over,
@@ -143,7 +143,7 @@
 // maintain ends what is idle, and keeps up the average number of requests.
 func (running *instance) maintain(now time.Time, limits model.Limits) {
 	running.plane.Expire(now)
-	running.steer.Observe(now)
+	running.steer.ObserveLoad(now)
 	if running.front != nil {
 		running.front.connections.endIdle(now, limits.IdleTimeout)
 	}
--- a/internal/balancer/steering_test.go
+++ b/internal/balancer/steering_test.go
@@ -21,7 +21,7 @@
 type steeredService struct {
 	now    time.Time
 	stores map[model.TargetID]*rollout.Store
-	owners map[model.TargetID]*flow.Owners
+	owners map[model.TargetID]*flow.OwnedFlows
 	agents map[model.TargetID]*steering.Steering
 }
 
@@ -29,19 +29,19 @@
 	created := &steeredService{
 		now:    startTime.Add(time.Hour),
 		stores: make(map[model.TargetID]*rollout.Store),
-		owners: make(map[model.TargetID]*flow.Owners),
+		owners: make(map[model.TargetID]*flow.OwnedFlows),
 		agents: make(map[model.TargetID]*steering.Steering),
 	}
 	for _, target := range configuration.ServiceTargets(quicService) {
 		store := rollout.NewStore()
 		store.Advance(configuration)
 		created.stores[target.ID] = store
-		owners := flow.NewOwners(flow.OwnersOptions{Service: quicService, Target: target.ID, MaximumFlows: 1 << 20})
+		owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: quicService, Target: target.ID, MaximumFlows: 1 << 20})
 		created.owners[target.ID] = owners
 		created.agents[target.ID] = steering.New(steering.Options{
 			Target:         target.ID,
 			Configurations: store,
-			Owners:         owners,
+			OwnedFlows:     owners,
 			Load: func() model.TargetLoad {
 				return model.TargetLoad{Target: target.ID, Slots: 2, Healthy: true}
 			},
@@ -77,7 +77,7 @@
 		switch decision.Action {
 		case steering.ActionDeliver:
 			return at, decision, int(input.Passes)
-		case steering.ActionPass:
+		case steering.ActionForward:
 			at = decision.Next
 			input.Chain, input.Position, input.Revision = decision.Chain, decision.Position, decision.Revision
 			input.Stage, input.Passes, input.PasserLoad = decision.Stage, decision.Passes, decision.PasserLoad
--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -214,7 +214,7 @@
 	for _, flows := range []int{800, 3200, 12_800, 51_200} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
 			before := heapBytes()
-			owners := flow.NewOwners(flow.OwnersOptions{Service: 1, Target: 1})
+			owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: 1, Target: 1})
 			now := time.Now()
 			open := func(number int) model.BucketIndex {
 				bucket := model.BucketIndex(number % buckets)
--- a/internal/flow/assignments.go
+++ b/internal/flow/assignments.go
@@ -10,7 +10,7 @@
 // that a copy of the packet goes the same way. It returns the target that is
 // remembered, which is another one when the flow was assigned before, and
 // false when there is no room or the bucket's fence is newer than the decision.
-func (owners *Owners) Assign(
+func (owners *OwnedFlows) Assign(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID, decided model.Revision,
 ) (model.TargetID, bool) {
 	shard := owners.shard(bucket)
@@ -43,9 +43,9 @@
 	Idle time.Duration
 }
 
-// Assigned returns what a flow was assigned to, and keeps the assignment for
+// LookupAssignment returns what a flow was assigned to, and keeps the assignment for
 // another lifetime.
-func (owners *Owners) Assigned(
+func (owners *OwnedFlows) LookupAssignment(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple,
 ) (Assignment, bool) {
 	shard := owners.shard(bucket)
@@ -61,9 +61,9 @@
 	return Assignment{Target: made.target, Idle: idle}, true
 }
 
-// Unassign forgets that a flow was assigned to target. An assignment to another
+// RemoveAssignment forgets that a flow was assigned to target. An assignment to another
 // target stays.
-func (owners *Owners) Unassign(bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID) {
+func (owners *OwnedFlows) RemoveAssignment(bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID) {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -73,7 +73,7 @@
 }
 
 // forget removes an assignment. The shard is locked.
-func (owners *Owners) forget(shard *ownerShard, flow model.FiveTuple) {
+func (owners *OwnedFlows) forget(shard *ownerShard, flow model.FiveTuple) {
 	made, exists := shard.assignments[flow]
 	if !exists {
 		return
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -110,14 +110,14 @@
 	require.Greater(t, cache.Len(), capacity*95/100)
 }
 
-func newOwners(options flow.OwnersOptions) *flow.Owners {
+func newOwners(options flow.OwnedFlowsOptions) *flow.OwnedFlows {
 	options.Service = 7
 	options.Target = 3
-	return flow.NewOwners(options)
+	return flow.NewOwnedFlows(options)
 }
 
 func TestOwnersOpenOnceAndClose(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{})
+	owners := newOwners(flow.OwnedFlowsOptions{})
 	opened := numberedFlow(1)
 	require.False(t, owners.Touch(start, 4, opened))
 	require.Equal(t, flow.OpenNew, owners.Open(start, 4, opened, 10))
@@ -132,7 +132,7 @@
 }
 
 func TestOwnersRefuseRatherThanEvict(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{MaximumFlows: 2})
+	owners := newOwners(flow.OwnedFlowsOptions{MaximumFlows: 2})
 	require.Equal(t, flow.OpenNew, owners.Open(start, 1, numberedFlow(1), 1))
 	require.Equal(t, flow.OpenNew, owners.Open(start, 2, numberedFlow(2), 1))
 	require.Equal(t, flow.OpenFull, owners.Open(start, 3, numberedFlow(3), 1))
@@ -144,7 +144,7 @@
 }
 
 func TestOwnersExpireIdleFlowsOnly(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{IdleTimeout: time.Minute})
+	owners := newOwners(flow.OwnedFlowsOptions{IdleTimeout: time.Minute})
 	owners.Open(start, 1, numberedFlow(1), 1)
 	owners.Open(start, 1, numberedFlow(2), 1)
 	owners.Touch(start.Add(30*time.Second), 1, numberedFlow(2))
@@ -155,7 +155,7 @@
 }
 
 func TestOwnersFenceKeepsOlderDecisionsOut(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{})
+	owners := newOwners(flow.OwnedFlowsOptions{})
 	owners.RaiseFence(1, 20, []model.TargetID{5, 3})
 	owners.RaiseFence(1, 15, []model.TargetID{6, 3})
 	require.Equal(t, flow.Fence{Revision: 20, Chain: []model.TargetID{5, 3}}, owners.Fence(1))
@@ -167,7 +167,7 @@
 }
 
 func TestOwnersReportBucketsEmptyAndFenceThem(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{AssignmentLifetime: time.Minute})
+	owners := newOwners(flow.OwnedFlowsOptions{AssignmentLifetime: time.Minute})
 	owners.Open(start, 1, numberedFlow(1), 10)
 	_, made := owners.Assign(start, 2, numberedFlow(2), 9, 10)
 	require.True(t, made)
@@ -175,18 +175,18 @@
 	report := func(bucket model.BucketIndex) model.BucketEmpty {
 		return model.BucketEmpty{Service: 7, Target: 3, Bucket: bucket, At: 12}
 	}
-	require.Equal(t, []model.BucketEmpty{report(3)}, owners.Empty(12, candidates))
+	require.Equal(t, []model.BucketEmpty{report(3)}, owners.FenceEmpty(12, candidates))
 	require.Equal(t, flow.OpenFenced, owners.Open(start, 3, numberedFlow(3), 11),
 		"a decision made before the report must not open a flow after it")
 
 	owners.Close(1, numberedFlow(1))
-	require.Equal(t, []model.BucketEmpty{report(1), report(3)}, owners.Empty(12, candidates))
+	require.Equal(t, []model.BucketEmpty{report(1), report(3)}, owners.FenceEmpty(12, candidates))
 	owners.Expire(start.Add(time.Minute))
-	require.Equal(t, []model.BucketEmpty{report(1), report(2), report(3)}, owners.Empty(12, candidates))
+	require.Equal(t, []model.BucketEmpty{report(1), report(2), report(3)}, owners.FenceEmpty(12, candidates))
 }
 
 func TestOwnersRememberAssignments(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{MaximumFlows: 1, AssignmentLifetime: time.Minute})
+	owners := newOwners(flow.OwnedFlowsOptions{MaximumFlows: 1, AssignmentLifetime: time.Minute})
 	target, made := owners.Assign(start, 1, numberedFlow(1), 9, 1)
 	require.True(t, made)
 	require.EqualValues(t, 9, target)
@@ -196,38 +196,38 @@
 	_, made = owners.Assign(start, 1, numberedFlow(2), 9, 1)
 	require.False(t, made, "no room")
 
-	_, known := owners.Assigned(start.Add(50*time.Second), 1, numberedFlow(1))
+	_, known := owners.LookupAssignment(start.Add(50*time.Second), 1, numberedFlow(1))
 	require.True(t, known)
 	owners.Expire(start.Add(100 * time.Second))
-	_, known = owners.Assigned(start.Add(100*time.Second), 1, numberedFlow(1))
+	_, known = owners.LookupAssignment(start.Add(100*time.Second), 1, numberedFlow(1))
 	require.True(t, known, "its last use was 50 s ago")
 
 	require.Equal(t, flow.OpenNew, owners.Open(start, 1, numberedFlow(1), 1))
-	_, known = owners.Assigned(start, 1, numberedFlow(1))
+	_, known = owners.LookupAssignment(start, 1, numberedFlow(1))
 	require.False(t, known, "opening the flow ends its assignment")
-	require.Zero(t, owners.Assignments())
+	require.Zero(t, owners.AssignmentCount())
 }
 
 func TestOwnersForgetOnlyTheAssignmentThatIsNamed(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{})
+	owners := newOwners(flow.OwnedFlowsOptions{})
 	_, made := owners.Assign(start, 3, numberedFlow(1), 12, 7)
 	require.True(t, made)
-	owners.Unassign(3, numberedFlow(1), 11)
-	require.Equal(t, 1, owners.Assignments())
-	owners.Unassign(3, numberedFlow(1), 12)
-	require.Zero(t, owners.Assignments())
-	require.NotEmpty(t, owners.Empty(8, []model.BucketIndex{3}))
+	owners.RemoveAssignment(3, numberedFlow(1), 11)
+	require.Equal(t, 1, owners.AssignmentCount())
+	owners.RemoveAssignment(3, numberedFlow(1), 12)
+	require.Zero(t, owners.AssignmentCount())
+	require.NotEmpty(t, owners.FenceEmpty(8, []model.BucketIndex{3}))
 }
 
 // A head that assigned a flow to the alternate and got it back opens it itself:
 // the assignment goes, and the bucket must still count the flow.
 func TestOwnersCountAFlowThatTheyHadAssigned(t *testing.T) {
-	owners := newOwners(flow.OwnersOptions{})
+	owners := newOwners(flow.OwnedFlowsOptions{})
 	returned := numberedFlow(1)
 	_, made := owners.Assign(start, 3, returned, 12, 7)
 	require.True(t, made)
 	require.Equal(t, flow.OpenNew, owners.Open(start, 3, returned, 7))
-	require.Zero(t, owners.Assignments())
+	require.Zero(t, owners.AssignmentCount())
 	require.Equal(t, 1, owners.BucketLen(3))
-	require.Empty(t, owners.Empty(8, []model.BucketIndex{3}), "the bucket holds a flow")
+	require.Empty(t, owners.FenceEmpty(8, []model.BucketIndex{3}), "the bucket holds a flow")
 }
--- a/internal/flow/memory_bench_test.go
+++ b/internal/flow/memory_bench_test.go
@@ -24,7 +24,7 @@
 	const buckets = 896
 	for b.Loop() {
 		empty := heapBytes()
-		owners := flow.NewOwners(flow.OwnersOptions{MaximumFlows: flows})
+		owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{MaximumFlows: flows})
 		for number := range flows {
 			tuple := numberedFlow(number)
 			owners.Open(start, routing.BucketOf(routing.FlowHash(tuple), buckets), tuple, 1)
--- a/internal/flow/owners.go
+++ b/internal/flow/owners.go
@@ -13,15 +13,15 @@
 // empty exclude each other.
 const ownerShards = 64
 
-// Defaults of OwnersOptions.
+// Defaults of OwnedFlowsOptions.
 const (
 	DefaultMaximumFlows       = 65536
 	DefaultIdleTimeout        = time.Minute
 	DefaultAssignmentLifetime = 2 * time.Minute
 )
 
-// OwnersOptions configures Owners.
-type OwnersOptions struct {
+// OwnedFlowsOptions configures OwnedFlows.
+type OwnedFlowsOptions struct {
 	// Service and Target are what the flows belong to.
 	Service model.ServiceID
 	Target  model.TargetID
@@ -35,7 +35,7 @@
 	AssignmentLifetime time.Duration
 }
 
-func (options OwnersOptions) withDefaults() OwnersOptions {
+func (options OwnedFlowsOptions) withDefaults() OwnedFlowsOptions {
 	if options.MaximumFlows <= 0 {
 		options.MaximumFlows = DefaultMaximumFlows
 	}
@@ -48,7 +48,7 @@
 	return options
 }
 
-// Owners has the flows that one target owns, and the assignments it made: the
+// OwnedFlows has the flows that one target owns, and the assignments it made: the
 // flows whose opening packet it gave to another target.
 //
 // Invariants:
@@ -61,8 +61,8 @@
 //   - A bucket is reported empty only while it has neither flows nor
 //     assignments.
 //   - An open flow ends only by Close or by its idle time.
-type Owners struct {
-	options     OwnersOptions
+type OwnedFlows struct {
+	options     OwnedFlowsOptions
 	flows       atomic.Int64
 	assignments atomic.Int64
 	shards      [ownerShards]ownerShard
@@ -118,9 +118,9 @@
 	OpenFull
 )
 
-// NewOwners returns an empty set of flows.
-func NewOwners(options OwnersOptions) *Owners {
-	owners := &Owners{options: options.withDefaults()}
+// NewOwnedFlows returns an empty set of flows.
+func NewOwnedFlows(options OwnedFlowsOptions) *OwnedFlows {
+	owners := &OwnedFlows{options: options.withDefaults()}
 	for index := range owners.shards {
 		shard := &owners.shards[index]
 		shard.flows = make(map[model.FiveTuple]ownedFlow)
@@ -130,7 +130,7 @@
 	return owners
 }
 
-func (owners *Owners) shard(bucket model.BucketIndex) *ownerShard {
+func (owners *OwnedFlows) shard(bucket model.BucketIndex) *ownerShard {
 	return &owners.shards[bucket%ownerShards]
 }
 
@@ -149,13 +149,13 @@
 func sinceEpoch(now time.Time) time.Duration { return now.Sub(epoch) }
 
 // Len returns the number of open flows.
-func (owners *Owners) Len() int { return int(owners.flows.Load()) }
+func (owners *OwnedFlows) Len() int { return int(owners.flows.Load()) }
 
-// Assignments returns the number of remembered assignments.
-func (owners *Owners) Assignments() int { return int(owners.assignments.Load()) }
+// AssignmentCount returns the number of remembered assignments.
+func (owners *OwnedFlows) AssignmentCount() int { return int(owners.assignments.Load()) }
 
 // BucketLen returns the number of open flows of a bucket.
-func (owners *Owners) BucketLen(bucket model.BucketIndex) int {
+func (owners *OwnedFlows) BucketLen(bucket model.BucketIndex) int {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -166,7 +166,7 @@
 }
 
 // Touch tells whether the target owns the flow, and restarts its idle time.
-func (owners *Owners) Touch(now time.Time, bucket model.BucketIndex, flow model.FiveTuple) bool {
+func (owners *OwnedFlows) Touch(now time.Time, bucket model.BucketIndex, flow model.FiveTuple) bool {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -180,7 +180,7 @@
 }
 
 // Open opens a flow by a decision of revision decided.
-func (owners *Owners) Open(
+func (owners *OwnedFlows) Open(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple, decided model.Revision,
 ) OpenResult {
 	shard := owners.shard(bucket)
@@ -205,14 +205,14 @@
 }
 
 // Close ends a flow and tells whether it was open.
-func (owners *Owners) Close(bucket model.BucketIndex, flow model.FiveTuple) bool {
+func (owners *OwnedFlows) Close(bucket model.BucketIndex, flow model.FiveTuple) bool {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	return owners.close(shard, flow)
 }
 
-func (owners *Owners) close(shard *ownerShard, flow model.FiveTuple) bool {
+func (owners *OwnedFlows) close(shard *ownerShard, flow model.FiveTuple) bool {
 	owned, exists := shard.flows[flow]
 	if !exists {
 		return false
@@ -233,7 +233,7 @@
 }
 
 // Fence returns the newest row of the bucket that others told.
-func (owners *Owners) Fence(bucket model.BucketIndex) Fence {
+func (owners *OwnedFlows) Fence(bucket model.BucketIndex) Fence {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -245,7 +245,7 @@
 
 // RaiseFence keeps decisions older than revision from opening flows of the
 // bucket, and remembers the chain of that revision.
-func (owners *Owners) RaiseFence(bucket model.BucketIndex, revision model.Revision, chain []model.TargetID) {
+func (owners *OwnedFlows) RaiseFence(bucket model.BucketIndex, revision model.Revision, chain []model.TargetID) {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -255,10 +255,10 @@
 	}
 }
 
-// Empty returns the buckets among candidates that have neither flows nor
+// FenceEmpty returns the buckets among candidates that have neither flows nor
 // assignments, as of the applied revision at. Each reported bucket is fenced
 // at that revision.
-func (owners *Owners) Empty(at model.Revision, candidates []model.BucketIndex) []model.BucketEmpty {
+func (owners *OwnedFlows) FenceEmpty(at model.Revision, candidates []model.BucketIndex) []model.BucketEmpty {
 	var empty []model.BucketEmpty
 	for _, bucket := range candidates {
 		if !owners.fenceIfEmpty(bucket, at) {
@@ -274,7 +274,7 @@
 	return empty
 }
 
-func (owners *Owners) fenceIfEmpty(bucket model.BucketIndex, at model.Revision) bool {
+func (owners *OwnedFlows) fenceIfEmpty(bucket model.BucketIndex, at model.Revision) bool {
 	shard := owners.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
@@ -290,7 +290,7 @@
 
 // Expire ends the flows that were idle for too long and returns them, and
 // forgets old assignments.
-func (owners *Owners) Expire(now time.Time) []model.FiveTuple {
+func (owners *OwnedFlows) Expire(now time.Time) []model.FiveTuple {
 	var expired []model.FiveTuple
 	for index := range owners.shards {
 		expired = owners.expireShard(&owners.shards[index], sinceEpoch(now), expired)
@@ -298,7 +298,7 @@
 	return expired
 }
 
-func (owners *Owners) expireShard(
+func (owners *OwnedFlows) expireShard(
 	shard *ownerShard, now time.Duration, expired []model.FiveTuple,
 ) []model.FiveTuple {
 	shard.lock.Lock()
--- a/internal/routing/compare/chain.go
+++ b/internal/routing/compare/chain.go
@@ -36,7 +36,7 @@
 type chainAgent struct {
 	way      *chain
 	target   model.TargetID
-	owners   *flow.Owners
+	owners   *flow.OwnedFlows
 	steering *steering.Steering
 }
 
@@ -96,11 +96,11 @@
 
 func (way *chain) targetJoined(target model.TargetID) {
 	agent := &chainAgent{way: way, target: target}
-	agent.owners = flow.NewOwners(flow.OwnersOptions{Service: comparedService, Target: target})
+	agent.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: comparedService, Target: target})
 	agent.steering = steering.New(steering.Options{
 		Target:         target,
 		Configurations: agent,
-		Owners:         agent.owners,
+		OwnedFlows:     agent.owners,
 		Load:           func() model.TargetLoad { return way.run.target(target).load(way.run.options.Slots) },
 		Started:        way.run.clock.Now(),
 	})
@@ -162,7 +162,7 @@
 	}
 	way.up.add(reports)
 	after := table.Clone()
-	rows := routing.RemoveEmpty(table, reports)
+	rows := routing.RemoveEarlierTargets(table, reports)
 	for _, row := range rows {
 		after.Set(row)
 	}
@@ -200,7 +200,7 @@
 				cache.Insert(flow.hash, flow.tuple, target)
 			}
 			return outcome{verdict: verdictDelivered, target: target, passes: int(input.Passes)}
-		case steering.ActionPass:
+		case steering.ActionForward:
 			input = passed(input, decision)
 			target = decision.Next
 		case steering.ActionReset:
@@ -257,7 +257,7 @@
 func (way *chain) state() StateBytes {
 	assignments := 0
 	for _, agent := range way.agents {
-		assignments += agent.owners.Assignments()
+		assignments += agent.owners.AssignmentCount()
 	}
 	return StateBytes{
 		Balancers: cacheBytes(way.run, way.caches),
--- a/internal/routing/empty.go
+++ b/internal/routing/empty.go
@@ -6,14 +6,14 @@
 	"merlinpaddle/internal/model"
 )
 
-// RemoveEmpty returns the rows that change when the reported earlier targets
+// RemoveEarlierTargets returns the rows that change when the reported earlier targets
 // leave their buckets. The table stays as it was.
 //
 // Invariant: an earlier target leaves only by a report of a revision at or
 // after its move. A report of an older revision was made when the target could
 // still open flows of the bucket, and says nothing about it now. The head and
 // the alternate never leave by a report.
-func RemoveEmpty(table *model.BucketTable, reports []model.BucketEmpty) []model.Bucket {
+func RemoveEarlierTargets(table *model.BucketTable, reports []model.BucketEmpty) []model.Bucket {
 	changed := make(map[model.BucketIndex]model.Bucket)
 	for _, report := range reports {
 		if report.Service != table.Service || int(report.Bucket) >= table.Count() {
@@ -44,9 +44,9 @@
 	return sorted
 }
 
-// BucketsLeftBy returns the buckets that have target as an earlier target
+// BucketsMovedFrom returns the buckets that have target as an earlier target
 // since revision at or before, in order.
-func BucketsLeftBy(table *model.BucketTable, target model.TargetID, at model.Revision) []model.BucketIndex {
+func BucketsMovedFrom(table *model.BucketTable, target model.TargetID, at model.Revision) []model.BucketIndex {
 	var left []model.BucketIndex
 	for bucket, earlier := range table.Earlier {
 		if slices.ContainsFunc(earlier, func(entry model.EarlierTarget) bool {
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -126,7 +126,7 @@
 func (history *history) report() {
 	target := history.targets[history.random.IntN(len(history.targets))].ID
 	at := history.revision - min(history.revision, model.Revision(history.random.IntN(3)))
-	for _, bucket := range routing.BucketsLeftBy(history.table, target, at) {
+	for _, bucket := range routing.BucketsMovedFrom(history.table, target, at) {
 		if history.random.IntN(2) == 0 {
 			history.reports = append(history.reports, model.BucketEmpty{Service: testService, Target: target, Bucket: bucket, At: at})
 		}
@@ -150,7 +150,7 @@
 		}
 	}
 	history.revision++
-	history.commit(routing.RemoveEmpty(history.table, delivered))
+	history.commit(routing.RemoveEarlierTargets(history.table, delivered))
 	history.commit(history.rebalanced())
 }
 
@@ -287,7 +287,7 @@
 	if after.Head != draining.ID || !slices.Equal(after.Earlier, row.Earlier) {
 		t.Fatalf("the full row %v moved to %v", row, after)
 	}
-	rows := routing.RemoveEmpty(table, []model.BucketEmpty{{Service: testService, Target: row.Earlier[0].Target, Bucket: 3, At: 9}})
+	rows := routing.RemoveEarlierTargets(table, []model.BucketEmpty{{Service: testService, Target: row.Earlier[0].Target, Bucket: 3, At: 9}})
 	emptied := apply(table, rows)
 	moved := apply(emptied, routing.Rebalance(emptied, targets, 10)).Bucket(3)
 	if moved.Head == draining.ID {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -164,7 +164,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			rows := routing.RemoveEmpty(table, test.reports)
+			rows := routing.RemoveEarlierTargets(table, test.reports)
 			if test.want == nil {
 				require.Empty(t, rows)
 				return
--- a/internal/sim/mutant/ownership.go
+++ b/internal/sim/mutant/ownership.go
@@ -29,7 +29,7 @@
 // Decide implements world.Steerer.
 func (steerer takesAll) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
-	if decision.Action == steering.ActionPass && !input.Opening {
+	if decision.Action == steering.ActionForward && !input.Opening {
 		return steering.Decision{Action: steering.ActionDeliver}
 	}
 	return decision
--- a/internal/sim/mutant/routing.go
+++ b/internal/sim/mutant/routing.go
@@ -32,7 +32,7 @@
 // Decide implements world.Steerer.
 func (steerer headOnly) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
-	if decision.Action == steering.ActionPass && decision.Stage == model.StageLookup && !input.Opening {
+	if decision.Action == steering.ActionForward && decision.Stage == model.StageLookup && !input.Opening {
 		return steering.Decision{Action: steering.ActionReset, Reason: steering.ReasonNoOwner}
 	}
 	return decision
@@ -68,7 +68,7 @@
 	}
 	at = min(at, configuration.Revision)
 	var empty []model.BucketEmpty
-	for _, bucket := range routing.BucketsLeftBy(table, steerer.options.Target, at) {
+	for _, bucket := range routing.BucketsMovedFrom(table, steerer.options.Target, at) {
 		empty = append(empty, model.BucketEmpty{Service: service, Target: steerer.options.Target, Bucket: bucket, At: at})
 	}
 	return empty
@@ -94,7 +94,7 @@
 // Decide implements world.Steerer.
 func (steerer neverSearches) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
-	begins := decision.Action == steering.ActionPass && decision.Stage == model.StageSearch && input.Stage != model.StageSearch
+	begins := decision.Action == steering.ActionForward && decision.Stage == model.StageSearch && input.Stage != model.StageSearch
 	if !begins {
 		return decision
 	}
--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -55,7 +55,7 @@
 	// target is the target that the agent serves, and what belongs to it.
 	target   model.Target
 	steering Steerer
-	owners   *flow.Owners
+	owners   *flow.OwnedFlows
 	requests *requestDesk
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	life.target = target
-	life.owners = flow.NewOwners(flow.OwnersOptions{
+	life.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
 		Service:            target.Service,
 		Target:             target.ID,
 		MaximumFlows:       model.DefaultMaximumConnections,
@@ -157,7 +157,7 @@
 	options := steering.Options{
 		Target:             target.ID,
 		Configurations:     life.store,
-		Owners:             life.owners,
+		OwnedFlows:         life.owners,
 		Load:               life.ownLoad,
 		Draining:           func() bool { return life.stopping },
 		MayOpen:            life.pause.Over,
@@ -256,7 +256,7 @@
 	switch decision.Action {
 	case steering.ActionDeliver:
 		life.deliver(now, one, decision)
-	case steering.ActionPass:
+	case steering.ActionForward:
 		life.pass(one, decision)
 	case steering.ActionReset:
 		life.answer(answer{flow: one.packet.flow, kind: answerReset, sequence: one.packet.sequence})
--- a/internal/state/apply_target.go
+++ b/internal/state/apply_target.go
@@ -202,6 +202,6 @@
 	if !known || pending == nil {
 		return
 	}
-	pending.set(routing.RemoveEmpty(pending.table, reports))
+	pending.set(routing.RemoveEarlierTargets(pending.table, reports))
 	transaction.settle(record)
 }
--- a/internal/steering/decision.go
+++ b/internal/steering/decision.go
@@ -9,8 +9,8 @@
 const (
 	// ActionDeliver gives the packet to this target; the flow is its own.
 	ActionDeliver Action = iota + 1
-	// ActionPass sends the packet to the target Next.
-	ActionPass
+	// ActionForward sends the packet to the target Next.
+	ActionForward
 	// ActionReset ends a flow that no target owns, with a prompt reset.
 	ActionReset
 	// ActionDrop discards the packet.
@@ -29,8 +29,8 @@
 	ReasonNoOwner
 	// ReasonNoTarget is an opening packet that no target may take.
 	ReasonNoTarget
-	// ReasonPasses is a packet that was passed on too often.
-	ReasonPasses
+	// ReasonTooManyPasses is a packet that was passed on too often.
+	ReasonTooManyPasses
 	// ReasonPaused is an opening packet that came to an agent which stood still
 	// and does not know yet what changed meanwhile.
 	ReasonPaused
--- a/internal/steering/limit.go
+++ b/internal/steering/limit.go
@@ -13,7 +13,7 @@
 // the limit of new flows is reached.
 func (steering *Steering) ownScore(packet *packetState) uint16 {
 	limits := packet.service.Limits
-	flows := steering.options.Owners.Len()
+	flows := steering.options.OwnedFlows.Len()
 	if packet.phase != model.PhaseServing || steering.isDraining() {
 		return maximumScore
 	}
@@ -35,10 +35,10 @@
 	return steering.options.Load()
 }
 
-// Observe takes the present number of requests into the average that decides
+// ObserveLoad takes the present number of requests into the average that decides
 // about new flows. The more often it is called, the less chance there is in the
 // average; each opening packet observes as well.
-func (steering *Steering) Observe(now time.Time) { steering.requests.observe(now, steering.load()) }
+func (steering *Steering) ObserveLoad(now time.Time) { steering.requests.observe(now, steering.load()) }
 
 func (steering *Steering) isDraining() bool {
 	return steering.options.Draining != nil && steering.options.Draining()
--- a/internal/steering/load_test.go
+++ b/internal/steering/load_test.go
@@ -40,8 +40,8 @@
 	now := afterStart
 	for range 60 {
 		now = now.Add(time.Second)
-		agents[1].steering.Observe(now)
-		agents[2].steering.Observe(now)
+		agents[1].steering.ObserveLoad(now)
+		agents[2].steering.ObserveLoad(now)
 	}
 	agents[1].load, agents[2].load = agents[2].load, agents[1].load
 	opened := openThrough(agents, now.Add(time.Millisecond), packetAt(configuration, testFlow(1), true))
--- a/internal/steering/opening.go
+++ b/internal/steering/opening.go
@@ -59,7 +59,7 @@
 		return steering.pass(packet, newest, newest.chain, 0, model.StageLookup, 0), true
 	}
 	if steering.needsSearch(packet, newest) {
-		steering.options.Owners.RaiseFence(packet.bucket, newest.revision, newest.chain)
+		steering.options.OwnedFlows.RaiseFence(packet.bucket, newest.revision, newest.chain)
 		return steering.pass(packet, newest, searchChain(newest.chain), 0, model.StageSearch, 0), true
 	}
 	return steering.choose(packet, newest)
@@ -69,12 +69,12 @@
 // assignment to a target that left the chain is forgotten: that target has
 // reported the bucket empty and opens no flow of it any more.
 func (steering *Steering) assigned(packet *packetState, newest row) (model.TargetID, bool) {
-	made, exists := steering.options.Owners.Assigned(packet.now, packet.bucket, packet.input.Flow)
+	made, exists := steering.options.OwnedFlows.LookupAssignment(packet.now, packet.bucket, packet.input.Flow)
 	if !exists {
 		return 0, false
 	}
 	if !slices.Contains(newest.chain, made.Target) {
-		steering.options.Owners.Unassign(packet.bucket, packet.input.Flow, made.Target)
+		steering.options.OwnedFlows.RemoveAssignment(packet.bucket, packet.input.Flow, made.Target)
 		return 0, false
 	}
 	if made.Idle >= repeatAfter {
@@ -105,7 +105,7 @@
 	if position >= len(packet.input.Chain) {
 		return drop(ReasonNoTarget), true
 	}
-	steering.options.Owners.RaiseFence(packet.bucket, newest.revision, newest.chain)
+	steering.options.OwnedFlows.RaiseFence(packet.bucket, newest.revision, newest.chain)
 	load := packet.input.PasserLoad
 	if packet.input.Position == 0 {
 		load = steering.ownScore(packet)
@@ -147,7 +147,7 @@
 // assign remembers the alternate as the choice for the flow and passes the
 // packet to it. It returns false when there is no room to remember it.
 func (steering *Steering) assign(packet *packetState, newest row) (Decision, bool) {
-	target, made := steering.options.Owners.Assign(
+	target, made := steering.options.OwnedFlows.Assign(
 		packet.now, packet.bucket, packet.input.Flow, newest.alternate, newest.revision)
 	if !made {
 		return Decision{}, false
@@ -185,7 +185,7 @@
 			return decision, final
 		}
 	}
-	_, made := steering.options.Owners.Assign(
+	_, made := steering.options.OwnedFlows.Assign(
 		packet.now, packet.bucket, packet.input.Flow, newest.head(), newest.revision)
 	switch {
 	case made:
@@ -230,7 +230,7 @@
 	if !admitted {
 		return drop(ReasonNoTarget), true
 	}
-	result := steering.options.Owners.Open(packet.now, packet.bucket, packet.input.Flow, newest.revision)
+	result := steering.options.OwnedFlows.Open(packet.now, packet.bucket, packet.input.Flow, newest.revision)
 	if result != flow.OpenNew {
 		token.CancelAt(packet.now)
 	}
--- a/internal/steering/pause_test.go
+++ b/internal/steering/pause_test.go
@@ -22,7 +22,7 @@
 		{"head", 1, model.StageLookup, steering.ActionDrop},
 		{"head whose alternate refused", 1, model.StageReturn, steering.ActionDrop},
 		{"alternate that a flow is assigned to", 2, model.StageAssign, steering.ActionDrop},
-		{"another target of the chain passes on", 2, model.StageLookup, steering.ActionPass},
+		{"another target of the chain passes on", 2, model.StageLookup, steering.ActionForward},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/steering/row.go
+++ b/internal/steering/row.go
@@ -79,7 +79,7 @@
 			settled:   len(bucket.Earlier) == 0,
 		}
 	}
-	fence := steering.options.Owners.Fence(packet.bucket)
+	fence := steering.options.OwnedFlows.Fence(packet.bucket)
 	newest = newest.merge(fence.Revision, fence.Chain)
 	return newest.merge(packet.input.Revision, packet.chain)
 }
--- a/internal/steering/silence_test.go
+++ b/internal/steering/silence_test.go
@@ -21,7 +21,7 @@
 	now := start.Add(time.Minute)
 	givenToAlternate := func(port uint16) bool {
 		decision := head.steering.Decide(now, packetAt(configuration, testFlow(port), true))
-		return decision.Action == steering.ActionPass && decision.Next == 2
+		return decision.Action == steering.ActionForward && decision.Next == 2
 	}
 	require.True(t, givenToAlternate(1))
 	require.True(t, givenToAlternate(2))
@@ -52,7 +52,7 @@
 			for port := uint16(1); port < 9; port++ {
 				opening := packetAt(configuration, testFlow(port), true)
 				given := head.steering.Decide(now, opening)
-				require.Equal(t, steering.ActionPass, given.Action, "flow %d", port)
+				require.Equal(t, steering.ActionForward, given.Action, "flow %d", port)
 				now = now.Add(test.patience)
 				head.steering.Decide(now, opening)
 				if test.answers {
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -25,7 +25,7 @@
 // revision at or after its move; that report raised its fence as well.
 //
 // What this relies on: a packet does not stay under way between two agents for
-// longer than flow.OwnersOptions.AssignmentLifetime, and a caller does not
+// longer than flow.OwnedFlowsOptions.AssignmentLifetime, and a caller does not
 // repeat an opening packet after that time.
 package steering
 
@@ -59,9 +59,9 @@
 	// Target is the agent's own target.
 	Target         model.TargetID
 	Configurations Configurations
-	Owners         *flow.Owners
+	OwnedFlows     *flow.OwnedFlows
 	// Load returns the agent's own present load. Its Flows are taken from
-	// Owners.
+	// OwnedFlows.
 	Load func() model.TargetLoad
 	// Draining tells that the agent takes no new flows, whatever the
 	// configuration says; nil means never.
@@ -126,11 +126,11 @@
 	if !steering.admit(&packet) {
 		return drop(ReasonForeign)
 	}
-	if steering.options.Owners.Touch(now, packet.bucket, input.Flow) {
+	if steering.options.OwnedFlows.Touch(now, packet.bucket, input.Flow) {
 		return Decision{Action: ActionDeliver, Hint: input.Passes > 0}
 	}
 	if input.Passes >= MaximumPasses {
-		return drop(ReasonPasses)
+		return drop(ReasonTooManyPasses)
 	}
 	packet.chain = canonicalChain(input.Stage, input.Chain)
 	if input.Opening {
@@ -185,7 +185,7 @@
 	packet *packetState, newest row, chain []model.TargetID, position int, stage model.Stage, load uint16,
 ) Decision {
 	return Decision{
-		Action:     ActionPass,
+		Action:     ActionForward,
 		Next:       chain[position],
 		Chain:      chain,
 		Position:   position,
@@ -212,5 +212,5 @@
 	if table == nil {
 		return nil
 	}
-	return steering.options.Owners.Empty(at, routing.BucketsLeftBy(table, steering.options.Target, at))
+	return steering.options.OwnedFlows.FenceEmpty(at, routing.BucketsMovedFrom(table, steering.options.Target, at))
 }
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -75,7 +75,7 @@
 // agentFixture is one agent under test.
 type agentFixture struct {
 	holder   *configurationHolder
-	owners   *flow.Owners
+	owners   *flow.OwnedFlows
 	load     model.TargetLoad
 	draining bool
 	paused   bool
@@ -89,12 +89,12 @@
 func newAgentWithRoom(target model.TargetID, configuration *model.Configuration, maximumFlows int) *agentFixture {
 	fixture := &agentFixture{
 		holder: &configurationHolder{current: configuration},
-		owners: flow.NewOwners(flow.OwnersOptions{Service: testService, Target: target, MaximumFlows: maximumFlows}),
+		owners: flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: testService, Target: target, MaximumFlows: maximumFlows}),
 	}
 	fixture.steering = steering.New(steering.Options{
 		Target:         target,
 		Configurations: fixture.holder,
-		Owners:         fixture.owners,
+		OwnedFlows:     fixture.owners,
 		Load:           func() model.TargetLoad { return fixture.load },
 		Draining:       func() bool { return fixture.draining },
 		MayOpen:        func(time.Time) bool { return !fixture.paused },
@@ -160,7 +160,7 @@
 	input := packetAt(configuration, testFlow(1), false)
 	for position, target := range []model.TargetID{1, 2} {
 		decision := newAgent(target, configuration).steering.Decide(start, input)
-		require.Equal(t, steering.ActionPass, decision.Action)
+		require.Equal(t, steering.ActionForward, decision.Action)
 		require.Equal(t, position+1, decision.Position)
 		input = passed(input, decision)
 	}
@@ -174,7 +174,7 @@
 	input := packetAt(configuration, testFlow(1), false)
 	input.Position = 2
 	decision := newAgent(3, configuration).steering.Decide(start, input)
-	require.Equal(t, steering.ActionPass, decision.Action)
+	require.Equal(t, steering.ActionForward, decision.Action)
 	require.EqualValues(t, 1, decision.Next)
 	require.Zero(t, decision.Position)
 }
@@ -186,7 +186,7 @@
 	head.load = model.TargetLoad{Running: 2, Waiting: 40, Slots: 2}
 	opening := packetAt(head.holder.current, testFlow(port), true)
 	decision := head.steering.Decide(start, opening)
-	require.Equal(t, steering.ActionPass, decision.Action)
+	require.Equal(t, steering.ActionForward, decision.Action)
 	require.Equal(t, model.StageAssign, decision.Stage)
 	require.Equal(t, alternate, decision.Next)
 	return passed(opening, decision)
@@ -218,7 +218,7 @@
 	visited := []model.TargetID{first}
 	for {
 		decision := agents[visited[len(visited)-1]].steering.Decide(start, input)
-		if decision.Action != steering.ActionPass {
+		if decision.Action != steering.ActionForward {
 			return visited, decision
 		}
 		input = passed(input, decision)
@@ -234,11 +234,11 @@
 	again := packetAt(head.holder.current, testFlow(1), true)
 	for range 2 {
 		decision := head.steering.Decide(start, again)
-		require.Equal(t, steering.ActionPass, decision.Action)
+		require.Equal(t, steering.ActionForward, decision.Action)
 		require.Equal(t, model.StageAssign, decision.Stage)
 		require.Equal(t, model.TargetID(3), decision.Next)
 	}
-	require.Equal(t, 1, head.owners.Assignments())
+	require.Equal(t, 1, head.owners.AssignmentCount())
 }
 
 func TestDecideReplacesAnAssignmentToATargetThatLeftTheChain(t *testing.T) {
@@ -252,9 +252,9 @@
 	later := newConfiguration(11, model.Bucket{Head: 1, Alternate: 3}, map[model.TargetID]model.TargetPhase{2: model.PhaseDead})
 	agent.holder.current = later
 	decision = agent.steering.Decide(afterStart, packetAt(later, testFlow(1), true))
-	require.Equal(t, steering.ActionPass, decision.Action)
+	require.Equal(t, steering.ActionForward, decision.Action)
 	require.EqualValues(t, 3, decision.Next, "the dead target cannot open the flow any more")
-	require.Equal(t, 1, agent.owners.Assignments())
+	require.Equal(t, 1, agent.owners.AssignmentCount())
 }
 
 // openThrough brings an opening packet along the decisions of agents, and
@@ -266,7 +266,7 @@
 		switch decision.Action {
 		case steering.ActionDeliver:
 			return at
-		case steering.ActionPass:
+		case steering.ActionForward:
 			at = decision.Next
 			input = passed(input, decision)
 		default:
@@ -317,7 +317,7 @@
 	earlier := []model.EarlierTarget{{Target: 4, MovedAt: 40}, {Target: 2, MovedAt: 20}}
 	agent.holder.current = newConfiguration(40, model.Bucket{Head: 1, Alternate: 3, Earlier: earlier}, nil)
 	decision := agent.steering.Decide(start, packetAt(agent.holder.current, testFlow(1), true))
-	require.Equal(t, steering.ActionPass, decision.Action)
+	require.Equal(t, steering.ActionForward, decision.Action)
 	require.Equal(t, model.StageSearch, decision.Stage, "target 4 may own the flow")
 	require.Equal(t, []model.TargetID{3, 4, 2, 1}, decision.Chain)
 }
