--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -12,14 +12,14 @@
 	"merlinpaddle/internal/routing"
 )
 
-// The size in two years.
+// The projected size of an installation in two years.
 const (
 	futureServices = 4800
 	futureTargets  = 41000
 )
 
-// servicesOf spreads targets over services as evenly as they go.
-func servicesOf(services, targets int) [][]model.Target {
+// spreadTargets returns serving targets for each service, spread as evenly as possible.
+func spreadTargets(services, targets int) [][]model.Target {
 	sets := make([][]model.Target, services)
 	for index := range sets {
 		count := targets / services
@@ -39,10 +39,10 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// BenchmarkAllTables computes the tables of all services at the size in two
-// years, and tells what they take in memory.
+// BenchmarkAllTables computes the tables of all services at the projected size, and reports the
+// heap memory that they use.
 func BenchmarkAllTables(b *testing.B) {
-	sets := servicesOf(futureServices, futureTargets)
+	sets := spreadTargets(futureServices, futureTargets)
 	for b.Loop() {
 		before := heapBytes()
 		tables := make([]*model.BucketTable, len(sets))
@@ -74,9 +74,9 @@
 	}
 }
 
-// BenchmarkChainHistory tells the size of the chain history of one service
-// after a rolling drain in which no target reports a bucket empty, in memory
-// and as one gob message of the changed rows of one drain.
+// BenchmarkChainHistory reports the size of the earlier targets of one service after a rolling
+// drain in which no target reports a bucket empty: in memory, and as one gob message with the rows
+// that one drain changes.
 func BenchmarkChainHistory(b *testing.B) {
 	const count = 14
 	for b.Loop() {
--- a/internal/routing/empty.go
+++ b/internal/routing/empty.go
@@ -6,13 +6,13 @@
 	"merlinpaddle/internal/model"
 )
 
-// RemoveEarlierTargets returns the rows that change when the reported earlier targets
-// leave their buckets. The table stays as it was.
+// RemoveEarlierTargets removes the earlier targets that reported their bucket empty, and returns
+// the changed rows in order of their index. It does not modify the table.
 //
-// Invariant: an earlier target leaves only by a report of a revision at or
-// after its move. A report of an older revision was made when the target could
-// still open flows of the bucket, and says nothing about it now. The head and
-// the alternate never leave by a report.
+// Invariant: an earlier target is removed only by a report of a revision at or after its move.
+// When a report of an older revision was made, the target could still open flows of the bucket,
+// so the report does not show that the bucket is empty now. The head and the alternate are never
+// removed by a report.
 func RemoveEarlierTargets(table *model.BucketTable, reports []model.BucketEmpty) []model.Bucket {
 	changed := make(map[model.BucketIndex]model.Bucket)
 	for _, report := range reports {
@@ -35,6 +35,7 @@
 	return sortedRows(changed)
 }
 
+// sortedRows returns the rows in order of their index.
 func sortedRows(rows map[model.BucketIndex]model.Bucket) []model.Bucket {
 	sorted := make([]model.Bucket, 0, len(rows))
 	for _, row := range rows {
@@ -44,8 +45,8 @@
 	return sorted
 }
 
-// BucketsMovedFrom returns the buckets that have target as an earlier target
-// since revision at or before, in order.
+// BucketsMovedFrom returns, in order, the buckets that list target as an earlier target that was
+// moved at revision at or before.
 func BucketsMovedFrom(table *model.BucketTable, target model.TargetID, at model.Revision) []model.BucketIndex {
 	var left []model.BucketIndex
 	for bucket, earlier := range table.Earlier {
--- a/internal/routing/hash.go
+++ b/internal/routing/hash.go
@@ -16,8 +16,7 @@
 // flowKeyLength is the length of a five-tuple in the hashed form, in bytes.
 const flowKeyLength = 1 + 2*(addressLength+2)
 
-// FlowHash returns the hash of a flow that every process agrees on. It does
-// not allocate.
+// FlowHash returns the hash of a flow, which is the same in every process. It does not allocate.
 func FlowHash(flow model.FiveTuple) uint64 {
 	var key [flowKeyLength]byte
 	source := flow.Source.Addr().As16()
@@ -30,9 +29,9 @@
 	return xxhash.Sum64(key[:])
 }
 
-// BucketOf maps a flow hash to one of count buckets. It scales the hash to
-// the range instead of dividing, so every bucket gets an equal share. A count
-// of zero or less gives bucket zero.
+// BucketOf maps a flow hash to one of count buckets. It scales the hash to the range (multiply
+// and take the high 64 bits) instead of taking a remainder, so every bucket gets an equal share. A
+// count of zero or less gives bucket zero.
 func BucketOf(hash uint64, count int) model.BucketIndex {
 	if count <= 0 {
 		return 0
@@ -41,9 +40,9 @@
 	return model.BucketIndex(high)
 }
 
-// score orders targets for one bucket, so that ties are broken differently in
-// each bucket yet equally in every process.
-func score(service model.ServiceID, bucket model.BucketIndex, target model.TargetID) uint64 {
+// tieBreakScore is a rendezvous hash: among targets with equal counts the one with the lowest score
+// is chosen, which differs from bucket to bucket and is the same in every process.
+func tieBreakScore(service model.ServiceID, bucket model.BucketIndex, target model.TargetID) uint64 {
 	var key [12]byte
 	binary.BigEndian.PutUint32(key[0:], uint32(service))
 	binary.BigEndian.PutUint32(key[4:], uint32(bucket))
--- a/internal/routing/level.go
+++ b/internal/routing/level.go
@@ -7,17 +7,18 @@
 	"merlinpaddle/internal/model"
 )
 
-// levelTolerance is the largest difference between the counts of two targets
-// that stays as it is.
-const levelTolerance = 1
-
-// maximumEarlierForLevelling is the number of earlier targets above which the
-// alternate of a row is not exchanged just to spread alternates: the room is
-// kept for changes of the head.
-const maximumEarlierForLevelling = 1
-
-// replaceAlternates gives a serving alternate other than the head to the rows
-// that have none, where that fits.
+// balanceTolerance is the largest difference between the counts of two targets for which no row
+// is moved.
+const balanceTolerance = 1
+
+// maximumEarlierForBalancing is the number of earlier targets above which the alternate of a row
+// is not replaced only to spread alternates: the remaining entries are reserved for changes of
+// the head.
+const maximumEarlierForBalancing = 1
+
+// replaceAlternates sets a new alternate, or none if there is no other serving target, on each row
+// whose alternate is not serving or is the head. A row without room for the earlier target that
+// this needs keeps its alternate.
 func (plan *plan) replaceAlternates() {
 	for index := range plan.rows {
 		row := &plan.rows[index]
@@ -28,34 +29,37 @@
 	}
 }
 
-// chooseAlternate prefers targets that are not in the chain: they hold no
-// flows of the bucket, and no entry has to be kept for them.
+// chooseAlternate returns the serving target other than the head that is the alternate of the
+// fewest rows, or zero. It prefers targets outside the chain, which hold no flows of the bucket
+// and need no entry.
 func (plan *plan) chooseAlternate(row model.Bucket) model.TargetID {
-	isOutside := func(candidate model.TargetID) bool { return !isMember(row, candidate) }
-	if chosen := plan.leastCount(plan.alternates, row.Index, isOutside); chosen != 0 {
+	isOutsideChain := func(candidate model.TargetID) bool { return !isInChain(row, candidate) }
+	if chosen := plan.targetWithLowestCount(plan.alternates, row.Index, isOutsideChain); chosen != 0 {
 		return chosen
 	}
-	isOther := func(candidate model.TargetID) bool { return candidate != row.Head }
-	return plan.leastCount(plan.alternates, row.Index, isOther)
+	isNotHead := func(candidate model.TargetID) bool { return candidate != row.Head }
+	return plan.targetWithLowestCount(plan.alternates, row.Index, isNotHead)
 }
 
-// levelHeads moves buckets from the targets with the most heads to those with
-// the fewest.
-func (plan *plan) levelHeads() {
-	owned := plan.rowsBy(func(row model.Bucket) model.TargetID { return row.Head })
-	plan.level(plan.heads, owned, plan.moveHead)
+// balanceHeads moves buckets from targets that are the head of many to those that are the head of
+// few.
+func (plan *plan) balanceHeads() {
+	rowsOf := plan.groupRowsBy(func(row model.Bucket) model.TargetID { return row.Head })
+	plan.balance(plan.heads, rowsOf, plan.moveHead)
 }
 
-// levelAlternates does the same for alternates.
-func (plan *plan) levelAlternates() {
-	owned := plan.rowsBy(func(row model.Bucket) model.TargetID { return row.Alternate })
-	plan.level(plan.alternates, owned, plan.moveAlternate)
+// balanceAlternates evens out the number of buckets of which each target is the alternate.
+func (plan *plan) balanceAlternates() {
+	rowsOf := plan.groupRowsBy(func(row model.Bucket) model.TargetID { return row.Alternate })
+	plan.balance(plan.alternates, rowsOf, plan.moveAlternate)
 }
 
-// rowSets has the indexes of rows by target, in order.
+// rowSets has the indexes of rows by target.
 type rowSets map[model.TargetID][]model.BucketIndex
 
-func (plan *plan) rowsBy(targetOf func(model.Bucket) model.TargetID) rowSets {
+// groupRowsBy groups the rows by the serving target that targetOf returns for them, each group in
+// order of the index.
+func (plan *plan) groupRowsBy(targetOf func(model.Bucket) model.TargetID) rowSets {
 	sets := make(rowSets, len(plan.serving))
 	for _, row := range plan.rows {
 		target := targetOf(row)
@@ -66,37 +70,40 @@
 	return sets
 }
 
-// moveFunc moves one of the rows from its target to receiver, and returns the
-// position of that row in rows, or -1 when none can move.
+// moveFunc moves one of the rows from its target to receiver, and returns the position of that
+// row in rows, or -1 when no row can move.
 type moveFunc func(rows []model.BucketIndex, receiver model.TargetID) int
 
-// level moves rows until the counts differ by no more than the tolerance or no
-// row can move.
-func (plan *plan) level(counts map[model.TargetID]int, owned rowSets, move moveFunc) {
-	for plan.levelOnce(counts, owned, move) {
+// balance moves rows until the counts differ by no more than balanceTolerance or no row can move.
+func (plan *plan) balance(counts map[model.TargetID]int, rowsOf rowSets, move moveFunc) {
+	for plan.moveOneRow(counts, rowsOf, move) {
 	}
 }
 
-func (plan *plan) levelOnce(counts map[model.TargetID]int, owned rowSets, move moveFunc) bool {
-	ascending := plan.ascending(counts)
+// moveOneRow moves one row from a target with a high count to one with a low count, and reports
+// whether it did. Move updates the counts.
+func (plan *plan) moveOneRow(counts map[model.TargetID]int, rowsOf rowSets, move moveFunc) bool {
+	ascending := plan.servingByCount(counts)
 	for _, donor := range slices.Backward(ascending) {
 		for _, receiver := range ascending {
-			if counts[donor]-counts[receiver] <= levelTolerance {
+			if counts[donor]-counts[receiver] <= balanceTolerance {
 				break
 			}
-			position := move(owned[donor], receiver)
+			position := move(rowsOf[donor], receiver)
 			if position < 0 {
 				continue
 			}
-			owned[receiver] = append(owned[receiver], owned[donor][position])
-			owned[donor] = slices.Delete(owned[donor], position, position+1)
+			rowsOf[receiver] = append(rowsOf[receiver], rowsOf[donor][position])
+			rowsOf[donor] = slices.Delete(rowsOf[donor], position, position+1)
 			return true
 		}
 	}
 	return false
 }
 
-func (plan *plan) ascending(counts map[model.TargetID]int) []model.TargetID {
+// servingByCount returns the serving targets in ascending order of their count, and of their ID
+// where counts are equal.
+func (plan *plan) servingByCount(counts map[model.TargetID]int) []model.TargetID {
 	ordered := slices.Clone(plan.serving)
 	slices.SortStableFunc(ordered, func(left, right model.TargetID) int {
 		return cmp.Compare(counts[left], counts[right])
@@ -104,8 +111,8 @@
 	return ordered
 }
 
-// moveHead moves the head of the row for which that costs least: one that has
-// the receiver in its chain, then one with few earlier targets.
+// moveHead makes receiver the head of the row that has the fewest earlier targets afterwards. That
+// favors rows of which receiver is an earlier target, because its entry is removed.
 func (plan *plan) moveHead(rows []model.BucketIndex, receiver model.TargetID) int {
 	best := -1
 	var bestNext model.Bucket
@@ -116,17 +123,18 @@
 			continue
 		}
 		next := plan.withHead(row, receiver)
-		rowScore := score(plan.table.Service, index, receiver)
+		rowScore := tieBreakScore(plan.table.Service, index, receiver)
 		if best < 0 || cheaper(next, bestNext, rowScore, bestScore) {
 			best, bestNext, bestScore = position, next, rowScore
 		}
 	}
 	if best >= 0 {
-		plan.apply(&plan.rows[rows[best]], plan.refillAlternate(bestNext))
+		plan.replaceRow(&plan.rows[rows[best]], plan.refillAlternate(bestNext))
 	}
 	return best
 }
 
+// cheaper reports whether left has fewer earlier targets than right, or as many and a lower score.
 func cheaper(left, right model.Bucket, leftScore, rightScore uint64) bool {
 	if difference := len(left.Earlier) - len(right.Earlier); difference != 0 {
 		return difference < 0
@@ -134,7 +142,8 @@
 	return leftScore < rightScore
 }
 
-// refillAlternate gives a row whose alternate became head a new alternate.
+// refillAlternate returns the row with a new alternate if it has none, as when its alternate
+// became the head.
 func (plan *plan) refillAlternate(row model.Bucket) model.Bucket {
 	if row.Alternate == 0 {
 		row.Alternate = plan.chooseAlternate(row)
@@ -142,12 +151,12 @@
 	return row
 }
 
-// moveAlternate exchanges the alternate of the first row where the receiver
-// holds no flows and few earlier targets remain.
+// moveAlternate makes receiver the alternate of the first row whose chain does not contain it and
+// that has at most maximumEarlierForBalancing earlier targets.
 func (plan *plan) moveAlternate(rows []model.BucketIndex, receiver model.TargetID) int {
 	for position, index := range rows {
 		row := &plan.rows[index]
-		if isMember(*row, receiver) || len(row.Earlier) > maximumEarlierForLevelling {
+		if isInChain(*row, receiver) || len(row.Earlier) > maximumEarlierForBalancing {
 			continue
 		}
 		if plan.setAlternate(row, receiver) {
--- a/internal/routing/plan.go
+++ b/internal/routing/plan.go
@@ -6,22 +6,24 @@
 	"merlinpaddle/internal/model"
 )
 
-// plan is the state of one rebalancing: a copy of the rows, and the number of
-// heads and alternates of each serving target.
+// plan is the working state of one call of Rebalance: a copy of the rows, and how many rows each
+// serving target is the head and the alternate of.
 type plan struct {
 	table *model.BucketTable
 	at    model.Revision
 	rows  []model.Bucket
 	// live has the targets that may hold flows.
 	live map[model.TargetID]bool
-	// serving has the targets that may take new flows, in order of their ID.
+	// serving has the targets that accept new flows, in order of their ID.
 	serving    []model.TargetID
 	heads      map[model.TargetID]int
 	alternates map[model.TargetID]int
-	// headDied has the rows whose head is dead and not yet replaced.
+	// headDied has the rows whose head is dead or no longer configured, and not yet replaced.
 	headDied map[model.BucketIndex]bool
 }
 
+// newPlan returns a plan with the rows of the table. It leaves out targets of other services and
+// dead targets, and counts nothing yet.
 func newPlan(table *model.BucketTable, targets []model.Target, at model.Revision) *plan {
 	plan := &plan{
 		table:      table,
@@ -54,9 +56,9 @@
 	return serving
 }
 
-// dropDead removes the targets that hold no flows any more, and counts the
-// heads and alternates that stay.
-func (plan *plan) dropDead() {
+// removeDeadTargets removes targets that are dead or no longer configured from all rows, and counts
+// the remaining heads and alternates.
+func (plan *plan) removeDeadTargets() {
 	for index := range plan.rows {
 		row := &plan.rows[index]
 		if row.Head != 0 && !plan.live[row.Head] {
@@ -84,14 +86,14 @@
 	return slices.DeleteFunc(slices.Clone(earlier), isDead)
 }
 
-// replaceHeads gives a serving head to the rows that have none.
+// replaceHeads sets a serving head on each row whose head is not serving.
 func (plan *plan) replaceHeads() {
 	if len(plan.serving) == 0 {
-		plan.keepAnyHead()
+		plan.promoteAlternates()
 		return
 	}
-	// Rounded down: what is left over goes to the targets with the fewest heads,
-	// so that no other bucket has to move to level them.
+	// Rounded down, so that the remaining rows go to the targets with the fewest heads and no other
+	// row has to move for balance.
 	quota := len(plan.rows) / len(plan.serving)
 	for index := range plan.rows {
 		if !plan.isServing(plan.rows[index].Head) {
@@ -100,9 +102,9 @@
 	}
 }
 
-// keepAnyHead promotes the alternate where the head died and no target is
-// serving: somebody must still look the flows of the bucket up.
-func (plan *plan) keepAnyHead() {
+// promoteAlternates promotes the alternate of each row whose head is dead. It is used while no
+// target is serving: lookups of open flows still need a head at which to start.
+func (plan *plan) promoteAlternates() {
 	for index := range plan.rows {
 		row := &plan.rows[index]
 		if row.Head == 0 && row.Alternate != 0 {
@@ -111,27 +113,28 @@
 	}
 }
 
+// replaceHead makes the alternate the head if the alternate is the head of fewer than quota rows,
+// else the serving target with the fewest heads that fits.
 func (plan *plan) replaceHead(row *model.Bucket, quota int) {
-	// The alternate knows the flows that it was assigned, so promoting it
-	// costs no entry for it.
+	// The alternate owns the flows that were assigned to it, so promoting it needs no entry for it.
 	if plan.isServing(row.Alternate) && plan.heads[row.Alternate] < quota && plan.setHead(row, row.Alternate) {
 		return
 	}
 	fits := func(candidate model.TargetID) bool { return plan.headFits(*row, candidate) }
-	if candidate := plan.leastCount(plan.heads, row.Index, fits); candidate != 0 {
+	if candidate := plan.targetWithLowestCount(plan.heads, row.Index, fits); candidate != 0 {
 		plan.setHead(row, candidate)
 		return
 	}
 	if row.Head == 0 && row.Alternate != 0 {
-		// The earlier targets fill the row: the alternate is the only target
-		// that can be head without another entry.
+		// The row has no room for another earlier target: the alternate is the only target that can
+		// become the head without one.
 		plan.promoteAlternate(row)
 	}
 }
 
 // promoteAlternate makes the alternate the head of a row whose head is dead.
 func (plan *plan) promoteAlternate(row *model.Bucket) {
-	plan.apply(row, model.Bucket{
+	plan.replaceRow(row, model.Bucket{
 		Index:   row.Index,
 		Head:    row.Alternate,
 		Earlier: withoutTarget(row.Earlier, row.Alternate),
@@ -139,61 +142,62 @@
 	delete(plan.headDied, row.Index)
 }
 
-// withHead returns the row with target as its head.
-func (plan *plan) withHead(former model.Bucket, target model.TargetID) model.Bucket {
-	next := model.Bucket{Index: former.Index, Head: target, Alternate: former.Alternate}
-	next.Earlier = withoutTarget(former.Earlier, target)
-	if former.Head != 0 {
-		next.Earlier = plan.withEarlier(next.Earlier, former.Head)
+// withHead returns the row with target as its head, and with the earlier targets that this change
+// needs, which may be more than model.MaximumEarlierTargets.
+func (plan *plan) withHead(previous model.Bucket, target model.TargetID) model.Bucket {
+	next := model.Bucket{Index: previous.Index, Head: target, Alternate: previous.Alternate}
+	next.Earlier = withoutTarget(previous.Earlier, target)
+	if previous.Head != 0 {
+		next.Earlier = plan.withNewEarlier(next.Earlier, previous.Head)
 	}
 	switch {
-	case former.Alternate == target:
+	case previous.Alternate == target:
 		next.Alternate = 0
-	case former.Alternate != 0 && plan.headDied[former.Index]:
-		next.Earlier = plan.withEarlier(next.Earlier, former.Alternate)
+	case previous.Alternate != 0 && plan.headDied[previous.Index]:
+		next.Earlier = plan.withNewEarlier(next.Earlier, previous.Alternate)
 	}
 	return next
 }
 
-// headFits tells whether the row has room for the earlier targets that the
-// change of its head to target needs.
+// headFits reports whether target is not the head yet and the row has room for the earlier targets
+// that the change needs.
 func (plan *plan) headFits(row model.Bucket, target model.TargetID) bool {
 	return row.Head != target && len(plan.withHead(row, target).Earlier) <= model.MaximumEarlierTargets
 }
 
-// setHead makes target the head of the row if that fits, and tells whether it
-// did.
+// setHead makes target the head of the row if that fits, and reports whether it did.
 func (plan *plan) setHead(row *model.Bucket, target model.TargetID) bool {
 	if !plan.headFits(*row, target) {
 		return false
 	}
-	plan.apply(row, plan.withHead(*row, target))
+	plan.replaceRow(row, plan.withHead(*row, target))
 	delete(plan.headDied, row.Index)
 	return true
 }
 
-// setAlternate makes target the alternate of the row if the earlier target
-// that the change needs fits, and tells whether it did.
+// setAlternate makes target the alternate of the row if the row has room for the earlier target
+// that the change needs, and reports whether it did.
 func (plan *plan) setAlternate(row *model.Bucket, target model.TargetID) bool {
 	earlier := row.Earlier
 	if row.Alternate != 0 {
-		earlier = plan.withEarlier(earlier, row.Alternate)
+		earlier = plan.withNewEarlier(earlier, row.Alternate)
 	}
 	if len(earlier) > model.MaximumEarlierTargets {
 		return false
 	}
-	plan.apply(row, model.Bucket{Index: row.Index, Head: row.Head, Alternate: target, Earlier: earlier})
+	plan.replaceRow(row, model.Bucket{Index: row.Index, Head: row.Head, Alternate: target, Earlier: earlier})
 	return true
 }
 
-// apply replaces the row and keeps the counts.
-func (plan *plan) apply(row *model.Bucket, next model.Bucket) {
-	plan.count(*row, -1)
+// replaceRow replaces the row and updates the counts.
+func (plan *plan) replaceRow(row *model.Bucket, next model.Bucket) {
+	plan.addToCounts(*row, -1)
 	*row = next
-	plan.count(*row, 1)
+	plan.addToCounts(*row, 1)
 }
 
-func (plan *plan) count(row model.Bucket, change int) {
+// addToCounts adds change to the counts of the row's head and alternate if they are serving.
+func (plan *plan) addToCounts(row model.Bucket, change int) {
 	if plan.isServing(row.Head) {
 		plan.heads[row.Head] += change
 	}
@@ -203,8 +207,8 @@
 }
 
 // withEarlier returns earlier with an entry for target as of this change, in
-// front; a former entry of the target is replaced.
-func (plan *plan) withEarlier(earlier []model.EarlierTarget, target model.TargetID) []model.EarlierTarget {
+// front; a previous entry of the target is replaced.
+func (plan *plan) withNewEarlier(earlier []model.EarlierTarget, target model.TargetID) []model.EarlierTarget {
 	next := make([]model.EarlierTarget, 0, len(earlier)+1)
 	next = append(next, model.EarlierTarget{Target: target, MovedAt: plan.at})
 	return append(next, withoutTarget(earlier, target)...)
@@ -218,10 +222,9 @@
 	return slices.DeleteFunc(slices.Clone(earlier), isTarget)
 }
 
-// leastCount returns the serving target with the lowest count among those
-// that allowed admits, or zero; equal counts are ordered by their score for
-// the bucket.
-func (plan *plan) leastCount(
+// targetWithLowestCount returns the serving target with the lowest count for which allowed returns
+// true, or zero when there is none. Equal counts are ordered by tieBreakScore for the bucket.
+func (plan *plan) targetWithLowestCount(
 	counts map[model.TargetID]int, bucket model.BucketIndex, allowed func(model.TargetID) bool,
 ) model.TargetID {
 	var best model.TargetID
@@ -230,7 +233,7 @@
 		if best != 0 && counts[candidate] > counts[best] || !allowed(candidate) {
 			continue
 		}
-		candidateScore := score(plan.table.Service, bucket, candidate)
+		candidateScore := tieBreakScore(plan.table.Service, bucket, candidate)
 		if best == 0 || counts[candidate] < counts[best] || candidateScore < bestScore {
 			best, bestScore = candidate, candidateScore
 		}
@@ -238,7 +241,8 @@
 	return best
 }
 
-func isMember(row model.Bucket, target model.TargetID) bool {
+// isInChain reports whether target is the head, the alternate or an earlier target of the row.
+func isInChain(row model.Bucket, target model.TargetID) bool {
 	if row.Head == target || row.Alternate == target {
 		return true
 	}
--- a/internal/routing/property_test.go
+++ b/internal/routing/property_test.go
@@ -18,34 +18,36 @@
 const (
 	historySteps   = 60
 	maximumTargets = 12
-	// stillServes marks a target that is the head or the alternate of a bucket.
-	stillServes = model.Revision(0)
+	// stillAssigned stands for the revision of the move of a target that is still the head or the
+	// alternate of a bucket.
+	stillAssigned = model.Revision(0)
 )
 
-// history is a random course of one service's table. It keeps, apart from the
+// history is a random sequence of changes to one service's table. It records, independently of the
 // table, which targets may hold flows of each bucket.
 type history struct {
 	random   *rand.Rand
 	table    *model.BucketTable
 	targets  []model.Target
 	revision model.Revision
-	// holds has the targets that may hold flows of a bucket, with the revision
-	// at which they were last removed as head or alternate, or stillServes.
-	holds []map[model.TargetID]model.Revision
-	// reports are under way to control.
+	// holders has for each bucket the targets that may hold flows of it, with the revision at which
+	// they stopped being its head or alternate, or stillAssigned.
+	holders []map[model.TargetID]model.Revision
+	// reports were sent and have not reached control yet.
 	reports []model.BucketEmpty
-	err     error
+	// err is the first violation of an invariant.
+	err error
 }
 
 func newHistory(seed uint64) *history {
 	random := rand.New(rand.NewPCG(seed, 1))
 	created := &history{random: random, targets: servingTargets(2 + random.IntN(6)), revision: 1}
 	created.table = routing.NewTable(testService, created.targets, created.revision)
-	created.holds = make([]map[model.TargetID]model.Revision, created.table.Count())
-	for bucket := range created.holds {
-		created.holds[bucket] = make(map[model.TargetID]model.Revision)
+	created.holders = make([]map[model.TargetID]model.Revision, created.table.Count())
+	for bucket := range created.holders {
+		created.holders[bucket] = make(map[model.TargetID]model.Revision)
 	}
-	created.follow()
+	created.updateHolders()
 	return created
 }
 
@@ -55,24 +57,24 @@
 	}
 }
 
-// follow brings holds in line with the heads and alternates of the table.
-func (history *history) follow() {
-	for bucket := range history.holds {
+// updateHolders updates holders after a change of the table's heads and alternates.
+func (history *history) updateHolders() {
+	for bucket := range history.holders {
 		row := history.table.Bucket(model.BucketIndex(bucket))
-		for target, left := range history.holds[bucket] {
-			if left == stillServes && target != row.Head && target != row.Alternate {
-				history.holds[bucket][target] = history.revision
+		for target, left := range history.holders[bucket] {
+			if left == stillAssigned && target != row.Head && target != row.Alternate {
+				history.holders[bucket][target] = history.revision
 			}
 		}
 		for _, target := range []model.TargetID{row.Head, row.Alternate} {
 			if target != 0 {
-				history.holds[bucket][target] = stillServes
+				history.holders[bucket][target] = stillAssigned
 			}
 		}
 	}
 }
 
-// step makes one change.
+// step makes one random change and checks the invariants.
 func (history *history) step() {
 	switch history.random.IntN(8) {
 	case 0:
@@ -84,9 +86,9 @@
 	case 4:
 		history.setPhase(model.PhaseDead)
 	case 5:
-		history.report()
+		history.sendReports()
 	default:
-		history.deliver()
+		history.deliverReports()
 	}
 	history.check()
 }
@@ -99,12 +101,12 @@
 	}
 }
 
-// setPhase changes any target. A target that dies has lost its flows.
+// setPhase changes the phase of a random target. A target that becomes dead loses its flows.
 func (history *history) setPhase(phase model.TargetPhase) {
 	target := &history.targets[history.random.IntN(len(history.targets))]
 	target.Phase = phase
 	if phase == model.PhaseDead {
-		for _, holders := range history.holds {
+		for _, holders := range history.holders {
 			delete(holders, target.ID)
 		}
 	}
@@ -113,17 +115,17 @@
 
 func (history *history) rebalance() {
 	history.revision++
-	history.commit(history.rebalanced())
+	history.applyRows(history.rebalancedRows())
 }
 
-func (history *history) commit(rows []model.Bucket) {
+func (history *history) applyRows(rows []model.Bucket) {
 	history.table = apply(history.table, rows)
-	history.follow()
+	history.updateHolders()
 }
 
-// report lets one agent report empty buckets as of its table, which it may
-// have applied some revisions ago.
-func (history *history) report() {
+// sendReports makes one agent report some buckets empty. The agent may be up to two revisions
+// behind the table.
+func (history *history) sendReports() {
 	target := history.targets[history.random.IntN(len(history.targets))].ID
 	at := history.revision - min(history.revision, model.Revision(history.random.IntN(3)))
 	for _, bucket := range routing.BucketsMovedFrom(history.table, target, at) {
@@ -133,8 +135,8 @@
 	}
 }
 
-// deliver brings some reports to control, in any order and some twice.
-func (history *history) deliver() {
+// deliverReports delivers some reports to control, in random order and sometimes twice.
+func (history *history) deliverReports() {
 	history.random.Shuffle(len(history.reports), func(left, right int) {
 		history.reports[left], history.reports[right] = history.reports[right], history.reports[left]
 	})
@@ -144,27 +146,27 @@
 		history.reports = slices.Clone(history.reports[count:])
 	}
 	for _, report := range delivered {
-		left, holds := history.holds[report.Bucket][report.Target]
-		if holds && left != stillServes && report.At >= left {
-			delete(history.holds[report.Bucket], report.Target)
+		left, holds := history.holders[report.Bucket][report.Target]
+		if holds && left != stillAssigned && report.At >= left {
+			delete(history.holders[report.Bucket], report.Target)
 		}
 	}
 	history.revision++
-	history.commit(routing.RemoveEarlierTargets(history.table, delivered))
-	history.commit(history.rebalanced())
+	history.applyRows(routing.RemoveEarlierTargets(history.table, delivered))
+	history.applyRows(history.rebalancedRows())
 }
 
-// rebalanced returns the rows that change, and checks that another process
-// computes the same from the targets in another order.
-func (history *history) rebalanced() []model.Bucket {
+// rebalancedRows returns the rows that Rebalance changes, and checks that they do not depend on the
+// order of the targets, so that every process computes the same rows.
+func (history *history) rebalancedRows() []model.Bucket {
 	rows := routing.Rebalance(history.table, history.targets, history.revision)
 	shuffled := slices.Clone(history.targets)
 	history.random.Shuffle(len(shuffled), func(left, right int) {
 		shuffled[left], shuffled[right] = shuffled[right], shuffled[left]
 	})
-	others := routing.Rebalance(history.table.Clone(), shuffled, history.revision)
-	if !slices.EqualFunc(rows, others, sameRow) {
-		history.fail("the order of the targets changes the rows")
+	shuffledRows := routing.Rebalance(history.table.Clone(), shuffled, history.revision)
+	if !slices.EqualFunc(rows, shuffledRows, sameRow) {
+		history.fail("the changed rows depend on the order of the targets")
 	}
 	return rows
 }
@@ -174,13 +176,15 @@
 		slices.Equal(left.Earlier, right.Earlier)
 }
 
+// check checks that every target that may hold flows of a bucket is in its chain, and the limits of
+// each row.
 func (history *history) check() {
-	for bucket, holders := range history.holds {
+	for bucket, holders := range history.holders {
 		row := history.table.Bucket(model.BucketIndex(bucket))
 		chain := routing.Chain(row)
 		for target := range holders {
 			if !slices.Contains(chain, target) {
-				history.fail("bucket %d: target %d may hold flows and is not in %v", bucket, target, chain)
+				history.fail("bucket %d: target %d may hold flows and is not in the chain %v", bucket, target, chain)
 			}
 		}
 		if len(row.Earlier) > model.MaximumEarlierTargets {
@@ -190,13 +194,13 @@
 	}
 }
 
-// checkHead demands a serving head, unless the row is so full that another
-// head would need an entry too many.
+// checkHead requires a serving head, unless no target is serving or the row has no room for the
+// earlier target that a change of its head needs.
 func (history *history) checkHead(row model.Bucket) {
 	anyServing := slices.ContainsFunc(history.targets, func(target model.Target) bool { return target.Phase == model.PhaseServing })
 	isFull := len(row.Earlier) == model.MaximumEarlierTargets
 	if anyServing && !isFull && !history.isServing(row.Head) {
-		history.fail("bucket %d: head %d does not serve: %v", row.Index, row.Head, row)
+		history.fail("bucket %d: head %d is not serving: %v", row.Index, row.Head, row)
 	}
 }
 
@@ -204,11 +208,11 @@
 	return id != 0 && history.targets[id-1].Phase == model.PhaseServing
 }
 
-func TestTablesKeepTheirInvariantsThroughAnyHistory(t *testing.T) {
+func TestRandomChangesKeepTheInvariants(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20300301)
 	parameters.MinSuccessfulTests = 40
 	properties := gopter.NewProperties(parameters)
-	properties.Property("targets that may hold flows stay in the chain, and heads serve", prop.ForAll(
+	properties.Property("targets that may hold flows stay in the chain, and heads are serving", prop.ForAll(
 		func(seed uint64) (bool, error) {
 			run := newHistory(seed)
 			for range historySteps {
@@ -227,8 +231,8 @@
 		func(count int) bool {
 			before := routing.NewTable(testService, servingTargets(count), 1)
 			after := apply(before, routing.Rebalance(before, servingTargets(count+1), 2))
-			moved, foreign := movedHeads(before, after, func(_, to model.TargetID) bool { return to == model.TargetID(count+1) })
-			return foreign == 0 && moved <= before.Count()/(count+1)+1
+			moved, unexpected := movedHeads(before, after, func(_, to model.TargetID) bool { return to == model.TargetID(count+1) })
+			return unexpected == 0 && moved <= before.Count()/(count+1)+1
 		},
 		gen.IntRange(1, 60),
 	))
@@ -239,17 +243,17 @@
 			leaving := leaver % count
 			targets[leaving].Phase = model.PhaseDraining
 			after := apply(before, routing.Rebalance(before, targets, 2))
-			_, foreign := movedHeads(before, after, func(from, _ model.TargetID) bool { return from == targets[leaving].ID })
-			return foreign == 0
+			_, unexpected := movedHeads(before, after, func(from, _ model.TargetID) bool { return from == targets[leaving].ID })
+			return unexpected == 0
 		},
 		gen.IntRange(2, 60), gen.IntRange(0, 1000),
 	))
 	properties.TestingRun(t)
 }
 
-// movedHeads counts the buckets whose head changed, and those among them that
-// expected does not admit.
-func movedHeads(before, after *model.BucketTable, expected func(from, to model.TargetID) bool) (moved, foreign int) {
+// movedHeads counts the buckets whose head changed, and those among them for which expected returns
+// false.
+func movedHeads(before, after *model.BucketTable, expected func(from, to model.TargetID) bool) (moved, unexpected int) {
 	for bucket := range before.Heads {
 		from, to := before.Heads[bucket], after.Heads[bucket]
 		if from == to {
@@ -257,13 +261,13 @@
 		}
 		moved++
 		if !expected(from, to) {
-			foreign++
+			unexpected++
 		}
 	}
-	return moved, foreign
+	return moved, unexpected
 }
 
-func TestAFullChainIsNotMoved(t *testing.T) {
+func TestBucketWithFullChainIsNotMoved(t *testing.T) {
 	targets := servingTargets(8)
 	table := routing.NewTable(testService, targets, 1)
 	row := table.Bucket(3)
@@ -275,8 +279,8 @@
 	}
 	table.Set(row)
 	for index := range targets {
-		isChained := slices.Contains(routing.Chain(row), targets[index].ID)
-		if !isChained || targets[index].ID == row.Head {
+		isInChain := slices.Contains(routing.Chain(row), targets[index].ID)
+		if !isInChain || targets[index].ID == row.Head {
 			continue
 		}
 		targets[index].Phase = model.PhaseDraining
@@ -285,19 +289,19 @@
 	targets[row.Head-1].Phase = model.PhaseDraining
 	after := apply(table, routing.Rebalance(table, targets, 9)).Bucket(3)
 	if after.Head != draining.ID || !slices.Equal(after.Earlier, row.Earlier) {
-		t.Fatalf("the full row %v moved to %v", row, after)
+		t.Fatalf("the full row %v changed to %v", row, after)
 	}
 	rows := routing.RemoveEarlierTargets(table, []model.BucketEmpty{{Service: testService, Target: row.Earlier[0].Target, Bucket: 3, At: 9}})
 	emptied := apply(table, rows)
 	moved := apply(emptied, routing.Rebalance(emptied, targets, 10)).Bucket(3)
 	if moved.Head == draining.ID {
-		t.Fatalf("the row %v did not move once an entry had left", moved)
+		t.Fatalf("the row %v kept its head after an entry was removed", moved)
 	}
 }
 
-// The worst case of a rolling restart: no target ever reports a bucket empty,
-// so that all chains fill up. Targets leave one at a time.
-func TestARollingDrainLeavesNoBucketWithoutAServingHead(t *testing.T) {
+// The worst case of a rolling restart: targets drain one at a time, and no target reports a bucket
+// empty, so all chains fill up.
+func TestRollingDrainKeepsAServingHeadForEveryBucket(t *testing.T) {
 	const rounds = 3
 	for _, count := range []int{4, 14, 30} {
 		targets := servingTargets(count)
@@ -312,7 +316,7 @@
 			leaving := step % count
 			setPhase(leaving, model.PhaseDraining)
 			if slices.Contains(table.Heads, targets[leaving].ID) {
-				t.Fatalf("%d targets, step %d: target %d drains and is still a head", count, step, targets[leaving].ID)
+				t.Fatalf("%d targets, step %d: target %d is draining and still a head", count, step, targets[leaving].ID)
 			}
 			setPhase(leaving, model.PhaseServing)
 		}
--- a/internal/routing/rebalance.go
+++ b/internal/routing/rebalance.go
@@ -8,16 +8,16 @@
 //   - Every target that may hold a flow of a bucket is in its chain, until its
 //     agent reports the bucket empty at a revision at or after the move, or
 //     the target is dead, which means that its flows are lost.
-//   - A target that leaves the head or the alternate becomes an earlier target
-//     with the revision of that change. An earlier target that becomes the
-//     alternate again keeps its entry: whether it knows of the first move is
-//     proved only by its report.
-//   - When the head changes, the former head becomes an earlier target unless
-//     it is dead. When it is dead, the former alternate gets an entry, because
+//   - A target that stops being the head or the alternate becomes an earlier
+//     target with the revision of that change. An earlier target that becomes
+//     the alternate again keeps its entry: only its report shows that it has
+//     applied the first move.
+//   - When the head changes, the previous head becomes an earlier target unless
+//     it is dead. When it is dead, the previous alternate gets an entry, because
 //     only the dead head knew which flows it had assigned to the alternate.
 //   - A row has at most model.MaximumEarlierTargets earlier targets. A change
-//     that would need more is not made; a later call makes it when an entry
-//     has left.
+//     that would need more is not made; a later call makes it once an entry
+//     has been removed.
 //   - Only serving targets become head or alternate.
 package routing
 
@@ -31,9 +31,9 @@
 // service that starts small still spreads evenly when it grows.
 const MinimumBuckets = 256
 
-// NewTable returns the first table of a service. The number of buckets stays
-// the same for the life of the service, because it decides which bucket an
-// open flow is in.
+// NewTable returns the first table of a service: model.BucketsPerTarget buckets for each target, but
+// at least MinimumBuckets. The number of buckets stays the same for the life of the service, because
+// it determines the bucket of each open flow.
 func NewTable(service model.ServiceID, targets []model.Target, at model.Revision) *model.BucketTable {
 	count := max(MinimumBuckets, model.BucketsPerTarget*len(targets))
 	table := &model.BucketTable{
@@ -48,17 +48,18 @@
 	return table
 }
 
-// Rebalance returns the rows that change so that the table fits the targets:
-// dead and removed targets leave at once, serving targets replace heads and
-// alternates that are not serving, and heads and alternates are spread evenly
-// with few moves. The table stays as it was.
+// Rebalance returns the rows that must change for the table to fit the targets, in order of their
+// index: dead and removed targets are taken out at once, serving targets replace heads and
+// alternates that are not serving, and heads and alternates are spread evenly with few moves.
+// Changes that need a new earlier target record revision at in it. Rebalance does not modify the
+// table.
 func Rebalance(table *model.BucketTable, targets []model.Target, at model.Revision) []model.Bucket {
 	plan := newPlan(table, targets, at)
-	plan.dropDead()
+	plan.removeDeadTargets()
 	plan.replaceHeads()
 	plan.replaceAlternates()
-	plan.levelHeads()
-	plan.levelAlternates()
+	plan.balanceHeads()
+	plan.balanceAlternates()
 	return plan.changedRows()
 }
 
@@ -72,6 +73,7 @@
 	return changed
 }
 
+// equalRows compares all but the index.
 func equalRows(left, right model.Bucket) bool {
 	return left.Head == right.Head && left.Alternate == right.Alternate && slices.Equal(left.Earlier, right.Earlier)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -12,6 +12,7 @@
 
 const testService = model.ServiceID(7)
 
+// servingTargets returns serving targets of testService with the IDs 1 to count.
 func servingTargets(count int) []model.Target {
 	targets := make([]model.Target, count)
 	for index := range targets {
@@ -24,6 +25,7 @@
 	return targets
 }
 
+// apply returns a copy of the table with the rows replaced.
 func apply(table *model.BucketTable, rows []model.Bucket) *model.BucketTable {
 	next := table.Clone()
 	for _, row := range rows {
@@ -32,6 +34,7 @@
 	return next
 }
 
+// headCounts returns of how many buckets each target is the head.
 func headCounts(table *model.BucketTable) map[model.TargetID]int {
 	counts := make(map[model.TargetID]int)
 	for _, head := range table.Heads {
@@ -40,7 +43,7 @@
 	return counts
 }
 
-func TestFlowHashTellsFlowsApart(t *testing.T) {
+func TestFlowHashDistinguishesFlows(t *testing.T) {
 	flow := model.FiveTuple{
 		Protocol:    model.ProtocolTCP,
 		Source:      netip.MustParseAddrPort("127.1.0.1:4000"),
@@ -124,7 +127,7 @@
 		moved := 0
 		for index := range before.Heads {
 			if before.Heads[index] != after.Heads[index] {
-				require.EqualValues(t, count+1, after.Heads[index], "only the new target gets buckets")
+				require.EqualValues(t, count+1, after.Heads[index], "only the new target may get buckets")
 				moved++
 			}
 		}
@@ -135,7 +138,7 @@
 	}
 }
 
-func TestRemoveEmptyHonoursOnlyReportsSinceTheMove(t *testing.T) {
+func TestRemoveEarlierTargetsIgnoresReportsOlderThanTheMove(t *testing.T) {
 	table := routing.NewTable(testService, servingTargets(4), 1)
 	row := table.Bucket(5)
 	row.Earlier = []model.EarlierTarget{{Target: 9, MovedAt: 20}, {Target: 8, MovedAt: 10}}
@@ -152,15 +155,15 @@
 		reports []model.BucketEmpty
 		want    []model.TargetID
 	}{
-		"older than the move":    {[]model.BucketEmpty{report(9, 19)}, nil},
-		"at the move":            {[]model.BucketEmpty{report(9, 20)}, []model.TargetID{8}},
-		"after the move":         {[]model.BucketEmpty{report(9, 21)}, []model.TargetID{8}},
-		"both":                   {[]model.BucketEmpty{report(8, 30), report(9, 30)}, []model.TargetID{}},
-		"twice":                  {[]model.BucketEmpty{report(8, 30), report(8, 30)}, []model.TargetID{9}},
-		"of the head":            {[]model.BucketEmpty{report(row.Head, 30)}, nil},
-		"of another service":     {[]model.BucketEmpty{foreign}, nil},
-		"of an unknown bucket":   {[]model.BucketEmpty{outside}, nil},
-		"old one beside new one": {[]model.BucketEmpty{report(8, 9), report(9, 25)}, []model.TargetID{8}},
+		"older than the move":  {[]model.BucketEmpty{report(9, 19)}, nil},
+		"at the move":          {[]model.BucketEmpty{report(9, 20)}, []model.TargetID{8}},
+		"after the move":       {[]model.BucketEmpty{report(9, 21)}, []model.TargetID{8}},
+		"both":                 {[]model.BucketEmpty{report(8, 30), report(9, 30)}, []model.TargetID{}},
+		"twice":                {[]model.BucketEmpty{report(8, 30), report(8, 30)}, []model.TargetID{9}},
+		"of the head":          {[]model.BucketEmpty{report(row.Head, 30)}, nil},
+		"of another service":   {[]model.BucketEmpty{foreign}, nil},
+		"of an unknown bucket": {[]model.BucketEmpty{outside}, nil},
+		"old and new report":   {[]model.BucketEmpty{report(8, 9), report(9, 25)}, []model.TargetID{8}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +178,7 @@
 				left = append(left, entry.Target)
 			}
 			require.Equal(t, test.want, left)
-			require.Len(t, table.Earlier[5], 2, "the table stays as it was")
+			require.Len(t, table.Earlier[5], 2, "the table must not be modified")
 		})
 	}
 }
