--- a/internal/flow/assignments.go
+++ b/internal/flow/assignments.go
@@ -6,29 +6,30 @@
 	"merlinpaddle/internal/model"
 )
 
-// Assign remembers that the opening packet of a flow was given to target, so
-// that a copy of the packet goes the same way. It returns the target that is
-// remembered, which is another one when the flow was assigned before, and
-// false when there is no room or the bucket's fence is newer than the decision.
-func (owners *OwnedFlows) Assign(
+// Assign records that the opening packet of a flow was assigned to target by a decision of revision
+// decided, so that copies of the packet are sent to the same target. It returns the recorded target,
+// which is another one when the flow was assigned before. It returns false when the flow is open
+// here, when there are MaximumFlows assignments already, or when the bucket's fence is newer than
+// the decision.
+func (owned *OwnedFlows) Assign(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID, decided model.Revision,
 ) (model.TargetID, bool) {
-	shard := owners.shard(bucket)
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if _, owned := shard.flows[flow]; owned {
+	if _, isOpen := shard.flows[flow]; isOpen {
 		return 0, false
 	}
-	made, exists := shard.assignments[flow]
+	existing, exists := shard.assignments[flow]
 	if exists {
-		return made.target, true
+		return existing.target, true
 	}
 	state := shard.bucket(bucket)
 	if decided < state.fence.Revision {
 		return 0, false
 	}
-	if owners.assignments.Add(1) > int64(owners.options.MaximumFlows) {
-		owners.assignments.Add(-1)
+	if owned.assignments.Add(1) > int64(owned.options.MaximumFlows) {
+		owned.assignments.Add(-1)
 		return 0, false
 	}
 	state.assignments++
@@ -36,51 +37,51 @@
 	return target, true
 }
 
-// Assignment is the choice that was made for the opening packet of a flow.
+// Assignment is the target to which the opening packet of a flow was assigned.
 type Assignment struct {
 	Target model.TargetID
-	// Idle is the time since a packet of the flow was last given to Target.
+	// Idle is the time since the assignment was made or last looked up.
 	Idle time.Duration
 }
 
-// LookupAssignment returns what a flow was assigned to, and keeps the assignment for
-// another lifetime.
-func (owners *OwnedFlows) LookupAssignment(
+// LookupAssignment returns the assignment of a flow and whether there is one, and restarts its
+// lifetime.
+func (owned *OwnedFlows) LookupAssignment(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple,
 ) (Assignment, bool) {
-	shard := owners.shard(bucket)
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	made, exists := shard.assignments[flow]
+	existing, exists := shard.assignments[flow]
 	if !exists {
 		return Assignment{}, false
 	}
-	idle := sinceEpoch(now) - made.lastSeen
-	made.lastSeen = sinceEpoch(now)
-	shard.assignments[flow] = made
-	return Assignment{Target: made.target, Idle: idle}, true
+	idle := sinceEpoch(now) - existing.lastSeen
+	existing.lastSeen = sinceEpoch(now)
+	shard.assignments[flow] = existing
+	return Assignment{Target: existing.target, Idle: idle}, true
 }
 
-// RemoveAssignment forgets that a flow was assigned to target. An assignment to another
+// RemoveAssignment removes the assignment of a flow to target. An assignment of the flow to another
 // target stays.
-func (owners *OwnedFlows) RemoveAssignment(bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID) {
-	shard := owners.shard(bucket)
+func (owned *OwnedFlows) RemoveAssignment(bucket model.BucketIndex, flow model.FiveTuple, target model.TargetID) {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	if made, exists := shard.assignments[flow]; exists && made.target == target {
-		owners.forget(shard, flow)
+	if existing, exists := shard.assignments[flow]; exists && existing.target == target {
+		owned.removeAssignment(shard, flow)
 	}
 }
 
-// forget removes an assignment. The shard is locked.
-func (owners *OwnedFlows) forget(shard *ownerShard, flow model.FiveTuple) {
-	made, exists := shard.assignments[flow]
+// removeAssignment removes the assignment of a flow, if any. The caller holds the shard's lock.
+func (owned *OwnedFlows) removeAssignment(shard *flowShard, flow model.FiveTuple) {
+	existing, exists := shard.assignments[flow]
 	if !exists {
 		return
 	}
 	delete(shard.assignments, flow)
-	owners.assignments.Add(-1)
-	state := shard.bucket(made.bucket)
+	owned.assignments.Add(-1)
+	state := shard.bucket(existing.bucket)
 	state.assignments--
-	shard.release(made.bucket, state)
+	shard.removeBucketIfUnused(existing.bucket, state)
 }
--- a/internal/flow/cache.go
+++ b/internal/flow/cache.go
@@ -1,6 +1,5 @@
-// Package flow keeps the state of flows: the cache in which a balancer
-// remembers the owners of flows, and the flows that a target owns. The package
-// is pure: time comes in as an argument.
+// Package flow keeps the state of flows: the cache of flow owners at a balancer, and the flows that
+// a target owns. The package is pure: the time is passed as an argument.
 package flow
 
 import (
@@ -18,17 +17,17 @@
 	// cacheWays is the number of entries of one set: a flow can be in any
 	// entry of the set that its hash selects.
 	cacheWays = 7
-	// cacheFill is the share of its entries, in percent, that a cache with its
-	// capacity of flows uses. The rest takes up the unevenness of the sets: of
-	// so many flows about one in 50 finds its set full.
+	// cacheFill is the percentage of entries in use when a cache holds the number of flows that it
+	// was made for. The free entries are needed because flows spread unevenly over the sets: at this
+	// percentage about one flow in 50 finds its set full.
 	cacheFill = 57
 )
 
-// Cache remembers which target owns a flow. It has fixed memory: a new flow
-// replaces one of its set that was not used lately (second chance). The cache
-// is only an optimization: a missing, wrong or old entry costs passes between
-// targets, never a flow. So it keeps a tag of 32 bits in place of the flow: one
-// lookup of an unknown flow in 600 million finds the entry of another.
+// Cache maps flows to the targets that own them. It is set-associative and of fixed size: in a full
+// set a new flow replaces one that was not looked up recently (CLOCK, or second chance). The cache is
+// only an optimization: because of a missing, wrong or stale entry a packet is forwarded between
+// targets more often, but no flow breaks. So an entry has a tag of 32 bits instead of the flow; one
+// lookup in 600 million of an unknown flow finds the entry of another flow.
 type Cache struct {
 	sets   uint64
 	shards [cacheShards]cacheShard
@@ -39,26 +38,27 @@
 	sets []cacheSet
 	// used is the number of entries in use.
 	used int
-	_    [cacheLine]byte
+	// The padding keeps the locks of two shards on different cache lines.
+	_ [cacheLine]byte
 }
 
-// cacheLine is the size of a line of the processor's cache, in bytes. It keeps
-// the locks of two shards apart.
+// cacheLine is the size of a line of the processor's cache, in bytes.
 const cacheLine = 64
 
-// cacheSet fills one line of the processor's cache, so that a lookup among
-// many flows waits for memory once. A zero target is a free entry.
+// cacheSet fills one line of the processor's cache, so that a lookup in a large cache waits for main
+// memory once. An entry with a zero target is free.
 type cacheSet struct {
 	tags    [cacheWays]uint32
 	targets [cacheWays]model.TargetID
-	// referenced has a bit for each entry that was used since the hand passed.
+	// referenced has a bit for each entry, which is set when the entry was looked up since the hand
+	// passed it.
 	referenced uint8
-	// hand is the entry that is looked at next for replacement.
+	// hand is the next entry to consider for replacement.
 	hand uint8
 	_    [6]byte
 }
 
-// NewCache returns a cache that holds about capacity flows.
+// NewCache returns a cache for about capacity flows. It has more entries than that, see cacheFill.
 func NewCache(capacity int) *Cache {
 	entries := max(capacity, 1) * 100 / cacheFill
 	sets := max(1, (entries+cacheWays*cacheShards-1)/(cacheWays*cacheShards))
@@ -69,8 +69,8 @@
 	return cache
 }
 
-// locate returns the shard and the set of a hash. The shard comes from the low
-// bits and the set from the high bits, so that the two are independent.
+// locate returns the shard of a hash and the index of its set in the shard. The low bits select the
+// shard and the high bits the set, so that the two are independent.
 func (cache *Cache) locate(hash uint64) (*cacheShard, uint64) {
 	set, _ := bits.Mul64(hash, cache.sets)
 	return &cache.shards[hash%cacheShards], set
@@ -92,14 +92,14 @@
 	return set.targets[way], true
 }
 
-// Insert remembers the owner of a flow, in place of another flow of its set if
-// there is no free entry.
+// Insert stores the owner of a flow. If its set has no free entry, it evicts another flow. A zero
+// owner is ignored.
 func (cache *Cache) Insert(hash uint64, flow model.FiveTuple, owner model.TargetID) {
 	cache.insert(hash, flow, owner, true)
 }
 
-// InsertIfFree remembers the owner of a flow if its set has a free entry or
-// knows the flow already. It never forgets another flow.
+// InsertIfFree stores the owner of a flow if its set has a free entry or contains the flow already.
+// It never evicts another flow.
 func (cache *Cache) InsertIfFree(hash uint64, flow model.FiveTuple, owner model.TargetID) {
 	cache.insert(hash, flow, owner, false)
 }
@@ -125,13 +125,13 @@
 			return
 		}
 	}
-	// A new entry counts as unused until its first lookup, so that flows in
-	// use outlive a burst of new ones.
+	// A new entry is not marked as referenced until its first lookup, so that a burst of new flows
+	// does not evict flows in use.
 	set.tags[way] = tag
 	set.targets[way] = owner
 }
 
-// Remove forgets a flow.
+// Remove removes a flow, if it is in the cache.
 func (cache *Cache) Remove(hash uint64, flow model.FiveTuple) {
 	tag := tagOf(hash, flow)
 	shard, index := cache.locate(hash)
@@ -147,7 +147,7 @@
 	shard.used--
 }
 
-// Len returns the number of remembered flows.
+// Len returns the number of flows in the cache.
 func (cache *Cache) Len() int {
 	total := 0
 	for index := range cache.shards {
@@ -159,14 +159,15 @@
 	return total
 }
 
-// Bytes returns the memory of the entries, in bytes.
+// Bytes returns the size of all entries, free ones too, in bytes.
 func (cache *Cache) Bytes() int {
 	return int(cache.sets) * cacheShards * int(reflect.TypeFor[cacheSet]().Size())
 }
 
-// Capacity returns the number of entries.
+// Capacity returns the number of entries, free ones too.
 func (cache *Cache) Capacity() int { return int(cache.sets) * cacheWays * cacheShards }
 
+// find returns the entry with the tag, or -1.
 func (set *cacheSet) find(tag uint32) int {
 	for way, present := range set.tags {
 		if present == tag && set.targets[way] != 0 {
@@ -186,7 +187,7 @@
 	return -1
 }
 
-// victim returns the first entry from the hand on that was not used since the
+// victim returns the entry to evict: the first one from the hand on that was not looked up since the
 // hand passed it.
 func (set *cacheSet) victim() int {
 	for set.referenced&(1<<set.hand) != 0 {
@@ -198,13 +199,13 @@
 	return way
 }
 
-// tagOf mixes the middle bits of the hash, which neither the shard nor the set
-// is chosen by, with the ports and the last bytes of the addresses of a flow.
+// tagOf mixes the middle bits of the hash, which select neither the shard nor the set, with the
+// protocol, the ports and the last four bytes of the addresses of a flow.
 func tagOf(hash uint64, flow model.FiveTuple) uint32 {
 	source := flow.Source.Addr().As16()
 	destination := flow.Destination.Addr().As16()
 	addresses := binary.BigEndian.Uint32(source[12:]) ^ bits.RotateLeft32(binary.BigEndian.Uint32(destination[12:]), 16)
 	ports := uint32(flow.Source.Port())<<16 | uint32(flow.Destination.Port())
-	// The multiplier is the golden ratio of 32 bits.
+	// The multiplier is 2^32 divided by the golden ratio (Fibonacci hashing).
 	return (addresses^uint32(flow.Protocol))*0x9E3779B1 ^ ports ^ uint32(hash>>8)
 }
--- a/internal/flow/cache_bench_test.go
+++ b/internal/flow/cache_bench_test.go
@@ -10,12 +10,12 @@
 	"merlinpaddle/internal/routing"
 )
 
-// cacheSizes are the numbers of flows from which the slope of the cache's
-// memory is taken.
+// cacheSizes are the numbers of flows at which the memory of the cache is measured, to show how it
+// grows with them.
 var cacheSizes = []int{100_000, 250_000, 500_000, 1_000_000}
 
-// filledCache returns a cache with a capacity of flows, into which as many were
-// inserted, and the bytes of the heap that it takes.
+// filledCache returns a cache made for the given number of flows, into which as many were inserted,
+// and the heap memory that it uses, in bytes.
 func filledCache(flows int) (cache *flow.Cache, heapBytes uint64) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -30,9 +30,9 @@
 	return cache, after.HeapAlloc - before.HeapAlloc
 }
 
-// BenchmarkCache measures lookups and inserts of random flows in caches that
-// are as full as they are made for. "B/flow" is the memory of a cache over the
-// flows that it holds, and "held" is the share of the inserted flows.
+// BenchmarkCache measures lookups and inserts of random flows in caches into which as many flows
+// were inserted as they are made for. "B/flow" is the memory of a cache divided by the number of
+// flows in it, and "held" is the fraction of the inserted flows that are in it.
 func BenchmarkCache(b *testing.B) {
 	for _, flows := range cacheSizes {
 		cache, heapBytes := filledCache(flows)
@@ -47,12 +47,13 @@
 	}
 }
 
+// benchmarkRandomFlows calls use with flows in pseudorandom order.
 func benchmarkRandomFlows(b *testing.B, flows int, use func(hash uint64, tuple model.FiveTuple)) {
 	b.ReportAllocs()
 	sequence := uint64(0)
 	for b.Loop() {
 		sequence++
-		// The multiplier is the golden ratio of 64 bits; it spreads the numbers.
+		// The multiplier is 2^64 divided by the golden ratio; it spreads consecutive numbers.
 		tuple := numberedFlow(int(sequence * 0x9E3779B97F4A7C15 >> 32 % uint64(flows)))
 		use(routing.FlowHash(tuple), tuple)
 	}
--- a/internal/flow/memory_bench_test.go
+++ b/internal/flow/memory_bench_test.go
@@ -17,26 +17,25 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// BenchmarkOwnersMemory tells what an open flow and a remembered assignment
-// take at a target.
+// BenchmarkOwnersMemory reports the heap memory of an open flow and of an assignment at a target.
 func BenchmarkOwnersMemory(b *testing.B) {
 	const flows = 50000
 	const buckets = 896
 	for b.Loop() {
 		empty := heapBytes()
-		owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{MaximumFlows: flows})
+		owned := flow.NewOwnedFlows(flow.OwnedFlowsOptions{MaximumFlows: flows})
 		for number := range flows {
 			tuple := numberedFlow(number)
-			owners.Open(start, routing.BucketOf(routing.FlowHash(tuple), buckets), tuple, 1)
+			owned.Open(start, routing.BucketOf(routing.FlowHash(tuple), buckets), tuple, 1)
 		}
 		withFlows := heapBytes()
 		for number := range flows {
 			tuple := numberedFlow(flows + number)
-			owners.Assign(start, routing.BucketOf(routing.FlowHash(tuple), buckets), tuple, model.TargetID(2), 1)
+			owned.Assign(start, routing.BucketOf(routing.FlowHash(tuple), buckets), tuple, model.TargetID(2), 1)
 		}
 		withAssignments := heapBytes()
 		b.ReportMetric((withFlows-empty)/flows, "B/flow")
 		b.ReportMetric((withAssignments-withFlows)/flows, "B/assignment")
-		runtime.KeepAlive(owners)
+		runtime.KeepAlive(owned)
 	}
 }
--- a/internal/flow/owners.go
+++ b/internal/flow/owners.go
@@ -8,10 +8,9 @@
 	"merlinpaddle/internal/model"
 )
 
-// ownerShards is the number of shards, each under its own lock. A bucket lies
-// in one shard, so that opening a flow, fencing a bucket and reporting it
-// empty exclude each other.
-const ownerShards = 64
+// flowShards is the number of shards, each under its own lock. A bucket lies in one shard, so that
+// opening a flow, fencing a bucket and reporting it empty exclude each other.
+const flowShards = 64
 
 // Defaults of OwnedFlowsOptions.
 const (
@@ -22,16 +21,16 @@
 
 // OwnedFlowsOptions configures OwnedFlows.
 type OwnedFlowsOptions struct {
-	// Service and Target are what the flows belong to.
+	// Service and Target are the service and the target to which the flows belong.
 	Service model.ServiceID
 	Target  model.TargetID
-	// MaximumFlows bounds the open flows, and separately the assignments. A
-	// flow above it is refused; an open flow is never evicted.
+	// MaximumFlows is the maximum number of open flows, and separately of assignments. More are
+	// refused; an open flow is never evicted.
 	MaximumFlows int
-	// IdleTimeout ends a flow without packets.
+	// IdleTimeout is the time without packets after which Expire ends a flow.
 	IdleTimeout time.Duration
-	// AssignmentLifetime is how long an assignment is remembered after its
-	// last use. It must be longer than a caller repeats an opening packet.
+	// AssignmentLifetime is how long an assignment is kept after its last lookup. It must be longer
+	// than the time during which a caller retransmits an opening packet.
 	AssignmentLifetime time.Duration
 }
 
@@ -48,56 +47,59 @@
 	return options
 }
 
-// OwnedFlows has the flows that one target owns, and the assignments it made: the
-// flows whose opening packet it gave to another target.
+// OwnedFlows has the flows that one target owns, and its assignments: the flows whose opening packet
+// it assigned to another target. Its methods may be called concurrently.
 //
 // Invariants:
 //
 //   - A flow is opened only by a decision of a revision at or after the fence
-//     of its bucket. The fence rises when another target asked, at a newer
-//     revision, whether this target owns a flow, and when the bucket was
-//     reported empty. So a decision made before either cannot open a flow
-//     after it.
+//     of its bucket. The fence is raised when another target searches for the
+//     owner of a flow at a newer revision, and when the bucket is reported
+//     empty. So a decision made before either event cannot open a flow after
+//     it.
 //   - A bucket is reported empty only while it has neither flows nor
 //     assignments.
-//   - An open flow ends only by Close or by its idle time.
+//   - An open flow ends only by Close or by its idle timeout.
 type OwnedFlows struct {
 	options     OwnedFlowsOptions
 	flows       atomic.Int64
 	assignments atomic.Int64
-	shards      [ownerShards]ownerShard
+	shards      [flowShards]flowShard
 }
 
-type ownerShard struct {
+type flowShard struct {
 	lock        sync.Mutex
 	flows       map[model.FiveTuple]ownedFlow
 	assignments map[model.FiveTuple]assignment
-	buckets     map[model.BucketIndex]*ownedBucket
+	buckets     map[model.BucketIndex]*bucketState
 }
 
 type ownedFlow struct {
-	bucket   model.BucketIndex
+	bucket model.BucketIndex
+	// lastSeen is the time of the latest packet since epoch.
 	lastSeen time.Duration
 }
 
 type assignment struct {
-	bucket   model.BucketIndex
-	target   model.TargetID
+	bucket model.BucketIndex
+	target model.TargetID
+	// lastSeen is the time of the latest lookup since epoch.
 	lastSeen time.Duration
 }
 
-// ownedBucket is what a target knows of one bucket.
-type ownedBucket struct {
+// bucketState has the number of flows and assignments of one bucket, and its fence.
+type bucketState struct {
 	flows       int
 	assignments int
 	fence       Fence
 }
 
-// Fence is the newest row of a bucket that a target knows from others.
+// Fence keeps decisions that are older than Revision from opening flows of a bucket. Its zero value
+// admits all decisions.
 type Fence struct {
-	// Revision is the lowest revision at which a flow may be opened.
+	// Revision is the lowest revision of a decision that may open a flow.
 	Revision model.Revision
-	// Chain is the chain of the bucket at Revision, or nil when the fence
+	// Chain is the chain of the bucket at Revision as another target sent it, or nil when the fence
 	// comes from the target's own report of an empty bucket.
 	Chain []model.TargetID
 }
@@ -107,56 +109,56 @@
 
 // The outcomes of opening a flow.
 const (
-	// OpenNew tells that the flow is open now.
+	// OpenNew means that the flow was opened.
 	OpenNew OpenResult = iota + 1
-	// OpenExisting tells that the target owned the flow already.
+	// OpenExisting means that the target owned the flow already.
 	OpenExisting
-	// OpenFenced tells that the decision is older than the bucket's fence and
-	// has to be made again.
+	// OpenFenced means that the decision is older than the bucket's fence and must be made again.
 	OpenFenced
-	// OpenFull tells that the target has as many flows as it may have.
+	// OpenFull means that the target has MaximumFlows open flows.
 	OpenFull
 )
 
 // NewOwnedFlows returns an empty set of flows.
 func NewOwnedFlows(options OwnedFlowsOptions) *OwnedFlows {
-	owners := &OwnedFlows{options: options.withDefaults()}
-	for index := range owners.shards {
-		shard := &owners.shards[index]
+	owned := &OwnedFlows{options: options.withDefaults()}
+	for index := range owned.shards {
+		shard := &owned.shards[index]
 		shard.flows = make(map[model.FiveTuple]ownedFlow)
 		shard.assignments = make(map[model.FiveTuple]assignment)
-		shard.buckets = make(map[model.BucketIndex]*ownedBucket)
+		shard.buckets = make(map[model.BucketIndex]*bucketState)
 	}
-	return owners
+	return owned
 }
 
-func (owners *OwnedFlows) shard(bucket model.BucketIndex) *ownerShard {
-	return &owners.shards[bucket%ownerShards]
+func (owned *OwnedFlows) shard(bucket model.BucketIndex) *flowShard {
+	return &owned.shards[bucket%flowShards]
 }
 
-func (shard *ownerShard) bucket(index model.BucketIndex) *ownedBucket {
+// bucket returns the state of a bucket and creates it if needed. The caller holds the shard's lock.
+func (shard *flowShard) bucket(index model.BucketIndex) *bucketState {
 	bucket, known := shard.buckets[index]
 	if !known {
-		bucket = &ownedBucket{}
+		bucket = &bucketState{}
 		shard.buckets[index] = bucket
 	}
 	return bucket
 }
 
-// epoch is the origin of the stored times, which keeps an entry small.
+// epoch is the origin of the stored times: a duration since epoch takes less memory than a time.Time.
 var epoch = time.Date(2020, time.January, 1, 0, 0, 0, 0, time.UTC)
 
 func sinceEpoch(now time.Time) time.Duration { return now.Sub(epoch) }
 
 // Len returns the number of open flows.
-func (owners *OwnedFlows) Len() int { return int(owners.flows.Load()) }
+func (owned *OwnedFlows) Len() int { return int(owned.flows.Load()) }
 
-// AssignmentCount returns the number of remembered assignments.
-func (owners *OwnedFlows) AssignmentCount() int { return int(owners.assignments.Load()) }
+// AssignmentCount returns the number of assignments.
+func (owned *OwnedFlows) AssignmentCount() int { return int(owned.assignments.Load()) }
 
 // BucketLen returns the number of open flows of a bucket.
-func (owners *OwnedFlows) BucketLen(bucket model.BucketIndex) int {
-	shard := owners.shard(bucket)
+func (owned *OwnedFlows) BucketLen(bucket model.BucketIndex) int {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	if known := shard.buckets[bucket]; known != nil {
@@ -165,25 +167,25 @@
 	return 0
 }
 
-// Touch tells whether the target owns the flow, and restarts its idle time.
-func (owners *OwnedFlows) Touch(now time.Time, bucket model.BucketIndex, flow model.FiveTuple) bool {
-	shard := owners.shard(bucket)
+// Touch reports whether the target owns the flow, and restarts its idle timeout.
+func (owned *OwnedFlows) Touch(now time.Time, bucket model.BucketIndex, flow model.FiveTuple) bool {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	owned, exists := shard.flows[flow]
+	entry, exists := shard.flows[flow]
 	if !exists {
 		return false
 	}
-	owned.lastSeen = sinceEpoch(now)
-	shard.flows[flow] = owned
+	entry.lastSeen = sinceEpoch(now)
+	shard.flows[flow] = entry
 	return true
 }
 
-// Open opens a flow by a decision of revision decided.
-func (owners *OwnedFlows) Open(
+// Open opens a flow by a decision of revision decided, and removes its assignment, if any.
+func (owned *OwnedFlows) Open(
 	now time.Time, bucket model.BucketIndex, flow model.FiveTuple, decided model.Revision,
 ) OpenResult {
-	shard := owners.shard(bucket)
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	if _, exists := shard.flows[flow]; exists {
@@ -193,48 +195,49 @@
 	if decided < state.fence.Revision {
 		return OpenFenced
 	}
-	if owners.flows.Add(1) > int64(owners.options.MaximumFlows) {
-		owners.flows.Add(-1)
+	if owned.flows.Add(1) > int64(owned.options.MaximumFlows) {
+		owned.flows.Add(-1)
 		return OpenFull
 	}
 	state.flows++
 	shard.flows[flow] = ownedFlow{bucket: bucket, lastSeen: sinceEpoch(now)}
-	// Only now: forgetting the last entry of a bucket drops its counts.
-	owners.forget(shard, flow)
+	// The flow must be counted first: removing the last entry of a bucket discards its state.
+	owned.removeAssignment(shard, flow)
 	return OpenNew
 }
 
-// Close ends a flow and tells whether it was open.
-func (owners *OwnedFlows) Close(bucket model.BucketIndex, flow model.FiveTuple) bool {
-	shard := owners.shard(bucket)
+// Close ends a flow and reports whether it was open.
+func (owned *OwnedFlows) Close(bucket model.BucketIndex, flow model.FiveTuple) bool {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	return owners.close(shard, flow)
+	return owned.close(shard, flow)
 }
 
-func (owners *OwnedFlows) close(shard *ownerShard, flow model.FiveTuple) bool {
-	owned, exists := shard.flows[flow]
+// close is Close for a caller that holds the shard's lock.
+func (owned *OwnedFlows) close(shard *flowShard, flow model.FiveTuple) bool {
+	entry, exists := shard.flows[flow]
 	if !exists {
 		return false
 	}
 	delete(shard.flows, flow)
-	owners.flows.Add(-1)
-	state := shard.bucket(owned.bucket)
+	owned.flows.Add(-1)
+	state := shard.bucket(entry.bucket)
 	state.flows--
-	shard.release(owned.bucket, state)
+	shard.removeBucketIfUnused(entry.bucket, state)
 	return true
 }
 
-// release forgets a bucket that has no flows, no assignments and no fence.
-func (shard *ownerShard) release(index model.BucketIndex, state *ownedBucket) {
+// removeBucketIfUnused discards the state of a bucket without flows, assignments and fence.
+func (shard *flowShard) removeBucketIfUnused(index model.BucketIndex, state *bucketState) {
 	if state.flows == 0 && state.assignments == 0 && state.fence.Revision == 0 {
 		delete(shard.buckets, index)
 	}
 }
 
-// Fence returns the newest row of the bucket that others told.
-func (owners *OwnedFlows) Fence(bucket model.BucketIndex) Fence {
-	shard := owners.shard(bucket)
+// Fence returns the fence of the bucket.
+func (owned *OwnedFlows) Fence(bucket model.BucketIndex) Fence {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	if state := shard.buckets[bucket]; state != nil {
@@ -243,10 +246,10 @@
 	return Fence{}
 }
 
-// RaiseFence keeps decisions older than revision from opening flows of the
-// bucket, and remembers the chain of that revision.
-func (owners *OwnedFlows) RaiseFence(bucket model.BucketIndex, revision model.Revision, chain []model.TargetID) {
-	shard := owners.shard(bucket)
+// RaiseFence keeps decisions older than revision from opening flows of the bucket, and stores the
+// chain of that revision. It has no effect when the fence is at revision or later already.
+func (owned *OwnedFlows) RaiseFence(bucket model.BucketIndex, revision model.Revision, chain []model.TargetID) {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	state := shard.bucket(bucket)
@@ -255,18 +258,17 @@
 	}
 }
 
-// FenceEmpty returns the buckets among candidates that have neither flows nor
-// assignments, as of the applied revision at. Each reported bucket is fenced
-// at that revision.
-func (owners *OwnedFlows) FenceEmpty(at model.Revision, candidates []model.BucketIndex) []model.BucketEmpty {
+// FenceEmpty returns a report for each bucket among candidates that has neither flows nor
+// assignments, as of the applied revision at. It fences each of these buckets at that revision.
+func (owned *OwnedFlows) FenceEmpty(at model.Revision, candidates []model.BucketIndex) []model.BucketEmpty {
 	var empty []model.BucketEmpty
 	for _, bucket := range candidates {
-		if !owners.fenceIfEmpty(bucket, at) {
+		if !owned.fenceIfEmpty(bucket, at) {
 			continue
 		}
 		empty = append(empty, model.BucketEmpty{
-			Service: owners.options.Service,
-			Target:  owners.options.Target,
+			Service: owned.options.Service,
+			Target:  owned.options.Target,
 			Bucket:  bucket,
 			At:      at,
 		})
@@ -274,8 +276,10 @@
 	return empty
 }
 
-func (owners *OwnedFlows) fenceIfEmpty(bucket model.BucketIndex, at model.Revision) bool {
-	shard := owners.shard(bucket)
+// fenceIfEmpty fences the bucket at revision at if it has neither flows nor assignments, and reports
+// whether that is so.
+func (owned *OwnedFlows) fenceIfEmpty(bucket model.BucketIndex, at model.Revision) bool {
+	shard := owned.shard(bucket)
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
 	state := shard.bucket(bucket)
@@ -288,30 +292,30 @@
 	return true
 }
 
-// Expire ends the flows that were idle for too long and returns them, and
-// forgets old assignments.
-func (owners *OwnedFlows) Expire(now time.Time) []model.FiveTuple {
+// Expire ends the flows that were idle for IdleTimeout and returns them, and removes the assignments
+// that were not looked up for AssignmentLifetime.
+func (owned *OwnedFlows) Expire(now time.Time) []model.FiveTuple {
 	var expired []model.FiveTuple
-	for index := range owners.shards {
-		expired = owners.expireShard(&owners.shards[index], sinceEpoch(now), expired)
+	for index := range owned.shards {
+		expired = owned.expireShard(&owned.shards[index], sinceEpoch(now), expired)
 	}
 	return expired
 }
 
-func (owners *OwnedFlows) expireShard(
-	shard *ownerShard, now time.Duration, expired []model.FiveTuple,
+func (owned *OwnedFlows) expireShard(
+	shard *flowShard, now time.Duration, expired []model.FiveTuple,
 ) []model.FiveTuple {
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	for flow, owned := range shard.flows {
-		if now-owned.lastSeen >= owners.options.IdleTimeout {
-			owners.close(shard, flow)
+	for flow, entry := range shard.flows {
+		if now-entry.lastSeen >= owned.options.IdleTimeout {
+			owned.close(shard, flow)
 			expired = append(expired, flow)
 		}
 	}
-	for flow, made := range shard.assignments {
-		if now-made.lastSeen >= owners.options.AssignmentLifetime {
-			owners.forget(shard, flow)
+	for flow, existing := range shard.assignments {
+		if now-existing.lastSeen >= owned.options.AssignmentLifetime {
+			owned.removeAssignment(shard, flow)
 		}
 	}
 	return expired
