--- a/internal/steering/limit.go
+++ b/internal/steering/limit.go
@@ -8,10 +8,10 @@
 	"merlinpaddle/internal/model"
 )
 
-// ownScore returns the agent's own load score, or maximumScore when the agent
-// may not take a new flow: it drains, it has as many flows as it may have, or
-// the limit of new flows is reached.
-func (steering *Steering) ownScore(packet *packetState) uint16 {
+// localScore returns the load score of the agent's own target, or maximumScore when the target may
+// not open a new flow: it is draining, it has its maximum number of flows, or the rate limit of new
+// flows is reached.
+func (steering *Steering) localScore(packet *packetState) uint16 {
 	limits := packet.service.Limits
 	flows := steering.options.OwnedFlows.Len()
 	if packet.phase != model.PhaseServing || steering.isDraining() {
@@ -23,35 +23,38 @@
 	if !steering.hasToken(packet) {
 		return maximumScore
 	}
-	load := steering.load()
+	load := steering.currentLoad()
 	load.Flows = uint32(flows)
 	return Score(load, steering.requests.observe(packet.now, load), limits.MaximumConnections)
 }
 
-func (steering *Steering) load() model.TargetLoad {
+// currentLoad returns the load of the agent's own target, or a healthy idle one without Options.Load.
+func (steering *Steering) currentLoad() model.TargetLoad {
 	if steering.options.Load == nil {
 		return model.TargetLoad{Healthy: true}
 	}
 	return steering.options.Load()
 }
 
-// ObserveLoad takes the present number of requests into the average that decides
-// about new flows. The more often it is called, the less chance there is in the
-// average; each opening packet observes as well.
-func (steering *Steering) ObserveLoad(now time.Time) { steering.requests.observe(now, steering.load()) }
+// ObserveLoad adds the current number of requests to the average from which load scores are computed.
+// The more often it is called, the less the average depends on single moments. Computing a load score
+// for an opening packet adds an observation as well.
+func (steering *Steering) ObserveLoad(now time.Time) {
+	steering.requests.observe(now, steering.currentLoad())
+}
 
 func (steering *Steering) isDraining() bool {
 	return steering.options.Draining != nil && steering.options.Draining()
 }
 
-// hasToken tells whether the limit of new flows admits one more now.
+// hasToken reports whether the rate limit of new flows admits one more now.
 func (steering *Steering) hasToken(packet *packetState) bool {
 	steering.applyLimits(packet)
 	return steering.limiter.TokensAt(packet.now) >= 1
 }
 
-// takeToken counts one new flow, and tells whether the limit admits it. The
-// caller gives the token back when no flow was opened.
+// takeToken takes a token for one new flow, and reports whether the rate limit admits it. The caller
+// cancels the reservation when no flow was opened.
 func (steering *Steering) takeToken(packet *packetState) (*rate.Reservation, bool) {
 	token := steering.limiter.ReserveN(packet.now, 1)
 	if !token.OK() {
@@ -64,7 +67,7 @@
 	return token, true
 }
 
-// applyLimits follows the limits of the service when its parameters change.
+// applyLimits sets the rate limiter to the current limits of the service.
 func (steering *Steering) applyLimits(packet *packetState) {
 	limit, burst := newFlowLimit(packet.service.Limits)
 	if steering.limiter.Limit() != limit {
@@ -75,6 +78,8 @@
 	}
 }
 
+// newFlowLimit returns the rate of new flows in flows per second and the burst, with defaults for
+// values that are not set.
 func newFlowLimit(limits model.Limits) (rate.Limit, int) {
 	limit, burst := limits.NewFlowsPerSecond, limits.NewFlowBurst
 	if limit <= 0 {
--- a/internal/steering/pause_test.go
+++ b/internal/steering/pause_test.go
@@ -9,9 +9,9 @@
 	"merlinpaddle/internal/steering"
 )
 
-// An agent that stood still may have been taken for dead meanwhile; it must not
-// open flows by what it knew before, whatever way the packet took.
-func TestAPausedAgentOpensNoFlow(t *testing.T) {
+// Control may have declared an agent dead while its process was paused. Until the agent is up to date
+// again it must not open flows by its old configuration, in any stage of a packet.
+func TestPausedAgentOpensNoFlow(t *testing.T) {
 	configuration := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
 	tests := []struct {
 		name   string
@@ -20,9 +20,9 @@
 		action steering.Action
 	}{
 		{"head", 1, model.StageLookup, steering.ActionDrop},
-		{"head whose alternate refused", 1, model.StageReturn, steering.ActionDrop},
-		{"alternate that a flow is assigned to", 2, model.StageAssign, steering.ActionDrop},
-		{"another target of the chain passes on", 2, model.StageLookup, steering.ActionForward},
+		{"head to which the alternate returned the packet", 1, model.StageReturn, steering.ActionDrop},
+		{"alternate to which the flow is assigned", 2, model.StageAssign, steering.ActionDrop},
+		{"another target of the chain forwards the packet", 2, model.StageLookup, steering.ActionForward},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,12 +33,12 @@
 			decision := agent.steering.Decide(start, opening)
 			require.Equal(t, test.action, decision.Action)
 			require.False(t, decision.Opened)
-			require.Zero(t, agent.owners.Len())
+			require.Zero(t, agent.owned.Len())
 		})
 	}
 }
 
-func TestAPausedAgentKeepsItsFlows(t *testing.T) {
+func TestPausedAgentDeliversPacketsOfItsOpenFlows(t *testing.T) {
 	configuration := newConfiguration(10, model.Bucket{Head: 1}, nil)
 	agent := newAgent(1, configuration)
 	require.True(t, agent.steering.Decide(start, packetAt(configuration, testFlow(1), true)).Opened)
--- a/internal/steering/row.go
+++ b/internal/steering/row.go
@@ -12,15 +12,16 @@
 	revision model.Revision
 	// chain is in the order head, alternate, earlier targets.
 	chain []model.TargetID
-	// known tells that the row is that of the agent's own table, so that
-	// alternate and settled are known.
-	known bool
-	// alternate is the second choice, or zero.
+	// fromTable reports whether the row is from the agent's own table. Only then alternate and
+	// settled are known.
+	fromTable bool
+	// alternate is the bucket's alternate, or zero.
 	alternate model.TargetID
-	// settled tells that the row has no earlier targets.
+	// settled reports whether the row has no earlier targets.
 	settled bool
 }
 
+// head returns the bucket's head, or zero.
 func (row row) head() model.TargetID {
 	if len(row.chain) == 0 {
 		return 0
@@ -28,8 +29,8 @@
 	return row.chain[0]
 }
 
-// merge returns the newer of the row and the chain of another revision. Equal
-// chains are the same row, whichever revision they came with.
+// merge returns the newer of this row and the chain of another revision. When a newer chain equals
+// that of this row, it keeps the row's other fields and only updates the revision.
 func (row row) merge(revision model.Revision, chain []model.TargetID) row {
 	if revision <= row.revision || len(chain) == 0 {
 		return row
@@ -38,15 +39,16 @@
 		row.revision = revision
 		return row
 	}
-	return newUnknownRow(revision, chain)
+	return newReportedRow(revision, chain)
 }
 
-func newUnknownRow(revision model.Revision, chain []model.TargetID) row {
+// newReportedRow returns a row of which only the chain is known, from a packet or a fence.
+func newReportedRow(revision model.Revision, chain []model.TargetID) row {
 	return row{revision: revision, chain: chain}
 }
 
-// canonicalChain returns the chain of a packet in the order head, alternate,
-// earlier targets. A search has the head at the end.
+// canonicalChain returns the chain of a packet in the order head, alternate, earlier targets. It is
+// the inverse of searchChain for packets in StageSearch.
 func canonicalChain(stage model.Stage, chain []model.TargetID) []model.TargetID {
 	if stage != model.StageSearch || len(chain) == 0 {
 		return chain
@@ -57,16 +59,15 @@
 	return append(canonical, chain[:last]...)
 }
 
-// searchChain returns the chain of a search: every target but the head, then
-// the head.
+// searchChain returns the chain of a packet in StageSearch: every target but the head, then the head.
 func searchChain(chain []model.TargetID) []model.TargetID {
 	search := make([]model.TargetID, 0, len(chain))
 	search = append(search, chain[1:]...)
 	return append(search, chain[0])
 }
 
-// newestRow returns the newest row of the packet's bucket among the agent's
-// own table, what other agents told, and the packet.
+// newestRow returns the newest row of the packet's bucket that the agent knows: from its own table,
+// from the fence that other agents raised, or from the packet.
 func (steering *Steering) newestRow(packet *packetState) row {
 	newest := row{}
 	if packet.table != nil && packet.table.Count() > 0 {
@@ -74,7 +75,7 @@
 		newest = row{
 			revision:  packet.configuration.Revision,
 			chain:     routing.Chain(bucket),
-			known:     true,
+			fromTable: true,
 			alternate: bucket.Alternate,
 			settled:   len(bucket.Earlier) == 0,
 		}
--- a/internal/steering/silence.go
+++ b/internal/steering/silence.go
@@ -8,57 +8,61 @@
 )
 
 const (
-	// repeatAfter is the shortest time after which a second opening packet of
-	// one flow tells that the caller got no answer. Copies that a network makes
-	// come sooner.
-	repeatAfter = 250 * time.Millisecond
-	// repeatsOfSilence is the number of such packets, with nothing heard from
-	// the alternate in between, that make it suspect.
-	repeatsOfSilence = 2
-	// suspectFor is how long new flows are then not given to it.
-	suspectFor = 5 * time.Second
+	// minimumRetransmissionDelay is the time after which another opening packet of a flow is taken
+	// for a retransmission by a caller that got no answer. Copies made by the network arrive sooner.
+	minimumRetransmissionDelay = 250 * time.Millisecond
+	// suspectThreshold is the number of retransmissions, with no packet from the alternate in between,
+	// after which the alternate is suspect.
+	suspectThreshold = 2
+	// suspectDuration is how long no new flows are assigned to a suspect alternate.
+	suspectDuration = 5 * time.Second
 )
 
-// silence suspects alternates that do not answer, by the callers that repeat
-// their opening packets. It covers the time until control takes a dead target
-// out of the tables, and the whole time of a cut between two zones, in which
-// control must not judge. To suspect a target wrongly only costs balance: the
-// head opens the flow itself. Its methods may be called concurrently.
-type silence struct {
+// responseMonitor detects alternates that do not respond, from callers that retransmit their opening
+// packets. It is needed until control removes a dead target from the tables, and for as long as a
+// network partition between two zones lasts, because control must not declare targets dead then.
+// Suspecting a target wrongly only costs balance: the head opens the flow itself. The methods may be
+// called concurrently.
+type responseMonitor struct {
 	lock  sync.Mutex
-	peers map[model.TargetID]peerSilence
+	peers map[model.TargetID]peerState
 }
 
-type peerSilence struct {
-	repeats int
-	until   time.Time
+type peerState struct {
+	// retransmissions is the number of retransmissions since the latest packet from the target or
+	// since it became suspect.
+	retransmissions int
+	// suspectUntil is the end of the time in which the target is suspect.
+	suspectUntil time.Time
 }
 
-func newSilence() *silence { return &silence{peers: make(map[model.TargetID]peerSilence)} }
+func newResponseMonitor() *responseMonitor {
+	return &responseMonitor{peers: make(map[model.TargetID]peerState)}
+}
 
-// heard records that a packet came from target.
-func (silence *silence) heard(target model.TargetID) {
-	silence.lock.Lock()
-	defer silence.lock.Unlock()
-	delete(silence.peers, target)
+// recordResponse records that a packet from target arrived. The target is no longer suspect.
+func (monitor *responseMonitor) recordResponse(target model.TargetID) {
+	monitor.lock.Lock()
+	defer monitor.lock.Unlock()
+	delete(monitor.peers, target)
 }
 
-// repeated records that a caller repeated the opening packet of a flow that
-// was given to target.
-func (silence *silence) repeated(now time.Time, target model.TargetID) {
-	silence.lock.Lock()
-	defer silence.lock.Unlock()
-	peer := silence.peers[target]
-	peer.repeats++
-	if peer.repeats >= repeatsOfSilence {
-		peer = peerSilence{until: now.Add(suspectFor)}
+// recordRetransmission records that a caller retransmitted the opening packet of a flow that was
+// assigned to target.
+func (monitor *responseMonitor) recordRetransmission(now time.Time, target model.TargetID) {
+	monitor.lock.Lock()
+	defer monitor.lock.Unlock()
+	peer := monitor.peers[target]
+	peer.retransmissions++
+	if peer.retransmissions >= suspectThreshold {
+		peer = peerState{suspectUntil: now.Add(suspectDuration)}
 	}
-	silence.peers[target] = peer
+	monitor.peers[target] = peer
 }
 
-// suspects tells whether new flows are not to be given to target.
-func (silence *silence) suspects(now time.Time, target model.TargetID) bool {
-	silence.lock.Lock()
-	defer silence.lock.Unlock()
-	return now.Before(silence.peers[target].until)
+// isSuspect reports whether target is suspect, so that no new flows should be assigned to it.
+func (monitor *responseMonitor) isSuspect(now time.Time, target model.TargetID) bool {
+	monitor.lock.Lock()
+	defer monitor.lock.Unlock()
+	return now.Before(monitor.peers[target].suspectUntil)
 }
--- a/internal/steering/steering_test.go
+++ b/internal/steering/steering_test.go
@@ -23,11 +23,12 @@
 	testAddress = netip.MustParseAddrPort("127.2.0.1:443")
 )
 
-// configurationHolder is a Configurations whose configuration tests exchange.
+// configurationHolder is a Configurations whose configuration a test can replace.
 type configurationHolder struct{ current *model.Configuration }
 
 func (holder *configurationHolder) Current() *model.Configuration { return holder.current }
 
+// newService returns testService with default limits.
 func newService(protocol model.Protocol) model.Service {
 	return model.Service{
 		ID:       testService,
@@ -38,8 +39,8 @@
 	}
 }
 
-// newConfiguration returns a configuration whose buckets all have the given
-// row.
+// newConfiguration returns a configuration with the targets 1 to 9 in which every bucket has the given
+// row. Targets that are not in phases are serving.
 func newConfiguration(revision model.Revision, row model.Bucket, phases map[model.TargetID]model.TargetPhase) *model.Configuration {
 	configuration := model.NewConfiguration()
 	configuration.Revision = revision
@@ -64,6 +65,7 @@
 	return configuration
 }
 
+// testFlow returns a TCP flow to testAddress from the given source port.
 func testFlow(port uint16) model.FiveTuple {
 	return model.FiveTuple{
 		Protocol:    model.ProtocolTCP,
@@ -72,10 +74,10 @@
 	}
 }
 
-// agentFixture is one agent under test.
+// agentFixture is an agent under test. Tests may change its load, draining and paused.
 type agentFixture struct {
 	holder   *configurationHolder
-	owners   *flow.OwnedFlows
+	owned    *flow.OwnedFlows
 	load     model.TargetLoad
 	draining bool
 	paused   bool
@@ -83,18 +85,20 @@
 }
 
 func newAgent(target model.TargetID, configuration *model.Configuration) *agentFixture {
-	return newAgentWithRoom(target, configuration, flow.DefaultMaximumFlows)
+	return newAgentWithMaximumFlows(target, configuration, flow.DefaultMaximumFlows)
 }
 
-func newAgentWithRoom(target model.TargetID, configuration *model.Configuration, maximumFlows int) *agentFixture {
+// newAgentWithMaximumFlows returns an agent with room for maximumFlows flows, and as many
+// assignments.
+func newAgentWithMaximumFlows(target model.TargetID, configuration *model.Configuration, maximumFlows int) *agentFixture {
 	fixture := &agentFixture{
 		holder: &configurationHolder{current: configuration},
-		owners: flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: testService, Target: target, MaximumFlows: maximumFlows}),
+		owned:  flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: testService, Target: target, MaximumFlows: maximumFlows}),
 	}
 	fixture.steering = steering.New(steering.Options{
 		Target:         target,
 		Configurations: fixture.holder,
-		OwnedFlows:     fixture.owners,
+		OwnedFlows:     fixture.owned,
 		Load:           func() model.TargetLoad { return fixture.load },
 		Draining:       func() bool { return fixture.draining },
 		MayOpen:        func(time.Time) bool { return !fixture.paused },
@@ -102,7 +106,7 @@
 	return fixture
 }
 
-// packetAt returns a balancer's packet with the chain of configuration.
+// packetAt returns the packet that a balancer sends by configuration.
 func packetAt(configuration *model.Configuration, flow model.FiveTuple, opening bool) steering.Input {
 	table := configuration.Buckets[testService]
 	bucket := routing.BucketOf(routing.FlowHash(flow), table.Count())
@@ -115,8 +119,8 @@
 	}
 }
 
-// passed returns the packet that a decision passes on.
-func passed(input steering.Input, decision steering.Decision) steering.Input {
+// forwarded returns the packet that an agent forwards by decision.
+func forwarded(input steering.Input, decision steering.Decision) steering.Input {
 	input.Chain = decision.Chain
 	input.Position = decision.Position
 	input.Revision = decision.Revision
@@ -126,7 +130,7 @@
 	return input
 }
 
-func TestDecideOpensAtTheHeadAndKeepsTheFlow(t *testing.T) {
+func TestDecideOpensAtTheHeadAndDeliversLaterPackets(t *testing.T) {
 	configuration := newConfiguration(10, model.Bucket{Head: 1}, nil)
 	agent := newAgent(1, configuration)
 	opening := packetAt(configuration, testFlow(1), true)
@@ -144,12 +148,12 @@
 	agents[2].load = model.TargetLoad{Cold: true}
 	opening := packetAt(configuration, testFlow(1), true)
 	for range 3 {
-		require.EqualValues(t, 1, openThrough(agents, start, opening), "copies go the same way")
+		require.EqualValues(t, 1, deliveringTarget(agents, start, opening), "copies reach the same target")
 	}
 	agents[1].load, agents[2].load = agents[2].load, agents[1].load
-	require.EqualValues(t, 1, openThrough(agents, start, opening), "also when the loads have changed")
-	require.Equal(t, 1, agents[1].owners.Len())
-	require.Zero(t, agents[2].owners.Len())
+	require.EqualValues(t, 1, deliveringTarget(agents, start, opening), "also after the loads have changed")
+	require.Equal(t, 1, agents[1].owned.Len())
+	require.Zero(t, agents[2].owned.Len())
 	decision := agents[1].steering.Decide(start, packetAt(configuration, testFlow(1), false))
 	require.Equal(t, steering.Decision{Action: steering.ActionDeliver}, decision)
 }
@@ -162,13 +166,13 @@
 		decision := newAgent(target, configuration).steering.Decide(start, input)
 		require.Equal(t, steering.ActionForward, decision.Action)
 		require.Equal(t, position+1, decision.Position)
-		input = passed(input, decision)
+		input = forwarded(input, decision)
 	}
 	decision := newAgent(3, configuration).steering.Decide(start, input)
-	require.Equal(t, steering.ActionReset, decision.Action, "nobody owns the flow: a prompt reset, not silence")
+	require.Equal(t, steering.ActionReset, decision.Action, "no target owns the flow: it is reset and not dropped")
 }
 
-func TestDecideRestartsALookupThatBeganAtACachedOwner(t *testing.T) {
+func TestDecideRestartsLookupThatStartedAtACachedOwner(t *testing.T) {
 	row := model.Bucket{Head: 1, Alternate: 2, Earlier: []model.EarlierTarget{{Target: 3, MovedAt: 5}}}
 	configuration := newConfiguration(10, row, nil)
 	input := packetAt(configuration, testFlow(1), false)
@@ -179,9 +183,8 @@
 	require.Zero(t, decision.Position)
 }
 
-// assignedTo makes the head of row assign a flow to the alternate, and returns
-// the packet that the head passes on.
-func assignedTo(t *testing.T, head *agentFixture, alternate model.TargetID, port uint16) steering.Input {
+// assignToAlternate makes the head assign a flow to the alternate, and returns the forwarded packet.
+func assignToAlternate(t *testing.T, head *agentFixture, alternate model.TargetID, port uint16) steering.Input {
 	t.Helper()
 	head.load = model.TargetLoad{Running: 2, Waiting: 40, Slots: 2}
 	opening := packetAt(head.holder.current, testFlow(port), true)
@@ -189,15 +192,15 @@
 	require.Equal(t, steering.ActionForward, decision.Action)
 	require.Equal(t, model.StageAssign, decision.Stage)
 	require.Equal(t, alternate, decision.Next)
-	return passed(opening, decision)
+	return forwarded(opening, decision)
 }
 
-func TestAnEarlierTargetOpensNoFlowAfterItReportedTheBucketEmpty(t *testing.T) {
+func TestEarlierTargetOpensNoFlowAfterReportingTheBucketEmpty(t *testing.T) {
 	before := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
 	head := newAgent(1, before)
-	assignedTo(t, head, 2, 1)
-	// The bucket moves; the caller repeats its opening packet, and the head
-	// still knows its choice.
+	assignToAlternate(t, head, 2, 1)
+	// The bucket moves, the caller retransmits its opening packet, and the head still has the
+	// assignment.
 	moved := model.Bucket{Head: 1, Alternate: 3, Earlier: []model.EarlierTarget{{Target: 2, MovedAt: 20}}}
 	after := newConfiguration(20, moved, nil)
 	head.holder.current = after
@@ -205,31 +208,31 @@
 	require.NotEmpty(t, earlier.steering.Empty(20))
 	agents := map[model.TargetID]*agentFixture{1: head, 2: earlier, 3: newAgent(3, after)}
 	agents[3].draining = true
-	visited, decision := carry(agents, 1, packetAt(after, testFlow(1), true))
-	require.Contains(t, visited, model.TargetID(2), "the head still knows its choice")
-	require.Zero(t, earlier.owners.Len(), "control drops the target from the chain by its report")
+	visited, decision := forwardUntilFinal(agents, 1, packetAt(after, testFlow(1), true))
+	require.Contains(t, visited, model.TargetID(2), "the head still has the assignment")
+	require.Zero(t, earlier.owned.Len(), "control removes the target from the chain because of its report")
 	require.True(t, decision.Opened)
 	require.Equal(t, model.TargetID(1), visited[len(visited)-1])
 }
 
-// carry takes a packet from agent to agent, and returns the targets that it
-// visited and the last decision.
-func carry(agents map[model.TargetID]*agentFixture, first model.TargetID, input steering.Input) ([]model.TargetID, steering.Decision) {
+// forwardUntilFinal forwards a packet from agent to agent, and returns the visited targets and the
+// last decision.
+func forwardUntilFinal(agents map[model.TargetID]*agentFixture, first model.TargetID, input steering.Input) ([]model.TargetID, steering.Decision) {
 	visited := []model.TargetID{first}
 	for {
 		decision := agents[visited[len(visited)-1]].steering.Decide(start, input)
 		if decision.Action != steering.ActionForward {
 			return visited, decision
 		}
-		input = passed(input, decision)
+		input = forwarded(input, decision)
 		visited = append(visited, decision.Next)
 	}
 }
 
-func TestAnAssignmentToATargetThatLeftTheChainIsMadeAnew(t *testing.T) {
+func TestAssignmentToATargetRemovedFromTheChainIsReplaced(t *testing.T) {
 	before := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
 	head := newAgent(1, before)
-	assignedTo(t, head, 2, 1)
+	assignToAlternate(t, head, 2, 1)
 	head.holder.current = newConfiguration(30, model.Bucket{Head: 1, Alternate: 3}, nil)
 	again := packetAt(head.holder.current, testFlow(1), true)
 	for range 2 {
@@ -238,10 +241,10 @@
 		require.Equal(t, model.StageAssign, decision.Stage)
 		require.Equal(t, model.TargetID(3), decision.Next)
 	}
-	require.Equal(t, 1, head.owners.AssignmentCount())
+	require.Equal(t, 1, head.owned.AssignmentCount())
 }
 
-func TestDecideReplacesAnAssignmentToATargetThatLeftTheChain(t *testing.T) {
+func TestAssignmentToADeadTargetIsReplaced(t *testing.T) {
 	configuration := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
 	agent := newAgent(1, configuration)
 	agent.load = model.TargetLoad{Running: 2, Waiting: 20, Slots: 2}
@@ -253,13 +256,13 @@
 	agent.holder.current = later
 	decision = agent.steering.Decide(afterStart, packetAt(later, testFlow(1), true))
 	require.Equal(t, steering.ActionForward, decision.Action)
-	require.EqualValues(t, 3, decision.Next, "the dead target cannot open the flow any more")
-	require.Equal(t, 1, agent.owners.AssignmentCount())
+	require.EqualValues(t, 3, decision.Next, "the dead target can no longer open the flow")
+	require.Equal(t, 1, agent.owned.AssignmentCount())
 }
 
-// openThrough brings an opening packet along the decisions of agents, and
-// returns the target that opened the flow, or zero.
-func openThrough(agents map[model.TargetID]*agentFixture, now time.Time, input steering.Input) model.TargetID {
+// deliveringTarget forwards a packet from agent to agent, and returns the target that delivers it, or
+// zero.
+func deliveringTarget(agents map[model.TargetID]*agentFixture, now time.Time, input steering.Input) model.TargetID {
 	at := input.Chain[input.Position]
 	for {
 		decision := agents[at].steering.Decide(now, input)
@@ -268,51 +271,50 @@
 			return at
 		case steering.ActionForward:
 			at = decision.Next
-			input = passed(input, decision)
+			input = forwarded(input, decision)
 		default:
 			return 0
 		}
 	}
 }
 
-func TestOpeningsGoToTheLessLoadedOfTwoTargets(t *testing.T) {
+func TestNewFlowsGoToTheLessLoadedOfTwoTargets(t *testing.T) {
 	afterStart := start.Add(2 * flow.DefaultAssignmentLifetime)
 	configuration := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
 	agents := map[model.TargetID]*agentFixture{1: newAgent(1, configuration), 2: newAgent(2, configuration)}
 	for port := range uint16(1000) {
-		require.NotZero(t, openThrough(agents, afterStart, packetAt(configuration, testFlow(port), true)))
-		difference := agents[1].owners.Len() - agents[2].owners.Len()
+		require.NotZero(t, deliveringTarget(agents, afterStart, packetAt(configuration, testFlow(port), true)))
+		difference := agents[1].owned.Len() - agents[2].owned.Len()
 		require.LessOrEqual(t, max(difference, -difference), 1, "after %d flows", port+1)
 	}
 }
 
-func TestAnAlternateWithoutRoomForARefusalTakesTheFlow(t *testing.T) {
+func TestAlternateThatCannotRecordARefusalOpensTheFlow(t *testing.T) {
 	afterStart := start.Add(2 * flow.DefaultAssignmentLifetime)
 	configuration := newConfiguration(10, model.Bucket{Head: 1, Alternate: 2}, nil)
-	agent := newAgentWithRoom(2, configuration, 1)
+	agent := newAgentWithMaximumFlows(2, configuration, 1)
 	input := packetAt(configuration, testFlow(1), true)
 	input.Stage, input.Position, input.Passes, input.PasserLoad = model.StageAssign, 1, 1, 1
 	agent.load = model.TargetLoad{Running: 2, Waiting: 9, Slots: 2, Cold: true}
 	decision := agent.steering.Decide(afterStart, input)
-	require.Equal(t, model.StageReturn, decision.Stage, "busier than the head: returned and remembered")
+	require.Equal(t, model.StageReturn, decision.Stage, "busier than the head: the refusal is recorded and the packet returned")
 
 	input.Flow = testFlow(2)
 	decision = agent.steering.Decide(afterStart, input)
-	require.Equal(t, steering.ActionDeliver, decision.Action, "no room to remember a second refusal")
+	require.Equal(t, steering.ActionDeliver, decision.Action, "no room to record a second refusal")
 }
 
-// TestANewHeadSearchesAlsoForAFlowThatItReturnedBefore: between the row in which
-// this target was the alternate and returned the flow, and the one in which it
-// is the head, another head may have opened the flow.
-func TestANewHeadSearchesAlsoForAFlowThatItReturnedBefore(t *testing.T) {
+// A target returned a flow as the alternate and later becomes the head. The head of a row in between
+// may have opened the flow, so the target must search for an owner.
+func TestNewHeadSearchesForAFlowThatItReturnedBefore(t *testing.T) {
 	before := newConfiguration(10, model.Bucket{Head: 2, Alternate: 1}, nil)
 	agent := newAgent(1, before)
 	agent.draining = true
-	given := packetAt(before, testFlow(1), true)
-	given.Position = 1
-	given.Stage = model.StageAssign
-	given.Passes = 1
-	require.Equal(t, model.StageReturn, agent.steering.Decide(start, given).Stage)
+	assigned := packetAt(before, testFlow(1), true)
+	assigned.Position = 1
+	assigned.Stage = model.StageAssign
+	assigned.Passes = 1
+	require.Equal(t, model.StageReturn, agent.steering.Decide(start, assigned).Stage)
 	agent.draining = false
 	earlier := []model.EarlierTarget{{Target: 4, MovedAt: 40}, {Target: 2, MovedAt: 20}}
 	agent.holder.current = newConfiguration(40, model.Bucket{Head: 1, Alternate: 3, Earlier: earlier}, nil)
