--- a/internal/model/bucket.go
+++ b/internal/model/bucket.go
@@ -1,20 +1,20 @@
 package model
 
-// BucketsPerTarget is the number of buckets a service gets for each target it
-// has when its bucket count is chosen.
+// BucketsPerTarget is the number of buckets for each target that a service has when its bucket table
+// is created.
 const BucketsPerTarget = 64
 
-// MaximumEarlierTargets is the number of earlier targets a bucket keeps. A
-// bucket whose list is full is not moved: imbalance before broken flows.
+// MaximumEarlierTargets is the maximum number of earlier targets of a bucket. A bucket whose list is
+// full is not moved: uneven load is better than broken flows.
 const MaximumEarlierTargets = 4
 
 // EarlierTarget is a target that may still hold flows of a bucket because it
 // was the bucket's head or alternate before.
 type EarlierTarget struct {
 	Target TargetID
-	// MovedAt is the revision at which the target stopped being the head or
-	// the alternate. The entry leaves only when the target's agent reports
-	// the bucket empty at this revision or a later one.
+	// MovedAt is the revision at which the target stopped being the head or the alternate. The entry
+	// is removed only when the target's agent reports the bucket empty at this revision or a later
+	// one, or when the target is dead.
 	MovedAt Revision
 }
 
@@ -22,12 +22,12 @@
 // that may hold a flow of a bucket is its head, its alternate or one of its
 // earlier targets.
 //
-// Slices of a published table are never written; a change makes a copy.
+// Slices of a published table are never modified; a change makes a copy.
 type BucketTable struct {
 	Service ServiceID
-	// Heads has the target of new flows for each bucket.
+	// Heads has the head of each bucket, which decides where new flows open, or zero.
 	Heads []TargetID
-	// Alternates has the second choice for each bucket, or zero.
+	// Alternates has the alternate of each bucket, the second choice for new flows, or zero.
 	Alternates []TargetID
 	// Earlier has the earlier targets of the buckets that have any.
 	Earlier map[BucketIndex][]EarlierTarget
@@ -44,8 +44,8 @@
 	Earlier   []EarlierTarget
 }
 
-// Bucket returns the row at index. The earlier targets are shared with the
-// table and must not be written.
+// Bucket returns the row at index. The earlier targets are shared with the table and must not be
+// modified.
 func (table *BucketTable) Bucket(index BucketIndex) Bucket {
 	return Bucket{
 		Index:     index,
--- a/internal/model/configuration.go
+++ b/internal/model/configuration.go
@@ -8,23 +8,23 @@
 	"slices"
 )
 
-// ErrDeltaGap tells that a delta does not continue the configuration it was
-// applied to. The receiver asks for a snapshot.
+// ErrDeltaGap means that a delta does not continue the configuration it was applied to. The receiver
+// then requests a snapshot.
 var ErrDeltaGap = errors.New("delta does not continue this configuration")
 
-// Configuration is what nodes run: services, targets and bucket tables as of
-// one revision. A published configuration is never written.
+// Configuration has the services, targets and bucket tables of one revision. Nodes run a
+// configuration. A published one is never modified.
 type Configuration struct {
 	Revision Revision
 	Services map[ServiceID]Service
 	Targets  map[TargetID]Target
 	Buckets  map[ServiceID]*BucketTable
 
-	// rows is the sum of all row hashes once sealed is true. Apply keeps it up
-	// to date from the changed rows alone, so that a digest does not cost a
-	// pass over every target at each change.
-	rows   uint64
-	sealed bool
+	// rowHashSum is the sum of the hashes of all services, targets and bucket tables, once sealed is
+	// true. Apply updates it from the changed ones alone, so that a digest does not need a pass over
+	// every target at each change.
+	rowHashSum uint64
+	sealed     bool
 }
 
 // NewConfiguration returns an empty configuration at revision zero.
@@ -36,13 +36,13 @@
 	}
 }
 
-// BucketChange replaces rows of one service's bucket table, or the whole table
-// when its size changed.
+// BucketChange replaces rows of one service's bucket table, or the complete table when its size
+// changed.
 type BucketChange struct {
 	Service ServiceID
-	// Whole, when set, replaces the table.
+	// Whole replaces the complete table, unless it is nil.
 	Whole *BucketTable
-	// Rows replaces single rows.
+	// Rows replaces single rows. It is ignored when Whole is set.
 	Rows []Bucket
 }
 
@@ -57,12 +57,12 @@
 	Buckets         []BucketChange
 }
 
-// Apply returns the configuration after the delta; the receiver stays as it
-// was. Unchanged tables are shared. It returns ErrDeltaGap when the delta
-// starts at another revision.
+// Apply returns the configuration after the delta and does not modify the receiver. Unchanged tables
+// are shared. It returns ErrDeltaGap when the delta starts at another revision, or changes rows of a
+// table or a bucket that does not exist.
 func (configuration *Configuration) Apply(delta Delta) (*Configuration, error) {
 	if delta.From != configuration.Revision {
-		return nil, fmt.Errorf("at revision %d, delta from %d: %w", configuration.Revision, delta.From, ErrDeltaGap)
+		return nil, fmt.Errorf("configuration is at revision %d, delta starts at %d: %w", configuration.Revision, delta.From, ErrDeltaGap)
 	}
 	next := configuration.shallowCopy(delta)
 	next.Seal()
@@ -70,15 +70,15 @@
 	for _, service := range delta.Services {
 		next.removeService(service.ID)
 		next.Services[service.ID] = service
-		next.rows += hashService(service)
+		next.rowHashSum += hashService(service)
 	}
 	for _, target := range delta.Targets {
 		next.removeTarget(target.ID)
 		next.Targets[target.ID] = target
-		next.rows += hashTarget(target)
+		next.rowHashSum += hashTarget(target)
 	}
 	for _, change := range delta.Buckets {
-		if err := next.applyBuckets(change); err != nil {
+		if err := next.applyBucketChange(change); err != nil {
 			return nil, err
 		}
 	}
@@ -86,6 +86,8 @@
 	return next, nil
 }
 
+// shallowCopy returns a copy in which the maps that the delta changes are cloned and the others are
+// shared.
 func (configuration *Configuration) shallowCopy(delta Delta) *Configuration {
 	next := *configuration
 	if len(delta.Services)+len(delta.RemovedServices) > 0 {
@@ -112,14 +114,14 @@
 
 func (configuration *Configuration) removeService(id ServiceID) {
 	if service, exists := configuration.Services[id]; exists {
-		configuration.rows -= hashService(service)
+		configuration.rowHashSum -= hashService(service)
 		delete(configuration.Services, id)
 	}
 }
 
 func (configuration *Configuration) removeTarget(id TargetID) {
 	if target, exists := configuration.Targets[id]; exists {
-		configuration.rows -= hashTarget(target)
+		configuration.rowHashSum -= hashTarget(target)
 		delete(configuration.Targets, id)
 	}
 }
@@ -127,16 +129,17 @@
 // setBuckets replaces the bucket table of a service; nil removes it.
 func (configuration *Configuration) setBuckets(service ServiceID, table *BucketTable) {
 	if replaced, exists := configuration.Buckets[service]; exists {
-		configuration.rows -= hashBuckets(replaced)
+		configuration.rowHashSum -= hashBuckets(replaced)
 		delete(configuration.Buckets, service)
 	}
 	if table != nil {
 		configuration.Buckets[service] = table
-		configuration.rows += hashBuckets(table)
+		configuration.rowHashSum += hashBuckets(table)
 	}
 }
 
-func (configuration *Configuration) applyBuckets(change BucketChange) error {
+// applyBucketChange replaces the bucket table of a service by a changed copy.
+func (configuration *Configuration) applyBucketChange(change BucketChange) error {
 	if change.Whole != nil {
 		configuration.setBuckets(change.Service, change.Whole.Clone())
 		return nil
--- a/internal/model/configuration_test.go
+++ b/internal/model/configuration_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// buildConfiguration returns a configuration with the given number of
-// services and targets, spread evenly.
+// buildConfiguration returns a configuration with the given number of services, and with the targets
+// spread evenly over them. The number of targets should be a multiple of that of services: the
+// remainder is left out.
 func buildConfiguration(services, targets int) *Configuration {
 	configuration := NewConfiguration()
 	configuration.Revision = 1
@@ -43,6 +44,8 @@
 	return configuration
 }
 
+// randomDelta returns a delta that adds, replaces or removes one target, and that changes one bucket
+// of a random service or removes the service, if it exists.
 func randomDelta(random *rand.Rand, configuration *Configuration) Delta {
 	delta := Delta{From: configuration.Revision, To: configuration.Revision + 1}
 	target := TargetID(random.IntN(40) + 1)
@@ -66,7 +69,7 @@
 	return delta
 }
 
-func TestIncrementalDigestEqualsTheDigestFromScratch(t *testing.T) {
+func TestIncrementalDigestEqualsRecomputedDigest(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	configuration := buildConfiguration(4, 40)
 	for range 500 {
@@ -78,7 +81,7 @@
 	}
 }
 
-func TestApplyLeavesTheReceiverAsItWas(t *testing.T) {
+func TestApplyDoesNotModifyTheReceiver(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	configuration := buildConfiguration(4, 40)
 	for range 100 {
@@ -94,7 +97,7 @@
 	}
 }
 
-func TestApplyRefusesADeltaThatDoesNotContinue(t *testing.T) {
+func TestApplyRefusesDeltaWithGap(t *testing.T) {
 	configuration := buildConfiguration(1, 2)
 	cases := []struct {
 		name  string
@@ -113,15 +116,15 @@
 	}
 }
 
-// BenchmarkConfiguration gives the slopes of docs/CAPACITY.md: heap bytes of a
-// configuration, and time to apply a change of one target, by size.
+// BenchmarkConfiguration measures, for several sizes, the heap memory of a configuration and the time
+// to apply a change of one target. docs/CAPACITY.md derives its growth rates from these figures.
 func BenchmarkConfiguration(b *testing.B) {
 	for _, size := range []struct{ services, targets int }{{600, 5125}, {1200, 10250}, {2400, 20500}, {4800, 41000}} {
 		b.Run(fmt.Sprintf("services=%d,targets=%d", size.services, size.targets), func(b *testing.B) {
 			before := heapBytes()
 			configuration := buildConfiguration(size.services, size.targets)
 			configuration.Seal()
-			held := heapBytes() - before
+			used := heapBytes() - before
 			b.ResetTimer()
 			for index := range b.N {
 				target := configuration.Targets[TargetID(index%1000+1)]
@@ -133,7 +136,7 @@
 				}
 				configuration = next
 			}
-			b.ReportMetric(float64(held)/1e6, "heap-MB")
+			b.ReportMetric(float64(used)/1e6, "heap-MB")
 		})
 	}
 }
--- a/internal/model/digest.go
+++ b/internal/model/digest.go
@@ -9,35 +9,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest returns a checksum of the configuration that does not depend on the
-// order of maps. Two nodes with equal digests run the same configuration.
+// Digest returns a checksum of the configuration. Two nodes with equal digests run the same
+// configuration.
 //
-// It is the sum of one hash for each row. A sum can be updated from changed
-// rows alone and does not depend on their order; it guards against faults, not
-// against an attacker.
+// It is computed from the sum of one hash for each service, target and bucket table, and from the
+// revision. A sum does not depend on the order of maps and can be updated from the changed parts
+// alone. It protects against faults, not against an attacker.
 func (configuration *Configuration) Digest() uint64 {
-	rows := configuration.rows
+	sum := configuration.rowHashSum
 	if !configuration.sealed {
-		rows = configuration.sumRows()
+		sum = configuration.sumRowHashes()
 	}
-	return rows ^ uint64(configuration.Revision)*hashMultiplier
+	return sum ^ uint64(configuration.Revision)*hashMultiplier
 }
 
-// hashMultiplier spreads the revision over 64 bits (the golden ratio).
+// hashMultiplier spreads the revision over 64 bits. It is 2^64 divided by the golden ratio.
 const hashMultiplier = 0x9E3779B97F4A7C15
 
-// Seal computes the sum of row hashes once, so that later digests are cheap.
-// It must be called before the configuration is shared, and the maps must not
-// be written afterwards. Apply returns a sealed configuration.
+// Seal computes the sum of hashes once, so that later digests are cheap. It must be called before the
+// configuration is shared, and the maps must not be modified afterwards. Apply returns a sealed
+// configuration.
 func (configuration *Configuration) Seal() {
 	if configuration.sealed {
 		return
 	}
-	configuration.rows = configuration.sumRows()
+	configuration.rowHashSum = configuration.sumRowHashes()
 	configuration.sealed = true
 }
 
-func (configuration *Configuration) sumRows() uint64 {
+func (configuration *Configuration) sumRowHashes() uint64 {
 	var sum uint64
 	for _, service := range configuration.Services {
 		sum += hashService(service)
@@ -51,10 +51,13 @@
 	return sum
 }
 
+// hashService depends on the field names of Service, as %+v prints them: renaming a field changes the
+// digest.
 func hashService(service Service) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("service %+v", service))
 }
 
+// hashTarget depends on the field names of Target, like hashService.
 func hashTarget(target Target) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("target %+v", target))
 }
--- a/internal/model/flow.go
+++ b/internal/model/flow.go
@@ -2,36 +2,34 @@
 
 import "net/netip"
 
-// FiveTuple identifies a flow as the caller's packets carry it.
+// FiveTuple identifies a flow by the protocol and the addresses of the packets that the caller sends.
 type FiveTuple struct {
 	Protocol    Protocol
 	Source      netip.AddrPort
 	Destination netip.AddrPort
 }
 
-// Stage tells how far the decision about a packet has come on its way along
-// a chain of targets.
+// Stage is how far the decision about a packet has come on its way along a chain of targets.
 type Stage uint8
 
 // The stages of a packet.
 const (
-	// StageLookup looks for the target that owns the flow. The chain is in the
-	// order head, alternate, earlier targets. Balancers send this stage.
+	// StageLookup looks for the target that owns the flow. The chain is in the order head, alternate,
+	// earlier targets. Balancers send this stage.
 	StageLookup Stage = iota
-	// StageSearch takes an opening packet past every other target that may own
-	// its flow. The last target of the chain is the head, which then decides.
+	// StageSearch sends an opening packet through every other target that may own its flow. The last
+	// target of the chain is the head, which then decides.
 	StageSearch
-	// StageAssign brings an opening packet to the target that the head chose.
+	// StageAssign sends an opening packet to the target that the head chose.
 	StageAssign
-	// StageReturn brings an opening packet back to the head because the chosen
-	// target refused it.
+	// StageReturn sends an opening packet back to the head because the chosen target refused it.
 	StageReturn
 )
 
-// TargetLoad is what an agent knows of its own target.
+// TargetLoad is the load of a target as its own agent reports it.
 type TargetLoad struct {
 	Target TargetID
-	// Incarnation is that of the reporting agent process.
+	// Incarnation is the incarnation of the reporting agent process.
 	Incarnation Incarnation
 	// Flows is the number of open flows.
 	Flows uint32
@@ -43,18 +41,17 @@
 	Feeds uint32
 	// Slots is the number of slots.
 	Slots uint32
-	// Cold tells that the target is in its start ramp.
+	// Cold reports whether the target is in slow start.
 	Cold bool
-	// Healthy tells that the agent's own results say the back end works.
+	// Healthy reports whether the back end works, judged by the agent's own results.
 	Healthy bool
 }
 
-// BucketEmpty tells that an agent holds no flow of a bucket, as of the
-// configuration revision that the agent had applied.
+// BucketEmpty is an agent's report that its target has neither flows nor assignments of a bucket.
 type BucketEmpty struct {
 	Service ServiceID
 	Target  TargetID
 	Bucket  BucketIndex
-	// At is the configuration revision the agent had applied.
+	// At is the configuration revision that the agent had applied when it made the report.
 	At Revision
 }
--- a/internal/model/identifiers.go
+++ b/internal/model/identifiers.go
@@ -1,32 +1,31 @@
-// Package model holds the typed values that every role shares: identifiers,
-// services, targets, bucket tables, and the configuration that nodes run.
+// Package model has the data types that all roles share: identifiers, services, targets, bucket
+// tables, and the configuration that nodes run.
 //
 // The package is pure: it performs no input or output, reads no clock and
 // starts no goroutine, so that the same code runs in processes and in
 // simulation.
 package model
 
-// Revision numbers committed changes of the configuration. It is the index of
-// the change in the replicated log, so it grows and is never reused.
+// Revision is the number of a committed change of the configuration: the index of the change in the
+// replicated log. So it grows and is never reused.
 type Revision uint64
 
-// ServiceID names one life of a service. It is never reused: a service that
-// is removed and created again at the same address gets a new ServiceID, so a
-// packet that is still under way cannot reach the new owner of the address.
+// ServiceID identifies a service from its creation to its removal. It is never reused: a service that
+// is removed and created again at the same address gets a new ServiceID, so a packet that is still in
+// transit cannot reach the new owner of the address.
 type ServiceID uint32
 
-// TargetID names one target of one service. It is never reused. Zero means
-// "no target".
+// TargetID identifies one target of one service. It is never reused. Zero means "no target".
 type TargetID uint32
 
-// Incarnation tells successive processes of the same node or target apart.
-// It grows with every restart.
+// Incarnation distinguishes successive processes of the same node or target. It grows with every
+// restart.
 type Incarnation uint64
 
 // NodeName is the unique name of a process, as given in its settings.
 type NodeName string
 
-// ZoneName is the name of a failure zone.
+// ZoneName is the name of a zone, whose nodes may fail together.
 type ZoneName string
 
 // TenantName is the name of a tenant.
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// NodeStatus is what control knows of one balancer or agent.
+// NodeStatus is the status of one balancer or agent as control knows it.
 type NodeStatus struct {
 	Name        NodeName
 	Role        Role
@@ -12,21 +12,22 @@
 	Applied Revision
 	// Digest is the digest of the configuration that the node runs.
 	Digest uint64
-	// Leased tells that the node holds a lease: it heard a quorum-confirmed
-	// relay lately.
+	// Leased reports whether the node may hold a lease, which a node gets from a relay that a quorum
+	// recently confirmed. Control counts a lease as held until it has certainly expired.
 	Leased bool
-	// LastSeen is when its latest heartbeat came, by control's clock.
+	// LastSeen is when its latest heartbeat arrived, by control's clock.
 	LastSeen time.Time
-	// Load is the latest load of the node's target; agents only.
+	// Load is the latest load of the node's target, or nil. Only agents report it.
 	Load *TargetLoad
 }
 
-// RolloutStatus tells how far the configuration has come.
+// RolloutStatus is the progress of the rollout of the configuration.
 type RolloutStatus struct {
 	// Committed is the latest revision of the configuration.
 	Committed Revision
-	// InForce is the highest revision that every leased balancer runs.
+	// InForce is the highest revision that every leased balancer runs at least, or zero while that is
+	// not known.
 	InForce Revision
-	// Nodes has every known node, in order of name.
+	// Nodes has all known nodes, in order of name.
 	Nodes []NodeStatus
 }
--- a/internal/model/service.go
+++ b/internal/model/service.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Protocol is the transport protocol that a service's callers speak.
+// Protocol is the transport protocol between callers and a service.
 type Protocol uint8
 
-// The protocols that a service can speak.
+// The protocols of services.
 const (
-	// ProtocolUDP carries any datagrams, without request rules.
+	// ProtocolUDP carries any datagrams. Request rules do not apply to it.
 	ProtocolUDP Protocol = iota + 1
 	// ProtocolTCP carries TCP segments.
 	ProtocolTCP
@@ -25,14 +25,14 @@
 const (
 	// ClassCall is a short request that holds a slot.
 	ClassCall RequestClass = "call"
-	// ClassUpload is a large request body; it may not take the last slot.
+	// ClassUpload is a request with a large body; it may not take the last free slot.
 	ClassUpload RequestClass = "upload"
-	// ClassFeed is a long-held response; it holds a connection and no slot.
+	// ClassFeed is a request with a long-lived response; it holds a connection and no slot.
 	ClassFeed RequestClass = "feed"
 )
 
 // RequestRule assigns a class to the requests that match it. The first rule
-// that matches wins; a request without a matching rule is a repeatable call.
+// that matches applies; a request without a matching rule is a call that may be repeated.
 type RequestRule struct {
 	// Method is the HTTP method; empty matches every method.
 	Method string
@@ -40,35 +40,35 @@
 	PathPrefix string
 	// Class is the class of matching requests.
 	Class RequestClass
-	// AtMostOnce tells that a matching request may not be repeated: it needs
-	// an idempotency key and is claimed before it runs.
+	// AtMostOnce reports whether a matching request must not run twice: it needs an idempotency key
+	// and is claimed before it runs.
 	AtMostOnce bool
-	// Weight is the admission weight and the worth of one delivered request.
+	// Weight is the value of one delivered request, by which admission control orders waiting
+	// requests. Zero counts as one.
 	Weight uint32
 }
 
-// Limits bound what a service may use. Zero means the default that
-// DefaultLimits states.
+// Limits bound the resources that a service may use. Zero means the value that DefaultLimits returns.
 type Limits struct {
-	// SlotsPerTarget is the number of requests that run at once at a target.
+	// SlotsPerTarget is the number of requests that may run at the same time at each target.
 	SlotsPerTarget int
-	// MaximumConnections is the number of open caller connections a target.
+	// MaximumConnections is the number of caller connections that may be open at each target.
 	MaximumConnections int
-	// MaximumQueue is the number of requests that may wait at a target.
+	// MaximumQueue is the number of requests that may wait at each target.
 	MaximumQueue int
-	// MaximumHeaderBytes bounds the request header, in bytes.
+	// MaximumHeaderBytes is the maximum size of a request header, in bytes.
 	MaximumHeaderBytes int
-	// MaximumBodyBytes bounds the request body, in bytes.
+	// MaximumBodyBytes is the maximum size of a request body, in bytes.
 	MaximumBodyBytes int64
-	// HeaderTimeout bounds the wait for a request header.
+	// HeaderTimeout is the longest wait for a request header.
 	HeaderTimeout time.Duration
-	// IdleTimeout closes connections and flows without traffic.
+	// IdleTimeout is the time without traffic after which connections and flows are closed.
 	IdleTimeout time.Duration
-	// RequestTimeout is the deadline of a request that states none.
+	// RequestTimeout is the time limit of a request that does not state a deadline.
 	RequestTimeout time.Duration
-	// NewFlowsPerSecond bounds new flows a second at each target.
+	// NewFlowsPerSecond is the maximum rate of new flows at each target.
 	NewFlowsPerSecond float64
-	// NewFlowBurst is the burst that goes with NewFlowsPerSecond.
+	// NewFlowBurst is the number of new flows that each target may open at once above that rate.
 	NewFlowBurst int
 }
 
@@ -86,7 +86,7 @@
 	DefaultNewFlowBurst       = 500
 )
 
-// DefaultLimits returns the limits of a service whose template states none.
+// DefaultLimits returns the limits of a service whose template sets none.
 func DefaultLimits() Limits {
 	return Limits{
 		SlotsPerTarget:     DefaultSlotsPerTarget,
@@ -102,20 +102,20 @@
 	}
 }
 
-// TemplateReference names one version of a template.
+// TemplateReference identifies one version of a template.
 type TemplateReference struct {
 	Name    string
 	Version uint32
 }
 
-// Service is what a tenant gets from a template and its own parameters.
+// Service is a service of a tenant, made from a template and the tenant's parameters.
 type Service struct {
 	ID       ServiceID
 	Tenant   TenantName
 	Name     string
 	Template TemplateReference
 	Protocol Protocol
-	// Address is the virtual address and port that callers use.
+	// Address is the virtual address and port to which callers send.
 	Address netip.AddrPort
 	Limits  Limits
 	Rules   []RequestRule
@@ -123,16 +123,16 @@
 	Revision Revision
 }
 
-// TargetPhase is the place of a target in its life.
+// TargetPhase is the phase of a target's life cycle.
 type TargetPhase uint8
 
 // The phases of a target.
 const (
-	// PhaseServing takes new flows.
+	// PhaseServing is a target that opens new flows.
 	PhaseServing TargetPhase = iota + 1
-	// PhaseDraining takes no new flows and keeps those it has.
+	// PhaseDraining is a target that opens no new flows and keeps its open ones.
 	PhaseDraining
-	// PhaseDead is a target that is taken to have lost its flows.
+	// PhaseDead is a target that is considered to have lost its flows.
 	PhaseDead
 )
 
@@ -147,7 +147,7 @@
 	// Backend is the address of the back end behind the agent.
 	Backend netip.AddrPort
 	Phase   TargetPhase
-	// Incarnation is that of the agent process last seen for the target.
+	// Incarnation is the incarnation of the latest known agent process of the target.
 	Incarnation Incarnation
 	// Revision is the revision of the last change of this target.
 	Revision Revision
