--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -76,8 +76,8 @@
 	}
 	known := make(map[int]bool)
 	for number := range 20 * capacity {
-		remembered := numberedFlow(number)
-		_, known[number] = cache.Lookup(routing.FlowHash(remembered), remembered)
+		cached := numberedFlow(number)
+		_, known[number] = cache.Lookup(routing.FlowHash(cached), cached)
 	}
 	full := cache.Len()
 	for number := 20 * capacity; number < 40*capacity; number++ {
@@ -85,8 +85,8 @@
 		cache.InsertIfFree(routing.FlowHash(other), other, 2)
 	}
 	for number, wasKnown := range known {
-		remembered := numberedFlow(number)
-		_, isKnown := cache.Lookup(routing.FlowHash(remembered), remembered)
+		cached := numberedFlow(number)
+		_, isKnown := cache.Lookup(routing.FlowHash(cached), cached)
 		require.Equal(t, wasKnown, isKnown, "flow %d", number)
 	}
 	require.Equal(t, full, cache.Len(), "the cache was full")
--- a/internal/routing/level.go
+++ b/internal/routing/level.go
@@ -30,8 +30,8 @@
 }
 
 // chooseAlternate returns the serving target other than the head that is the alternate of the
-// fewest rows, or zero. It prefers targets outside the chain, which hold no flows of the bucket
-// and need no entry.
+// fewest rows, or zero. It prefers targets outside the chain: they hold no flows of the bucket, so
+// no entry has to be kept for them.
 func (plan *plan) chooseAlternate(row model.Bucket) model.TargetID {
 	isOutsideChain := func(candidate model.TargetID) bool { return !isInChain(row, candidate) }
 	if chosen := plan.targetWithLowestCount(plan.alternates, row.Index, isOutsideChain); chosen != 0 {
--- a/internal/routing/plan.go
+++ b/internal/routing/plan.go
@@ -206,8 +206,8 @@
 	}
 }
 
-// withEarlier returns earlier with an entry for target as of this change, in
-// front; a previous entry of the target is replaced.
+// withNewEarlier returns earlier with an entry for target at the plan's revision in front, in place
+// of a previous entry for target.
 func (plan *plan) withNewEarlier(earlier []model.EarlierTarget, target model.TargetID) []model.EarlierTarget {
 	next := make([]model.EarlierTarget, 0, len(earlier)+1)
 	next = append(next, model.EarlierTarget{Target: target, MovedAt: plan.at})
--- a/internal/steering/load.go
+++ b/internal/steering/load.go
@@ -29,7 +29,7 @@
 
 // Score returns the load score of a target: its flows relative to maximumFlows, raised by up to
 // maximumRequestShare for requestsPerSlot, the number of running and waiting requests for each slot.
-// The score is never zero, which means that no score is known, and never maximumScore.
+// The score is never maximumScore, and never zero, which stands for an unknown score.
 func Score(load model.TargetLoad, requestsPerSlot float64, maximumFlows int) uint16 {
 	perFlow := fullScore / float64(max(maximumFlows, 1))
 	raise := maximumRequestShare * requestsPerSlot / (1 + requestsPerSlot)
--- a/internal/steering/opening.go
+++ b/internal/steering/opening.go
@@ -65,8 +65,8 @@
 }
 
 // previousAssignment returns the target that the flow was assigned to before. It removes an
-// assignment to a target that is no longer in the chain: that target has reported the bucket empty
-// and opens no more flows of it.
+// assignment to a target that is no longer in the chain: that target is dead, or has reported the
+// bucket empty and opens no more flows of it.
 func (steering *Steering) previousAssignment(packet *packetState, newest row) (model.TargetID, bool) {
 	assignment, exists := steering.options.OwnedFlows.LookupAssignment(packet.now, packet.bucket, packet.input.Flow)
 	if !exists {
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -21,8 +21,9 @@
 //     The alternate opens the flow, or records its refusal and returns the
 //     packet (StageReturn).
 //
-// A target that is not in the newest chain has reported the bucket empty at a
-// revision at or after its move; that report raised its fence as well.
+// A target that is not in the newest chain is dead, or has reported the bucket
+// empty at a revision at or after its move; that report raised its fence as
+// well.
 //
 // This relies on two assumptions: a packet is not in transit between two agents
 // for longer than flow.OwnedFlowsOptions.AssignmentLifetime, and a caller does
