--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,7 @@
-// Package agent is the role in front of one back end. It owns the flows of its
-// target: it delivers their packets, answers HTTP/3 requests through the back
-// end, passes other flows along their chains, and drains.
+// Package agent implements the agent role, which runs in front of one back end.
+// An agent owns the flows of its target: it delivers their packets, serves
+// HTTP/3 requests by proxying them to the back end, forwards packets of flows
+// that other targets own along the flow's chain, and drains before a stop.
 package agent
 
 import (
@@ -22,18 +23,19 @@
 )
 
 const (
-	// reconcileInterval is how often the agent looks at its configuration and
-	// ends what is idle, besides at once after a change.
+	// reconcileInterval is the time between two runs of reconcile, which
+	// applies the configuration and closes idle flows and connections. A
+	// configuration change starts a run at once.
 	reconcileInterval = 100 * time.Millisecond
 )
 
-// Parts of the process's readiness.
+// Names of the agent's readiness conditions.
 const (
 	readinessTarget    = "target configured"
 	readinessAccepting = "accepting new flows"
 )
 
-// Agent is one agent process. It implements rollout.Reporter.
+// Agent serves one target. It implements rollout.Reporter.
 type Agent struct {
 	settings       settings.Settings
 	store          *rollout.Store
@@ -47,18 +49,24 @@
 	identifiers *requests.Identifiers
 	incarnation model.Incarnation
 	socket      *dataplane.Socket
-	fabric      netip.AddrPort
+	// fabric is the address of the fabric, to which answers are sent.
+	fabric netip.AddrPort
 
-	running atomic.Pointer[instance]
-	// stopping tells that the process ends and takes no new flows.
+	// instance is the current instance; nil until the configuration contains
+	// the agent's target, and after Run returned.
+	instance atomic.Pointer[instance]
+	// stopping is set once the process drains for a stop. From then on the
+	// agent accepts no new flows.
 	stopping atomic.Bool
-	// limitsAt is the revision of the service whose limits are in force.
-	limitsAt model.Revision
-	accepts  atomic.Bool
+	// limitsRevision is the service revision whose limits are applied. Only
+	// the goroutine of Run uses it.
+	limitsRevision model.Revision
+	// accepting is set while the agent accepts new flows.
+	accepting atomic.Bool
 }
 
-// Parts are what an agent is made of.
-type Parts struct {
+// Dependencies are the settings and shared objects that New needs.
+type Dependencies struct {
 	Settings  settings.Settings
 	Store     *rollout.Store
 	Pause     *rollout.Pause
@@ -67,28 +75,32 @@
 	Metrics   *requests.Metrics
 }
 
-// New returns an agent that does nothing until Start.
-func New(parts Parts) *Agent {
-	parts.Readiness.Set(readinessTarget, false)
-	parts.Readiness.Set(readinessAccepting, false)
+// New returns an agent that is not started yet, and marks its readiness
+// conditions as not met.
+func New(dependencies Dependencies) *Agent {
+	dependencies.Readiness.Set(readinessTarget, false)
+	dependencies.Readiness.Set(readinessAccepting, false)
 	return &Agent{
-		settings:       parts.Settings,
-		store:          parts.Store,
-		pause:          parts.Pause,
-		logger:         parts.Logger,
-		readiness:      parts.Readiness,
-		requestMetrics: parts.Metrics,
+		settings:       dependencies.Settings,
+		store:          dependencies.Store,
+		pause:          dependencies.Pause,
+		logger:         dependencies.Logger,
+		readiness:      dependencies.Readiness,
+		requestMetrics: dependencies.Metrics,
 		started:        time.Now(),
 	}
 }
 
-// Identity is what the agent shares with its heartbeats.
+// Identity is the incarnation that the agent's heartbeats carry, and the claim
+// tracker that uses the same incarnation.
 type Identity struct {
 	Incarnation model.Incarnation
 	Claims      requests.Claims
 }
 
-// Start opens the packet socket. Run must be called next.
+// Start checks the agent's settings and opens the packet socket. It must be
+// called before Receive, Run and PollHealth. The error has code AgentSettings
+// when a setting is missing or malformed.
 func (agent *Agent) Start(identity Identity) error {
 	fabric, err := agent.checkSettings()
 	if err != nil {
@@ -102,6 +114,8 @@
 	return err
 }
 
+// checkSettings returns the parsed agent.fabric, or an error that names the
+// setting that is missing or malformed.
 func (agent *Agent) checkSettings() (netip.AddrPort, error) {
 	if agent.settings.Agent.Packets == "" {
 		return netip.AddrPort{}, faults.New(faults.AgentSettings, "agent.packets: must be set for the agent role")
@@ -111,33 +125,34 @@
 	}
 	fabric, err := netip.ParseAddrPort(agent.settings.Agent.Fabric)
 	if err != nil {
-		return netip.AddrPort{}, faults.New(faults.AgentSettings, "agent.fabric: %q must be an IP address and a port", agent.settings.Agent.Fabric)
+		return netip.AddrPort{}, faults.New(faults.AgentSettings, "agent.fabric: %q is not an IP address and port", agent.settings.Agent.Fabric)
 	}
 	return fabric, nil
 }
 
-// PacketAddress returns the address of the packet socket.
+// PacketAddress returns the local address of the packet socket.
 func (agent *Agent) PacketAddress() netip.AddrPort { return agent.socket.Address() }
 
-// Receive handles packets until ctx ends.
+// Receive reads packets from the socket and handles them until ctx ends. It
+// discards them while there is no instance.
 func (agent *Agent) Receive(ctx context.Context) error {
 	return agent.socket.Receive(ctx, func(received *packet.Encapsulated) {
-		if running := agent.running.Load(); running != nil {
-			running.plane.Handle(received)
+		if current := agent.instance.Load(); current != nil {
+			current.plane.Handle(received)
 		}
 	}, func(err error) {
-		if running := agent.running.Load(); running != nil {
-			running.plane.Rejected(err)
+		if current := agent.instance.Load(); current != nil {
+			current.plane.Rejected(err)
 		}
 	})
 }
 
-// Run follows the configuration until ctx ends, and then ends all flows.
+// Run applies the configuration until ctx ends, and then closes all flows.
 func (agent *Agent) Run(ctx context.Context) error {
 	changes := agent.store.Watch()
 	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
-	defer agent.closeRunning()
+	defer agent.closeInstance()
 	for {
 		if err := agent.reconcile(time.Now()); err != nil {
 			return err
@@ -151,19 +166,22 @@
 	}
 }
 
-func (agent *Agent) closeRunning() {
-	agent.accepts.Store(false)
-	if running := agent.running.Swap(nil); running != nil {
-		running.close()
+// closeInstance stops accepting new flows and closes the current instance.
+func (agent *Agent) closeInstance() {
+	agent.accepting.Store(false)
+	if current := agent.instance.Swap(nil); current != nil {
+		current.close()
 	}
 }
 
-// reconcile brings the running instance in line with the configuration.
+// reconcile applies the configuration to the current instance, creating or
+// replacing the instance if needed, and does its periodic work.
 func (agent *Agent) reconcile(now time.Time) error {
 	configuration := agent.store.Current()
 	target, known := agent.ownTarget(configuration)
 	if !known {
-		// A removed target keeps its open flows for as long as packets come.
+		// A removed target accepts no new flows. Its open flows continue for
+		// as long as their packets arrive.
 		agent.setAccepting(false)
 		return nil
 	}
@@ -176,21 +194,22 @@
 	if err := agent.ensureInstance(target, service); err != nil {
 		return err
 	}
-	running := agent.running.Load()
-	if service.Revision != agent.limitsAt {
-		running.resize(service.Limits)
-		agent.limitsAt = service.Revision
+	current := agent.instance.Load()
+	if service.Revision != agent.limitsRevision {
+		current.resize(service.Limits)
+		agent.limitsRevision = service.Revision
 	}
 	agent.readiness.Set(readinessTarget, true)
 	accepting := target.Phase == model.PhaseServing && !agent.stopping.Load()
 	agent.setAccepting(accepting)
-	running.refuseWaiting(now, !accepting)
-	running.maintain(now, service.Limits)
+	current.refuseQueuedInDrain(now, !accepting)
+	current.maintain(now, service.Limits)
 	return nil
 }
 
 // ownTarget returns the target whose name is the agent's node name. When a
-// service was removed and created again, the newest target counts.
+// service was removed and created again there may be several; the one with the
+// highest ID, which is the newest, is returned.
 func (agent *Agent) ownTarget(configuration *model.Configuration) (model.Target, bool) {
 	var own model.Target
 	for _, target := range configuration.Targets {
@@ -201,62 +220,65 @@
 	return own, own.ID != 0
 }
 
-// ensureInstance starts an instance for target unless it runs.
+// ensureInstance creates an instance for target unless the current one is for
+// it. It closes the instance that it replaces.
 func (agent *Agent) ensureInstance(target model.Target, service model.Service) error {
-	running := agent.running.Load()
-	if running != nil && running.target == target.ID {
+	current := agent.instance.Load()
+	if current != nil && current.target == target.ID {
 		return nil
 	}
 	created, err := agent.newInstance(target, service, agent.fabric)
 	if err != nil {
 		return err
 	}
-	agent.running.Store(created)
-	if running != nil {
-		agent.logger.Warn("the target was replaced; its flows end", zap.Uint32("target", uint32(running.target)))
-		running.close()
+	agent.instance.Store(created)
+	if current != nil {
+		agent.logger.Warn("target replaced; closing the flows of the previous target", zap.Uint32("target", uint32(current.target)))
+		current.close()
 	}
 	return nil
 }
 
+// setAccepting publishes whether the agent accepts new flows.
 func (agent *Agent) setAccepting(accepting bool) {
-	agent.accepts.Store(accepting)
+	agent.accepting.Store(accepting)
 	agent.readiness.Set(readinessAccepting, accepting)
-	if running := agent.running.Load(); running != nil {
-		running.setAccepting(accepting)
+	if current := agent.instance.Load(); current != nil {
+		current.setAccepting(accepting)
 	}
 }
 
-// serviceNow returns the service as the running configuration has it, or as it
-// was when it is gone.
-func (agent *Agent) serviceNow(before model.Service) model.Service {
-	service, known := agent.store.Current().Services[before.ID]
+// currentService returns the service with the ID of fallback from the current
+// configuration, or fallback when the service was removed.
+func (agent *Agent) currentService(fallback model.Service) model.Service {
+	service, known := agent.store.Current().Services[fallback.ID]
 	if !known {
-		return before
+		return fallback
 	}
 	service.Limits = withDefaults(service.Limits)
 	return service
 }
 
-// withDefaults replaces limits that are zero by their defaults.
+// withDefaults returns limits with every field that is zero set to its default.
 func withDefaults(limits model.Limits) model.Limits {
-	standard := model.DefaultLimits()
-	setDefault(&limits.SlotsPerTarget, standard.SlotsPerTarget)
-	setDefault(&limits.MaximumConnections, standard.MaximumConnections)
-	setDefault(&limits.MaximumQueue, standard.MaximumQueue)
-	setDefault(&limits.MaximumHeaderBytes, standard.MaximumHeaderBytes)
-	setDefault(&limits.MaximumBodyBytes, standard.MaximumBodyBytes)
-	setDefault(&limits.HeaderTimeout, standard.HeaderTimeout)
-	setDefault(&limits.IdleTimeout, standard.IdleTimeout)
-	setDefault(&limits.RequestTimeout, standard.RequestTimeout)
-	setDefault(&limits.NewFlowsPerSecond, standard.NewFlowsPerSecond)
-	setDefault(&limits.NewFlowBurst, standard.NewFlowBurst)
+	defaults := model.DefaultLimits()
+	setDefault(&limits.SlotsPerTarget, defaults.SlotsPerTarget)
+	setDefault(&limits.MaximumConnections, defaults.MaximumConnections)
+	setDefault(&limits.MaximumQueue, defaults.MaximumQueue)
+	setDefault(&limits.MaximumHeaderBytes, defaults.MaximumHeaderBytes)
+	setDefault(&limits.MaximumBodyBytes, defaults.MaximumBodyBytes)
+	setDefault(&limits.HeaderTimeout, defaults.HeaderTimeout)
+	setDefault(&limits.IdleTimeout, defaults.IdleTimeout)
+	setDefault(&limits.RequestTimeout, defaults.RequestTimeout)
+	setDefault(&limits.NewFlowsPerSecond, defaults.NewFlowsPerSecond)
+	setDefault(&limits.NewFlowBurst, defaults.NewFlowBurst)
 	return limits
 }
 
-func setDefault[Value comparable](field *Value, standard Value) {
+// setDefault sets field to fallback if it has its zero value.
+func setDefault[Value comparable](field *Value, fallback Value) {
 	var zero Value
 	if *field == zero {
-		*field = standard
+		*field = fallback
 	}
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -36,7 +36,8 @@
 	require.Equal(t, "GET /call/1", readAll(t, response))
 }
 
-// feedBackend returns a back end whose feed sends each value of updates.
+// feedBackend starts a back end whose /feed sends each value of updates as a
+// line until updates is closed, and returns its address.
 func feedBackend(t *testing.T, updates <-chan string) string {
 	return newBackend(t, func(writer http.ResponseWriter, request *http.Request) {
 		if request.URL.Path != "/feed" {
@@ -77,28 +78,29 @@
 	}
 	expect("before")
 	owner := fleet.owner()
-	fleet.setPhase(owner.running.Load().target, model.PhaseDraining)
-	eventually(t, func() bool { return !owner.accepts.Load() })
+	fleet.setPhase(owner.instance.Load().target, model.PhaseDraining)
+	eventually(t, func() bool { return !owner.accepting.Load() })
 	expect("after the drain began")
 
-	// A request on the connection that got GOAWAY is rejected as not run, or
-	// the client opens a new connection from the same address, which is
-	// refused; a caller with another address reaches the other target.
+	// On the same client, a request would be rejected as not run because of
+	// GOAWAY, or open a new connection from the same address, which is refused.
+	// A caller with another address reaches the other target.
 	_, body := get(t, fleet.fabric.client(), "/call")
 	require.Equal(t, "called", body)
-	require.NotEqual(t, 0, fleet.other(owner).running.Load().owners.Len())
+	require.NotEqual(t, 0, fleet.other(owner).instance.Load().owners.Len())
 
 	expect("still open")
 	close(updates)
 	_, err = lines.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
-	eventually(t, func() bool { return owner.running.Load().owners.Len() == 0 })
+	eventually(t, func() bool { return owner.instance.Load().owners.Len() == 0 })
 	require.NoError(t, owner.Drain(t.Context()))
 }
 
-// A request that waits for a slot when the drain has lasted a while is refused
-// as not run, so that it can run elsewhere at once; those that run go on.
-func TestRequestsThatWaitAreRefusedInADrain(t *testing.T) {
+// A request that still waits for a slot drainQueueGrace after the drain began is
+// refused as not run, so that the caller can retry it at another target at once.
+// Requests in progress complete.
+func TestQueuedRequestsAreRefusedDuringDrain(t *testing.T) {
 	var started atomic.Int32
 	release := make(chan struct{})
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
@@ -120,7 +122,7 @@
 			bodies <- string(body)
 		}()
 	}
-	gate := fleet.agents[0].running.Load().gate
+	gate := fleet.agents[0].instance.Load().gate
 	eventually(t, func() bool { return gate.Load().Running == 2 && gate.Load().Waiting == 1 })
 	fleet.setPhase(1, model.PhaseDraining)
 	require.Contains(t, <-bodies, fmt.Sprintf(`"code":%d`, faults.RequestDraining))
@@ -130,29 +132,30 @@
 	require.EqualValues(t, 2, started.Load())
 }
 
-// After a drain was taken back the target serves again.
+// A target whose drain was canceled accepts new connections again.
 func TestUndrainedTargetServesAgain(t *testing.T) {
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "called") }))
 	_, body := get(t, fleet.fabric.client(), "/call")
 	require.Equal(t, "called", body)
 	fleet.setPhase(1, model.PhaseDraining)
-	eventually(t, func() bool { return !fleet.agents[0].accepts.Load() })
+	eventually(t, func() bool { return !fleet.agents[0].accepting.Load() })
 	fleet.setPhase(1, model.PhaseServing)
 	fleet.waitAccepting(1)
 	_, body = get(t, fleet.fabric.client(), "/call")
 	require.Equal(t, "called", body)
 }
 
-// A drained agent closes connections whose callers do not react to GOAWAY.
-func TestDrainEndsIdleConnections(t *testing.T) {
+// A draining agent closes idle connections whose callers do not close them after
+// GOAWAY. Otherwise Drain would last until the stop grace is over.
+func TestDrainClosesIdleConnections(t *testing.T) {
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "called") }))
 	client := fleet.fabric.client()
 	get(t, client, "/call")
 	require.NoError(t, fleet.agents[0].Drain(t.Context()))
-	connections, requests := fleet.agents[0].running.Load().front.connections.open()
+	connections, requests := fleet.agents[0].instance.Load().frontend.connections.counts()
 	require.Zero(t, connections)
 	require.Zero(t, requests)
-	eventually(t, func() bool { return fleet.agents[0].running.Load().owners.Len() == 0 })
+	eventually(t, func() bool { return fleet.agents[0].instance.Load().owners.Len() == 0 })
 }
 
 func TestStopGraceBoundsDrain(t *testing.T) {
@@ -167,8 +170,8 @@
 	close(updates)
 }
 
-// A flow whose target restarted is ended by a stateless reset, not by
-// silence until the caller's idle time-out.
+// A flow whose agent crashed and restarted is ended by a stateless reset.
+// Without one, its caller would wait until its idle timeout.
 func TestLostFlowIsResetPromptly(t *testing.T) {
 	updates := make(chan string)
 	defer close(updates)
@@ -183,9 +186,9 @@
 	require.ErrorAs(t, err, &reset)
 }
 
-// Packets of a flow reach its owner also when they are sent to another target
-// of the chain, and the balancer gets a hint.
-func TestPacketsPassAlongTheChain(t *testing.T) {
+// Packets of a flow that are sent to another target of the chain are forwarded to
+// the owner, and the balancer gets a hint that names the owner.
+func TestPacketsAreForwardedAlongTheChain(t *testing.T) {
 	updates := make(chan string)
 	defer close(updates)
 	backend := feedBackend(t, updates)
@@ -196,27 +199,27 @@
 	lines := bufio.NewReader(response.Body)
 	owner := fleet.owner()
 	other := fleet.other(owner)
-	fleet.setPhase(owner.running.Load().target, model.PhaseDraining)
-	eventually(t, func() bool { return !owner.accepts.Load() })
-	// The head is the other target now; the caller's acknowledgements pass it
-	// on their way to the owner.
+	fleet.setPhase(owner.instance.Load().target, model.PhaseDraining)
+	eventually(t, func() bool { return !owner.accepting.Load() })
+	// The head of the chain is now the other target, which forwards the caller's
+	// acknowledgements to the owner.
 	eventually(t, func() bool {
 		updates <- "update"
 		line, err := lines.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, "update\n", line)
-		return other.running.Load().plane.Counters().Passed.Load() > 3 && fleet.fabric.hints.Load() > 3
+		return other.instance.Load().plane.Counters().Passed.Load() > 3 && fleet.fabric.hints.Load() > 3
 	})
-	require.Zero(t, other.running.Load().owners.Len())
+	require.Zero(t, other.instance.Load().owners.Len())
 }
 
 func TestPacketsOfOtherServicesAreDropped(t *testing.T) {
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, _ *http.Request) { fmt.Fprint(writer, "called") }))
-	counters := fleet.agents[0].running.Load().plane.Counters()
-	own := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: netip.MustParseAddrPort("127.0.0.70:1"), Destination: serviceAddress}
-	foreignAddress := own
+	counters := fleet.agents[0].instance.Load().plane.Counters()
+	serviceFlow := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: netip.MustParseAddrPort("127.0.0.70:1"), Destination: serviceAddress}
+	foreignAddress := serviceFlow
 	foreignAddress.Destination = netip.MustParseAddrPort("127.0.0.10:443")
-	foreignProtocol := own
+	foreignProtocol := serviceFlow
 	foreignProtocol.Protocol = model.ProtocolUDP
 	cases := []struct {
 		name    string
@@ -224,10 +227,10 @@
 		service model.ServiceID
 		kind    packet.Kind
 	}{
-		{"another service ID", own, 2, packet.KindForward},
+		{"another service ID", serviceFlow, 2, packet.KindForward},
 		{"another address", foreignAddress, 1, packet.KindForward},
 		{"another protocol", foreignProtocol, 1, packet.KindForward},
-		{"not a forwarded packet", own, 1, packet.KindIngress},
+		{"not a forwarded packet", serviceFlow, 1, packet.KindIngress},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -239,12 +242,12 @@
 			}))
 			eventually(t, func() bool { return counters.Dropped.Load() == before+1 })
 			require.Zero(t, counters.Delivered.Load())
-			require.Zero(t, fleet.agents[0].running.Load().owners.Len())
+			require.Zero(t, fleet.agents[0].instance.Load().owners.Len())
 		})
 	}
 }
 
-func TestAtMostOnceIsReplayedThroughTheAgent(t *testing.T) {
+func TestAtMostOnceResponseIsReplayed(t *testing.T) {
 	var runs atomic.Int32
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(writer, "run %d", runs.Add(1))
@@ -260,7 +263,7 @@
 	}
 }
 
-func TestLargeUploadArrivesWhole(t *testing.T) {
+func TestLargeUploadArrivesComplete(t *testing.T) {
 	fleet := newFleet(t, model.ProtocolQUIC, newBackend(t, func(writer http.ResponseWriter, request *http.Request) {
 		length, err := io.Copy(io.Discard, request.Body)
 		fmt.Fprintf(writer, "%d %v", length, err)
--- a/internal/agent/certificate.go
+++ b/internal/agent/certificate.go
@@ -31,21 +31,21 @@
 	selfSignedCertificate = "agent-certificate.pem"
 	selfSignedKey         = "agent-key.pem"
 	selfSignedLifetime    = 365 * 24 * time.Hour
-	// resetKeyPurpose separates the reset key from other keys that may be
-	// derived from the certificate's key.
+	// resetKeyPurpose is the HKDF info string of the reset key. It separates
+	// the reset key from other keys derived from the certificate's key.
 	resetKeyPurpose = "merlinpaddle stateless reset"
 )
 
 // loadCertificate returns the service's certificate: the tenant's files, or a
-// self-signed pair in the data folder, made if needed. A self-signed pair is
-// for trials: callers cannot check it, and each agent has another one, so only
-// the agent itself can reset its flows after a restart.
-func loadCertificate(chosen settings.Settings, address netip.AddrPort) (tls.Certificate, error) {
-	certificateFile, keyFile := chosen.Agent.Certificate, chosen.Agent.Key
+// self-signed pair in the data folder, which is generated if needed. A
+// self-signed pair is for trials only: callers cannot verify it, and it differs
+// between agents, so after a restart only the agent itself can reset its flows.
+func loadCertificate(config settings.Settings, address netip.AddrPort) (tls.Certificate, error) {
+	certificateFile, keyFile := config.Agent.Certificate, config.Agent.Key
 	if certificateFile == "" {
-		certificateFile = filepath.Join(chosen.DataFolder, selfSignedCertificate)
-		keyFile = filepath.Join(chosen.DataFolder, selfSignedKey)
-		if err := ensureSelfSigned(certificateFile, keyFile, chosen.Node, address); err != nil {
+		certificateFile = filepath.Join(config.DataFolder, selfSignedCertificate)
+		keyFile = filepath.Join(config.DataFolder, selfSignedKey)
+		if err := ensureSelfSigned(certificateFile, keyFile, config.Node, address); err != nil {
 			return tls.Certificate{}, err
 		}
 	}
@@ -56,7 +56,8 @@
 	return pair, nil
 }
 
-// ensureSelfSigned makes the pair unless a usable one is there.
+// ensureSelfSigned generates the pair unless the files hold one that has not
+// expired.
 func ensureSelfSigned(certificateFile, keyFile, node string, address netip.AddrPort) error {
 	pair, err := tls.LoadX509KeyPair(certificateFile, keyFile)
 	if err == nil && time.Now().Before(pair.Leaf.NotAfter) {
@@ -65,14 +66,14 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return faults.New(faults.AgentCertificate, "self-signed pair in %s: %v", filepath.Dir(certificateFile), err)
 	}
-	certificate, key, err := makeSelfSigned(node, address)
+	certificate, key, err := generateSelfSigned(node, address)
 	if err != nil {
-		return faults.New(faults.AgentCertificate, "make a self-signed certificate: %v", err)
+		return faults.New(faults.AgentCertificate, "generate a self-signed certificate: %v", err)
 	}
 	if err := os.MkdirAll(filepath.Dir(certificateFile), 0o700); err != nil {
 		return faults.New(faults.AgentCertificate, "%v", err)
 	}
-	// The certificate comes last: it tells that the pair is whole.
+	// The certificate is written last: once it exists, so does the key.
 	if err := os.WriteFile(keyFile, key, 0o600); err != nil {
 		return faults.New(faults.AgentCertificate, "%v", err)
 	}
@@ -82,7 +83,9 @@
 	return nil
 }
 
-func makeSelfSigned(node string, address netip.AddrPort) (certificate, key []byte, err error) {
+// generateSelfSigned returns a new P-256 certificate and its private key in PEM. It
+// is valid for node, localhost and the address.
+func generateSelfSigned(node string, address netip.AddrPort) (certificate, key []byte, err error) {
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
@@ -115,17 +118,17 @@
 	return certificate, key, nil
 }
 
-// resetKey derives the key of QUIC's stateless resets from the certificate's
-// private key, which all agents of a service share. So every agent of the
-// service can reset a flow that another one lost, and nobody else can.
-func resetKey(pair tls.Certificate, service model.ServiceID) (*quic.StatelessResetKey, error) {
+// deriveResetKey derives the QUIC stateless reset key from the certificate's
+// private key, which all agents of a service share. Every agent of the service
+// can therefore reset a flow that another one lost, and nobody else can.
+func deriveResetKey(pair tls.Certificate, service model.ServiceID) (*quic.StatelessResetKey, error) {
 	secret, err := x509.MarshalPKCS8PrivateKey(pair.PrivateKey)
 	if err != nil {
-		return nil, faults.New(faults.AgentCertificate, "the certificate's key: %v", err)
+		return nil, faults.New(faults.AgentCertificate, "encode the certificate's private key: %v", err)
 	}
 	derived, err := hkdf.Key(sha256.New, secret, nil, fmt.Sprintf("%s %d", resetKeyPurpose, service), len(quic.StatelessResetKey{}))
 	if err != nil {
-		return nil, faults.New(faults.AgentCertificate, "derive the reset key: %v", err)
+		return nil, faults.New(faults.AgentCertificate, "derive the stateless reset key: %v", err)
 	}
 	key := quic.StatelessResetKey(derived)
 	return &key, nil
--- a/internal/agent/connections.go
+++ b/internal/agent/connections.go
@@ -10,50 +10,54 @@
 	"github.com/quic-go/quic-go/http3"
 )
 
-// leavingIdle is how long a connection without requests stays open after
-// GOAWAY, for callers that do not close it themselves. A request that was sent
-// before GOAWAY arrived must have reached the agent by then, also over a path
-// that loses packets.
-const leavingIdle = 5 * time.Second
-
-// connections serves the HTTP/3 connections of a target, each by a server of
-// its own, because the library sends GOAWAY on all connections of a server.
+// goAwayGrace is how long a connection without requests stays open after GOAWAY
+// before the agent closes it, for callers that do not close it themselves. It
+// is long enough for a request that was sent before GOAWAY arrived to reach the
+// agent, even over a path that loses packets.
+const goAwayGrace = 5 * time.Second
+
+// connections serves the HTTP/3 connections of a target. Each connection has its
+// own http3.Server, because the library sends GOAWAY on all connections of a
+// server.
 //
-// A connection leaves when the target drains, when its handshake ended only
-// after the drain began, or when it had no request for long. Then it gets
-// GOAWAY: requests in progress run to their end, later ones are rejected as not
-// run, so a caller never has to guess. GOAWAY cannot be taken back; after a
-// drain only new connections are served again.
+// A connection is shut down gracefully, by GOAWAY, when the target drains, when
+// its handshake completed only after the drain began, or when it had no request
+// for the idle timeout. Requests in progress then run to their end, and later
+// ones are rejected as not run, so a caller always knows whether a request ran.
+// GOAWAY cannot be revoked: when a drain is canceled, only new connections are
+// served.
 type connections struct {
-	handler        http.Handler
-	maximumHeaders int
-	serving        sync.WaitGroup
+	handler            http.Handler
+	maximumHeaderBytes int
+	// serving counts the goroutines that serve or shut down a connection.
+	serving sync.WaitGroup
 
-	lock   sync.Mutex
+	lock sync.Mutex
+	// accept is set while new connections are accepted.
 	accept bool
 	states map[*quic.Conn]*connectionState
 }
 
-// connectionState is what is known of one connection.
+// connectionState is the state of one connection.
 type connectionState struct {
-	server   *http3.Server
-	requests int
-	leaving  bool
-	// idleSince is when the last request ended or the connection began to
-	// leave.
+	server       *http3.Server
+	requests     int
+	shuttingDown bool
+	// idleSince is when the connection was opened, when its last request
+	// began or ended, or when its shutdown began, whichever is latest.
 	idleSince time.Time
 }
 
-func newConnections(handler http.Handler, maximumHeaders int) *connections {
+func newConnections(handler http.Handler, maximumHeaderBytes int) *connections {
 	return &connections{
-		handler:        handler,
-		maximumHeaders: maximumHeaders,
-		states:         make(map[*quic.Conn]*connectionState),
+		handler:            handler,
+		maximumHeaderBytes: maximumHeaderBytes,
+		states:             make(map[*quic.Conn]*connectionState),
 	}
 }
 
-// setAccepting begins or ends the taking of connections. At the end all that
-// are open leave.
+// setAccepting sets whether new connections are accepted. If not, the open ones
+// are shut down gracefully.
 func (connections *connections) setAccepting(accept bool) {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
@@ -63,39 +67,42 @@
 	}
 	now := time.Now()
 	for _, state := range connections.states {
-		connections.leave(now, state)
+		connections.beginShutdown(now, state)
 	}
 }
 
+// accepting reports whether new connections are accepted.
 func (connections *connections) accepting() bool {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
 	return connections.accept
 }
 
-// serve serves a connection to its end, without waiting for it.
+// serve serves a connection until it ends, in a new goroutine.
 func (connections *connections) serve(connection *quic.Conn) {
-	server := &http3.Server{MaxHeaderBytes: connections.maximumHeaders}
+	server := &http3.Server{MaxHeaderBytes: connections.maximumHeaderBytes}
 	server.Handler = http.HandlerFunc(connections.serveRequest)
 	server.ConnContext = func(ctx context.Context, connection *quic.Conn) context.Context {
-		connections.opened(server, connection)
+		connections.register(server, connection)
 		return context.WithValue(ctx, connectionKey{}, connection)
 	}
-	// The error says how the connection ended, which nobody needs.
+	// The error only says how the connection ended.
 	connections.serving.Go(func() { _ = server.ServeQUICConn(connection) })
 }
 
+// connectionKey is the context key of a request's *quic.Conn.
 type connectionKey struct{}
 
-// opened is called when the server can send GOAWAY on the connection.
-func (connections *connections) opened(server *http3.Server, connection *quic.Conn) {
+// register adds a connection, and shuts it down at once when the target drains.
+// It is called as soon as the server can send GOAWAY on the connection.
+func (connections *connections) register(server *http3.Server, connection *quic.Conn) {
 	now := time.Now()
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
 	state := &connectionState{server: server, idleSince: now}
 	connections.states[connection] = state
 	if !connections.accept {
-		connections.leave(now, state)
+		connections.beginShutdown(now, state)
 	}
 	context.AfterFunc(connection.Context(), func() {
 		connections.lock.Lock()
@@ -104,62 +111,66 @@
 	})
 }
 
-// leave sends GOAWAY. The lock must be held.
-func (connections *connections) leave(now time.Time, state *connectionState) {
-	if state.leaving {
+// beginShutdown sends GOAWAY on a connection, once. The lock must be held.
+func (connections *connections) beginShutdown(now time.Time, state *connectionState) {
+	if state.shuttingDown {
 		return
 	}
-	state.leaving = true
+	state.shuttingDown = true
 	state.idleSince = now
 	connections.serving.Go(func() { _ = state.server.Shutdown(context.Background()) })
 }
 
-// serveRequest counts the requests of a connection around the handler.
+// serveRequest calls the handler and counts the request as in progress on its
+// connection meanwhile.
 func (connections *connections) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	connection, _ := request.Context().Value(connectionKey{}).(*quic.Conn)
-	connections.count(connection, 1)
-	defer connections.count(connection, -1)
+	connections.countRequest(connection, 1)
+	defer connections.countRequest(connection, -1)
 	connections.handler.ServeHTTP(writer, request)
 }
 
-func (connections *connections) count(connection *quic.Conn, change int) {
+// countRequest adds delta to the connection's number of requests in progress.
+func (connections *connections) countRequest(connection *quic.Conn, delta int) {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
 	if state, open := connections.states[connection]; open {
-		state.requests += change
+		state.requests += delta
 		state.idleSince = time.Now()
 	}
 }
 
-// endIdle ends connections without a request in progress: after idleTimeout
-// they leave, and those that leave are closed a short while later. The agent's
-// own pings keep them from ending by themselves.
-func (connections *connections) endIdle(now time.Time, idleTimeout time.Duration) {
-	for _, connection := range connections.idle(now, idleTimeout) {
+// closeIdle ends connections without a request in progress: it sends GOAWAY
+// after idleTimeout, and closes the connection once it had none for goAwayGrace
+// after that. QUIC's own idle timeout does not end them, because the agent's
+// pings keep them open.
+func (connections *connections) closeIdle(now time.Time, idleTimeout time.Duration) {
+	for _, connection := range connections.sweepIdle(now, idleTimeout) {
 		_ = connection.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), "idle")
 	}
 }
 
-// idle makes idle connections leave and returns those that are to be closed.
-func (connections *connections) idle(now time.Time, idleTimeout time.Duration) []*quic.Conn {
+// sweepIdle sends GOAWAY on connections that were idle for idleTimeout, and
+// returns those whose goAwayGrace has passed, which are to be closed.
+func (connections *connections) sweepIdle(now time.Time, idleTimeout time.Duration) []*quic.Conn {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
-	var ended []*quic.Conn
+	var toClose []*quic.Conn
 	for connection, state := range connections.states {
 		idleFor := now.Sub(state.idleSince)
 		switch {
 		case state.requests > 0:
-		case state.leaving && idleFor >= leavingIdle:
-			ended = append(ended, connection)
-		case !state.leaving && idleFor >= idleTimeout:
-			connections.leave(now, state)
+		case state.shuttingDown && idleFor >= goAwayGrace:
+			toClose = append(toClose, connection)
+		case !state.shuttingDown && idleFor >= idleTimeout:
+			connections.beginShutdown(now, state)
 		}
 	}
-	return ended
+	return toClose
 }
 
-// open returns the number of connections and of requests in progress.
-func (connections *connections) open() (count, requests int) {
+// counts returns the number of open connections and of requests in progress.
+func (connections *connections) counts() (count, requests int) {
 	connections.lock.Lock()
 	defer connections.lock.Unlock()
 	for _, state := range connections.states {
@@ -168,7 +179,7 @@
 	return len(connections.states), requests
 }
 
-// closeAll closes all connections at once and takes no more.
+// closeAll closes all connections immediately and accepts no new ones.
 func (connections *connections) closeAll() {
 	connections.setAccepting(false)
 	connections.lock.Lock()
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -9,42 +9,43 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A connection is closed only when GOAWAY has had time to reach its caller,
-// however long it was idle before.
-func TestWhichConnectionsAreClosed(t *testing.T) {
+// An idle connection is closed only goAwayGrace after GOAWAY, however long it was
+// idle before. Closing it earlier would cut off requests that were sent before
+// GOAWAY reached the caller.
+func TestConnectionsAreClosedOnlyAfterGoAwayGrace(t *testing.T) {
 	now := time.Now()
 	cases := []struct {
 		name     string
 		requests int
 		idleFor  time.Duration
 		drained  bool
-		later    time.Duration
+		wait     time.Duration
 		closed   bool
 	}{
 		{"serving and busy", 1, time.Hour, false, 0, false},
-		{"serving and idle for a moment", 0, time.Second, false, 0, false},
-		{"idle for long gets GOAWAY first", 0, time.Hour, false, 0, false},
-		{"idle for long, a while after GOAWAY", 0, time.Hour, false, leavingIdle, true},
+		{"serving and briefly idle", 0, time.Second, false, 0, false},
+		{"idle for long, GOAWAY not sent before", 0, time.Hour, false, 0, false},
+		{"idle for long, grace after GOAWAY over", 0, time.Hour, false, goAwayGrace, true},
 		{"idle for long before the drain", 0, time.Hour, true, 0, false},
-		{"idle, a while after the drain", 0, time.Second, true, 2 * leavingIdle, true},
+		{"idle, grace after the drain over", 0, time.Second, true, 2 * goAwayGrace, true},
 		{"drained with a feed", 1, time.Hour, true, time.Hour, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			served := newConnections(nil, 0)
-			served.setAccepting(true)
+			connections := newConnections(nil, 0)
+			connections.setAccepting(true)
 			connection := new(quic.Conn)
-			served.states[connection] = &connectionState{server: &http3.Server{}, requests: test.requests, idleSince: now.Add(-test.idleFor)}
+			connections.states[connection] = &connectionState{server: &http3.Server{}, requests: test.requests, idleSince: now.Add(-test.idleFor)}
 			if test.drained {
-				served.setAccepting(false)
+				connections.setAccepting(false)
 			}
-			ended := served.idle(now, time.Minute)
-			if test.later > 0 {
-				require.Empty(t, ended)
-				ended = served.idle(now.Add(test.later), time.Minute)
+			toClose := connections.sweepIdle(now, time.Minute)
+			if test.wait > 0 {
+				require.Empty(t, toClose)
+				toClose = connections.sweepIdle(now.Add(test.wait), time.Minute)
 			}
-			require.Equal(t, test.closed, len(ended) == 1)
-			served.wait()
+			require.Equal(t, test.closed, len(toClose) == 1)
+			connections.wait()
 		})
 	}
 }
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -23,17 +23,17 @@
 	// agent issues, in bytes.
 	connectionIDLength = 8
 	// keepAlivePeriod is the time between the agent's own QUIC pings. They
-	// keep quiet feeds open through address translators on the way.
+	// keep NAT mappings alive while a feed has no updates.
 	keepAlivePeriod = 10 * time.Second
 	// maximumStreams bounds the requests in progress on one connection.
 	maximumStreams = 100
 	// flowLinger is how long a flow stays owned after its last connection
-	// ended, for packets that are still on their way.
+	// ended, so that packets still in transit reach it.
 	flowLinger = 2 * time.Second
 )
 
 // errNotAccepting refuses new connections while the target drains.
-var errNotAccepting = errors.New("the target takes no new connections")
+var errNotAccepting = errors.New("the target accepts no new connections")
 
 // frontend is the HTTP/3 server of a target. It implements
 // dataplane.Receiver.
@@ -44,57 +44,59 @@
 	packets   *dataplane.PacketConn
 	transport *quic.Transport
 	listener  *quic.Listener
-	// connections has the connections whose handshake has ended.
+	// connections serves the connections whose handshake is complete.
 	connections *connections
-	accepting   sync.WaitGroup
+	acceptLoop  sync.WaitGroup
 
-	lock    sync.Mutex
-	callers map[netip.AddrPort]int
+	lock                sync.Mutex
+	connectionsByCaller map[netip.AddrPort]int
 }
 
-// newFrontend starts the HTTP/3 server of service behind plane.
+// newFrontend starts the HTTP/3 server of service, which receives and sends its
+// packets through plane.
 func newFrontend(plane *dataplane.Plane, service model.Service, pair tls.Certificate, handler http.Handler) (*frontend, error) {
-	key, err := resetKey(pair, service.ID)
+	key, err := deriveResetKey(pair, service.ID)
 	if err != nil {
 		return nil, err
 	}
-	front := &frontend{
-		plane:       plane,
-		service:     service,
-		resetKey:    key,
-		connections: newConnections(handler, service.Limits.MaximumHeaderBytes),
-		callers:     make(map[netip.AddrPort]int),
+	frontend := &frontend{
+		plane:               plane,
+		service:             service,
+		resetKey:            key,
+		connections:         newConnections(handler, service.Limits.MaximumHeaderBytes),
+		connectionsByCaller: make(map[netip.AddrPort]int),
 	}
-	front.packets = dataplane.NewPacketConn(service.Address, front.send)
-	front.transport = &quic.Transport{
-		Conn:               front.packets,
+	frontend.packets = dataplane.NewPacketConn(service.Address, frontend.send)
+	frontend.transport = &quic.Transport{
+		Conn:               frontend.packets,
 		ConnectionIDLength: connectionIDLength,
 		StatelessResetKey:  key,
-		ConnContext:        front.followConnection,
+		ConnContext:        frontend.trackConnection,
 	}
 	tlsConfig := http3.ConfigureTLSConfig(&tls.Config{
 		Certificates: []tls.Certificate{pair},
 		MinVersion:   tls.VersionTLS13,
 	})
-	front.listener, err = front.transport.Listen(tlsConfig, front.quicConfig())
+	frontend.listener, err = frontend.transport.Listen(tlsConfig, frontend.quicConfig())
 	if err != nil {
 		return nil, faults.New(faults.AgentCertificate, "start QUIC: %v", err)
 	}
-	front.accepting.Go(front.acceptConnections)
-	return front, nil
+	frontend.acceptLoop.Go(frontend.acceptConnections)
+	return frontend, nil
 }
 
-// quicConfig has 0-RTT off, because early data can be replayed.
-func (front *frontend) quicConfig() *quic.Config {
+// quicConfig returns the listener's configuration. It disables 0-RTT, because
+// early data can be replayed, and refuses connections while the target drains.
+func (frontend *frontend) quicConfig() *quic.Config {
 	config := &quic.Config{
 		Allow0RTT:            false,
-		HandshakeIdleTimeout: front.service.Limits.HeaderTimeout,
-		MaxIdleTimeout:       front.service.Limits.IdleTimeout,
+		HandshakeIdleTimeout: frontend.service.Limits.HeaderTimeout,
+		MaxIdleTimeout:       frontend.service.Limits.IdleTimeout,
 		KeepAlivePeriod:      keepAlivePeriod,
 		MaxIncomingStreams:   maximumStreams,
 	}
 	config.GetConfigForClient = func(*quic.ClientInfo) (*quic.Config, error) {
-		if !front.connections.accepting() {
+		if !frontend.connections.accepting() {
 			return nil, errNotAccepting
 		}
 		return config, nil
@@ -102,81 +104,84 @@
 	return config
 }
 
-func (front *frontend) send(caller netip.AddrPort, payload []byte) error {
-	return front.plane.SendUDP(front.service.Protocol, front.service.Address, caller, payload)
+// send sends a datagram from the service's address to caller.
+func (frontend *frontend) send(caller netip.AddrPort, payload []byte) error {
+	return frontend.plane.SendUDP(frontend.service.Protocol, frontend.service.Address, caller, payload)
 }
 
 // Deliver implements dataplane.Receiver.
-func (front *frontend) Deliver(flow model.FiveTuple, payload []byte) {
-	front.packets.Deliver(flow.Source, payload)
+func (frontend *frontend) Deliver(flow model.FiveTuple, payload []byte) {
+	frontend.packets.Deliver(flow.Source, payload)
 }
 
 // Reset implements dataplane.Receiver. It answers with a stateless reset, whose
 // key all agents of the service share.
-func (front *frontend) Reset(flow model.FiveTuple, payload []byte) {
-	reset := statelessReset(front.resetKey, payload)
+func (frontend *frontend) Reset(flow model.FiveTuple, payload []byte) {
+	reset := statelessReset(frontend.resetKey, payload)
 	if reset == nil {
 		return
 	}
-	// A lost reset is sent again for the caller's next packet.
-	_ = front.send(flow.Source, reset)
+	// The error is ignored: the caller's next packet is answered by a reset again.
+	_ = frontend.send(flow.Source, reset)
 }
 
-// Expired implements dataplane.Receiver. Connections end by their own idle
-// time-out, which is shorter.
-func (front *frontend) Expired([]model.FiveTuple) {}
+// Expired implements dataplane.Receiver. It does nothing: QUIC's idle timeout is
+// shorter than that of flows, so it has ended the connections before.
+func (frontend *frontend) Expired([]model.FiveTuple) {}
 
-// followConnection counts the connections of each caller, so that a flow ends
-// with the last of them.
-func (front *frontend) followConnection(ctx context.Context, info *quic.ClientInfo) (context.Context, error) {
+// trackConnection counts the connections of each caller address, so that the
+// flow is closed after the last of them ended.
+func (frontend *frontend) trackConnection(ctx context.Context, info *quic.ClientInfo) (context.Context, error) {
 	address, isUDP := info.RemoteAddr.(*net.UDPAddr)
 	if !isUDP {
 		return ctx, nil
 	}
 	caller := netip.AddrPortFrom(address.AddrPort().Addr().Unmap(), address.AddrPort().Port())
-	front.lock.Lock()
-	front.callers[caller]++
-	front.lock.Unlock()
-	context.AfterFunc(ctx, func() { front.connectionEnded(caller) })
+	frontend.lock.Lock()
+	frontend.connectionsByCaller[caller]++
+	frontend.lock.Unlock()
+	context.AfterFunc(ctx, func() { frontend.connectionEnded(caller) })
 	return ctx, nil
 }
 
-func (front *frontend) connectionEnded(caller netip.AddrPort) {
+// connectionEnded uncounts a connection of caller after flowLinger, and closes
+// the flow if it was the last one.
+func (frontend *frontend) connectionEnded(caller netip.AddrPort) {
 	time.AfterFunc(flowLinger, func() {
-		front.lock.Lock()
-		front.callers[caller]--
-		last := front.callers[caller] == 0
+		frontend.lock.Lock()
+		frontend.connectionsByCaller[caller]--
+		last := frontend.connectionsByCaller[caller] == 0
 		if last {
-			delete(front.callers, caller)
+			delete(frontend.connectionsByCaller, caller)
 		}
-		front.lock.Unlock()
+		frontend.lock.Unlock()
 		if last {
-			front.plane.CloseFlow(model.FiveTuple{
-				Protocol:    front.service.Protocol,
+			frontend.plane.CloseFlow(model.FiveTuple{
+				Protocol:    frontend.service.Protocol,
 				Source:      caller,
-				Destination: front.service.Address,
+				Destination: frontend.service.Address,
 			})
 		}
 	})
 }
 
-// acceptConnections serves connections until the listener is closed.
-func (front *frontend) acceptConnections() {
+// acceptConnections accepts and serves connections until the listener is closed.
+func (frontend *frontend) acceptConnections() {
 	for {
-		connection, err := front.listener.Accept(context.Background())
+		connection, err := frontend.listener.Accept(context.Background())
 		if err != nil {
 			return
 		}
-		front.connections.serve(connection)
+		frontend.connections.serve(connection)
 	}
 }
 
-// close ends all connections at once.
-func (front *frontend) close() {
-	front.connections.closeAll()
-	_ = front.listener.Close()
-	_ = front.transport.Close()
-	_ = front.packets.Close()
-	front.accepting.Wait()
-	front.connections.wait()
+// close closes all connections immediately and waits until they have ended.
+func (frontend *frontend) close() {
+	frontend.connections.closeAll()
+	_ = frontend.listener.Close()
+	_ = frontend.transport.Close()
+	_ = frontend.packets.Close()
+	frontend.acceptLoop.Wait()
+	frontend.connections.wait()
 }
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -34,16 +34,17 @@
 	"merlinpaddle/internal/settings"
 )
 
-// waitLimit ends a test that waits for something that never comes.
-const waitLimit = 10 * time.Second
+// waitTimeout bounds each wait of a test; the test fails when it is over.
+const waitTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // serviceAddress is the virtual address of the tests' service.
 var serviceAddress = netip.MustParseAddrPort("127.0.0.9:443")
 
-// fabric is a stand-in for fabric and balancer in one: callers' datagrams go
-// to the first agent of the flow's chain, answers to the caller's connection.
+// fabric stands in for both the fabric and the balancer. It forwards callers'
+// datagrams to the first agent of the flow's chain, and delivers answers to the
+// callers.
 type fabric struct {
 	t       *testing.T
 	socket  *dataplane.Socket
@@ -52,10 +53,12 @@
 	callers map[netip.AddrPort]*dataplane.PacketConn
 	port    atomic.Uint32
 	hints   atomic.Int32
-	// muted drops answers, as when an agent dies without closing anything.
-	muted atomic.Bool
-	// marks counts the packets that the fabric sent to itself.
-	marks  atomic.Int32
+	// dropAnswers drops the answers of all agents. It simulates an agent that
+	// crashes and does not close its connections.
+	dropAnswers atomic.Bool
+	// markers counts the marker packets of flush that arrived.
+	markers atomic.Int32
+	// resets receives the answers of TCP services.
 	resets chan packet.Encapsulated
 }
 
@@ -80,11 +83,11 @@
 func (fabric *fabric) handle(received *packet.Encapsulated) {
 	switch received.Kind {
 	case packet.KindIngress:
-		fabric.marks.Add(1)
+		fabric.markers.Add(1)
 	case packet.KindHint:
 		fabric.hints.Add(1)
 	case packet.KindReturn:
-		if fabric.muted.Load() {
+		if fabric.dropAnswers.Load() {
 			return
 		}
 		if received.Flow.Protocol == model.ProtocolTCP {
@@ -102,19 +105,20 @@
 	}
 }
 
-// settle returns once everything was handled that was sent to the fabric before: a packet
-// to itself comes after it.
-func (fabric *fabric) settle() {
+// flush returns once the fabric has handled every packet that was sent to it before. It
+// sends the fabric a marker packet and waits until that has arrived.
+func (fabric *fabric) flush() {
 	fabric.t.Helper()
-	before := fabric.marks.Load()
+	before := fabric.markers.Load()
 	flow := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: netip.MustParseAddrPort("127.0.0.77:1"), Destination: serviceAddress}
 	require.NoError(fabric.t, fabric.socket.Send(fabric.socket.Address(), &packet.Encapsulated{
-		Kind: packet.KindIngress, Flow: flow, Inner: packet.BuildInnerUDP(flow, []byte("mark")),
+		Kind: packet.KindIngress, Flow: flow, Inner: packet.BuildInnerUDP(flow, []byte("marker")),
 	}))
-	eventually(fabric.t, func() bool { return fabric.marks.Load() > before })
+	eventually(fabric.t, func() bool { return fabric.markers.Load() > before })
 }
 
-// newCaller returns a connection of a caller with an address of its own.
+// newCaller returns the packet connection of a new caller, and its address, which
+// no other caller has.
 func (fabric *fabric) newCaller(protocol model.Protocol) (*dataplane.PacketConn, netip.AddrPort) {
 	source := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.77"), uint16(fabric.port.Add(1)))
 	caller := dataplane.NewPacketConn(source, func(_ netip.AddrPort, payload []byte) error {
@@ -126,6 +130,7 @@
 	return caller, source
 }
 
+// forward sends a datagram of the flow to the head of its chain.
 func (fabric *fabric) forward(flow model.FiveTuple, payload []byte) error {
 	return fabric.forwardInner(flow, packet.BuildInnerUDP(flow, payload), packet.IsOpening(flow.Protocol, payload))
 }
@@ -154,13 +159,13 @@
 	return fmt.Errorf("no service at %s", flow.Destination)
 }
 
-// client returns an HTTP/3 client with a connection and address of its own.
+// client returns an HTTP/3 client that uses a new caller.
 func (fabric *fabric) client() *http.Client {
 	caller, _ := fabric.newCaller(model.ProtocolQUIC)
 	quicTransport := &quic.Transport{Conn: caller}
 	transport := &http3.Transport{
 		TLSClientConfig: &tls.Config{InsecureSkipVerify: true, ServerName: "localhost"},
-		QUICConfig:      &quic.Config{MaxIdleTimeout: waitLimit, KeepAlivePeriod: time.Second},
+		QUICConfig:      &quic.Config{MaxIdleTimeout: waitTimeout, KeepAlivePeriod: time.Second},
 		Dial: func(ctx context.Context, _ string, tlsConfig *tls.Config, config *quic.Config) (*quic.Conn, error) {
 			return quicTransport.Dial(ctx, net.UDPAddrFromAddrPort(serviceAddress), tlsConfig, config)
 		},
@@ -173,25 +178,27 @@
 	return &http.Client{Transport: transport}
 }
 
-// grantAll grants every claim at once and remembers how claims ended.
-type grantAll struct {
-	lock     sync.Mutex
-	next     uint64
-	grantFor time.Duration
-	recorded map[protocol.ClaimKey]protocol.ClaimOutcome
-	held     map[protocol.ClaimKey]bool
+// fakeClaims implements requests.Claims without a control group. It grants a claim
+// at once unless its key has a recorded outcome or is in progress.
+type fakeClaims struct {
+	lock          sync.Mutex
+	next          uint64
+	grantDuration time.Duration
+	recorded      map[protocol.ClaimKey]protocol.ClaimOutcome
+	inProgress    map[protocol.ClaimKey]bool
+	// released counts the calls of Release.
 	released int
 }
 
-func newGrantAll() *grantAll {
-	return &grantAll{
-		grantFor: time.Minute,
-		recorded: make(map[protocol.ClaimKey]protocol.ClaimOutcome),
-		held:     make(map[protocol.ClaimKey]bool),
+func newFakeClaims() *fakeClaims {
+	return &fakeClaims{
+		grantDuration: time.Minute,
+		recorded:      make(map[protocol.ClaimKey]protocol.ClaimOutcome),
+		inProgress:    make(map[protocol.ClaimKey]bool),
 	}
 }
 
-func (claims *grantAll) Claim(now time.Time, key protocol.ClaimKey, _ uint64, _ time.Time, done func(claim.Answer)) uint64 {
+func (claims *fakeClaims) Claim(now time.Time, key protocol.ClaimKey, _ uint64, _ time.Time, done func(claim.Answer)) uint64 {
 	claims.lock.Lock()
 	defer claims.lock.Unlock()
 	claims.next++
@@ -199,54 +206,55 @@
 		done(claim.Answer{State: protocol.ClaimCompleted, Outcome: &outcome})
 		return claims.next
 	}
-	if claims.held[key] {
+	if claims.inProgress[key] {
 		done(claim.Answer{State: protocol.ClaimInProgress})
 		return claims.next
 	}
-	claims.held[key] = true
-	grant := claim.Grant{Correlation: claims.next, Key: key, StartBefore: now.Add(claims.grantFor)}
+	claims.inProgress[key] = true
+	grant := claim.Grant{Correlation: claims.next, Key: key, StartBefore: now.Add(claims.grantDuration)}
 	done(claim.Answer{State: protocol.ClaimGranted, Grant: grant})
 	return claims.next
 }
 
-func (claims *grantAll) Abandon(time.Time, uint64) {}
+func (claims *fakeClaims) Abandon(time.Time, uint64) {}
 
-func (claims *grantAll) Release(_ time.Time, grant claim.Grant) {
+func (claims *fakeClaims) Release(_ time.Time, grant claim.Grant) {
 	claims.lock.Lock()
 	defer claims.lock.Unlock()
 	claims.released++
-	delete(claims.held, grant.Key)
+	delete(claims.inProgress, grant.Key)
 }
 
-func (claims *grantAll) Record(_ time.Time, grant claim.Grant, outcome protocol.ClaimOutcome) {
+func (claims *fakeClaims) Record(_ time.Time, grant claim.Grant, outcome protocol.ClaimOutcome) {
 	claims.lock.Lock()
 	defer claims.lock.Unlock()
 	claims.recorded[grant.Key] = outcome
 }
 
-func (claims *grantAll) Forget(claim.Grant) {}
+func (claims *fakeClaims) Forget(claim.Grant) {}
 
-// fleet is a service with one agent a target.
+// fleet is a service with one agent for each target.
 type fleet struct {
 	t      *testing.T
 	store  *rollout.Store
 	fabric *fabric
 	agents []*Agent
-	claims *grantAll
+	claims *fakeClaims
 	stops  []func()
-	// folder has the certificate that the agents share.
+	// folder contains the certificate that the agents share.
 	folder string
 }
 
 // newFleet starts one agent for each back end address.
-func newFleet(t *testing.T, protocolOfService model.Protocol, backends ...string) *fleet {
-	return newFleetWith(t, func(service *model.Service) { service.Protocol = protocolOfService }, backends...)
+func newFleet(t *testing.T, serviceProtocol model.Protocol, backends ...string) *fleet {
+	return newFleetWith(t, func(service *model.Service) { service.Protocol = serviceProtocol }, backends...)
 }
 
-// newFleetWith starts agents of a QUIC service that change alters.
+// newFleetWith starts one agent for each back end address. change may alter the
+// service, which uses QUIC by default.
 func newFleetWith(t *testing.T, change func(service *model.Service), backends ...string) *fleet {
 	store := rollout.NewStore()
-	started := &fleet{t: t, store: store, fabric: newFabric(t, store), claims: newGrantAll(), folder: t.TempDir()}
+	started := &fleet{t: t, store: store, fabric: newFabric(t, store), claims: newFakeClaims(), folder: t.TempDir()}
 	require.NoError(t, ensureSelfSigned(filepath.Join(started.folder, selfSignedCertificate),
 		filepath.Join(started.folder, selfSignedKey), "service", serviceAddress))
 	configuration := model.NewConfiguration()
@@ -275,24 +283,27 @@
 	return started
 }
 
+// startAgent starts the agent of the target at index, at any free port.
 func (fleet *fleet) startAgent(index int, backend string) *Agent {
 	return fleet.startAgentAt(index, backend, "127.0.0.1:0")
 }
 
+// startAgentAt starts the agent of the target at index with the given packet
+// address. It replaces the agent that was at index.
 func (fleet *fleet) startAgentAt(index int, backend, packets string) *Agent {
-	chosen := settings.Default()
-	chosen.Node = fmt.Sprintf("target-%d", index+1)
-	chosen.DataFolder = fleet.folder
-	chosen.Agent.Certificate = filepath.Join(fleet.folder, selfSignedCertificate)
-	chosen.Agent.Key = filepath.Join(fleet.folder, selfSignedKey)
-	chosen.Agent.Packets = packets
-	chosen.Agent.Fabric = fleet.fabric.socket.Address().String()
-	chosen.Agent.Backend = backend
-	chosen.Agent.ColdStart = 0
-	chosen.Agent.HealthPath = ""
-	chosen.Agent.StopGrace = waitLimit
-	agent := New(Parts{
-		Settings: chosen, Store: fleet.store, Pause: rollout.NewPause(), Logger: zap.NewNop(),
+	config := settings.Default()
+	config.Node = fmt.Sprintf("target-%d", index+1)
+	config.DataFolder = fleet.folder
+	config.Agent.Certificate = filepath.Join(fleet.folder, selfSignedCertificate)
+	config.Agent.Key = filepath.Join(fleet.folder, selfSignedKey)
+	config.Agent.Packets = packets
+	config.Agent.Fabric = fleet.fabric.socket.Address().String()
+	config.Agent.Backend = backend
+	config.Agent.ColdStart = 0
+	config.Agent.HealthPath = ""
+	config.Agent.StopGrace = waitTimeout
+	agent := New(Dependencies{
+		Settings: config, Store: fleet.store, Pause: rollout.NewPause(), Logger: zap.NewNop(),
 		Readiness: process.NewReadiness(), Metrics: requests.NewMetrics(prometheus.NewRegistry()),
 	})
 	require.NoError(fleet.t, agent.Start(Identity{Incarnation: 7, Claims: fleet.claims}))
@@ -314,25 +325,26 @@
 	return agent
 }
 
-// crashAndRestart ends an agent without a word to its callers and starts a new
-// one at the same address.
+// crashAndRestart stops an agent without its callers noticing and starts a new one
+// at the same address.
 func (fleet *fleet) crashAndRestart(index int, backend string) {
 	address := fleet.agents[index].PacketAddress()
-	fleet.fabric.muted.Store(true)
+	fleet.fabric.dropAnswers.Store(true)
 	fleet.stops[index]()
-	// What the agent sent while it stopped may still wait at the fabric's socket.
-	fleet.fabric.settle()
-	fleet.fabric.muted.Store(false)
+	// Packets that the agent sent while stopping may still be in the fabric's socket buffer.
+	fleet.fabric.flush()
+	fleet.fabric.dropAnswers.Store(false)
 	fleet.startAgentAt(index, backend, address.String())
 	fleet.waitAccepting(1)
 }
 
+// waitAccepting waits until exactly count agents accept new flows.
 func (fleet *fleet) waitAccepting(count int) {
 	fleet.t.Helper()
 	eventually(fleet.t, func() bool {
 		accepting := 0
 		for _, agent := range fleet.agents {
-			if agent.accepts.Load() {
+			if agent.accepting.Load() {
 				accepting++
 			}
 		}
@@ -340,7 +352,7 @@
 	})
 }
 
-// setPhase publishes a configuration with another phase of one target.
+// setPhase publishes a configuration that changes the phase of one target.
 func (fleet *fleet) setPhase(id model.TargetID, phase model.TargetPhase) {
 	current := fleet.store.Current()
 	target := current.Targets[id]
@@ -355,11 +367,11 @@
 	require.True(fleet.t, fleet.store.Advance(next))
 }
 
-// owner returns the agent that owns the only flow.
+// owner returns the first agent that owns a flow.
 func (fleet *fleet) owner() *Agent {
 	fleet.t.Helper()
 	for _, agent := range fleet.agents {
-		if agent.running.Load().owners.Len() > 0 {
+		if agent.instance.Load().owners.Len() > 0 {
 			return agent
 		}
 	}
@@ -367,7 +379,7 @@
 	return nil
 }
 
-// other returns the agent that is not the given one, of two.
+// other returns the other one of two agents.
 func (fleet *fleet) other(agent *Agent) *Agent {
 	if fleet.agents[0] == agent {
 		return fleet.agents[1]
@@ -375,18 +387,20 @@
 	return fleet.agents[0]
 }
 
+// eventually waits until condition holds, and fails the test after waitTimeout.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatal("the condition did not come true")
+			t.Fatal("the condition was not met in time")
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// newBackend starts an HTTP/1.1 back end that echoes request IDs.
+// newBackend starts an HTTP/1.1 back end that echoes request IDs, and returns its
+// address.
 func newBackend(t *testing.T, handler http.HandlerFunc) string {
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		writer.Header().Set(protocol.HeaderRequestID, request.Header.Get(protocol.HeaderRequestID))
@@ -396,6 +410,7 @@
 	return server.Listener.Addr().String()
 }
 
+// readAll reads and closes the response body.
 func readAll(t *testing.T, response *http.Response) string {
 	t.Helper()
 	defer response.Body.Close()
@@ -404,6 +419,7 @@
 	return string(body)
 }
 
+// get requests a path of the service and returns the response and its body.
 func get(t *testing.T, client *http.Client, path string) (*http.Response, string) {
 	t.Helper()
 	response, err := client.Get("https://" + serviceAddress.String() + path)
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	// healthTimeout bounds one health report.
+	// healthTimeout bounds one health check.
 	healthTimeout = time.Second
-	// maximumHealthBody bounds what is read of a health report, in bytes.
+	// maximumHealthBody bounds how much of a health check's response body is
+	// read, in bytes.
 	maximumHealthBody = 4 << 10
 )
 
-// PollHealth asks the back end for its health until ctx ends. The reports
-// count only where the agent's own results say nothing.
+// PollHealth checks the back end's health at the configured interval until ctx
+// ends. It returns at once when no health path is configured. The results are
+// used only while the agent has no recent results of its own requests.
 func (agent *Agent) PollHealth(ctx context.Context) error {
 	if agent.settings.Agent.HealthPath == "" {
 		return nil
@@ -31,15 +33,15 @@
 			return nil
 		case <-ticker.C:
 		}
-		running := agent.running.Load()
-		if running != nil && running.front != nil {
-			running.gate.HealthReport(agent.askHealth(ctx, client))
+		current := agent.instance.Load()
+		if current != nil && current.frontend != nil {
+			current.gate.HealthReport(agent.checkHealth(ctx, client))
 		}
 	}
 }
 
-// newHealthClient returns a client that follows no redirects: only the back
-// end itself can report its health.
+// newHealthClient returns a client that does not follow redirects, because only
+// the back end itself can report its health.
 func newHealthClient() *http.Client {
 	return &http.Client{
 		Timeout: healthTimeout,
@@ -50,8 +52,9 @@
 	}
 }
 
-// askHealth returns the back end's own opinion; no answer is a bad one.
-func (agent *Agent) askHealth(ctx context.Context, client *http.Client) bool {
+// checkHealth reports whether the back end answers its health path with status
+// 200. An error or a timeout counts as unhealthy.
+func (agent *Agent) checkHealth(ctx context.Context, client *http.Client) bool {
 	url := "http://" + agent.settings.Agent.Backend + agent.settings.Agent.HealthPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/agent/health_test.go
+++ b/internal/agent/health_test.go
@@ -11,25 +11,25 @@
 	"merlinpaddle/internal/settings"
 )
 
-// The contract of the back end's health report: status 200 within the time,
-// from the back end itself, is good; all else is bad.
+// The back end is healthy only if it answers its health path itself, with status
+// 200 and within healthTimeout.
 func TestHealthReports(t *testing.T) {
-	elsewhere := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	t.Cleanup(elsewhere.Close)
+	otherServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	t.Cleanup(otherServer.Close)
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		good    bool
+		healthy bool
 	}{
 		{"healthy", func(http.ResponseWriter, *http.Request) {}, true},
-		{"another success", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) }, false},
+		{"another success status", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusNoContent) }, false},
 		{"unhealthy", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusServiceUnavailable) }, false},
-		{"late", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }, false},
-		{"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
-		{"sent to another server", func(writer http.ResponseWriter, request *http.Request) {
-			http.Redirect(writer, request, elsewhere.URL, http.StatusFound)
+		{"no answer within the timeout", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }, false},
+		{"connection closed before the answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, false},
+		{"redirect to another server", func(writer http.ResponseWriter, request *http.Request) {
+			http.Redirect(writer, request, otherServer.URL, http.StatusFound)
 		}, false},
-		{"endless", func(writer http.ResponseWriter, request *http.Request) {
+		{"endless body", func(writer http.ResponseWriter, request *http.Request) {
 			for request.Context().Err() == nil {
 				if _, err := writer.Write([]byte(strings.Repeat("a", 1000))); err != nil {
 					return
@@ -41,21 +41,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			backend := httptest.NewServer(test.handler)
 			defer backend.Close()
-			chosen := settings.Default()
-			chosen.Agent.Backend = backend.Listener.Addr().String()
-			agent := &Agent{settings: chosen}
+			config := settings.Default()
+			config.Agent.Backend = backend.Listener.Addr().String()
+			agent := &Agent{settings: config}
 			client := newHealthClient()
 			defer client.CloseIdleConnections()
-			require.Equal(t, test.good, agent.askHealth(t.Context(), client))
+			require.Equal(t, test.healthy, agent.checkHealth(t.Context(), client))
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		backend := httptest.NewServer(nil)
-		chosen := settings.Default()
-		chosen.Agent.Backend = backend.Listener.Addr().String()
+		config := settings.Default()
+		config.Agent.Backend = backend.Listener.Addr().String()
 		backend.Close()
 		client := newHealthClient()
 		defer client.CloseIdleConnections()
-		require.False(t, (&Agent{settings: chosen}).askHealth(t.Context(), client))
+		require.False(t, (&Agent{settings: config}).checkHealth(t.Context(), client))
 	})
 }
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -13,41 +13,41 @@
 	"merlinpaddle/internal/steering"
 )
 
-// flowIdleMargin is by how much a flow of QUIC stays owned after the idle
-// time-out that ends its connection.
+// flowIdleMargin is how long a QUIC flow stays owned after the idle timeout that
+// ends its connection.
 const flowIdleMargin = 10 * time.Second
 
-// waitInDrain is how long after a drain began a request that waits may still
-// be started.
-const waitInDrain = 2 * time.Second
+// drainQueueGrace is how long after the start of a drain queued requests may
+// still be started.
+const drainQueueGrace = 2 * time.Second
 
-// instance is the agent's work for one life of its target: a target that is
-// removed and created again gets a new instance.
+// instance serves one target ID. A target that is removed and created again has
+// a new ID and gets a new instance.
 type instance struct {
-	target  model.TargetID
-	service model.ServiceID
-	owners  *flow.Owners
-	steer   *steering.Steering
-	plane   *dataplane.Plane
+	target   model.TargetID
+	service  model.ServiceID
+	owners   *flow.Owners
+	steering *steering.Steering
+	plane    *dataplane.Plane
 
-	// gate, pool and front serve QUIC services; datagrams serves plain UDP.
+	// gate, pool and frontend serve QUIC services; datagrams serves plain UDP.
 	gate      *requests.Gate
 	pool      *upstream.Pool
-	front     *frontend
+	frontend  *frontend
 	datagrams *dataplane.Datagrams
 
-	// drainingSince is when the drain began, or zero. Only the goroutine that
-	// reconciles the agent uses it.
+	// drainingSince is when the drain began, or zero. Only the goroutine of
+	// Agent.Run uses it.
 	drainingSince time.Time
 }
 
-// newInstance starts the work for target.
+// newInstance returns an instance for target and starts its receiver.
 func (agent *Agent) newInstance(target model.Target, service model.Service, fabric netip.AddrPort) (*instance, error) {
 	created := &instance{target: target.ID, service: service.ID}
 	created.owners = flow.NewOwners(flow.OwnersOptions{
 		Service:     service.ID,
 		Target:      target.ID,
-		IdleTimeout: flowIdle(service),
+		IdleTimeout: flowIdleTimeout(service),
 	})
 	created.gate = requests.NewGate(admission.New(admission.Options{
 		Slots:        service.Limits.SlotsPerTarget,
@@ -57,7 +57,7 @@
 		StartedAt:    agent.started,
 		Seed:         uint64(agent.started.UnixNano()),
 	}))
-	created.steer = steering.New(steering.Options{
+	created.steering = steering.New(steering.Options{
 		Target:         target.ID,
 		Configurations: agent.store,
 		Owners:         created.owners,
@@ -70,7 +70,7 @@
 		Target:         target.ID,
 		Service:        service.ID,
 		Configurations: agent.store,
-		Decider:        created.steer,
+		Decider:        created.steering,
 		Owners:         created.owners,
 		Socket:         agent.socket,
 		Fabric:         fabric,
@@ -78,7 +78,7 @@
 	return created, agent.startReceiver(created, service)
 }
 
-// startReceiver starts what takes the service's packets.
+// startReceiver starts the receiver for the service's protocol.
 func (agent *Agent) startReceiver(created *instance, service model.Service) error {
 	switch service.Protocol {
 	case model.ProtocolUDP:
@@ -92,6 +92,7 @@
 	return nil
 }
 
+// startFrontend starts the HTTP/3 server of created and its request handler.
 func (agent *Agent) startFrontend(created *instance, service model.Service) error {
 	pair, err := loadCertificate(agent.settings, service.Address)
 	if err != nil {
@@ -99,68 +100,70 @@
 	}
 	created.pool = upstream.NewPool(agent.settings.Agent.Backend)
 	handler := requests.NewHandler(requests.Options{
-		Service:     func() model.Service { return agent.serviceNow(service) },
+		Service:     func() model.Service { return agent.currentService(service) },
 		Gate:        created.gate,
 		Pool:        created.pool,
 		Claims:      agent.claims,
 		Identifiers: agent.identifiers,
 		Metrics:     agent.requestMetrics,
 	})
-	created.front, err = newFrontend(created.plane, service, pair, handler)
+	created.frontend, err = newFrontend(created.plane, service, pair, handler)
 	if err != nil {
 		return err
 	}
-	created.plane.SetReceiver(created.front)
+	created.plane.SetReceiver(created.frontend)
 	return nil
 }
 
-func flowIdle(service model.Service) time.Duration {
+// flowIdleTimeout returns how long a flow without packets stays owned.
+func flowIdleTimeout(service model.Service) time.Duration {
 	if service.Protocol == model.ProtocolQUIC {
 		return service.Limits.IdleTimeout + flowIdleMargin
 	}
 	return service.Limits.IdleTimeout
 }
 
-// setAccepting starts or ends the taking of new connections.
-func (running *instance) setAccepting(accepting bool) {
-	if running.front != nil {
-		running.front.connections.setAccepting(accepting)
+// setAccepting sets whether new connections are accepted.
+func (instance *instance) setAccepting(accepting bool) {
+	if instance.frontend != nil {
+		instance.frontend.connections.setAccepting(accepting)
 	}
 }
 
-// refuseWaiting refuses the requests that still wait for a slot when the drain
-// has lasted for waitInDrain, so that the back end gets no new work later. It
-// admits requests again after the drain.
-func (running *instance) refuseWaiting(now time.Time, draining bool) {
+// refuseQueuedInDrain refuses the requests that still wait for a slot once the
+// drain has lasted for drainQueueGrace, so that the back end gets no new work
+// after that. Without a drain it admits requests again.
+func (instance *instance) refuseQueuedInDrain(now time.Time, draining bool) {
 	if !draining {
-		running.drainingSince = time.Time{}
-	} else if running.drainingSince.IsZero() {
-		running.drainingSince = now
+		instance.drainingSince = time.Time{}
+	} else if instance.drainingSince.IsZero() {
+		instance.drainingSince = now
 	}
-	running.gate.SetClosed(draining && now.Sub(running.drainingSince) >= waitInDrain)
+	instance.gate.SetClosed(draining && now.Sub(instance.drainingSince) >= drainQueueGrace)
 }
 
-// maintain ends what is idle, and keeps up the average number of requests.
-func (running *instance) maintain(now time.Time, limits model.Limits) {
-	running.plane.Expire(now)
-	running.steer.Observe(now)
-	if running.front != nil {
-		running.front.connections.endIdle(now, limits.IdleTimeout)
+// maintain expires idle flows, closes idle connections, and updates the average
+// number of requests. It is to be called every reconcileInterval.
+func (instance *instance) maintain(now time.Time, limits model.Limits) {
+	instance.plane.Expire(now)
+	instance.steering.Observe(now)
+	if instance.frontend != nil {
+		instance.frontend.connections.closeIdle(now, limits.IdleTimeout)
 	}
 }
 
-// resize follows changed limits of the service.
-func (running *instance) resize(limits model.Limits) {
-	running.gate.Resize(limits.SlotsPerTarget, limits.MaximumQueue, limits.MaximumConnections)
+// resize applies changed limits of the service to the gate.
+func (instance *instance) resize(limits model.Limits) {
+	instance.gate.Resize(limits.SlotsPerTarget, limits.MaximumQueue, limits.MaximumConnections)
 }
 
-// close ends everything at once.
-func (running *instance) close() {
-	if running.front != nil {
-		running.front.close()
-		running.pool.Close()
+// close closes all flows and connections immediately.
+func (instance *instance) close() {
+	if instance.frontend != nil {
+		instance.frontend.close()
+		instance.pool.Close()
 	}
-	if running.datagrams != nil {
-		running.datagrams.Close()
+	if instance.datagrams != nil {
+		instance.datagrams.Close()
 	}
 }
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -24,7 +24,8 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// countingBackend counts the requests that reach it.
+// countingBackend starts a back end that counts its requests, and returns its
+// address.
 func countingBackend(t *testing.T, requests *atomic.Int32) string {
 	return newBackend(t, func(writer http.ResponseWriter, _ *http.Request) {
 		requests.Add(1)
@@ -32,9 +33,8 @@
 	})
 }
 
-// Flows beyond a limit of the service are not opened, and those that are open
-// go on.
-func TestLimitsOfNewFlows(t *testing.T) {
+// Flows beyond a limit of the service are not opened; open flows continue.
+func TestNewFlowLimits(t *testing.T) {
 	cases := []struct {
 		name  string
 		limit func(service *model.Service)
@@ -57,18 +57,19 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			failed := make(chan error, 1)
 			go func() { failed <- call(ctx, third) }()
-			counters := fleet.agents[0].running.Load().plane.Counters()
+			counters := fleet.agents[0].instance.Load().plane.Counters()
 			eventually(t, func() bool { return counters.Dropped.Load() > 0 })
 			_, body := get(t, first, "/call")
 			require.Equal(t, "called", body)
 			cancel()
 			require.Error(t, <-failed)
-			require.Equal(t, 2, fleet.agents[0].running.Load().owners.Len())
+			require.Equal(t, 2, fleet.agents[0].instance.Load().owners.Len())
 			require.EqualValues(t, 3, requests.Load())
 		})
 	}
 }
 
+// call sends a request to /call and returns its error.
 func call(ctx context.Context, client *http.Client) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://"+serviceAddress.String()+"/call", nil)
 	if err != nil {
@@ -95,8 +96,8 @@
 	require.Zero(t, requests.Load())
 }
 
-// A connection on which the caller asks for nothing is closed, although the
-// QUIC pings of both sides keep it busy; one with an open feed is not.
+// A connection without requests is closed after the idle timeout, although the
+// QUIC pings of both sides keep it alive. One with an open feed is not closed.
 func TestConnectionWithoutRequestsIsClosed(t *testing.T) {
 	updates := make(chan string)
 	defer close(updates)
@@ -106,27 +107,27 @@
 	defer response.Body.Close()
 	lines := bufio.NewReader(response.Body)
 	get(t, fleet.fabric.client(), "/call")
-	front := fleet.agents[0].running.Load().front
-	connections, _ := front.connections.open()
+	frontend := fleet.agents[0].instance.Load().frontend
+	connections, _ := frontend.connections.counts()
 	require.Equal(t, 2, connections)
 	eventually(t, func() bool {
 		updates <- "update"
 		line, err := lines.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, "update\n", line)
-		connections, requests := front.connections.open()
+		connections, requests := frontend.connections.counts()
 		return connections == 1 && requests == 1
 	})
 }
 
-// A caller that stalls in the body of an at-most-once request gets its refusal
-// at the deadline, and the request did not run.
+// An at-most-once request whose caller does not send the whole body is refused at
+// its deadline and does not run.
 func TestStalledBodyIsRefusedAtItsDeadline(t *testing.T) {
 	var requests atomic.Int32
 	fleet := newFleet(t, model.ProtocolQUIC, countingBackend(t, &requests))
 	reader, writer := io.Pipe()
 	defer writer.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+serviceAddress.String()+"/once", reader)
 	require.NoError(t, err)
@@ -145,8 +146,8 @@
 // appendix A): method 17, scheme 23, path 1, and the authority "a".
 var rawRequest = []byte{0x01, 0x08, 0x00, 0x00, 0xd1, 0xd7, 0xc1, 0x50, 0x01, 'a'}
 
-// rawConnection opens a QUIC connection without an HTTP/3 client, which would
-// keep to GOAWAY by itself.
+// rawConnection opens a QUIC connection without an HTTP/3 client, which would not
+// send requests after GOAWAY.
 func rawConnection(t *testing.T, fleet *fleet) *quic.Conn {
 	caller, _ := fleet.fabric.newCaller(model.ProtocolQUIC)
 	transport := &quic.Transport{Conn: caller}
@@ -156,7 +157,7 @@
 	})
 	connection, err := transport.Dial(t.Context(), net.UDPAddrFromAddrPort(serviceAddress),
 		&tls.Config{InsecureSkipVerify: true, ServerName: "localhost", NextProtos: []string{http3.NextProtoH3}},
-		&quic.Config{MaxIdleTimeout: waitLimit, KeepAlivePeriod: time.Second})
+		&quic.Config{MaxIdleTimeout: waitTimeout, KeepAlivePeriod: time.Second})
 	require.NoError(t, err)
 	control, err := connection.OpenUniStream()
 	require.NoError(t, err)
@@ -166,15 +167,17 @@
 	return connection
 }
 
+// openRequest sends a request that must not be rejected while it is sent.
 func openRequest(t *testing.T, connection *quic.Conn) *quic.Stream {
 	stream, err := sendRequest(t, connection)
 	require.NoError(t, err)
 	return stream
 }
 
-// sendRequest sends a request on a stream of its own. The peer may reject it before
-// it is written, which is the error then, or before the stream is closed: that error
-// does not tell the peer's code, which reading the stream does.
+// sendRequest sends a request on a new stream. The peer may reject it before it is
+// written: then the stream is nil and the error has the peer's code. It may also reject
+// it before the stream is closed: then the error lacks the code, and reading the stream
+// returns it.
 func sendRequest(t *testing.T, connection *quic.Conn) (*quic.Stream, error) {
 	stream, err := connection.OpenStreamSync(t.Context())
 	require.NoError(t, err)
@@ -185,19 +188,20 @@
 }
 
 // exchange sends a request and reads its answer. It returns the error with which the
-// peer ended the request, whether that came before, while or after it was sent.
+// peer rejected the request, no matter whether it did so before, while or after the
+// request was sent.
 func exchange(t *testing.T, connection *quic.Conn) error {
 	stream, err := sendRequest(t, connection)
 	if stream == nil {
 		return err
 	}
-	require.NoError(t, stream.SetReadDeadline(time.Now().Add(waitLimit)))
+	require.NoError(t, stream.SetReadDeadline(time.Now().Add(waitTimeout)))
 	_, err = io.ReadAll(stream)
 	return err
 }
 
-// A caller that does not keep to GOAWAY gets H3_REQUEST_REJECTED, which says
-// that the request did not run; the request before it runs to its end.
+// A request that is sent after GOAWAY is rejected with H3_REQUEST_REJECTED, which
+// says that it did not run. A request in progress runs to its end.
 func TestRequestAfterGoAwayIsRejected(t *testing.T) {
 	var requests atomic.Int32
 	release := make(chan struct{})
@@ -206,45 +210,46 @@
 		<-release
 		fmt.Fprint(writer, "called")
 	}))
-	unblock := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(unblock)
+	unblockBackend := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(unblockBackend)
 	connection := rawConnection(t, fleet)
 	before := openRequest(t, connection)
 	eventually(t, func() bool { return requests.Load() == 1 })
 	fleet.setPhase(1, model.PhaseDraining)
-	eventually(t, func() bool { return !fleet.agents[0].accepts.Load() })
+	eventually(t, func() bool { return !fleet.agents[0].accepting.Load() })
 	eventually(t, func() bool {
 		var reset *quic.StreamError
 		require.ErrorAs(t, exchange(t, connection), &reset)
 		return http3.ErrCode(reset.ErrorCode) == http3.ErrCodeRequestRejected
 	})
-	require.EqualValues(t, 1, requests.Load(), "a rejected request did not run")
-	unblock()
+	require.EqualValues(t, 1, requests.Load(), "a rejected request must not run")
+	unblockBackend()
 	answer, err := io.ReadAll(before)
 	require.NoError(t, err)
 	require.Contains(t, string(answer), "called")
 }
 
-// A connection that was idle for long leaves by GOAWAY, so a request that is on
-// its way at that moment is rejected as not run and not cut.
-func TestIdleConnectionLeavesBeforeItIsClosed(t *testing.T) {
+// An idle connection gets GOAWAY before it is closed. A request that is in transit
+// at that moment is therefore rejected as not run, instead of being cut off with
+// an unknown outcome.
+func TestIdleConnectionGetsGoAwayBeforeClose(t *testing.T) {
 	var requests atomic.Int32
 	fleet := newFleetWith(t, func(service *model.Service) { service.Limits.IdleTimeout = time.Second }, countingBackend(t, &requests))
 	connection := rawConnection(t, fleet)
-	served := fleet.agents[0].running.Load().front.connections
+	connections := fleet.agents[0].instance.Load().frontend.connections
 	eventually(t, func() bool {
-		served.lock.Lock()
-		defer served.lock.Unlock()
-		for _, state := range served.states {
-			return state.leaving
+		connections.lock.Lock()
+		defer connections.lock.Unlock()
+		for _, state := range connections.states {
+			return state.shuttingDown
 		}
 		return false
 	})
-	require.Equal(t, answeredBeforeRejection(t, connection), requests.Load(), "rejected requests did not run")
+	require.Equal(t, answeredBeforeRejection(t, connection), requests.Load(), "rejected requests must not run")
 }
 
 // answeredBeforeRejection sends requests until one is rejected as not run, and
-// returns how many were faster than GOAWAY and were answered.
+// returns how many were answered before.
 func answeredBeforeRejection(t *testing.T, connection *quic.Conn) int32 {
 	answered := int32(0)
 	eventually(t, func() bool {
@@ -260,19 +265,20 @@
 	return answered
 }
 
-// A connection whose handshake ends after the drain began is not left without
-// an answer: its caller learns what did not run and goes elsewhere.
-func TestConnectionThatOpensDuringDrainIsTurnedAway(t *testing.T) {
+// A connection whose handshake completes after the drain began gets GOAWAY: its
+// requests are rejected as not run, so that the caller retries them at another
+// target.
+func TestConnectionOpenedDuringDrainGetsGoAway(t *testing.T) {
 	var requests atomic.Int32
 	fleet := newFleet(t, model.ProtocolQUIC, countingBackend(t, &requests))
-	fleet.fabric.muted.Store(true)
+	fleet.fabric.dropAnswers.Store(true)
 	opened := make(chan *quic.Conn, 1)
 	go func() { opened <- rawConnection(t, fleet) }()
-	eventually(t, func() bool { return fleet.agents[0].running.Load().owners.Len() == 1 })
+	eventually(t, func() bool { return fleet.agents[0].instance.Load().owners.Len() == 1 })
 	fleet.setPhase(1, model.PhaseDraining)
-	eventually(t, func() bool { return !fleet.agents[0].accepts.Load() })
-	fleet.fabric.muted.Store(false)
+	eventually(t, func() bool { return !fleet.agents[0].accepting.Load() })
+	fleet.fabric.dropAnswers.Store(false)
 	connection := <-opened
-	require.Equal(t, answeredBeforeRejection(t, connection), requests.Load(), "rejected requests did not run")
+	require.Equal(t, answeredBeforeRejection(t, connection), requests.Load(), "rejected requests must not run")
 	require.NoError(t, fleet.agents[0].Drain(t.Context()))
 }
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -6,7 +6,8 @@
 	"merlinpaddle/internal/agent/dataplane"
 )
 
-// collector gives the agent's state to Prometheus when it is asked for.
+// collector is a prometheus.Collector that reads the agent's state at each
+// scrape.
 type collector struct {
 	agent *Agent
 
@@ -26,14 +27,14 @@
 	}
 	return &collector{
 		agent:       agent,
-		packets:     describe("packets_total", "Packets by what became of them.", "result"),
+		packets:     describe("packets_total", "Packets by outcome.", "result"),
 		drops:       describe("dropped_packets_total", "Dropped packets by reason.", "reason"),
 		flows:       describe("flows", "Open flows."),
-		connections: describe("connections", "Open connections of callers."),
+		connections: describe("connections", "Open QUIC connections of callers."),
 		requests:    describe("requests", "Requests by state.", "state"),
-		unsolicited: describe("unsolicited_answers_total", "Back end connections closed because of an answer that nobody asked for."),
-		accepting:   describe("accepting", "1 while new flows are taken."),
-		healthy:     describe("backend_healthy", "1 while the back end is judged healthy."),
+		unsolicited: describe("unsolicited_answers_total", "Back end connections closed because of an answer without a request."),
+		accepting:   describe("accepting", "1 while the agent accepts new flows, else 0."),
+		healthy:     describe("backend_healthy", "1 while the back end is considered healthy, else 0."),
 	}
 }
 
@@ -50,12 +51,12 @@
 	counter := func(description *prometheus.Desc, value uint64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 	}
-	gauge(collector.accepting, number(collector.agent.accepts.Load()))
-	running := collector.agent.running.Load()
-	if running == nil {
+	gauge(collector.accepting, boolValue(collector.agent.accepting.Load()))
+	current := collector.agent.instance.Load()
+	if current == nil {
 		return
 	}
-	counters := running.plane.Counters()
+	counters := current.plane.Counters()
 	counter(collector.packets, counters.Delivered.Load(), "delivered")
 	counter(collector.packets, counters.Passed.Load(), "passed")
 	counter(collector.packets, counters.Reset.Load(), "reset")
@@ -66,20 +67,21 @@
 	counters.EachDrop(func(reason dataplane.DropReason, count uint64) {
 		counter(collector.drops, count, reason.String())
 	})
-	gauge(collector.flows, float64(running.owners.Len()))
-	load := running.gate.Load()
+	gauge(collector.flows, float64(current.owners.Len()))
+	load := current.gate.Load()
 	gauge(collector.requests, float64(load.Running), "running")
 	gauge(collector.requests, float64(load.Waiting), "waiting")
 	gauge(collector.requests, float64(load.Feeds), "feeds")
-	gauge(collector.healthy, number(load.Healthy))
-	if running.front != nil {
-		connections, _ := running.front.connections.open()
+	gauge(collector.healthy, boolValue(load.Healthy))
+	if current.frontend != nil {
+		connections, _ := current.frontend.connections.counts()
 		gauge(collector.connections, float64(connections))
-		counter(collector.unsolicited, running.pool.Unsolicited())
+		counter(collector.unsolicited, current.pool.Unsolicited())
 	}
 }
 
-func number(value bool) float64 {
+// boolValue returns 1 for true and 0 for false.
+func boolValue(value bool) float64 {
 	if value {
 		return 1
 	}
--- a/internal/agent/module.go
+++ b/internal/agent/module.go
@@ -19,21 +19,23 @@
 )
 
 const (
-	// claimInterval is how often claims are looked at without a reply.
-	claimInterval = 50 * time.Millisecond
-	// farewell is how long packets are still passed on after the last
+	// claimReconcileInterval is the time between two runs of the claim tracker;
+	// a reply starts one at once.
+	claimReconcileInterval = 50 * time.Millisecond
+	// stopLinger is how long packets are still forwarded after the last
 	// heartbeat of a planned stop, so that control can move the buckets.
-	farewell = 1500 * time.Millisecond
+	stopLinger = 1500 * time.Millisecond
 )
 
 // Module runs the agent role. It provides *Agent, rollout.Reporter and
-// *claim.Tracker, includes rollout.NodeModule, and needs the process base.
+// *claim.Tracker, includes rollout.NodeModule, and requires what package process
+// provides.
 func Module() fx.Option {
 	return fx.Module("agent",
 		fx.Provide(requestMetrics, newAgent, asReporter, newTracker),
-		// The order is that of the start; the stop runs backwards: drain,
-		// then the last heartbeat, then the farewell.
-		fx.Invoke(linger),
+		// Hooks start in this order and stop in reverse order: first the
+		// drain, then the last heartbeat, then stopLinger.
+		fx.Invoke(lingerAtStop),
 		rollout.NodeModule(model.RoleAgent),
 		fx.Invoke(run),
 	)
@@ -43,10 +45,10 @@
 	return requests.NewMetrics(registry)
 }
 
-func newAgent(chosen settings.Settings, store *rollout.Store, pause *rollout.Pause, logger *zap.Logger,
+func newAgent(config settings.Settings, store *rollout.Store, pause *rollout.Pause, logger *zap.Logger,
 	readiness *process.Readiness, metrics *requests.Metrics) *Agent {
-	return New(Parts{
-		Settings:  chosen,
+	return New(Dependencies{
+		Settings:  config,
 		Store:     store,
 		Pause:     pause,
 		Logger:    logger,
@@ -57,10 +59,12 @@
 
 func asReporter(agent *Agent) rollout.Reporter { return agent }
 
-func newTracker(chosen settings.Settings, subscriber *rollout.Subscriber, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher) (*claim.Tracker, *board.Queue[protocol.Envelope]) {
+// newTracker returns the claim tracker and the queue of claim replies that it
+// reads.
+func newTracker(config settings.Settings, subscriber *rollout.Subscriber, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher) (*claim.Tracker, *board.Queue[protocol.Envelope]) {
 	replies := dispatcher.Handle(protocol.ClaimReply{})
 	return claim.NewTracker(claim.Options{
-		Agent:       model.NodeName(chosen.Node),
+		Agent:       model.NodeName(config.Node),
 		Incarnation: subscriber.Incarnation(),
 		Mailbox:     mailbox,
 		Replies:     replies,
@@ -68,10 +72,10 @@
 	}), replies
 }
 
-// linger keeps the packet socket open for a while at the end of a stop.
-func linger(lifecycle fx.Lifecycle) {
+// lingerAtStop keeps the packet socket open for stopLinger at the end of a stop.
+func lingerAtStop(lifecycle fx.Lifecycle) {
 	lifecycle.Append(fx.StopHook(func(ctx context.Context) {
-		timer := time.NewTimer(farewell)
+		timer := time.NewTimer(stopLinger)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
@@ -80,8 +84,8 @@
 	}))
 }
 
-// runParts are what run needs.
-type runParts struct {
+// runDependencies are the dependencies of run.
+type runDependencies struct {
 	fx.In
 
 	Lifecycle  fx.Lifecycle
@@ -94,26 +98,27 @@
 	Replies    *board.Queue[protocol.Envelope]
 }
 
-func run(parts runParts) {
-	parts.Registry.MustRegister(newCollector(parts.Agent))
-	parts.Lifecycle.Append(fx.Hook{
+// run registers the metrics, and starts and stops the agent's goroutines.
+func run(dependencies runDependencies) {
+	dependencies.Registry.MustRegister(newCollector(dependencies.Agent))
+	dependencies.Lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			identity := Identity{Incarnation: parts.Subscriber.Incarnation(), Claims: parts.Tracker}
-			if err := parts.Agent.Start(identity); err != nil {
+			identity := Identity{Incarnation: dependencies.Subscriber.Incarnation(), Claims: dependencies.Tracker}
+			if err := dependencies.Agent.Start(identity); err != nil {
 				return err
 			}
-			parts.Tasks.Go("packets", parts.Agent.Receive)
-			parts.Tasks.Go("agent", parts.Agent.Run)
-			parts.Tasks.Go("health", parts.Agent.PollHealth)
-			parts.Tasks.Go("claims", func(ctx context.Context) error {
-				board.NewRunner(parts.Tracker, claimInterval, parts.Replies.Watch()).Run(ctx)
+			dependencies.Tasks.Go("packets", dependencies.Agent.Receive)
+			dependencies.Tasks.Go("agent", dependencies.Agent.Run)
+			dependencies.Tasks.Go("health", dependencies.Agent.PollHealth)
+			dependencies.Tasks.Go("claims", func(ctx context.Context) error {
+				board.NewRunner(dependencies.Tracker, claimReconcileInterval, dependencies.Replies.Watch()).Run(ctx)
 				return nil
 			})
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			// Flows that are left are logged; the stop goes on.
-			_ = parts.Agent.Drain(ctx)
+			// Drain logs what is still open; the stop continues.
+			_ = dependencies.Agent.Drain(ctx)
 			return nil
 		},
 	})
--- a/internal/agent/module_test.go
+++ b/internal/agent/module_test.go
@@ -13,7 +13,7 @@
 	"merlinpaddle/internal/settings"
 )
 
-func TestModuleHasAllItNeeds(t *testing.T) {
+func TestModuleDependenciesAreProvided(t *testing.T) {
 	require.NoError(t, fx.ValidateApp(
 		fx.NopLogger,
 		fx.Supply(settings.Default(), zap.NewNop(), prometheus.NewRegistry(), logring.New(1), &logring.Dumper{}),
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -4,20 +4,20 @@
 
 // Load implements rollout.Reporter.
 func (agent *Agent) Load() *model.TargetLoad {
-	running := agent.running.Load()
-	if running == nil {
+	current := agent.instance.Load()
+	if current == nil {
 		return nil
 	}
-	load := agent.loadOf(running)
-	load.Flows = uint32(running.owners.Len())
+	load := agent.loadOf(current)
+	load.Flows = uint32(current.owners.Len())
 	return &load
 }
 
-// loadOf returns the load of an instance without its flows.
-func (agent *Agent) loadOf(running *instance) model.TargetLoad {
-	load := running.gate.Load()
+// loadOf returns the load of an instance without its number of flows.
+func (agent *Agent) loadOf(current *instance) model.TargetLoad {
+	load := current.gate.Load()
 	return model.TargetLoad{
-		Target:      running.target,
+		Target:      current.target,
 		Incarnation: agent.incarnation,
 		Running:     uint32(load.Running),
 		Waiting:     uint32(load.Waiting),
@@ -30,9 +30,9 @@
 
 // Empty implements rollout.Reporter.
 func (agent *Agent) Empty(at model.Revision) []model.BucketEmpty {
-	running := agent.running.Load()
-	if running == nil {
+	current := agent.instance.Load()
+	if current == nil {
 		return nil
 	}
-	return running.steer.Empty(at)
+	return current.steering.Empty(at)
 }
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -9,58 +9,63 @@
 	"merlinpaddle/internal/faults"
 )
 
-// drainPoll is how often a stopping agent looks whether its flows have ended.
-const drainPoll = 50 * time.Millisecond
+// drainPollInterval is the time between two checks of a draining agent whether its
+// work has ended.
+const drainPollInterval = 50 * time.Millisecond
 
-// Drain takes no new flows and waits until the open ones have ended, requests,
-// uploads and feeds included, at most for agent.stop_grace. It returns an
-// error with code AgentStopGrace when some are left, which the stop then cuts.
+// Drain stops accepting new flows and waits until the open connections, requests
+// (uploads and feeds included) and UDP flows have ended and all claims are
+// reported, but at most for agent.stop_grace. It returns an error with code
+// AgentStopGrace when some are left; the stop then cuts them off.
 func (agent *Agent) Drain(ctx context.Context) error {
 	agent.stopping.Store(true)
 	agent.setAccepting(false)
 	ctx, cancel := context.WithTimeout(ctx, agent.settings.Agent.StopGrace)
 	defer cancel()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
 	for {
-		left := agent.left()
-		if left.none() {
+		open := agent.remaining()
+		if open.isEmpty() {
 			return nil
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			agent.logger.Error("stopped with open flows", zap.Int("connections", left.connections),
-				zap.Int("requests", left.requests), zap.Int("unreported claims", left.claims))
-			return faults.New(faults.AgentStopGrace, "%d connections with %d requests and %d claims were left", left.connections, left.requests, left.claims)
+			agent.logger.Error("stopped with open flows", zap.Int("connections", open.connections),
+				zap.Int("requests", open.requests), zap.Int("unreported claims", open.claims))
+			return faults.New(faults.AgentStopGrace, "%d connections with %d requests and %d unreported claims were still open", open.connections, open.requests, open.claims)
 		}
 	}
 }
 
-// remaining is what a drain waits for.
-type remaining struct {
+// remainingWork is the work that a drain waits for.
+type remainingWork struct {
 	connections int
 	requests    int
-	datagrams   int
-	claims      int
+	// datagrams is the number of open UDP flows.
+	datagrams int
+	// claims is the number of claims whose end is not confirmed.
+	claims int
 }
 
-func (left remaining) none() bool { return left == remaining{} }
+func (remaining remainingWork) isEmpty() bool { return remaining == remainingWork{} }
 
-func (agent *Agent) left() remaining {
-	var left remaining
-	running := agent.running.Load()
-	if running == nil {
-		return left
+// remaining returns the work that has not ended yet.
+func (agent *Agent) remaining() remainingWork {
+	var open remainingWork
+	current := agent.instance.Load()
+	if current == nil {
+		return open
 	}
-	if running.front != nil {
-		left.connections, left.requests = running.front.connections.open()
+	if current.frontend != nil {
+		open.connections, open.requests = current.frontend.connections.counts()
 	}
-	if running.datagrams != nil {
-		left.datagrams = running.datagrams.Open()
+	if current.datagrams != nil {
+		open.datagrams = current.datagrams.Open()
 	}
-	if reporter, reports := agent.claims.(interface{ Unreported() int }); reports {
-		left.claims = reporter.Unreported()
+	if tracker, ok := agent.claims.(interface{ Unreported() int }); ok {
+		open.claims = tracker.Unreported()
 	}
-	return left
+	return open
 }
