--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,13 +1,15 @@
 // Package claim asks the control group for the right to run a request at most
 // once, and reports how the request ended.
 //
-// A claim goes through the agent's relay to the control leader and back as
-// messages that may be lost, doubled or late. Each is repeated with the same
-// correlation until it is answered. A grant may be used for a bounded time
-// only, counted from before the claim was first sent, and a claim that was not
-// granted in time is released, so that a safe retry is not lost.
+// A claim and its reply travel through the agent's relay to the control leader
+// and back, as messages that may be lost, duplicated or delayed. The agent
+// resends each message with the same correlation until it is answered. A grant
+// may be used only for a bounded time, counted from when the claim was first
+// sent. A claim that was not granted in time is released, so that the caller
+// can safely retry the request.
 //
-// The package is pure: the time is given, and Tracker is a board.Controller.
+// The package reads no clock and starts no goroutine: callers pass the time, and
+// Tracker is a board.Controller.
 package claim
 
 import (
@@ -18,25 +20,25 @@
 )
 
 const (
-	// resendAfter is the wait before a message is first repeated; it doubles
-	// up to resendAtMost.
-	resendAfter  = 200 * time.Millisecond
-	resendAtMost = 5 * time.Second
-	// reportFor is how long the end of a request is reported before the
-	// tracker gives up. The key then stays taken until the claim expires.
-	reportFor = 5 * time.Minute
-	// grantMargin is the part of a grant that is not used. It covers the
-	// difference in rate between two clocks and the time between reading the
-	// clock and acting.
+	// firstResendInterval is the wait before a message is first resent. The
+	// wait doubles with each resend, up to maximumResendInterval.
+	firstResendInterval   = 200 * time.Millisecond
+	maximumResendInterval = 5 * time.Second
+	// reportTimeout is how long a report is resent before the tracker gives up.
+	// The key then stays taken until the control group expires the claim.
+	reportTimeout = 5 * time.Minute
+	// grantMargin is subtracted from the time that a grant allows. It covers
+	// the difference in rate between two clocks and the time between reading
+	// the clock and starting the request.
 	grantMargin = 500 * time.Millisecond
-	// MaximumPending bounds the claims in all phases; further claims are
-	// refused as not confirmed.
+	// MaximumPending bounds the number of claims in all phases; further claims
+	// are answered with ClaimUnavailable.
 	MaximumPending = 16384
 )
 
-// RelayNamer names the relay through which messages to control go.
+// RelayNamer returns the relay through which messages to control are sent.
 type RelayNamer interface {
-	// RelayName returns an empty name when there is no relay.
+	// RelayName returns the relay's name, or an empty name when there is none.
 	RelayName() model.NodeName
 }
 
@@ -45,13 +47,13 @@
 	// Correlation identifies the claim.
 	Correlation uint64
 	Key         protocol.ClaimKey
-	// StartBefore is when the right to start the run ends.
+	// StartBefore is the time before which the request must be started.
 	StartBefore time.Time
 }
 
-// Usable tells whether the run may start now. It must be asked right before
-// the first byte is sent: a process may have been stopped for any time since
-// the grant came.
+// Usable reports whether the request may start now. It must be called right
+// before the first byte is sent, because the process may have been stopped for
+// any length of time since the grant arrived.
 func (grant Grant) Usable(now time.Time) bool { return now.Before(grant.StartBefore) }
 
 // Answer is the result of a claim.
@@ -65,41 +67,50 @@
 	Outcome *protocol.ClaimOutcome
 }
 
-// phase is where a claim is in its life at this agent.
+// phase is the state of a claim at this agent.
 type phase uint8
 
 const (
-	// phaseAsking: the claim was sent and not answered.
-	phaseAsking phase = iota + 1
-	// phaseGranted: the request may run or runs.
+	// phaseRequested: the claim waits for a relay or for its reply.
+	phaseRequested phase = iota + 1
+	// phaseGranted: the request may be started or is running.
 	phaseGranted
-	// phaseReporting: the outcome, or that it was not run, is being reported.
+	// phaseReporting: the request's outcome, or that it was not run, is sent
+	// until it is confirmed.
 	phaseReporting
 )
 
-// entry is one claim.
+// entry is one claim that the tracker follows.
 type entry struct {
 	request protocol.ClaimRequest
 	phase   phase
-	// firstSent is when the claim was first sent; grants count from here.
+	// firstSent is when the claim was made, which is never later than its first
+	// send. The time that a grant allows is counted from it.
 	firstSent time.Time
-	deadline  time.Time
-	done      func(Answer)
-	outcome   protocol.ClaimOutcome
+	// deadline is when the tracker gives up the present phase; unused in
+	// phaseGranted.
+	deadline time.Time
+	// done is called with the answer; nil after phaseRequested.
+	done func(Answer)
+	// outcome is the report that phaseReporting sends.
+	outcome protocol.ClaimOutcome
 
+	// nextSend is when the message of the present phase is sent again.
 	nextSend time.Time
+	// interval is the latest wait between two sends; zero before the first.
 	interval time.Duration
 }
 
-// due tells whether the entry's message is to be sent now, and plans the next.
+// due reports whether the entry's message is to be sent now. If so, it schedules
+// the next send.
 func (entry *entry) due(now time.Time) bool {
 	if now.Before(entry.nextSend) {
 		return false
 	}
 	if entry.interval == 0 {
-		entry.interval = resendAfter
+		entry.interval = firstResendInterval
 	} else {
-		entry.interval = min(entry.interval*2, resendAtMost)
+		entry.interval = min(entry.interval*2, maximumResendInterval)
 	}
 	entry.nextSend = now.Add(entry.interval)
 	return true
--- a/internal/claim/control_test.go
+++ b/internal/claim/control_test.go
@@ -21,7 +21,8 @@
 )
 
 // These tests run several trackers against the replicated state over a network
-// that loses, doubles, delays and reorders, while agents freeze and restart.
+// that loses, duplicates, delays and reorders messages, while agents freeze and
+// restart.
 
 const (
 	agentCount = 3
@@ -29,19 +30,21 @@
 	stepCount  = 400
 )
 
+// node is an agent with its tracker. It always has a relay.
 type node struct {
 	name        model.NodeName
 	incarnation model.Incarnation
 	mailbox     *protocol.Mailbox
 	replies     *board.Queue[protocol.Envelope]
 	tracker     *claim.Tracker
-	// granted are the grants that wait to be used.
+	// granted are the grants that are not used yet.
 	granted     []claim.Grant
 	frozenUntil time.Time
 }
 
 func (node *node) RelayName() model.NodeName { return "relay" }
 
+// restart replaces the node's tracker, queues and grants by new ones.
 func (node *node) restart(incarnation model.Incarnation) {
 	node.incarnation = incarnation
 	node.mailbox = protocol.NewMailbox(node.name)
@@ -52,27 +55,32 @@
 	})
 }
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	random  *rand.Rand
 	now     time.Time
 	machine *state.Machine
 	index   model.Revision
 	nodes   []*node
-	flying  []protocol.Envelope
-	lossy   bool
-	// ran counts what truly ran; known has the keys whose outcome was
-	// recorded, unknown those whose outcome nobody knows.
-	ran     map[string]int
-	known   map[string]bool
-	unknown map[string]bool
+	// inTransit are the messages in transit.
+	inTransit []protocol.Envelope
+	// lossy is set while the network loses, delays and duplicates messages.
+	lossy bool
+	// ran counts the actual runs of each key. recorded has the keys of which an
+	// outcome was reported by Record, unknownOutcome those of which a run ended by
+	// Forget or an agent crashed with a grant.
+	ran            map[string]int
+	recorded       map[string]bool
+	unknownOutcome map[string]bool
 }
 
+// newWorld returns a world whose state has the tenant and the service of the keys,
+// with one target for each agent.
 func newWorld(t *testing.T, seed uint64) *world {
 	created := &world{
 		random: rand.New(rand.NewPCG(seed, 2)), now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 		machine: state.NewMachine(), lossy: true,
-		ran: make(map[string]int), known: make(map[string]bool), unknown: make(map[string]bool),
+		ran: make(map[string]int), recorded: make(map[string]bool), unknownOutcome: make(map[string]bool),
 	}
 	var targets []state.TargetParameter
 	for number := 1; number <= agentCount; number++ {
@@ -107,7 +115,7 @@
 	return created
 }
 
-// apply commits a command.
+// apply applies a command to the replicated state and returns its result.
 func (world *world) apply(command state.Command) state.Result {
 	encoded, err := state.EncodeCommand(command)
 	if err != nil {
@@ -121,32 +129,34 @@
 	return result
 }
 
-// move lets messages travel: in random order, and when lossy some vanish and
-// some come again.
-func (world *world) move() {
+// deliverMessages delivers the messages in transit in random order. While lossy is set, it
+// loses some, delays some and delivers some twice.
+func (world *world) deliverMessages() {
 	for _, node := range world.nodes {
-		world.flying = append(world.flying, node.mailbox.Outbox.Drain()...)
+		world.inTransit = append(world.inTransit, node.mailbox.Outbox.Drain()...)
 	}
-	world.random.Shuffle(len(world.flying), func(left, right int) {
-		world.flying[left], world.flying[right] = world.flying[right], world.flying[left]
+	world.random.Shuffle(len(world.inTransit), func(left, right int) {
+		world.inTransit[left], world.inTransit[right] = world.inTransit[right], world.inTransit[left]
 	})
-	flying := world.flying
-	world.flying = nil
-	for _, envelope := range flying {
+	inTransit := world.inTransit
+	world.inTransit = nil
+	for _, envelope := range inTransit {
 		fate := world.random.IntN(10)
 		switch {
 		case world.lossy && fate == 0:
 			continue
 		case world.lossy && fate <= 3:
-			world.flying = append(world.flying, envelope)
+			world.inTransit = append(world.inTransit, envelope)
 			continue
 		case world.lossy && fate == 4:
-			world.flying = append(world.flying, envelope)
+			world.inTransit = append(world.inTransit, envelope)
 		}
 		world.deliver(envelope)
 	}
 }
 
+// deliver applies a message to the state, which replies, or puts a reply into the
+// queue of its agent.
 func (world *world) deliver(envelope protocol.Envelope) {
 	var result state.Result
 	switch message := envelope.Message.(type) {
@@ -163,7 +173,7 @@
 		return
 	}
 	if result.Claim != nil {
-		world.flying = append(world.flying, protocol.Envelope{From: "relay", To: envelope.From, Message: *result.Claim})
+		world.inTransit = append(world.inTransit, protocol.Envelope{From: "relay", To: envelope.From, Message: *result.Claim})
 	}
 }
 
@@ -171,17 +181,19 @@
 	return protocol.ClaimKey{Tenant: "riga", Service: "ledger", Key: fmt.Sprintf("key-%d", number)}
 }
 
-func (world *world) attempt(node *node, wanted protocol.ClaimKey) {
-	node.tracker.Claim(world.now, wanted, 1, world.now.Add(3*time.Second), func(answer claim.Answer) {
+// attempt claims a key at a node.
+func (world *world) attempt(node *node, claimed protocol.ClaimKey) {
+	node.tracker.Claim(world.now, claimed, 1, world.now.Add(3*time.Second), func(answer claim.Answer) {
 		if answer.State == protocol.ClaimGranted {
 			node.granted = append(node.granted, answer.Grant)
 		}
 	})
 }
 
-// use acts on a grant as the request handler does: it checks the grant right
-// before the act.
-func (world *world) use(node *node) {
+// useGrant uses the node's oldest grant as the request handler does: it checks the grant
+// right before it runs the request, and then records or forgets the outcome. It releases
+// the grant when it can no longer be used, and sometimes at random.
+func (world *world) useGrant(node *node) {
 	if len(node.granted) == 0 {
 		return
 	}
@@ -193,14 +205,16 @@
 	}
 	world.ran[grant.Key.Key]++
 	if world.random.IntN(3) == 0 {
-		world.unknown[grant.Key.Key] = true
+		world.unknownOutcome[grant.Key.Key] = true
 		node.tracker.Forget(grant)
 		return
 	}
-	world.known[grant.Key.Key] = true
+	world.recorded[grant.Key.Key] = true
 	node.tracker.Record(world.now, grant, protocol.ClaimOutcome{Status: 200, Body: []byte("paid")})
 }
 
+// step advances the time, lets one node claim, freeze or crash at random, delivers
+// messages, and runs the nodes that are not frozen.
 func (world *world) step(crashes bool) {
 	world.now = world.now.Add(time.Duration(world.random.IntN(120)) * time.Millisecond)
 	node := world.nodes[world.random.IntN(agentCount)]
@@ -216,33 +230,33 @@
 			world.attempt(node, key(world.random.IntN(keyCount)))
 		}
 	}
-	world.move()
-	for _, awake := range world.nodes {
-		if world.now.Before(awake.frozenUntil) {
+	world.deliverMessages()
+	for _, agent := range world.nodes {
+		if world.now.Before(agent.frozenUntil) {
 			continue
 		}
-		// A node that wakes may act on an old grant before anything else.
+		// A node that was frozen may use an old grant before it reconciles.
 		if world.random.IntN(2) == 0 {
-			world.use(awake)
+			world.useGrant(agent)
 		}
-		awake.tracker.Reconcile(world.now)
+		agent.tracker.Reconcile(world.now)
 	}
 }
 
-// crash restarts an agent: what it held is of unknown outcome.
+// crash restarts an agent, which loses its unused grants without releasing them.
 func (world *world) crash(node *node) {
 	for _, grant := range node.granted {
-		world.unknown[grant.Key.Key] = true
+		world.unknownOutcome[grant.Key.Key] = true
 	}
 	node.restart(node.incarnation + agentCount)
 }
 
-// settle lets every message arrive and every grant be used or released.
+// settle delivers every message and releases every grant that is left.
 func (world *world) settle() {
 	world.lossy = false
 	for range 400 {
 		world.now = world.now.Add(50 * time.Millisecond)
-		world.move()
+		world.deliverMessages()
 		for _, node := range world.nodes {
 			for len(node.granted) > 0 {
 				node.tracker.Release(world.now, node.granted[0])
@@ -253,14 +267,15 @@
 	}
 }
 
-// finalState asks once more for a key and returns the answer.
-func (world *world) finalState(wanted protocol.ClaimKey) protocol.ClaimState {
+// finalState claims a key again as a new agent and returns the state of the reply.
+func (world *world) finalState(claimed protocol.ClaimKey) protocol.ClaimState {
 	result := world.apply(state.Claim{Request: protocol.ClaimRequest{
-		Correlation: 1 << 40, Key: wanted, Fingerprint: 1, Agent: "agent-1", Incarnation: 1 << 40,
+		Correlation: 1 << 40, Key: claimed, Fingerprint: 1, Agent: "agent-1", Incarnation: 1 << 40,
 	}})
 	return result.Claim.State
 }
 
+// check returns an error if a key ran more than once.
 func (world *world) check() error {
 	for number := range keyCount {
 		name := key(number).Key
@@ -271,24 +286,26 @@
 	return nil
 }
 
-// checkSettled checks that no safe retry is lost: a key that never ran, and
-// whose attempts all ended in order, is free; a recorded one is answered.
+// checkSettled returns an error if a safe retry was lost or a key could run again: a key
+// that never ran, and has no unknown outcome, must be free; a key with a recorded outcome
+// must be answered with it.
 func (world *world) checkSettled(crashed bool) error {
 	for number := range keyCount {
 		name := key(number).Key
 		final := world.finalState(key(number))
 		switch {
-		case world.known[name] && !crashed && final != protocol.ClaimCompleted:
+		case world.recorded[name] && !crashed && final != protocol.ClaimCompleted:
 			return fmt.Errorf("%s was recorded and is in state %d", name, final)
 		case world.ran[name] == 1 && final == protocol.ClaimGranted:
 			return fmt.Errorf("%s ran and was granted again", name)
-		case world.ran[name] == 0 && !world.unknown[name] && !crashed && final != protocol.ClaimGranted:
+		case world.ran[name] == 0 && !world.unknownOutcome[name] && !crashed && final != protocol.ClaimGranted:
 			return fmt.Errorf("%s never ran and is in state %d", name, final)
 		}
 	}
 	return nil
 }
 
+// run executes stepCount steps, checking after each, and then settles.
 func (world *world) run(crashes bool) error {
 	for range stepCount {
 		world.step(crashes)
@@ -303,13 +320,15 @@
 	return world.checkSettled(crashes)
 }
 
+// No key runs twice, and a key that certainly did not run can be claimed again, no matter
+// which messages are lost, duplicated, delayed or reordered and when agents freeze or crash.
 func TestNoKeyRunsTwice(t *testing.T) {
 	for _, crashes := range []bool{false, true} {
 		t.Run(fmt.Sprintf("crashes %v", crashes), func(t *testing.T) {
 			parameters := gopter.DefaultTestParametersWithSeed(20260102)
 			parameters.MinSuccessfulTests = 25
 			properties := gopter.NewProperties(parameters)
-			properties.Property("at most one run a key, and no safe retry lost", prop.ForAll(
+			properties.Property("at most one run per key, and no safe retry lost", prop.ForAll(
 				func(seed uint64) (bool, error) {
 					err := newWorld(t, seed).run(crashes)
 					return err == nil, err
--- a/internal/claim/tracker.go
+++ b/internal/claim/tracker.go
@@ -11,10 +11,10 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Options are what a Tracker needs.
+// Options are the dependencies of a Tracker.
 type Options struct {
 	Agent model.NodeName
-	// Incarnation must be the one in the agent's heartbeats.
+	// Incarnation must be the one that the agent's heartbeats carry.
 	Incarnation model.Incarnation
 	Mailbox     *protocol.Mailbox
 	// Replies is the queue of received protocol.ClaimReply messages.
@@ -27,46 +27,52 @@
 //
 // Invariants:
 //
-//   - At most one claim a key is open at this agent; a second request with the
-//     key is told that the first is in progress.
+//   - At most one claim per key is open at this agent. A second request with
+//     the same key is answered with ClaimInProgress, or with ClaimMismatch if
+//     its fingerprint differs.
 //   - A claim that ended without a run is reported as not run until that is
-//     confirmed, also when the grant comes after the claim was given up.
-//   - A claim whose grant was handed out is never reported as not run, unless
-//     its holder says so with Release.
+//     confirmed, even if the grant arrives after the claim was given up.
+//   - A claim whose grant was returned to the caller is never reported as not
+//     run, unless the caller calls Release.
 type Tracker struct {
 	options Options
 
-	lock        sync.Mutex
+	lock sync.Mutex
+	// correlation is that of the latest claim.
 	correlation uint64
-	entries     map[uint64]*entry
-	open        map[protocol.ClaimKey]uint64
+	// entries are the claims by correlation.
+	entries map[uint64]*entry
+	// openByKey has, for each key, the correlation of the claim that is in
+	// phaseRequested or phaseGranted.
+	openByKey map[protocol.ClaimKey]uint64
 }
 
-// NewTracker returns a tracker without claims.
+// NewTracker returns a Tracker that has no claims.
 func NewTracker(options Options) *Tracker {
 	return &Tracker{
-		options: options,
-		entries: make(map[uint64]*entry),
-		open:    make(map[protocol.ClaimKey]uint64),
+		options:   options,
+		entries:   make(map[uint64]*entry),
+		openByKey: make(map[protocol.ClaimKey]uint64),
 	}
 }
 
 // Name implements board.Controller.
 func (tracker *Tracker) Name() string { return "claims" }
 
-// Claim asks for the right to run a request. done is called once, with the
-// answer, or with ClaimUnavailable at the deadline; it must not wait. It
-// returns the claim's correlation, for Abandon.
+// Claim asks for the right to run the request with the given key and
+// fingerprint. It calls done once, with the answer, or with ClaimUnavailable at
+// the deadline; done must not block. Claim returns the claim's correlation, which
+// Abandon needs, or zero when it has called done already.
 func (tracker *Tracker) Claim(now time.Time, key protocol.ClaimKey, fingerprint uint64, deadline time.Time, done func(Answer)) uint64 {
 	tracker.lock.Lock()
-	if refusal, refused := tracker.refuse(key, fingerprint); refused {
+	if refusal, refused := tracker.answerLocally(key, fingerprint); refused {
 		tracker.lock.Unlock()
 		done(refusal)
 		return 0
 	}
 	defer tracker.lock.Unlock()
 	tracker.correlation++
-	asked := &entry{
+	requested := &entry{
 		request: protocol.ClaimRequest{
 			Correlation: tracker.correlation,
 			Key:         key,
@@ -74,21 +80,22 @@
 			Agent:       tracker.options.Agent,
 			Incarnation: tracker.options.Incarnation,
 		},
-		phase:     phaseAsking,
+		phase:     phaseRequested,
 		firstSent: now,
 		deadline:  deadline,
 		done:      done,
 		nextSend:  now,
 	}
-	tracker.entries[tracker.correlation] = asked
-	tracker.open[key] = tracker.correlation
-	tracker.send(now, asked)
+	tracker.entries[tracker.correlation] = requested
+	tracker.openByKey[key] = tracker.correlation
+	tracker.send(now, requested)
 	return tracker.correlation
 }
 
-// refuse answers a claim that need not be sent.
-func (tracker *Tracker) refuse(key protocol.ClaimKey, fingerprint uint64) (Answer, bool) {
-	if correlation, exists := tracker.open[key]; exists {
+// answerLocally returns the answer to a claim that need not be sent, and reports
+// whether there is one.
+func (tracker *Tracker) answerLocally(key protocol.ClaimKey, fingerprint uint64) (Answer, bool) {
+	if correlation, exists := tracker.openByKey[key]; exists {
 		if tracker.entries[correlation].request.Fingerprint != fingerprint {
 			return Answer{State: protocol.ClaimMismatch}, true
 		}
@@ -100,26 +107,26 @@
 	return Answer{}, false
 }
 
-// Abandon ends a claim whose caller went away before the answer came. done is
-// not called any more. When the grant was handed out already, it does nothing.
+// Abandon ends a claim whose caller no longer waits for the answer; done is then
+// not called. It does nothing when the claim was answered already.
 func (tracker *Tracker) Abandon(now time.Time, correlation uint64) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
-	if asked, exists := tracker.entries[correlation]; exists && asked.phase == phaseAsking {
-		tracker.report(now, asked, tracker.notRun(asked))
+	if requested, exists := tracker.entries[correlation]; exists && requested.phase == phaseRequested {
+		tracker.startReport(now, requested, tracker.notRunOutcome(requested))
 	}
 }
 
-// Release reports that the request of a grant was not run.
+// Release reports to control that the request of a grant was not run.
 func (tracker *Tracker) Release(now time.Time, grant Grant) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
 	if granted, exists := tracker.entries[grant.Correlation]; exists && granted.phase == phaseGranted {
-		tracker.report(now, granted, tracker.notRun(granted))
+		tracker.startReport(now, granted, tracker.notRunOutcome(granted))
 	}
 }
 
-// Record reports the answer of a request that ran.
+// Record reports to control the outcome of a request that ran.
 func (tracker *Tracker) Record(now time.Time, grant Grant, outcome protocol.ClaimOutcome) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
@@ -132,20 +139,21 @@
 	outcome.Agent = granted.request.Agent
 	outcome.Incarnation = granted.request.Incarnation
 	outcome.NotRun = false
-	tracker.report(now, granted, outcome)
+	tracker.startReport(now, granted, outcome)
 }
 
-// Forget ends a claim whose request may have run with an unknown outcome. The
-// key stays taken at the control group, so the request never runs again.
+// Forget ends a claim whose request may have run, but whose outcome is unknown.
+// It sends nothing: the key stays taken at the control group, so that the request
+// does not run again.
 func (tracker *Tracker) Forget(grant Grant) {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
 	if granted, exists := tracker.entries[grant.Correlation]; exists && granted.phase == phaseGranted {
-		tracker.end(granted)
+		tracker.remove(granted)
 	}
 }
 
-// Unreported returns the number of claims whose end is not confirmed yet.
+// Unreported returns the number of claims whose report is not confirmed yet.
 func (tracker *Tracker) Unreported() int {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
@@ -160,23 +168,23 @@
 
 // Reconcile implements board.Controller.
 func (tracker *Tracker) Reconcile(now time.Time) {
-	for _, answered := range tracker.advance(now) {
-		answered.done(answered.answer)
+	for _, due := range tracker.advance(now) {
+		due.done(due.answer)
 	}
 }
 
-// answered is a claim whose owner is to be told.
-type answered struct {
+// callback is a call of a claim's done that is due.
+type callback struct {
 	done   func(Answer)
 	answer Answer
 }
 
-// advance handles replies and times under the lock and returns the calls to
-// make without it.
-func (tracker *Tracker) advance(now time.Time) []answered {
+// advance handles received replies, resends and deadlines under the lock. It
+// returns the callbacks to call after the lock is released.
+func (tracker *Tracker) advance(now time.Time) []callback {
 	tracker.lock.Lock()
 	defer tracker.lock.Unlock()
-	var results []answered
+	var results []callback
 	for _, envelope := range tracker.options.Replies.Drain() {
 		reply, isReply := envelope.Message.(protocol.ClaimReply)
 		if !isReply || reply.Agent != tracker.options.Agent {
@@ -190,18 +198,19 @@
 	return results
 }
 
-func (tracker *Tracker) advanceEntry(now time.Time, pending *entry) []answered {
+// advanceEntry handles the deadline and the resends of one claim.
+func (tracker *Tracker) advanceEntry(now time.Time, pending *entry) []callback {
 	switch pending.phase {
-	case phaseAsking:
+	case phaseRequested:
 		if !now.Before(pending.deadline) {
 			done := pending.done
-			tracker.report(now, pending, tracker.notRun(pending))
-			return []answered{{done: done, answer: Answer{State: protocol.ClaimUnavailable}}}
+			tracker.startReport(now, pending, tracker.notRunOutcome(pending))
+			return []callback{{done: done, answer: Answer{State: protocol.ClaimUnavailable}}}
 		}
 		tracker.send(now, pending)
 	case phaseReporting:
 		if !now.Before(pending.deadline) {
-			tracker.end(pending)
+			tracker.remove(pending)
 			return nil
 		}
 		tracker.send(now, pending)
@@ -210,51 +219,52 @@
 }
 
 // receive handles one reply.
-func (tracker *Tracker) receive(now time.Time, reply protocol.ClaimReply) []answered {
+func (tracker *Tracker) receive(now time.Time, reply protocol.ClaimReply) []callback {
 	pending, exists := tracker.entries[reply.Correlation]
 	switch {
 	case !exists:
-		// The claim is over. It was granted and used, or its release was
-		// confirmed, after which the control group refuses late copies.
+		// The claim has ended. It was granted and used, or its release was
+		// confirmed; after that the control group refuses late copies of it.
 		return nil
-	case pending.phase == phaseAsking:
-		return tracker.answer(pending, reply)
-	case pending.phase == phaseReporting && confirms(reply):
-		tracker.end(pending)
+	case pending.phase == phaseRequested:
+		return tracker.handleClaimReply(pending, reply)
+	case pending.phase == phaseReporting && confirmsReport(reply):
+		tracker.remove(pending)
 	}
 	return nil
 }
 
-// confirms tells whether a reply ends a report: it is recorded, or another
-// holder has the key and the report can never be recorded.
-func confirms(reply protocol.ClaimReply) bool {
+// confirmsReport reports whether a reply ends a report: the report is recorded, or
+// it never can be because another holder has the key.
+func confirmsReport(reply protocol.ClaimReply) bool {
 	return reply.State == protocol.ClaimCompleted || reply.State == protocol.ClaimMismatch
 }
 
-// answer handles the reply to a claim.
-func (tracker *Tracker) answer(asked *entry, reply protocol.ClaimReply) []answered {
+// handleClaimReply handles the reply to a claim in phaseRequested.
+func (tracker *Tracker) handleClaimReply(requested *entry, reply protocol.ClaimReply) []callback {
 	result := Answer{State: reply.State, Outcome: reply.Outcome}
-	done := asked.done
+	done := requested.done
 	switch reply.State {
 	case protocol.ClaimGranted:
-		asked.phase = phaseGranted
-		asked.done = nil
+		requested.phase = phaseGranted
+		requested.done = nil
 		result.Grant = Grant{
-			Correlation: asked.request.Correlation,
-			Key:         asked.request.Key,
-			StartBefore: asked.firstSent.Add(reply.GrantedFor - grantMargin),
+			Correlation: requested.request.Correlation,
+			Key:         requested.request.Key,
+			StartBefore: requested.firstSent.Add(reply.GrantedFor - grantMargin),
 		}
 	case protocol.ClaimUnavailable:
-		// The leader could not commit the claim, which may still commit
-		// later; it is asked again until the deadline.
+		// The leader did not confirm the claim, but it may still be
+		// committed later. The claim is resent until the deadline.
 		return nil
 	default:
-		tracker.end(asked)
+		tracker.remove(requested)
 	}
-	return []answered{{done: done, answer: result}}
+	return []callback{{done: done, answer: result}}
 }
 
-func (tracker *Tracker) notRun(pending *entry) protocol.ClaimOutcome {
+// notRunOutcome returns the report that the request of a claim was not run.
+func (tracker *Tracker) notRunOutcome(pending *entry) protocol.ClaimOutcome {
 	return protocol.ClaimOutcome{
 		Correlation: pending.request.Correlation,
 		Key:         pending.request.Key,
@@ -264,32 +274,34 @@
 	}
 }
 
-// report begins to report the end of a claim.
-func (tracker *Tracker) report(now time.Time, pending *entry, outcome protocol.ClaimOutcome) {
+// startReport moves a claim to phaseReporting and sends its outcome.
+func (tracker *Tracker) startReport(now time.Time, pending *entry, outcome protocol.ClaimOutcome) {
 	pending.phase = phaseReporting
 	pending.done = nil
 	pending.outcome = outcome
-	pending.deadline = now.Add(reportFor)
+	pending.deadline = now.Add(reportTimeout)
 	pending.nextSend = now
 	pending.interval = 0
-	tracker.close(pending)
+	tracker.closeKey(pending)
 	tracker.send(now, pending)
 }
 
-// close lets the key be claimed again at this agent. The control group still
-// refuses it until the report is recorded.
-func (tracker *Tracker) close(pending *entry) {
-	if tracker.open[pending.request.Key] == pending.request.Correlation {
-		delete(tracker.open, pending.request.Key)
+// closeKey lets the key of a claim be claimed again at this agent. The control
+// group still refuses it until the report is recorded.
+func (tracker *Tracker) closeKey(pending *entry) {
+	if tracker.openByKey[pending.request.Key] == pending.request.Correlation {
+		delete(tracker.openByKey, pending.request.Key)
 	}
 }
 
-func (tracker *Tracker) end(pending *entry) {
-	tracker.close(pending)
+// remove ends a claim and deletes its entry.
+func (tracker *Tracker) remove(pending *entry) {
+	tracker.closeKey(pending)
 	delete(tracker.entries, pending.request.Correlation)
 }
 
-// send sends the entry's message when it is due and a relay is known.
+// send sends the message of a claim's phase if there is a relay and the message
+// is due.
 func (tracker *Tracker) send(now time.Time, pending *entry) {
 	relay := tracker.options.Relay.RelayName()
 	if relay == "" || !pending.due(now) {
--- a/internal/claim/tracker_test.go
+++ b/internal/claim/tracker_test.go
@@ -13,17 +13,18 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-var payout = protocol.ClaimKey{Tenant: "riga", Service: "ledger", Key: "payout-1"}
+var payoutKey = protocol.ClaimKey{Tenant: "riga", Service: "ledger", Key: "payout-1"}
 
-const grantLength = 5 * time.Second
+const grantDuration = 5 * time.Second
 
-// relay is a RelayNamer that can lose its relay.
+// relay is a RelayNamer whose relay can change.
 type relay struct{ name model.NodeName }
 
 func (relay *relay) RelayName() model.NodeName { return relay.name }
 
-// rig is one tracker with its mailbox.
-type rig struct {
+// fixture is a tracker with its mailbox, its queue of replies, and the answers that
+// its claims got.
+type fixture struct {
 	t       *testing.T
 	mailbox *protocol.Mailbox
 	replies *board.Queue[protocol.Envelope]
@@ -32,8 +33,8 @@
 	answers []Answer
 }
 
-func newRig(t *testing.T) *rig {
-	created := &rig{
+func newFixture(t *testing.T) *fixture {
+	created := &fixture{
 		t:       t,
 		mailbox: protocol.NewMailbox("agent-1"),
 		replies: board.NewQueue[protocol.Envelope]("replies", 100),
@@ -45,190 +46,196 @@
 	return created
 }
 
-func (rig *rig) claim(now time.Time, allowed time.Duration) uint64 {
-	return rig.tracker.Claim(now, payout, 11, now.Add(allowed), func(answer Answer) {
-		rig.answers = append(rig.answers, answer)
+// claim claims payoutKey; the deadline is allowed after now.
+func (fixture *fixture) claim(now time.Time, allowed time.Duration) uint64 {
+	return fixture.tracker.Claim(now, payoutKey, 11, now.Add(allowed), func(answer Answer) {
+		fixture.answers = append(fixture.answers, answer)
 	})
 }
 
-func (rig *rig) reply(now time.Time, reply protocol.ClaimReply) {
+// reply delivers a reply to the tracker.
+func (fixture *fixture) reply(now time.Time, reply protocol.ClaimReply) {
 	reply.Agent = "agent-1"
-	rig.replies.Put(protocol.Envelope{From: "relay-1", To: "agent-1", Message: reply})
-	rig.tracker.Reconcile(now)
+	fixture.replies.Put(protocol.Envelope{From: "relay-1", To: "agent-1", Message: reply})
+	fixture.tracker.Reconcile(now)
 }
 
-func (rig *rig) grant(now time.Time, correlation uint64) {
-	rig.reply(now, protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimGranted, GrantedFor: grantLength})
+// grant delivers a grant of the claim with the correlation.
+func (fixture *fixture) grant(now time.Time, correlation uint64) {
+	fixture.reply(now, protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimGranted, GrantedFor: grantDuration})
 }
 
-// sent returns and forgets the messages that were sent.
-func (rig *rig) sent() []any {
+// takeSent returns the messages that were sent since its previous call.
+func (fixture *fixture) takeSent() []any {
 	var messages []any
-	for _, envelope := range rig.mailbox.Outbox.Drain() {
-		require.Equal(rig.t, rig.relay.name, envelope.To)
+	for _, envelope := range fixture.mailbox.Outbox.Drain() {
+		require.Equal(fixture.t, fixture.relay.name, envelope.To)
 		messages = append(messages, envelope.Message)
 	}
 	return messages
 }
 
-// sentRelease checks that the only message is the release of correlation.
-func (rig *rig) sentRelease(correlation uint64) {
-	rig.t.Helper()
-	messages := rig.sent()
-	require.Len(rig.t, messages, 1)
+// requireReleaseSent checks that exactly one message was sent, which reports the claim
+// with the correlation as not run.
+func (fixture *fixture) requireReleaseSent(correlation uint64) {
+	fixture.t.Helper()
+	messages := fixture.takeSent()
+	require.Len(fixture.t, messages, 1)
 	outcome, isOutcome := messages[0].(protocol.ClaimOutcome)
-	require.True(rig.t, isOutcome)
-	require.Equal(rig.t, protocol.ClaimOutcome{Correlation: correlation, Key: payout, Agent: "agent-1", Incarnation: 7, NotRun: true}, outcome)
-}
-
-func TestClaimIsRepeatedUntilAnswered(t *testing.T) {
-	rig := newRig(t)
-	correlation := rig.claim(start, time.Minute)
-	first := rig.sent()
-	require.Equal(t, []any{protocol.ClaimRequest{Correlation: correlation, Key: payout, Fingerprint: 11, Agent: "agent-1", Incarnation: 7}}, first)
-	rig.tracker.Reconcile(start.Add(resendAfter - 1))
-	require.Empty(t, rig.sent())
-	rig.tracker.Reconcile(start.Add(resendAfter))
-	require.Equal(t, first, rig.sent(), "the same correlation")
-	rig.grant(start.Add(time.Second), correlation)
-	require.Len(t, rig.answers, 1)
-	require.Equal(t, protocol.ClaimGranted, rig.answers[0].State)
-	rig.tracker.Reconcile(start.Add(time.Minute))
-	require.Empty(t, rig.sent(), "a granted claim is not repeated")
-}
-
-// The grant counts from before the claim was sent, however late the reply is.
+	require.True(fixture.t, isOutcome)
+	require.Equal(fixture.t, protocol.ClaimOutcome{Correlation: correlation, Key: payoutKey, Agent: "agent-1", Incarnation: 7, NotRun: true}, outcome)
+}
+
+func TestClaimIsResentUntilAnswered(t *testing.T) {
+	fixture := newFixture(t)
+	correlation := fixture.claim(start, time.Minute)
+	first := fixture.takeSent()
+	require.Equal(t, []any{protocol.ClaimRequest{Correlation: correlation, Key: payoutKey, Fingerprint: 11, Agent: "agent-1", Incarnation: 7}}, first)
+	fixture.tracker.Reconcile(start.Add(firstResendInterval - 1))
+	require.Empty(t, fixture.takeSent())
+	fixture.tracker.Reconcile(start.Add(firstResendInterval))
+	require.Equal(t, first, fixture.takeSent(), "the claim is resent with the same correlation")
+	fixture.grant(start.Add(time.Second), correlation)
+	require.Len(t, fixture.answers, 1)
+	require.Equal(t, protocol.ClaimGranted, fixture.answers[0].State)
+	fixture.tracker.Reconcile(start.Add(time.Minute))
+	require.Empty(t, fixture.takeSent(), "a granted claim is not resent")
+}
+
+// The time that a grant allows counts from when the claim was first sent. A reply that
+// arrives late, or a process that was suspended, must not extend it.
 func TestGrantCountsFromFirstSending(t *testing.T) {
-	rig := newRig(t)
-	correlation := rig.claim(start, time.Minute)
-	rig.grant(start.Add(4*time.Second), correlation)
-	grant := rig.answers[0].Grant
-	require.Equal(t, start.Add(grantLength-grantMargin), grant.StartBefore)
+	fixture := newFixture(t)
+	correlation := fixture.claim(start, time.Minute)
+	fixture.grant(start.Add(4*time.Second), correlation)
+	grant := fixture.answers[0].Grant
+	require.Equal(t, start.Add(grantDuration-grantMargin), grant.StartBefore)
 	require.True(t, grant.Usable(start.Add(4*time.Second)))
-	require.False(t, grant.Usable(start.Add(grantLength-grantMargin)), "a process that was stopped wakes too late")
+	require.False(t, grant.Usable(start.Add(grantDuration-grantMargin)), "a process that was suspended meanwhile must not use the grant")
 }
 
-func TestAnswersThatEndAClaim(t *testing.T) {
+func TestRepliesThatEndAClaim(t *testing.T) {
 	outcome := &protocol.ClaimOutcome{Status: 200, Body: []byte("paid")}
 	cases := []struct {
 		name  string
 		reply protocol.ClaimReply
 		want  Answer
 	}{
-		{"in progress elsewhere", protocol.ClaimReply{State: protocol.ClaimInProgress}, Answer{State: protocol.ClaimInProgress}},
-		{"another request had the key", protocol.ClaimReply{State: protocol.ClaimMismatch}, Answer{State: protocol.ClaimMismatch}},
+		{"in progress at another agent", protocol.ClaimReply{State: protocol.ClaimInProgress}, Answer{State: protocol.ClaimInProgress}},
+		{"key used by a different request", protocol.ClaimReply{State: protocol.ClaimMismatch}, Answer{State: protocol.ClaimMismatch}},
 		{"completed", protocol.ClaimReply{State: protocol.ClaimCompleted, Outcome: outcome}, Answer{State: protocol.ClaimCompleted, Outcome: outcome}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			rig := newRig(t)
-			test.reply.Correlation = rig.claim(start, time.Minute)
-			rig.sent()
-			rig.reply(start, test.reply)
-			require.Equal(t, []Answer{test.want}, rig.answers)
-			rig.tracker.Reconcile(start.Add(time.Hour))
-			require.Empty(t, rig.sent(), "nothing was granted, so nothing is released")
+			fixture := newFixture(t)
+			test.reply.Correlation = fixture.claim(start, time.Minute)
+			fixture.takeSent()
+			fixture.reply(start, test.reply)
+			require.Equal(t, []Answer{test.want}, fixture.answers)
+			fixture.tracker.Reconcile(start.Add(time.Hour))
+			require.Empty(t, fixture.takeSent(), "a claim that was not granted needs no release")
 		})
 	}
 }
 
-func TestNoQuorumIsAskedAgainAndThenRefused(t *testing.T) {
-	rig := newRig(t)
-	correlation := rig.claim(start, time.Second)
-	rig.sent()
-	rig.reply(start.Add(10*time.Millisecond), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimUnavailable})
-	require.Empty(t, rig.answers)
-	rig.tracker.Reconcile(start.Add(resendAfter))
-	require.Len(t, rig.sent(), 1)
-	rig.tracker.Reconcile(start.Add(time.Second))
-	require.Equal(t, []Answer{{State: protocol.ClaimUnavailable}}, rig.answers)
-	rig.sentRelease(correlation)
+func TestClaimWithoutQuorumIsResentUntilDeadline(t *testing.T) {
+	fixture := newFixture(t)
+	correlation := fixture.claim(start, time.Second)
+	fixture.takeSent()
+	fixture.reply(start.Add(10*time.Millisecond), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimUnavailable})
+	require.Empty(t, fixture.answers)
+	fixture.tracker.Reconcile(start.Add(firstResendInterval))
+	require.Len(t, fixture.takeSent(), 1)
+	fixture.tracker.Reconcile(start.Add(time.Second))
+	require.Equal(t, []Answer{{State: protocol.ClaimUnavailable}}, fixture.answers)
+	fixture.requireReleaseSent(correlation)
 }
 
-// A grant that comes after the claim was given up must not keep the key.
+// A grant that arrives after the claim was given up must be released. Otherwise the key
+// would stay taken although the request did not run.
 func TestLateGrantIsReleased(t *testing.T) {
-	for _, name := range []string{"deadline", "caller gone"} {
+	for _, name := range []string{"deadline", "caller canceled"} {
 		t.Run(name, func(t *testing.T) {
-			rig := newRig(t)
-			correlation := rig.claim(start, time.Second)
-			rig.sent()
+			fixture := newFixture(t)
+			correlation := fixture.claim(start, time.Second)
+			fixture.takeSent()
 			if name == "deadline" {
-				rig.tracker.Reconcile(start.Add(time.Second))
+				fixture.tracker.Reconcile(start.Add(time.Second))
 			} else {
-				rig.tracker.Abandon(start.Add(time.Second), correlation)
+				fixture.tracker.Abandon(start.Add(time.Second), correlation)
 			}
-			rig.sentRelease(correlation)
-			rig.grant(start.Add(1100*time.Millisecond), correlation)
-			require.Equal(t, 1, rig.tracker.Unreported())
-			rig.tracker.Reconcile(start.Add(3 * time.Second))
-			rig.sentRelease(correlation)
-			rig.reply(start.Add(4*time.Second), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimCompleted})
-			require.Zero(t, rig.tracker.Unreported())
-			for _, answer := range rig.answers {
+			fixture.requireReleaseSent(correlation)
+			fixture.grant(start.Add(1100*time.Millisecond), correlation)
+			require.Equal(t, 1, fixture.tracker.Unreported())
+			fixture.tracker.Reconcile(start.Add(3 * time.Second))
+			fixture.requireReleaseSent(correlation)
+			fixture.reply(start.Add(4*time.Second), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimCompleted})
+			require.Zero(t, fixture.tracker.Unreported())
+			for _, answer := range fixture.answers {
 				require.NotEqual(t, protocol.ClaimGranted, answer.State)
 			}
 		})
 	}
 }
 
-func TestOutcomeIsRepeatedUntilRecorded(t *testing.T) {
-	rig := newRig(t)
-	correlation := rig.claim(start, time.Minute)
-	rig.grant(start, correlation)
-	rig.sent()
-	rig.tracker.Record(start, rig.answers[0].Grant, protocol.ClaimOutcome{Status: 200, Body: []byte("paid")})
-	want := []any{protocol.ClaimOutcome{Correlation: correlation, Key: payout, Agent: "agent-1", Incarnation: 7, Status: 200, Body: []byte("paid")}}
-	require.Equal(t, want, rig.sent())
-	rig.grant(start, correlation)
-	require.Equal(t, 1, rig.tracker.Unreported(), "a doubled grant confirms nothing")
-	rig.tracker.Reconcile(start.Add(time.Second))
-	require.Equal(t, want, rig.sent())
-	rig.reply(start.Add(time.Second), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimCompleted})
-	require.Zero(t, rig.tracker.Unreported())
-	rig.tracker.Reconcile(start.Add(time.Hour))
-	require.Empty(t, rig.sent())
+func TestOutcomeIsResentUntilRecorded(t *testing.T) {
+	fixture := newFixture(t)
+	correlation := fixture.claim(start, time.Minute)
+	fixture.grant(start, correlation)
+	fixture.takeSent()
+	fixture.tracker.Record(start, fixture.answers[0].Grant, protocol.ClaimOutcome{Status: 200, Body: []byte("paid")})
+	want := []any{protocol.ClaimOutcome{Correlation: correlation, Key: payoutKey, Agent: "agent-1", Incarnation: 7, Status: 200, Body: []byte("paid")}}
+	require.Equal(t, want, fixture.takeSent())
+	fixture.grant(start, correlation)
+	require.Equal(t, 1, fixture.tracker.Unreported(), "a duplicate grant does not confirm the report")
+	fixture.tracker.Reconcile(start.Add(time.Second))
+	require.Equal(t, want, fixture.takeSent())
+	fixture.reply(start.Add(time.Second), protocol.ClaimReply{Correlation: correlation, State: protocol.ClaimCompleted})
+	require.Zero(t, fixture.tracker.Unreported())
+	fixture.tracker.Reconcile(start.Add(time.Hour))
+	require.Empty(t, fixture.takeSent())
 }
 
 func TestReleaseAndForget(t *testing.T) {
 	t.Run("release", func(t *testing.T) {
-		rig := newRig(t)
-		correlation := rig.claim(start, time.Minute)
-		rig.grant(start, correlation)
-		rig.sent()
-		rig.tracker.Release(start, rig.answers[0].Grant)
-		rig.sentRelease(correlation)
-		rig.tracker.Record(start, rig.answers[0].Grant, protocol.ClaimOutcome{Status: 200})
-		require.Empty(t, rig.sent(), "an ended claim cannot be recorded")
+		fixture := newFixture(t)
+		correlation := fixture.claim(start, time.Minute)
+		fixture.grant(start, correlation)
+		fixture.takeSent()
+		fixture.tracker.Release(start, fixture.answers[0].Grant)
+		fixture.requireReleaseSent(correlation)
+		fixture.tracker.Record(start, fixture.answers[0].Grant, protocol.ClaimOutcome{Status: 200})
+		require.Empty(t, fixture.takeSent(), "an ended claim must not be recorded")
 	})
 	t.Run("forget sends nothing", func(t *testing.T) {
-		rig := newRig(t)
-		correlation := rig.claim(start, time.Minute)
-		rig.grant(start, correlation)
-		rig.sent()
-		rig.tracker.Forget(rig.answers[0].Grant)
-		rig.tracker.Release(start, rig.answers[0].Grant)
-		rig.tracker.Reconcile(start.Add(time.Hour))
-		require.Empty(t, rig.sent(), "a request that may have run is never released")
+		fixture := newFixture(t)
+		correlation := fixture.claim(start, time.Minute)
+		fixture.grant(start, correlation)
+		fixture.takeSent()
+		fixture.tracker.Forget(fixture.answers[0].Grant)
+		fixture.tracker.Release(start, fixture.answers[0].Grant)
+		fixture.tracker.Reconcile(start.Add(time.Hour))
+		require.Empty(t, fixture.takeSent(), "a request that may have run must not be released")
 	})
 }
 
-func TestSecondRequestWithOpenKey(t *testing.T) {
-	rig := newRig(t)
-	rig.claim(start, time.Minute)
-	rig.sent()
-	rig.claim(start, time.Minute)
-	require.Equal(t, []Answer{{State: protocol.ClaimInProgress}}, rig.answers)
-	rig.tracker.Claim(start, payout, 12, start.Add(time.Minute), func(answer Answer) { rig.answers = append(rig.answers, answer) })
-	require.Equal(t, protocol.ClaimMismatch, rig.answers[1].State)
-	require.Empty(t, rig.sent())
+func TestSecondRequestWithOpenKeyIsNotSent(t *testing.T) {
+	fixture := newFixture(t)
+	fixture.claim(start, time.Minute)
+	fixture.takeSent()
+	fixture.claim(start, time.Minute)
+	require.Equal(t, []Answer{{State: protocol.ClaimInProgress}}, fixture.answers)
+	fixture.tracker.Claim(start, payoutKey, 12, start.Add(time.Minute), func(answer Answer) { fixture.answers = append(fixture.answers, answer) })
+	require.Equal(t, protocol.ClaimMismatch, fixture.answers[1].State)
+	require.Empty(t, fixture.takeSent())
 }
 
 func TestClaimWaitsForARelay(t *testing.T) {
-	rig := newRig(t)
-	rig.relay.name = ""
-	rig.claim(start, time.Minute)
-	require.Empty(t, rig.sent())
-	rig.relay.name = "relay-2"
-	rig.tracker.Reconcile(start.Add(time.Millisecond))
-	require.Len(t, rig.sent(), 1)
+	fixture := newFixture(t)
+	fixture.relay.name = ""
+	fixture.claim(start, time.Minute)
+	require.Empty(t, fixture.takeSent())
+	fixture.relay.name = "relay-2"
+	fixture.tracker.Reconcile(start.Add(time.Millisecond))
+	require.Len(t, fixture.takeSent(), 1)
 }
