--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,7 @@
 // Package client is a typed client of the administration API. It finds the
-// leader among the members, sends a request again when that is safe, and says
-// truthfully whether a change that failed may have been run.
+// leader among the members of the control group, retries requests, which is safe
+// because every change is idempotent, and reports whether a failed change may
+// have been run.
 package client
 
 import (
@@ -25,25 +26,28 @@
 	DefaultRetryBudget    = 30 * time.Second
 )
 
-// Options are what a client needs.
+// Options are the settings of a Client.
 type Options struct {
 	// Endpoints are the base URLs of the members, such as https://10.0.0.1:7443.
+	// Without a scheme, https is used. At least one is required.
 	Endpoints []string
 	// Token is the bearer token.
 	Token string
-	// Authority is the file with the certificate authority of the members'
-	// certificates; empty means the system's authorities.
+	// Authority is a PEM file with the certificate authorities that members'
+	// certificates are verified against; empty means those of the system.
 	Authority string
-	// ServerName is the name in the members' certificates, when it is not the
-	// host of the endpoint.
+	// ServerName is the name that the members' certificates must be valid for;
+	// empty means the host of the endpoint.
 	ServerName string
-	// AttemptTimeout bounds one attempt.
+	// AttemptTimeout bounds one attempt; zero means DefaultAttemptTimeout.
 	AttemptTimeout time.Duration
-	// RetryBudget bounds all attempts of one request together.
+	// RetryBudget bounds all attempts of one request and the waits between them;
+	// zero means DefaultRetryBudget.
 	RetryBudget time.Duration
-	// Transport sends the requests; nil makes one from Authority.
+	// Transport sends the requests; nil means an HTTPS transport that uses
+	// Authority and ServerName.
 	Transport http.RoundTripper
-	// Sleep waits between attempts; nil means real time. Tests replace it.
+	// Sleep waits between attempts; nil means a real wait. Tests replace it.
 	Sleep func(ctx context.Context, wait time.Duration) error
 }
 
@@ -54,8 +58,9 @@
 	transport *http.Client
 
 	lock sync.Mutex
-	// endpoints are in the order in which they are tried; the one that last
-	// answered as the leader is preferred.
+	// endpoints are tried in order, beginning with the preferred one.
+	// preferred is the index of the endpoint at which a call last succeeded, or
+	// that was last named as the leader's.
 	endpoints []*endpoint
 	preferred int
 }
@@ -63,11 +68,12 @@
 // endpoint is one member's base URL.
 type endpoint struct {
 	base *url.URL
-	// node is the member's name, once it has answered.
+	// node is the member's name; empty until it has answered.
 	node model.NodeName
 }
 
-// New returns a client. It sends nothing yet.
+// New returns a client without sending anything. It returns an error with code
+// CodeUsage when the options are invalid.
 func New(options Options) (*Client, error) {
 	if options.AttemptTimeout == 0 {
 		options.AttemptTimeout = DefaultAttemptTimeout
@@ -87,7 +93,7 @@
 		client.endpoints = append(client.endpoints, &endpoint{base: base})
 	}
 	if len(client.endpoints) == 0 {
-		return nil, faults.New(faults.CodeUsage, "no endpoint of a control member is given")
+		return nil, faults.New(faults.CodeUsage, "no endpoint of a control member is configured")
 	}
 	transport, err := options.transport()
 	if err != nil {
@@ -97,17 +103,19 @@
 	return client, nil
 }
 
+// parseEndpoint parses an endpoint's URL, adding the scheme https if it has none.
 func parseEndpoint(text string) (*url.URL, error) {
 	if !strings.Contains(text, "://") {
 		text = "https://" + text
 	}
 	base, err := url.Parse(text)
 	if err != nil || base.Host == "" || (base.Scheme != "http" && base.Scheme != "https") {
-		return nil, faults.New(faults.CodeUsage, "endpoint %q is no URL such as https://10.0.0.1:7443", text)
+		return nil, faults.New(faults.CodeUsage, "endpoint %q is not a URL such as https://10.0.0.1:7443", text)
 	}
 	return base, nil
 }
 
+// transport returns the transport that the options ask for.
 func (options Options) transport() (http.RoundTripper, error) {
 	if options.Transport != nil {
 		return options.Transport, nil
@@ -120,12 +128,13 @@
 		}
 		configuration.RootCAs = x509.NewCertPool()
 		if !configuration.RootCAs.AppendCertsFromPEM(content) {
-			return nil, faults.New(faults.CodeUsage, "certificate authority %s holds no certificate in PEM", options.Authority)
+			return nil, faults.New(faults.CodeUsage, "certificate authority %s contains no PEM certificate", options.Authority)
 		}
 	}
 	return &http.Transport{TLSClientConfig: configuration, IdleConnTimeout: time.Minute}, nil
 }
 
+// sleep waits for the given time, or until ctx ends, which it returns as an error.
 func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -137,10 +146,11 @@
 	}
 }
 
-// choose returns the endpoint to try: the preferred one, or the next one after
-// it that was not tried. Each endpoint is tried before any is tried again, so
-// a member that names a dead leader does not keep the others from being asked.
-func (client *Client) choose(tried map[*endpoint]bool) *endpoint {
+// chooseEndpoint returns the endpoint to try next: the preferred one, or the next
+// one after it that was not tried. Each endpoint is tried before any is tried
+// again, so that a member that names a failed leader does not prevent attempts at
+// the others.
+func (client *Client) chooseEndpoint(tried map[*endpoint]bool) *endpoint {
 	client.lock.Lock()
 	defer client.lock.Unlock()
 	for offset := range client.endpoints {
@@ -152,9 +162,10 @@
 	return client.endpoints[client.preferred]
 }
 
-// learn records which member is behind an endpoint, and prefers the endpoint
-// of the leader if it is known.
-func (client *Client) learn(answered *endpoint, header http.Header, leader model.NodeName) {
+// recordAnswer records the name of the member that answered at an endpoint. If the
+// answer names a leader whose endpoint is known, that endpoint becomes the
+// preferred one.
+func (client *Client) recordAnswer(answered *endpoint, header http.Header, leader model.NodeName) {
 	client.lock.Lock()
 	defer client.lock.Unlock()
 	answered.node = model.NodeName(header.Get(adminapi.HeaderNode))
@@ -168,7 +179,7 @@
 	}
 }
 
-// prefer makes an endpoint that answered the first to try.
+// prefer makes answered the preferred endpoint.
 func (client *Client) prefer(answered *endpoint) {
 	client.lock.Lock()
 	defer client.lock.Unlock()
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -23,30 +23,30 @@
 	"merlinpaddle/internal/state"
 )
 
-// seen is one request that reached a member.
-type seen struct {
+// receivedRequest is a request that reached a member.
+type receivedRequest struct {
 	host string
 	key  string
 	path string
 }
 
-// reaction is what a member does with one request.
+// reaction handles one request at a member: it writes the answer or returns a transport error.
 type reaction func(writer http.ResponseWriter) error
 
-// members plays the members of a group: each host has its reactions in order,
-// and repeats the last one.
-type members struct {
+// fakeMembers is a transport that stands in for the members of a group. Each host uses
+// its reactions in order and repeats the last one. Its sleep method records the waits.
+type fakeMembers struct {
 	lock      sync.Mutex
 	reactions map[string][]reaction
-	requests  []seen
+	requests  []receivedRequest
 	sleeps    []time.Duration
 }
 
-func (members *members) RoundTrip(request *http.Request) (*http.Response, error) {
+func (members *fakeMembers) RoundTrip(request *http.Request) (*http.Response, error) {
 	members.lock.Lock()
 	defer members.lock.Unlock()
 	host := request.URL.Host
-	members.requests = append(members.requests, seen{host: host, key: request.Header.Get(adminapi.HeaderIdempotencyKey), path: request.URL.EscapedPath()})
+	members.requests = append(members.requests, receivedRequest{host: host, key: request.Header.Get(adminapi.HeaderIdempotencyKey), path: request.URL.EscapedPath()})
 	planned := members.reactions[host]
 	if len(planned) > 1 {
 		members.reactions[host] = planned[1:]
@@ -59,7 +59,8 @@
 	return recorder.Result(), nil
 }
 
-func (members *members) hosts() string {
+// hosts returns the hosts of all requests in order, separated by spaces.
+func (members *fakeMembers) hosts() string {
 	var hosts []string
 	for _, request := range members.requests {
 		hosts = append(hosts, request.host)
@@ -67,12 +68,13 @@
 	return strings.Join(hosts, " ")
 }
 
-func (members *members) sleep(_ context.Context, wait time.Duration) error {
+func (members *fakeMembers) sleep(_ context.Context, wait time.Duration) error {
 	members.sleeps = append(members.sleeps, wait)
 	return nil
 }
 
-func newTestClient(t *testing.T, members *members, hosts ...string) *Client {
+// newTestClient returns a client whose endpoints are the given hosts of members.
+func newTestClient(t *testing.T, members *fakeMembers, hosts ...string) *Client {
 	t.Helper()
 	var endpoints []string
 	for _, host := range hosts {
@@ -83,11 +85,13 @@
 	return made
 }
 
+// committed answers that a change was committed at revision 9.
 func committed(writer http.ResponseWriter) error {
 	return json.NewEncoder(writer).Encode(adminapi.ChangeAnswer{Revision: 9})
 }
 
-// refuses answers with the problem document of a code.
+// refuses answers with the problem document of a code. Its Retry-After is 2 s for
+// statuses that can be retried.
 func refuses(code faults.Code, leader model.NodeName) reaction {
 	return func(writer http.ResponseWriter) error {
 		definition, _ := faults.Lookup(code)
@@ -100,14 +104,15 @@
 	}
 }
 
+// fails returns a transport error.
 func fails(err error) reaction { return func(http.ResponseWriter) error { return err } }
 
 var (
-	refusedDial = &net.OpError{Op: "dial", Err: errors.New("connection refused")}
-	brokenLink  = io.ErrUnexpectedEOF
+	refusedDial      = &net.OpError{Op: "dial", Err: errors.New("connection refused")}
+	brokenConnection = io.ErrUnexpectedEOF
 )
 
-func TestChangesAreSentUntilTheyAreAnswered(t *testing.T) {
+func TestChangesAreRetriedUntilAnswered(t *testing.T) {
 	notLeader := refuses(faults.NotLeader, "node-c")
 	unknown := refuses(faults.CodeOutcomeUnknown, "")
 	cases := []struct {
@@ -117,33 +122,33 @@
 		code      faults.Code
 		ran       faults.Ran
 	}{
-		{"first try", map[string][]reaction{"a": {committed}}, "a", 0, ""},
+		{"first attempt", map[string][]reaction{"a": {committed}}, "a", 0, ""},
 		{"follower names a member that has not answered yet",
 			map[string][]reaction{"a": {notLeader}, "b": {notLeader}, "c": {committed}}, "a b c", 0, ""},
-		{"dead member", map[string][]reaction{"a": {fails(refusedDial)}, "b": {committed}}, "a b", 0, ""},
-		{"lost answer", map[string][]reaction{"a": {fails(brokenLink), committed}, "b": {notLeader}, "c": {notLeader}}, "a b c c a", 0, ""},
-		{"followers that name a dead leader", map[string][]reaction{"a": {fails(refusedDial)},
+		{"unreachable member", map[string][]reaction{"a": {fails(refusedDial)}, "b": {committed}}, "a b", 0, ""},
+		{"lost answer", map[string][]reaction{"a": {fails(brokenConnection), committed}, "b": {notLeader}, "c": {notLeader}}, "a b c c a", 0, ""},
+		{"followers that name an unreachable leader", map[string][]reaction{"a": {fails(refusedDial)},
 			"b": {refuses(faults.NotLeader, "node-a"), committed}, "c": {refuses(faults.NotLeader, "node-a")}}, "a b c a b", 0, ""},
 		{"election", map[string][]reaction{"a": {refuses(faults.NotLeader, ""), committed}, "b": {refuses(faults.NotLeader, "")}, "c": {fails(refusedDial)}}, "a b c a", 0, ""},
-		{"rate limit waits at the same member", map[string][]reaction{"a": {refuses(faults.CodeRateLimited, ""), committed}}, "a a", 0, ""},
-		{"refused by the state", map[string][]reaction{"a": {refuses(faults.CodeRevisionMismatch, "")}}, "a", faults.CodeRevisionMismatch, faults.RanNo},
-		{"refused by the state after a lost answer",
+		{"rate limit is retried at the same member", map[string][]reaction{"a": {refuses(faults.CodeRateLimited, ""), committed}}, "a a", 0, ""},
+		{"refused by the state machine", map[string][]reaction{"a": {refuses(faults.CodeRevisionMismatch, "")}}, "a", faults.CodeRevisionMismatch, faults.RanNo},
+		{"refused by the state machine after a lost answer",
 			map[string][]reaction{"a": {unknown}, "b": {refuses(faults.CodeRevisionMismatch, "")}}, "a b", faults.CodeRevisionMismatch, faults.RanNo},
 		{"refused before the log after a lost answer",
 			map[string][]reaction{"a": {unknown}, "b": {refuses(faults.CodeForbidden, "")}}, "a b", faults.CodeForbidden, faults.RanUnknown},
-		{"an answer that is no member's",
+		{"answer without a problem document",
 			map[string][]reaction{"a": {func(writer http.ResponseWriter) error { writer.WriteHeader(http.StatusBadGateway); return nil }}, "b": {committed}}, "a b", 0, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			members := &members{reactions: test.reactions}
+			members := &fakeMembers{reactions: test.reactions}
 			client := newTestClient(t, members, "a", "b", "c")
 			answer, err := client.PutTenant(t.Context(), "riga", Change{Base: 3}, state.TenantSpec{})
 			require.Equal(t, test.hosts, members.hosts())
 			require.Equal(t, test.code, Code(err), "%v", err)
 			for _, request := range members.requests {
 				require.NotEmpty(t, request.key)
-				require.Equal(t, members.requests[0].key, request.key, "every attempt has the same key")
+				require.Equal(t, members.requests[0].key, request.key, "every attempt must have the same key")
 			}
 			if test.code == 0 {
 				require.EqualValues(t, 9, answer.Revision)
@@ -154,8 +159,8 @@
 	}
 }
 
-func TestLeaderIsRemembered(t *testing.T) {
-	members := &members{reactions: map[string][]reaction{
+func TestLeaderIsPreferred(t *testing.T) {
+	members := &fakeMembers{reactions: map[string][]reaction{
 		"a": {refuses(faults.NotLeader, "node-c")}, "b": {refuses(faults.NotLeader, "node-c")}, "c": {committed},
 	}}
 	client := newTestClient(t, members, "a", "b", "c")
@@ -169,12 +174,12 @@
 	members.reactions["b"] = []reaction{committed}
 	_, err := client.PutTenant(t.Context(), "riga", Change{Base: 3}, state.TenantSpec{})
 	require.NoError(t, err)
-	require.Equal(t, "a b c c c b", members.hosts(), "a known leader is asked at once")
+	require.Equal(t, "a b c c c b", members.hosts(), "a known leader must be the next attempt")
 }
 
-func TestWaitsGrowAndHonourRetryAfter(t *testing.T) {
+func TestBackoffGrowsAndHonorsRetryAfter(t *testing.T) {
 	noLeader := refuses(faults.NotLeader, "")
-	members := &members{reactions: map[string][]reaction{"a": {noLeader, noLeader, noLeader, committed}}}
+	members := &fakeMembers{reactions: map[string][]reaction{"a": {noLeader, noLeader, noLeader, committed}}}
 	client := newTestClient(t, members, "a")
 	_, err := client.PutTenant(t.Context(), "riga", Change{}, state.TenantSpec{})
 	require.NoError(t, err)
@@ -191,7 +196,7 @@
 	}
 }
 
-func TestFailureSaysWhetherTheChangeMayHaveRun(t *testing.T) {
+func TestErrorSaysWhetherTheChangeMayHaveRun(t *testing.T) {
 	cases := []struct {
 		name  string
 		first reaction
@@ -199,14 +204,14 @@
 		ran   bool
 	}{
 		{"no connection", fails(refusedDial), faults.CodeMemberUnreachable, false},
-		{"certificate refused", fails(&tls.CertificateVerificationError{Err: errors.New("unknown authority")}), faults.CodeMemberUnreachable, false},
-		{"connection broke", fails(brokenLink), faults.CodeOutcomeUnknown, true},
+		{"certificate rejected", fails(&tls.CertificateVerificationError{Err: errors.New("unknown authority")}), faults.CodeMemberUnreachable, false},
+		{"connection broken", fails(brokenConnection), faults.CodeOutcomeUnknown, true},
 		{"unknown outcome", refuses(faults.CodeOutcomeUnknown, ""), faults.CodeOutcomeUnknown, true},
 		{"no leader", refuses(faults.NotLeader, ""), faults.NotLeader, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			members := &members{reactions: map[string][]reaction{"a": {test.first}}}
+			members := &fakeMembers{reactions: map[string][]reaction{"a": {test.first}}}
 			client := newTestClient(t, members, "a")
 			client.options.Sleep = func(context.Context, time.Duration) error { return context.DeadlineExceeded }
 			_, err := client.Drain(t.Context(), state.TargetKey{Tenant: "riga", Service: "tipline", Name: "tip-1"}, Change{Base: 4})
@@ -216,8 +221,8 @@
 	}
 }
 
-func TestReadsNeverSayThatTheyMayHaveRun(t *testing.T) {
-	members := &members{reactions: map[string][]reaction{"a": {fails(brokenLink)}}}
+func TestFailedReadNeverReportsMayHaveRun(t *testing.T) {
+	members := &fakeMembers{reactions: map[string][]reaction{"a": {fails(brokenConnection)}}}
 	client := newTestClient(t, members, "a")
 	client.options.Sleep = func(context.Context, time.Duration) error { return context.DeadlineExceeded }
 	_, err := client.Tenant(t.Context(), "riga")
@@ -225,8 +230,8 @@
 	require.False(t, MayHaveRun(err))
 }
 
-func TestLostAnswerOfARemoval(t *testing.T) {
-	members := &members{reactions: map[string][]reaction{"a": {fails(brokenLink), refuses(faults.UnknownMember, "")}}}
+func TestRemovalWithLostAnswerSucceeds(t *testing.T) {
+	members := &fakeMembers{reactions: map[string][]reaction{"a": {fails(brokenConnection), refuses(faults.UnknownMember, "")}}}
 	require.NoError(t, newTestClient(t, members, "a").RemoveMember(t.Context(), "7"))
 	members.reactions["a"] = []reaction{refuses(faults.UnknownMember, "")}
 	require.Equal(t, faults.UnknownMember, Code(newTestClient(t, members, "a").RemoveMember(t.Context(), "7")))
@@ -243,14 +248,14 @@
 			return json.NewEncoder(writer).Encode(page)
 		})
 	}
-	members := &members{reactions: map[string][]reaction{"a": pages}}
+	members := &fakeMembers{reactions: map[string][]reaction{"a": pages}}
 	tenants, err := newTestClient(t, members, "a").Tenants(t.Context())
 	require.NoError(t, err)
 	require.Len(t, tenants, 3)
 }
 
-func TestNamesAreEscaped(t *testing.T) {
-	members := &members{reactions: map[string][]reaction{"a": {refuses(faults.CodeNotFound, "")}}}
+func TestNamesAreEscapedInPaths(t *testing.T) {
+	members := &fakeMembers{reactions: map[string][]reaction{"a": {refuses(faults.CodeNotFound, "")}}}
 	_, err := newTestClient(t, members, "a").Template(t.Context(), "../tenants")
 	require.Equal(t, faults.CodeNotFound, Code(err))
 	require.Equal(t, "/v1/templates/..%2Ftenants", members.requests[0].path)
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -24,17 +24,17 @@
 	"merlinpaddle/internal/model"
 )
 
-// Bounds of the wait between attempts.
+// Bounds of the backoff between rounds of attempts.
 const (
 	firstBackoff   = 100 * time.Millisecond
 	maximumBackoff = 5 * time.Second
 )
 
-// maximumAnswerBytes bounds an answer; backups are the largest.
+// maximumAnswerBytes bounds the body of an answer. Backups are the largest ones.
 const maximumAnswerBytes = 512 << 20
 
-// call is one request, sent until it has an answer that ends it.
-type call struct {
+// apiCall is one request to the API. Each attempt sends it unchanged.
+type apiCall struct {
 	method      string
 	path        string
 	query       url.Values
@@ -43,22 +43,22 @@
 	header      http.Header
 }
 
-// answer is an answer that ends a call.
+// answer is a member's response.
 type answer struct {
 	header http.Header
 	body   []byte
 }
 
-// Error is a refused or failed call.
+// Error is the error of a call that was refused or failed.
 type Error struct {
-	// Problem is the member's answer; without an answer it has the code and
-	// the detail that this client gives.
+	// Problem is the member's answer. Without an answer, it has the code and
+	// the detail that this client assigned.
 	Problem adminapi.Problem
-	// Answered tells that the problem came from a member.
+	// Answered is set when the problem came from a member.
 	Answered bool
 }
 
-// Error returns code and detail.
+// Error returns the code, name and detail, and the refused fields.
 func (failure *Error) Error() string {
 	text := fmt.Sprintf("%d %s: %s", failure.Problem.Code, failure.Problem.Name, failure.Problem.Detail)
 	for _, field := range failure.Problem.Errors {
@@ -67,7 +67,7 @@
 	return text
 }
 
-// Code returns the code of a failed call, or zero.
+// Code returns the code of err, or zero when it has none.
 func Code(err error) faults.Code {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -76,65 +76,70 @@
 	return faults.CodeOf(err)
 }
 
-// MayHaveRun tells that a failed change may have been committed.
+// MayHaveRun reports whether the change that failed with err may have been
+// committed.
 func MayHaveRun(err error) bool {
 	var failure *Error
 	return errors.As(err, &failure) && failure.Problem.Ran == faults.RanUnknown
 }
 
-// attempts is the progress of one call.
-type attempts struct {
-	// tried has the endpoints that this round has tried.
+// callProgress is the progress of one call over its attempts. An attempt at each
+// endpoint is a round.
+type callProgress struct {
+	// tried has the endpoints that were tried in this round.
 	tried map[*endpoint]bool
-	// backoff bounds the next wait before a new round.
+	// backoff bounds the next wait before a new round; each wait doubles it.
 	backoff time.Duration
-	// mayHaveRun tells that an attempt ended with an unknown outcome. A later
-	// refusal does not undo that, unless the state machine gave it.
+	// mayHaveRun is set once an attempt ended with an unknown outcome. A later
+	// refusal does not change that, unless it came from the state machine.
 	mayHaveRun bool
 }
 
-// do sends the call until it is answered or the retry budget is used up. The
-// header, with its idempotency key, is the same in all attempts.
-func (client *Client) do(ctx context.Context, sent call) (answer, error) {
+// do attempts the call until it succeeds, fails in a way that no retry can change,
+// or the retry budget is used up. The header, which contains the idempotency key,
+// is the same in all attempts.
+func (client *Client) do(ctx context.Context, call apiCall) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.options.RetryBudget)
 	defer cancel()
-	progress := attempts{tried: make(map[*endpoint]bool), backoff: firstBackoff}
+	progress := callProgress{tried: make(map[*endpoint]bool), backoff: firstBackoff}
 	for {
-		chosen := client.choose(progress.tried)
-		progress.tried[chosen] = true
-		received, failure := client.attempt(ctx, chosen, sent)
+		endpoint := client.chooseEndpoint(progress.tried)
+		progress.tried[endpoint] = true
+		received, failure := client.attempt(ctx, endpoint, call)
 		if failure == nil {
-			client.prefer(chosen)
+			client.prefer(endpoint)
 			return received, nil
 		}
 		progress.mayHaveRun = progress.mayHaveRun || failure.Problem.Ran == faults.RanUnknown
 		if !retryable(failure) {
-			return answer{}, progress.final(failure)
+			return answer{}, progress.finalError(failure)
 		}
-		if err := client.pause(ctx, &progress, failure, received.header); err != nil {
-			return answer{}, progress.final(failure)
+		if err := client.waitBeforeNextAttempt(ctx, &progress, failure, received.header); err != nil {
+			return answer{}, progress.finalError(failure)
 		}
 	}
 }
 
-// retryable tells that another attempt may succeed. Every change carries an
-// idempotency key or is idempotent by itself, so sending again is safe.
+// retryable reports whether another attempt may succeed. Every change carries an
+// idempotency key or is idempotent by itself, so a retry is safe.
 func retryable(failure *Error) bool {
 	status := failure.Problem.Status
 	return !failure.Answered || status == http.StatusTooManyRequests || status >= http.StatusInternalServerError
 }
 
-// final corrects the outcome of the last failure by those before it.
-func (progress *attempts) final(failure *Error) error {
-	if progress.mayHaveRun && !decidedByState(failure.Problem.Code) {
+// finalError returns the error of the call. It sets the last failure's outcome to
+// unknown if a previous attempt may have run and the failure does not rule that out.
+func (progress *callProgress) finalError(failure *Error) error {
+	if progress.mayHaveRun && !refusedByStateMachine(failure.Problem.Code) {
 		failure.Problem.Ran = faults.RanUnknown
 	}
 	return failure
 }
 
-// decidedByState tells that the state machine gave the refusal after it looked
-// the idempotency key up, so no earlier attempt was committed.
-func decidedByState(code faults.Code) bool {
+// refusedByStateMachine reports whether a refusal with the code came from the state
+// machine. That looks up the idempotency key first, so no previous attempt was
+// committed.
+func refusedByStateMachine(code faults.Code) bool {
 	switch code {
 	case faults.CodeRevisionMismatch, faults.CodeConflict, faults.CodeQuotaExceeded, faults.CodeGroupNotEmpty:
 		return true
@@ -142,10 +147,12 @@
 	return false
 }
 
-// pause waits before the next attempt: not at all while this round has
-// endpoints to try, else by Retry-After and back-off. A rate limit ends the
-// round, because it is the caller that must slow down.
-func (client *Client) pause(ctx context.Context, progress *attempts, failure *Error, header http.Header) error {
+// waitBeforeNextAttempt does not wait while an endpoint is left in this round.
+// Otherwise it waits for the backoff or Retry-After, whichever is longer, and begins
+// a new round. A rate limit also ends the round, because the caller must slow down
+// instead of sending to another endpoint. It returns an error when ctx has ended, or
+// would end during the wait.
+func (client *Client) waitBeforeNextAttempt(ctx context.Context, progress *callProgress, failure *Error, header http.Header) error {
 	limited := failure.Problem.Status == http.StatusTooManyRequests
 	if len(progress.tried) < len(client.endpoints) && !limited {
 		return ctx.Err()
@@ -161,14 +168,16 @@
 	return nil
 }
 
-// nextBackoff returns a random wait up to the present bound, and doubles the
-// bound.
-func (progress *attempts) nextBackoff() time.Duration {
+// nextBackoff returns a random wait of half the present bound up to the bound, and
+// doubles the bound, up to maximumBackoff.
+func (progress *callProgress) nextBackoff() time.Duration {
 	bound := progress.backoff
 	progress.backoff = min(2*progress.backoff, maximumBackoff)
 	return bound/2 + rand.N(bound/2)
 }
 
+// retryAfter returns the wait that a Retry-After header asks for, in seconds, or
+// zero.
 func retryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.Atoi(header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -177,54 +186,56 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// attempt sends the call once.
-func (client *Client) attempt(ctx context.Context, chosen *endpoint, sent call) (answer, *Error) {
+// attempt sends the call to one endpoint, once. The answer is set for a failure too
+// if there was one.
+func (client *Client) attempt(ctx context.Context, endpoint *endpoint, call apiCall) (answer, *Error) {
 	ctx, cancel := context.WithTimeout(ctx, client.options.AttemptTimeout)
 	defer cancel()
-	request, err := client.newRequest(ctx, chosen, sent)
+	request, err := client.newRequest(ctx, endpoint, call)
 	if err != nil {
-		return answer{}, noAnswer(sent, err)
+		return answer{}, noAnswerError(call, err)
 	}
 	response, err := client.transport.Do(request)
 	if err != nil {
-		return answer{}, noAnswer(sent, err)
+		return answer{}, noAnswerError(call, err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maximumAnswerBytes))
 	if err != nil {
-		return answer{}, noAnswer(sent, fmt.Errorf("the answer is cut short: %w", err))
+		return answer{}, noAnswerError(call, fmt.Errorf("read the answer: %w", err))
 	}
 	received := answer{header: response.Header, body: body}
 	if response.StatusCode < http.StatusMultipleChoices {
-		client.learn(chosen, response.Header, "")
+		client.recordAnswer(endpoint, response.Header, "")
 		return received, nil
 	}
-	failure := problemOf(sent, response.StatusCode, received)
-	client.learn(chosen, response.Header, failure.Problem.Leader)
+	failure := answerError(call, response.StatusCode, received)
+	client.recordAnswer(endpoint, response.Header, failure.Problem.Leader)
 	return received, failure
 }
 
-func (client *Client) newRequest(ctx context.Context, chosen *endpoint, sent call) (*http.Request, error) {
-	target := strings.TrimSuffix(chosen.base.String(), "/") + sent.path
-	if len(sent.query) > 0 {
-		target += "?" + sent.query.Encode()
+// newRequest returns the HTTP request for the call at one endpoint.
+func (client *Client) newRequest(ctx context.Context, endpoint *endpoint, call apiCall) (*http.Request, error) {
+	target := strings.TrimSuffix(endpoint.base.String(), "/") + call.path
+	if len(call.query) > 0 {
+		target += "?" + call.query.Encode()
 	}
-	request, err := http.NewRequestWithContext(ctx, sent.method, target, bytes.NewReader(sent.body))
+	request, err := http.NewRequestWithContext(ctx, call.method, target, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, err
 	}
-	for name, values := range sent.header {
+	for name, values := range call.header {
 		request.Header[name] = values
 	}
 	request.Header.Set("Authorization", "Bearer "+client.options.Token)
-	if sent.contentType != "" {
-		request.Header.Set("Content-Type", sent.contentType)
+	if call.contentType != "" {
+		request.Header.Set("Content-Type", call.contentType)
 	}
 	return request, nil
 }
 
-// neverSent tells that the request did not leave this machine: no connection
-// could be made, or its certificate was refused.
+// neverSent reports whether err shows that the request was not sent: the connection
+// could not be opened, or the member's certificate was rejected.
 func neverSent(err error) bool {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -234,11 +245,11 @@
 	return errors.As(err, &certificate)
 }
 
-// noAnswer is a failure without an answer. A change may have reached a member
-// before the connection broke, unless it was never sent.
-func noAnswer(sent call, err error) *Error {
+// noAnswerError returns the error of an attempt that got no valid answer. A change may
+// have reached a member before the connection broke, unless it was never call.
+func noAnswerError(call apiCall, err error) *Error {
 	code := faults.CodeOutcomeUnknown
-	if sent.method == http.MethodGet || neverSent(err) {
+	if call.method == http.MethodGet || neverSent(err) {
 		code = faults.CodeMemberUnreachable
 	}
 	definition, _ := faults.Lookup(code)
@@ -252,27 +263,29 @@
 	}}
 }
 
-// problemOf reads a refusal. Something else than a member may have answered.
-func problemOf(sent call, status int, received answer) *Error {
+// answerError returns the error for an answer with an error status. An answer without
+// a problem document did not come from a member, but for example from a proxy.
+func answerError(call apiCall, status int, received answer) *Error {
 	contentType, _, _ := mime.ParseMediaType(received.header.Get("Content-Type"))
 	var problem adminapi.Problem
 	if contentType == adminapi.ProblemContentType && json.Unmarshal(received.body, &problem) == nil && problem.Code != 0 {
 		return &Error{Problem: problem, Answered: true}
 	}
-	failure := noAnswer(sent, fmt.Errorf("the endpoint answered %d without a problem document", status))
+	failure := noAnswerError(call, fmt.Errorf("the endpoint answered %d without a problem document", status))
 	failure.Problem.Status = status
 	return failure
 }
 
-// Change is what a change is based on.
+// Change has the preconditions of a change and its idempotency key.
 type Change struct {
-	// Base is the revision that the change is based on; zero creates.
+	// Base is the revision of the object that the change is based on; the change
+	// is refused if the object has another one. Zero creates the object.
 	Base model.Revision
-	// Key is the idempotency key; empty makes a new one.
+	// Key is the idempotency key; empty means a new random one.
 	Key string
 }
 
-// header returns the headers of a change, with one key for all attempts.
+// header returns the headers of a change, which all its attempts share.
 func (change Change) header() http.Header {
 	header := make(http.Header)
 	key := change.Key
--- a/internal/client/resources.go
+++ b/internal/client/resources.go
@@ -16,10 +16,10 @@
 	"merlinpaddle/internal/state"
 )
 
-// pageLimit is the size of the pages that the client asks for.
+// pageLimit is the number of items that list requests for each page.
 const pageLimit = 500
 
-// path joins escaped segments below /v1.
+// path returns the path of escaped segments below /v1.
 func path(segments ...string) string {
 	escaped := make([]string, 0, len(segments))
 	for _, segment := range segments {
@@ -28,24 +28,25 @@
 	return "/v1/" + strings.Join(escaped, "/")
 }
 
-// fetch sends the call and decodes its answer.
-func fetch[Value any](ctx context.Context, client *Client, sent call) (Value, error) {
+// fetch executes the call and decodes the JSON body of its answer.
+func fetch[Value any](ctx context.Context, client *Client, call apiCall) (Value, error) {
 	var value Value
-	received, err := client.do(ctx, sent)
+	received, err := client.do(ctx, call)
 	if err != nil {
 		return value, err
 	}
 	if err := json.Unmarshal(received.body, &value); err != nil {
-		return value, faults.New(faults.CodeInternalFault, "the member's answer can not be read: %v", err)
+		return value, faults.New(faults.CodeInternalFault, "the member's answer cannot be decoded: %v", err)
 	}
 	return value, nil
 }
 
+// get reads the value at a path.
 func get[Value any](ctx context.Context, client *Client, path string, query url.Values) (Value, error) {
-	return fetch[Value](ctx, client, call{method: http.MethodGet, path: path, query: query})
+	return fetch[Value](ctx, client, apiCall{method: http.MethodGet, path: path, query: query})
 }
 
-// list reads all pages of a list.
+// list reads all pages of the list at a path.
 func list[Item any](ctx context.Context, client *Client, path string) ([]Item, error) {
 	items := []Item{}
 	query := url.Values{"limit": {strconv.Itoa(pageLimit)}}
@@ -62,26 +63,28 @@
 	}
 }
 
+// put creates or changes the value at a path.
 func (client *Client) put(ctx context.Context, path string, change Change, value any) (adminapi.ChangeAnswer, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return adminapi.ChangeAnswer{}, fmt.Errorf("encode the change: %w", err)
 	}
-	return fetch[adminapi.ChangeAnswer](ctx, client, call{method: http.MethodPut, path: path, body: body, contentType: "application/json", header: change.header()})
+	return fetch[adminapi.ChangeAnswer](ctx, client, apiCall{method: http.MethodPut, path: path, body: body, contentType: "application/json", header: change.header()})
 }
 
-// check sends a change as a dry run.
-func (client *Client) check(ctx context.Context, path string, value any) error {
+// dryRun validates a change of the value at a path without committing it.
+func (client *Client) dryRun(ctx context.Context, path string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("encode the change: %w", err)
 	}
-	_, err = client.do(ctx, call{method: http.MethodPut, path: path, query: url.Values{"dry_run": {"true"}}, body: body, contentType: "application/json"})
+	_, err = client.do(ctx, apiCall{method: http.MethodPut, path: path, query: url.Values{"dry_run": {"true"}}, body: body, contentType: "application/json"})
 	return err
 }
 
+// remove deletes the value at a path.
 func (client *Client) remove(ctx context.Context, path string, query url.Values, change Change) (adminapi.ChangeAnswer, error) {
-	return fetch[adminapi.ChangeAnswer](ctx, client, call{method: http.MethodDelete, path: path, query: query, header: change.header()})
+	return fetch[adminapi.ChangeAnswer](ctx, client, apiCall{method: http.MethodDelete, path: path, query: query, header: change.header()})
 }
 
 // Templates returns all templates.
@@ -94,14 +97,14 @@
 	return get[state.Template](ctx, client, path("templates", name), nil)
 }
 
-// PutTemplate makes the first or next version of a template.
+// PutTemplate creates a template, or a new version of it.
 func (client *Client) PutTemplate(ctx context.Context, name string, change Change, spec state.TemplateSpec) (adminapi.ChangeAnswer, error) {
 	return client.put(ctx, path("templates", name), change, spec)
 }
 
-// CheckTemplate checks a template without changing anything.
+// CheckTemplate validates a template without changing anything.
 func (client *Client) CheckTemplate(ctx context.Context, name string, spec state.TemplateSpec) error {
-	return client.check(ctx, path("templates", name), spec)
+	return client.dryRun(ctx, path("templates", name), spec)
 }
 
 // DeleteTemplate removes a template that no service uses.
@@ -124,9 +127,9 @@
 	return client.put(ctx, path("tenants", string(name)), change, spec)
 }
 
-// CheckTenant checks a tenant without changing anything.
+// CheckTenant validates a tenant without changing anything.
 func (client *Client) CheckTenant(ctx context.Context, name model.TenantName, spec state.TenantSpec) error {
-	return client.check(ctx, path("tenants", string(name)), spec)
+	return client.dryRun(ctx, path("tenants", string(name)), spec)
 }
 
 // DeleteTenant removes a tenant that has no services.
@@ -158,12 +161,13 @@
 	return client.put(ctx, servicePath(key), change, spec)
 }
 
-// CheckService checks a service without changing anything.
+// CheckService validates a service without changing anything.
 func (client *Client) CheckService(ctx context.Context, key state.ServiceKey, spec adminapi.ServiceSpec) error {
-	return client.check(ctx, servicePath(key), spec)
+	return client.dryRun(ctx, servicePath(key), spec)
 }
 
-// DeleteService removes a service once its flows ended, or at once by force.
+// DeleteService removes a service once its flows have ended, or immediately if
+// force is set.
 func (client *Client) DeleteService(ctx context.Context, key state.ServiceKey, change Change, force bool) (adminapi.ChangeAnswer, error) {
 	query := url.Values{}
 	if force {
@@ -181,23 +185,23 @@
 	return list[adminapi.Target](ctx, client, servicePath(key)+"/targets")
 }
 
-// Target returns one target with what remains at it.
+// Target returns one target with the buckets and the load that it still has.
 func (client *Client) Target(ctx context.Context, key state.TargetKey) (adminapi.Target, error) {
 	return get[adminapi.Target](ctx, client, targetPath(key), nil)
 }
 
-// Drain stops new flows to a target.
+// Drain drains a target: it gets no new flows.
 func (client *Client) Drain(ctx context.Context, key state.TargetKey, change Change) (adminapi.ChangeAnswer, error) {
-	return fetch[adminapi.ChangeAnswer](ctx, client, call{method: http.MethodPost, path: targetPath(key, "drain"), header: change.header()})
+	return fetch[adminapi.ChangeAnswer](ctx, client, apiCall{method: http.MethodPost, path: targetPath(key, "drain"), header: change.header()})
 }
 
-// Undrain lets a target take new flows again.
+// Undrain lets a target get new flows again.
 func (client *Client) Undrain(ctx context.Context, key state.TargetKey, change Change) (adminapi.ChangeAnswer, error) {
-	return fetch[adminapi.ChangeAnswer](ctx, client, call{method: http.MethodPost, path: targetPath(key, "undrain"), header: change.header()})
+	return fetch[adminapi.ChangeAnswer](ctx, client, apiCall{method: http.MethodPost, path: targetPath(key, "undrain"), header: change.header()})
 }
 
-// Rollout returns how far the configuration has come. It waits up to wait
-// until the revision is in force; revision zero asks for none.
+// Rollout returns the progress of the configuration's rollout. If revision is not
+// zero, it first waits until that revision is in force, for at most wait.
 func (client *Client) Rollout(ctx context.Context, revision model.Revision, wait time.Duration) (adminapi.Rollout, error) {
 	query := url.Values{}
 	if revision > 0 {
