--- a/internal/claim/tracker.go
+++ b/internal/claim/tracker.go
@@ -223,8 +223,9 @@
 	pending, exists := tracker.entries[reply.Correlation]
 	switch {
 	case !exists:
-		// The claim has ended. It was granted and used, or its release was
-		// confirmed; after that the control group refuses late copies of it.
+		// The claim has ended: it got no grant, its grant was used, or its
+		// report was confirmed or timed out. After a confirmed release the
+		// control group refuses late copies of the claim.
 		return nil
 	case pending.phase == phaseRequested:
 		return tracker.handleClaimReply(pending, reply)
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -96,7 +96,7 @@
 }
 
 // do attempts the call until it succeeds, fails in a way that no retry can change,
-// or the retry budget is used up. The header, which contains the idempotency key,
+// or the retry budget is used up. The header, with the idempotency key of a change,
 // is the same in all attempts.
 func (client *Client) do(ctx context.Context, call apiCall) (answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.options.RetryBudget)
