--- a/internal/direct/load/book.go
+++ b/internal/direct/load/book.go
@@ -31,9 +31,9 @@
 	// pending counts the requests of this balancer whose packet still waits in front of its
 	// link. They are not included in local.
 	pending int
-	// servingTime is the average time, on an idle target, from the last data of a request to
+	// serviceTime is the average time, on an idle target, from the last data of a request to
 	// the caller's acknowledgement of the answer.
-	servingTime average
+	serviceTime average
 	// startOccupancies holds, for each request of this balancer, the number of requests that
 	// were open at the target when it began, itself included; the oldest comes first. Targets
 	// serve requests roughly in order of arrival, so the oldest entry is taken for the request
@@ -55,10 +55,10 @@
 	shards      [shardCount]shard
 	reliability reliability
 	// remoteCountsMissing is set in a large system while load is high and no remote counts are
-	// known. The occupancy of targets is unknown then, so no serving times are learned.
+	// known. The occupancy of targets is unknown then, so no service times are learned.
 	remoteCountsMissing atomic.Bool
-	// servingTimes holds the serving time of each service.
-	servingTimes serviceTimes
+	// serviceTimes holds the service time of each service.
+	serviceTimes serviceTimes
 	// remoteReportAt is when the last remote report of open requests arrived, in Unix
 	// nanoseconds; zero if none has.
 	remoteReportAt atomic.Int64
@@ -140,8 +140,8 @@
 	}
 	occupancy := count.popStartOccupancy()
 	if ending == requests.Answered && !counter.remoteCountsMissing.Load() {
-		if idleTime, ok := count.learnServingTime(took, occupancy, target.Capacity); ok {
-			counter.servingTimes.add(target.Service, idleTime)
+		if idleTime, ok := count.learnServiceTime(took, occupancy, target.Capacity); ok {
+			counter.serviceTimes.add(target.Service, idleTime)
 		}
 	}
 	count.local--
@@ -174,47 +174,50 @@
 	}
 }
 
-// Continued implements requests.Listener.
-func (counter *Counter) SequenceChecked(whole bool) { counter.reliability.continuity.Note(whole) }
+// SequenceChecked implements requests.Listener.
+func (counter *Counter) SequenceChecked(contiguous bool) {
+	counter.reliability.continuity.Note(contiguous)
+}
 
 const (
 	// maxLearnOccupancy is the highest occupancy at its start, as a multiple of the target's
-	// capacity, at which a request is still used to learn the serving time.
+	// capacity, at which a request is still used to learn the service time.
 	maxLearnOccupancy = 2
 	// refusalOccupancy is the occupancy, as a multiple of the target's capacity, above which an
 	// answer may be a refusal, which is sent quickly and out of order.
 	refusalOccupancy = 4
 )
 
-// learnServingTime adds an answer to the target's average serving time. A request that found
+// learnServiceTime adds an answer to the target's average service time. A request that found
 // more open requests than the target serves at once spent part of its time waiting, so its time
-// is divided by that ratio. The occupancy when the answer arrives would not do: at the end of a
-// load spike it is low, which made the time of an idle target seem two and a half times as long,
-// so that flows were refused although targets had idle slots. It returns the time that the
-// request would have taken on an idle target, in nanoseconds, and false if the target was or is
-// too full to estimate it.
-func (count *targetCount) learnServingTime(took time.Duration, occupancy, capacity int) (idleTime float64, ok bool) {
+// is divided by that ratio. The occupancy when the answer arrives cannot be used instead: at the
+// end of a load spike it is low, which made the time of an idle target seem two and a half times
+// as long, so that flows were refused although targets had idle slots. It returns the time that
+// the request would have taken on an idle target, in nanoseconds, and false if the target was or
+// is too full to estimate it.
+func (count *targetCount) learnServiceTime(took time.Duration, occupancy, capacity int) (idleTime float64, ok bool) {
 	slots := float64(max(capacity, 1))
 	if float64(occupancy) > maxLearnOccupancy*slots || float64(count.local+count.remote) > refusalOccupancy*slots {
 		return 0, false
 	}
 	slowdown := max(float64(occupancy)/slots, 1)
 	idleTime = float64(took) / slowdown
-	count.servingTime.add(idleTime, targetWeight)
+	count.serviceTime.add(idleTime, targetWeight)
 	return idleTime, true
 }
 
-// Typical implements steer.Loads. It returns how long a request takes on an idle target of the
-// service, averaged over its targets, or zero while too few answers were seen. The average is
-// kept per service because in a large system a balancer sees a single target only rarely.
+// TypicalServiceTime implements steer.Loads. It returns how long a request takes on an idle
+// target of the service, averaged over its targets, or zero while too few answers were seen. The
+// average is kept per service because in a large system a balancer sees a single target only
+// rarely.
 func (counter *Counter) TypicalServiceTime(service string) time.Duration {
-	return counter.servingTimes.typical(service)
+	return counter.serviceTimes.typical(service)
 }
 
 // Load implements steer.Loads. It returns the number of open requests at the target and how
 // long one request takes when the target is idle. Either is zero if unknown. Both are unknown
 // while this balancer does not see all packets of its flows.
-func (counter *Counter) Load(token directory.Token) (open int, serving time.Duration) {
+func (counter *Counter) Load(token directory.Token) (open int, serviceTime time.Duration) {
 	if !counter.reliability.usable() {
 		return 0, 0
 	}
@@ -225,10 +228,10 @@
 	if count == nil {
 		return 0, 0
 	}
-	return count.local + count.remote, count.servingTime.estimate()
+	return count.local + count.remote, count.serviceTime.estimate()
 }
 
-// Coming implements steer.Loads.
+// Pending implements steer.Loads.
 func (counter *Counter) Pending(token directory.Token) int {
 	if !counter.reliability.usable() {
 		return 0
@@ -242,7 +245,7 @@
 	return 0
 }
 
-// Known implements steer.Loads.
+// Reliable implements steer.Loads.
 func (counter *Counter) Reliable() bool { return counter.reliability.usable() }
 
 // Evidence implements steer.Loads.
@@ -264,7 +267,7 @@
 // noteRemoteReport records that a remote report of open requests arrived.
 func (counter *Counter) noteRemoteReport(now time.Time) { counter.remoteReportAt.Store(now.UnixNano()) }
 
-// Proven implements steer.Loads.
+// SufficientForRefusal implements steer.Loads.
 func (counter *Counter) SufficientForRefusal(now time.Time) bool {
 	return counter.reliability.sufficientEvidence(now)
 }
--- a/internal/direct/load/collector.go
+++ b/internal/direct/load/collector.go
@@ -61,8 +61,8 @@
 	balancers map[model.NodeName]peerReport
 	members   map[model.NodeName]peerReport
 	sentAt    time.Time
-	// servingTimesSentAt is when serving times were last sent to balancers.
-	servingTimesSentAt time.Time
+	// serviceTimesSentAt is when service times were last sent to balancers.
+	serviceTimesSentAt time.Time
 	// localSums and totalSums are the open requests by target of this member's balancers and of
 	// all balancers. The maps are reused between rounds.
 	localSums map[directory.Token]int
@@ -112,9 +112,9 @@
 	stored := peerReport{entries: report.Entries.valid(), expiresAt: now.Add(expiryIntervals * max(idleReportInterval, collector.reportInterval(now)))}
 	switch report.Scope {
 	case ScopeBalancer:
-		stored.servingTimes = report.Serving
-		if len(stored.servingTimes) == 0 {
-			stored.servingTimes = collector.balancers[from].servingTimes
+		stored.serviceTimes = report.Serving
+		if len(stored.serviceTimes) == 0 {
+			stored.serviceTimes = collector.balancers[from].serviceTimes
 		}
 		collector.balancers[from] = stored
 	case ScopeFollowers:
@@ -197,20 +197,20 @@
 		return
 	}
 	collector.sender.Send(slices.Sorted(maps.Keys(collector.balancers)), Report{
-		Scope: ScopeSystem, Entries: sortedEntries(collector.totalSums), Wanted: true, Pause: collector.reportInterval(now), Serving: collector.servingTimesDue(now),
+		Scope: ScopeSystem, Entries: sortedEntries(collector.totalSums), Wanted: true, Pause: collector.reportInterval(now), Serving: collector.serviceTimesDue(now),
 	})
 }
 
-// servingTimesDue returns the serving times to send with the next report; nil if the last ones
-// were sent less than servingTimeInterval ago.
-func (collector *Collector) servingTimesDue(now time.Time) []ServingTime {
-	if now.Sub(collector.servingTimesSentAt) < servingTimeInterval {
+// serviceTimesDue returns the service times to send with the next report; nil if the last ones
+// were sent less than serviceTimeInterval ago.
+func (collector *Collector) serviceTimesDue(now time.Time) []ServingTime {
+	if now.Sub(collector.serviceTimesSentAt) < serviceTimeInterval {
 		return nil
 	}
-	collector.servingTimesSentAt = now
+	collector.serviceTimesSentAt = now
 	reported := make([][]ServingTime, 0, len(collector.balancers))
 	for _, balancer := range collector.balancers {
-		reported = append(reported, balancer.servingTimes)
+		reported = append(reported, balancer.serviceTimes)
 	}
 	return medians(reported)
 }
--- a/internal/direct/load/collector_test.go
+++ b/internal/direct/load/collector_test.go
@@ -234,9 +234,9 @@
 	for _, test := range []struct {
 		name               string
 		balancers, targets int
-		least              time.Duration
+		want               time.Duration
 	}{
-		{"few of both", 10, 10, interval},
+		{"few balancers and targets", 10, 10, interval},
 		{"many balancers", 300, 10, 300 * intervalPerBalancer},
 		{"many targets", 10, 2000, 2000 * entryBytes * time.Second / totalsBytesPerSecond},
 		{"far too many targets", 10, 100_000, maxReportInterval},
@@ -252,7 +252,7 @@
 				collector.applyReport(model.NodeName(fmt.Sprint(number)), Report{Entries: entries}, start)
 			}
 			collector.sumReports()
-			require.Equal(t, test.least, collector.reportInterval(start))
+			require.Equal(t, test.want, collector.reportInterval(start))
 		})
 	}
 }
--- a/internal/direct/load/exchange.go
+++ b/internal/direct/load/exchange.go
@@ -16,17 +16,19 @@
 	intervalPerPeer = 10 * time.Millisecond
 	// keepaliveInterval is the time between two reports while the counts do not change.
 	keepaliveInterval = 250 * time.Millisecond
-	// The counts of a node expire when no report has arrived for minReportExpiry or for
-	// expiryIntervals report intervals, whichever is longer.
+	// The counts of a node expire when no report from it has arrived for some time. At a balancer
+	// this is minReportExpiry for the counts of another balancer, and at least minReportExpiry
+	// and expiryIntervals report intervals for those from a collector. At a collector it is
+	// expiryIntervals times its report interval or idleReportInterval, whichever is longer.
 	minReportExpiry = 700 * time.Millisecond
 	expiryIntervals = 3
 	// idleReportInterval is the time between two reports to a collector while load sharing is
 	// not active. A load spike is noticed within two of them. A report of a few open requests
 	// takes about 60 bytes, so the reports cost 0.6 KB a second.
 	idleReportInterval = 200 * time.Millisecond
-	// servingTimeInterval is the time between two reports that include serving times, which take
+	// serviceTimeInterval is the time between two reports that include service times, which take
 	// about 30 bytes per service.
-	servingTimeInterval = time.Second
+	serviceTimeInterval = time.Second
 	// idleSweepInterval is the time between two sweeps for idle targets.
 	idleSweepInterval = 10 * time.Second
 )
@@ -65,8 +67,8 @@
 type peerReport struct {
 	entries   Entries
 	expiresAt time.Time
-	// servingTimes holds the serving times that the node last reported.
-	servingTimes []ServingTime
+	// serviceTimes holds the service times that the node last reported.
+	serviceTimes []ServingTime
 }
 
 // Exchange is the controller that reports a balancer's open requests to other nodes and adds
@@ -94,8 +96,8 @@
 	openByService map[string]int
 	sentAt        time.Time
 	sweptAt       time.Time
-	// servingTimesSentAt is when serving times were last sent to a collector.
-	servingTimesSentAt time.Time
+	// serviceTimesSentAt is when service times were last sent to a collector.
+	serviceTimesSentAt time.Time
 }
 
 // NewExchange returns an Exchange that receives reports from the given queue.
@@ -183,7 +185,7 @@
 		expiry := max(minReportExpiry, expiryIntervals*exchange.collectorInterval)
 		exchange.applyReport(from, report.Entries.valid().subtract(exchange.sentEntries), now.Add(expiry))
 		if len(report.Serving) > 0 {
-			exchange.counter.servingTimes.setReported(report.Serving)
+			exchange.counter.serviceTimes.setReported(report.Serving)
 		}
 	default:
 		return
@@ -280,9 +282,9 @@
 	exchange.sentEntries, exchange.entries = exchange.entries, exchange.sentEntries
 	exchange.sentAt = now
 	report := Report{Entries: exchange.sentEntries}
-	if now.Sub(exchange.servingTimesSentAt) >= servingTimeInterval {
-		exchange.servingTimesSentAt = now
-		report.Serving = exchange.counter.servingTimes.observedTimes()
+	if now.Sub(exchange.serviceTimesSentAt) >= serviceTimeInterval {
+		exchange.serviceTimesSentAt = now
+		report.Serving = exchange.counter.serviceTimes.observedTimes()
 	}
 	exchange.sender.Send([]model.NodeName{collector}, report)
 }
--- a/internal/direct/load/load_test.go
+++ b/internal/direct/load/load_test.go
@@ -242,7 +242,7 @@
 	require.Equal(t, 5, openAt(node, 7))
 }
 
-func TestServingTimeIsLearned(t *testing.T) {
+func TestServiceTimeIsLearned(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
 	answer := func(counter *Counter, open int, took time.Duration, ending requests.Ending) {
 		for range open {
@@ -271,13 +271,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			counter := NewCounter()
 			for answers := range minAnswers {
-				_, serving := counter.Load(7)
-				require.Zero(t, serving, "%d answers are too few", answers)
+				_, serviceTime := counter.Load(7)
+				require.Zero(t, serviceTime, "%d answers are too few", answers)
 				answer(counter, test.open, test.took, test.ending)
 			}
-			open, serving := counter.Load(7)
+			open, serviceTime := counter.Load(7)
 			require.Zero(t, open)
-			require.Equal(t, test.want, serving)
+			require.Equal(t, test.want, serviceTime)
 			require.InDelta(t, test.want, counter.TypicalServiceTime("feed"), 1, "the service has a single target")
 			require.Zero(t, counter.TypicalServiceTime("ledger"))
 		})
@@ -287,20 +287,20 @@
 	for range 100 {
 		answer(counter, 1, 80*time.Millisecond, requests.Answered)
 	}
-	_, serving := counter.Load(7)
-	require.InDelta(t, 80*time.Millisecond, serving, float64(time.Millisecond), "the average follows a target that becomes slow")
+	_, serviceTime := counter.Load(7)
+	require.InDelta(t, 80*time.Millisecond, serviceTime, float64(time.Millisecond), "the average follows a target that becomes slow")
 	fresh := requests.Target{Token: 8, Service: "feed", Capacity: 2}
 	counter.Began(fresh, start)
 	counter.Ended(fresh, requests.Answered, time.Millisecond)
-	_, serving = counter.Load(8)
-	require.Zero(t, serving, "the new target has only one answer")
+	_, serviceTime = counter.Load(8)
+	require.Zero(t, serviceTime, "the new target has only one answer")
 	require.Greater(t, counter.TypicalServiceTime("feed"), 70*time.Millisecond, "one answer hardly changes the service's average")
 }
 
-// TestEndOfALoadSpikeDoesNotRaiseServingTime sends ten requests at once to a target that serves two
+// TestEndOfALoadSpikeDoesNotRaiseServiceTime sends ten requests at once to a target that serves two
 // at a time, so each waits for those before it, and the last ones are answered when hardly any
 // request is open. Judged by the occupancy at their end, requests would seem to take 146 ms.
-func TestEndOfALoadSpikeDoesNotRaiseServingTime(t *testing.T) {
+func TestEndOfALoadSpikeDoesNotRaiseServiceTime(t *testing.T) {
 	target := requests.Target{Token: 7, Service: "feed", Capacity: 2}
 	counter := NewCounter()
 	const spike, each = 10, 40 * time.Millisecond
@@ -336,7 +336,7 @@
 	}
 }
 
-// estimator is an estimate of serving times.
+// estimator is an estimate of service times.
 type estimator interface {
 	estimate() time.Duration
 }
@@ -365,10 +365,10 @@
 	}
 }
 
-// TestServingTimeIsNotLearnedWithoutRemoteCounts: while the members are unreachable, balancers do
+// TestServiceTimeIsNotLearnedWithoutRemoteCounts: while the members are unreachable, balancers do
 // not know the occupancy of targets, and answers that waited for other requests would look like
 // those of slow targets.
-func TestServingTimeIsNotLearnedWithoutRemoteCounts(t *testing.T) {
+func TestServiceTimeIsNotLearnedWithoutRemoteCounts(t *testing.T) {
 	cluster := newCluster(1, 20, 10)
 	target := requests.Target{Token: 8, Service: "first", Capacity: 2}
 	answers := func(took time.Duration) {
@@ -389,9 +389,9 @@
 	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.TypicalServiceTime("first"), 1)
 }
 
-// TestBalancerStartedUnderLoadReceivesServingTimes: such a balancer only observes answers of
+// TestBalancerStartedUnderLoadReceivesServiceTimes: such a balancer only observes answers of
 // saturated targets itself.
-func TestBalancerStartedUnderLoadReceivesServingTimes(t *testing.T) {
+func TestBalancerStartedUnderLoadReceivesServiceTimes(t *testing.T) {
 	cluster := newCluster(3, 20, 10)
 	target := requests.Target{Token: 7, Service: "first", Capacity: 2}
 	for _, balancer := range cluster.balancers[1:] {
@@ -403,7 +403,7 @@
 	}
 	begin(cluster.balancers[0], 7, 1)
 	require.Zero(t, cluster.balancers[0].counter.TypicalServiceTime("first"))
-	cluster.run(settleTime + 2*servingTimeInterval)
+	cluster.run(settleTime + 2*serviceTimeInterval)
 	require.InDelta(t, 40*time.Millisecond, cluster.balancers[0].counter.TypicalServiceTime("first"), 1)
 	require.Zero(t, cluster.balancers[0].counter.TypicalServiceTime("second"))
 }
--- a/internal/direct/load/report.go
+++ b/internal/direct/load/report.go
@@ -34,7 +34,7 @@
 	// Wanted reports whether the sender's own utilization calls for load sharing. It is always
 	// set with ScopeSystem, because these reports are only sent while load sharing is active.
 	Wanted bool
-	// Serving holds serving times by service: those that a balancer observed, or the medians
+	// Serving holds service times by service: those that a balancer observed, or the medians
 	// over a member's balancers. It is empty in most reports; the receiver then keeps the
 	// previous ones.
 	Serving []ServingTime
--- a/internal/direct/load/serving.go
+++ b/internal/direct/load/serving.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// targetWeight and serviceWeight are the weights of a new answer in the average serving time
+	// targetWeight and serviceWeight are the weights of a new answer in the average service time
 	// of a target and of a service. The latter is lower because a service gets the answers of
 	// many targets.
 	targetWeight  = 0.1
@@ -18,7 +18,7 @@
 	minAnswers = 8
 )
 
-// average is a running average of serving times on idle targets.
+// average is a running average of service times on idle targets.
 type average struct {
 	// value is in nanoseconds.
 	value   float64
@@ -41,13 +41,14 @@
 	return time.Duration(average.value)
 }
 
-// ServingTime is how long a request takes on an idle target of a service.
+// ServingTime is the service time of a service: how long a request takes on one of its idle
+// targets.
 type ServingTime struct {
 	Service string
 	Time    time.Duration
 }
 
-// serviceTimes holds the serving time of each service, both as observed by this balancer and as
+// serviceTimes holds the service time of each service, both as observed by this balancer and as
 // reported by other nodes. Entries are never removed because services are few and long-lived.
 type serviceTimes struct {
 	lock     sync.RWMutex
@@ -71,19 +72,19 @@
 	observed.add(idleTime, serviceWeight)
 }
 
-// setReported replaces the serving times reported by other nodes.
+// setReported replaces the service times reported by other nodes.
 func (times *serviceTimes) setReported(reported []ServingTime) {
 	times.lock.Lock()
 	defer times.lock.Unlock()
 	times.reported = make(map[string]time.Duration, len(reported))
-	for _, serving := range reported {
-		if serving.Time > 0 {
-			times.reported[serving.Service] = serving.Time
+	for _, entry := range reported {
+		if entry.Time > 0 {
+			times.reported[entry.Service] = entry.Time
 		}
 	}
 }
 
-// typical returns the reported serving time, or else the one that this balancer observed; zero if
+// typical returns the reported service time, or else the one that this balancer observed; zero if
 // neither is known. The reported one comes first because a balancer that started under load has
 // only observed saturated targets.
 func (times *serviceTimes) typical(service string) time.Duration {
@@ -98,14 +99,14 @@
 	return 0
 }
 
-// observedTimes returns the serving times that this balancer observed, sorted by service name.
+// observedTimes returns the service times that this balancer observed, sorted by service name.
 func (times *serviceTimes) observedTimes() []ServingTime {
 	times.lock.RLock()
 	defer times.lock.RUnlock()
 	var all []ServingTime
 	for service, observed := range times.observed {
-		if serving := observed.estimate(); serving > 0 {
-			all = append(all, ServingTime{Service: service, Time: serving})
+		if serviceTime := observed.estimate(); serviceTime > 0 {
+			all = append(all, ServingTime{Service: service, Time: serviceTime})
 		}
 	}
 	slices.SortFunc(all, compareServices)
@@ -122,13 +123,13 @@
 	return 0
 }
 
-// medians returns the median serving time of each service over the reports of balancers. A few
+// medians returns the median service time of each service over the reports of balancers. A few
 // balancers that started under load and only observed saturated targets don't affect a median.
 func medians(reports [][]ServingTime) []ServingTime {
 	times := make(map[string][]time.Duration)
-	for _, servings := range reports {
-		for _, serving := range servings {
-			times[serving.Service] = append(times[serving.Service], serving.Time)
+	for _, reported := range reports {
+		for _, entry := range reported {
+			times[entry.Service] = append(times[entry.Service], entry.Time)
 		}
 	}
 	var all []ServingTime
--- a/internal/direct/load/size_bench_test.go
+++ b/internal/direct/load/size_bench_test.go
@@ -43,8 +43,8 @@
 	sender.messages += len(nodes)
 }
 
-// BenchmarkCollectorRound measures one round of a member: receiving the reports of its balancers and
-// sending sums and totals, without the sockets.
+// BenchmarkCollectorRound measures one round of a member: receiving the reports of its balancers
+// and sending sums and totals, without the sockets.
 func BenchmarkCollectorRound(b *testing.B) {
 	for _, size := range []struct{ balancers, targets int }{{15, 150}, {50, 600}, {50, 3000}} {
 		b.Run(fmt.Sprintf("balancers=%d/targets=%d", size.balancers, size.targets), func(b *testing.B) {
--- a/internal/direct/load/trust.go
+++ b/internal/direct/load/trust.go
@@ -12,9 +12,9 @@
 	// maxUnansweredShare is the largest share of unanswered requests at which counts are used.
 	maxUnansweredShare = 0.3
 	// minObservationTime is how long after the first request the counts become sufficient
-	// evidence. Answers are seen at once, but unanswered requests only after requests.HangAfter,
-	// so before then no request seems unanswered. The same time again lets unanswered requests
-	// take effect in the average.
+	// evidence. Answers are seen at once, but unanswered requests only after
+	// requests.AnswerTimeout, so before then no request seems unanswered. The same time again
+	// lets unanswered requests take effect in the average.
 	minObservationTime = 2 * requests.AnswerTimeout
 )
 
--- a/internal/direct/load/trust_test.go
+++ b/internal/direct/load/trust_test.go
@@ -12,17 +12,17 @@
 )
 
 // These tests guard against refusals by a balancer that has just started and whose flows are
-// sprayed. Where routers send each packet of a flow to any balancer, one balancer sees a request and
-// another one the acknowledgement of its answer. Requests then seem to stay open for a second,
-// targets that answer at once seem full, and counts must not be used. The shares of gaps and of
-// unanswered requests both begin at zero, so a balancer without samples took that for sufficient
-// evidence and refused one in twenty new flows in the first two seconds although targets were idle.
-// The log lines of these refusals showed four to eight requests counted, "missed 0.00 of 0" to "0.10
-// of 10", and "gaps 0.00 of 0" to "0.19 of 9". The first samples are biased as well: an answer is
-// seen at once, an unanswered request only after a second.
+// sprayed. Where routers send each packet of a flow to any balancer, one balancer sees a request
+// and another one the acknowledgement of its answer. Requests then seem to stay open for a
+// second, targets that answer at once seem full, and counts must not be used. The shares of gaps
+// and of unanswered requests both begin at zero, so a balancer without samples took that for
+// sufficient evidence and refused one in twenty new flows in the first two seconds although
+// targets were idle. The log lines of these refusals showed four to eight requests counted,
+// "missed 0.00 of 0" to "0.10 of 10", and "gaps 0.00 of 0" to "0.19 of 9". The first samples are
+// biased as well: an answer is seen at once, an unanswered request only after a second.
 
-// simulateSprayedFlows simulates a balancer that sees the answer of one in so many requests as there
-// are balancers. perSecond is the request rate. It calls check every 10 ms.
+// simulateSprayedFlows simulates a balancer that sees the answer of one in so many requests as
+// there are balancers. perSecond is the request rate. It calls check every 10 ms.
 func simulateSprayedFlows(seed int64, balancers int, perSecond int, duration time.Duration, check func(reliability *reliability, now time.Time)) {
 	random := rand.New(rand.NewSource(seed))
 	reliability := &reliability{}
--- a/internal/direct/load/waiting_test.go
+++ b/internal/direct/load/waiting_test.go
@@ -8,8 +8,8 @@
 	"merlinpaddle/internal/direct/requests"
 )
 
-// TestRequestsQueuedForTheLinkArePending: requests that wait in front of the link are not counted as
-// open at their target, neither locally nor by peers, until they have left.
+// TestRequestsQueuedForTheLinkArePending: requests that wait in front of the link are not counted
+// as open at their target, neither locally nor by peers, until they have left.
 func TestRequestsQueuedForTheLinkArePending(t *testing.T) {
 	one, other := newNode("a", interval, "b"), newNode("b", interval, "a")
 	target := requests.Target{Token: 7}
