--- a/internal/state/answers.go
+++ b/internal/state/answers.go
@@ -6,13 +6,14 @@
 	"merlinpaddle/internal/faults"
 )
 
-// answerKey is an idempotency key within its scope.
+// answerKey is an idempotency key and its scope, which separates the keys of
+// tenants.
 type answerKey struct {
 	Scope string
 	Key   string
 }
 
-// answer is the first answer to an operator command.
+// answer is the stored result of an operator command.
 type answer struct {
 	Key         answerKey
 	Fingerprint uint64
@@ -20,16 +21,19 @@
 	Result      Result
 }
 
-// answerTable keeps the first answers for resent commands, oldest first.
+// answerTable stores the results of operator commands by idempotency key, so that a
+// resent command gets the result of its first copy.
 type answerTable struct {
-	rows  map[answerKey]answer
+	rows map[answerKey]answer
+	// order lists the keys of rows, oldest first.
 	order []answerKey
 }
 
 func newAnswerTable() answerTable { return answerTable{rows: make(map[answerKey]answer)} }
 
-// find returns the first answer when the change was sent before, or a refusal
-// when its key was used for another request.
+// find returns the stored answer if the change was applied or refused before, or a
+// refusal if its key was used for another request. It returns false if the key is
+// new or empty.
 func (answers *answerTable) find(change Change) (Result, bool) {
 	if change.Key == "" {
 		return Result{}, false
@@ -46,9 +50,9 @@
 	return result, true
 }
 
-// remember keeps the first answer to a change. The oldest answer leaves when
-// the table is full.
-func (answers *answerTable) remember(change Change, at time.Time, result Result) {
+// record stores the answer to a change that has an idempotency key. When the table
+// is full, the oldest answer is removed.
+func (answers *answerTable) record(change Change, at time.Time, result Result) {
 	if change.Key == "" {
 		return
 	}
@@ -73,14 +77,14 @@
 	answers.order = answers.order[1:]
 }
 
-// expire drops the answers that are older than AnswerRetention.
+// expire removes the answers that are at least AnswerRetention old.
 func (answers *answerTable) expire(now time.Time) {
 	for len(answers.order) > 0 && !now.Before(answers.rows[answers.order[0]].At.Add(AnswerRetention)) {
 		answers.removeOldest()
 	}
 }
 
-// list returns the answers, oldest first.
+// list returns all answers, oldest first.
 func (answers *answerTable) list() []answer {
 	var rows []answer
 	for _, key := range answers.order {
--- a/internal/state/apply_claim.go
+++ b/internal/state/apply_claim.go
@@ -2,17 +2,18 @@
 
 import "merlinpaddle/internal/protocol"
 
-// Claims change the claim table directly and not through the transaction,
-// because they are never refused after their first change.
+// Claim and CompleteClaim change the claim table directly and not through the
+// transaction, because they are never refused after their first change.
 //
-// A service that is removed and created again by the same name keeps its
-// claims until their window ends, so a late retry still does not run twice.
+// The claims of a service outlive it until their window ends. If a service of the
+// same name is created in the meantime, a delayed retry of an old request still
+// does not run a second time.
 
-// apply grants the claim when no one holds the key.
+// apply grants the claim if the key is not held by another request.
 //
-// A copy of a granted request (same agent process, same correlation) gets the
-// grant again, because the first reply may be lost. A copy of a released
-// request gets ClaimUnavailable, because its agent has given up on it.
+// A copy of a granted claim request (same agent process, same correlation) gets the
+// grant again, because the first reply may have been lost. A copy of a released
+// claim request gets ClaimUnavailable, because its agent has abandoned it.
 func (command Claim) apply(transaction *transaction) Result {
 	request := command.Request
 	claims := &transaction.machine.claims
@@ -22,7 +23,7 @@
 		return claimResult(request, protocol.ClaimUnavailable, nil)
 	}
 	if known && row.Phase != claimReleased {
-		return row.answer(request, holder)
+		return row.reply(request, holder)
 	}
 	if !transaction.mayClaim(request) {
 		return claimResult(request, protocol.ClaimUnavailable, nil)
@@ -38,8 +39,8 @@
 	return claimResult(request, protocol.ClaimGranted, nil)
 }
 
-// answer replies to a request whose key is held or done.
-func (row claimRow) answer(request protocol.ClaimRequest, holder claimHolder) Result {
+// reply returns the answer to a request whose key is held or completed.
+func (row claimRow) reply(request protocol.ClaimRequest, holder claimHolder) Result {
 	switch {
 	case row.Fingerprint != request.Fingerprint:
 		return claimResult(request, protocol.ClaimMismatch, nil)
@@ -51,8 +52,10 @@
 	return claimResult(request, protocol.ClaimInProgress, nil)
 }
 
-// mayClaim tells whether the request comes from the present process of a
-// target of the very service it names, and whether there is room for it.
+// mayClaim reports whether the claim can be added: its key is valid, it comes from a
+// target of the service that it names, that target is not dead, and neither the claim
+// table nor the tenant's quota is full. The agent process must not be older than the
+// last observed one. It may be newer, because observations can lag.
 func (transaction *transaction) mayClaim(request protocol.ClaimRequest) bool {
 	if request.Key.Key == "" || len(request.Key.Key) > MaximumClaimKeyBytes {
 		return false
@@ -83,9 +86,9 @@
 	return Result{Claim: reply}
 }
 
-// apply records the first outcome that the holder reports. The reply has
-// ClaimCompleted once the outcome, or the release, is recorded, and
-// ClaimMismatch when the sender does not hold the claim.
+// apply records the first outcome that the claim's holder reports, or the release of
+// the claim. The state in the reply is ClaimCompleted once either is recorded, and
+// ClaimMismatch if the sender does not hold the claim.
 func (command CompleteClaim) apply(transaction *transaction) Result {
 	outcome := command.Outcome
 	claims := &transaction.machine.claims
@@ -98,13 +101,13 @@
 		return outcomeResult(outcome, protocol.ClaimMismatch)
 	}
 	if row.Phase == claimHeld {
-		claims.complete(row, claims.bound(outcome))
+		claims.complete(row, claims.limitBody(outcome))
 	}
 	return outcomeResult(outcome, protocol.ClaimCompleted)
 }
 
-// release frees the key of a request that was not run. The release may come
-// before the claim that it belongs to; then the row refuses the claim.
+// release frees the key of a request that was not run. A release can be applied
+// before the claim request that it belongs to; its row then refuses that claim.
 func (transaction *transaction) release(outcome protocol.ClaimOutcome, holder claimHolder, row claimRow, known bool) Result {
 	if known && row.Holder != holder && row.Phase != claimReleased {
 		return outcomeResult(outcome, protocol.ClaimMismatch)
@@ -125,9 +128,10 @@
 	return outcomeResult(outcome, protocol.ClaimCompleted)
 }
 
-// bound drops a body that is too large to keep. The status still tells a
-// resent request that its first run is over.
-func (claims *claimTable) bound(outcome protocol.ClaimOutcome) protocol.ClaimOutcome {
+// limitBody removes a body that would exceed MaximumOutcomeBytes or
+// MaximumOutcomeTotalBytes. The status that remains still tells the sender of a
+// resent request that the request has been run.
+func (claims *claimTable) limitBody(outcome protocol.ClaimOutcome) protocol.ClaimOutcome {
 	if len(outcome.Body) > MaximumOutcomeBytes || claims.outcomeBytes+len(outcome.Body) > MaximumOutcomeTotalBytes {
 		outcome.Body = nil
 		outcome.BodyOmitted = true
@@ -143,13 +147,15 @@
 	}}
 }
 
-// ClaimStatus counts the claims, for the status page.
+// ClaimStatus holds the size of the claim table, for the status page.
 type ClaimStatus struct {
-	Rows         int `json:"rows"`
+	// Rows is the number of claims, including released ones.
+	Rows int `json:"rows"`
+	// OutcomeBytes is the size of all stored bodies.
 	OutcomeBytes int `json:"outcome_bytes"`
 }
 
-// ClaimStatus returns how full the claim table is.
+// ClaimStatus returns the current size of the claim table.
 func (machine *Machine) ClaimStatus() ClaimStatus {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
--- a/internal/state/apply_target.go
+++ b/internal/state/apply_target.go
@@ -8,54 +8,59 @@
 	"merlinpaddle/internal/routing"
 )
 
-// putTargets matches the wanted targets with those of the service by name.
-// A known target keeps its ID, so its flows stay; a target that is no longer
-// wanted leaves once its flows ended. It returns the record with its targets.
-func (transaction *transaction) putTargets(command PutService, tenant *Tenant, record *ServiceRecord, wanted []TargetParameter) (*ServiceRecord, Result) {
-	known := make(map[string]model.TargetID)
+// putTargets changes the targets of a service to those that its parameters list. A
+// target that has the name of an existing one keeps its ID and therefore its flows.
+// A target that is no longer listed is marked as leaving and is removed once its
+// flows have ended. putTargets returns a copy of the record with the new target IDs,
+// or a refusal.
+func (transaction *transaction) putTargets(command PutService, tenant *Tenant, record *ServiceRecord, parameters []TargetParameter) (*ServiceRecord, Result) {
+	existing := make(map[string]model.TargetID)
 	for _, id := range record.Targets {
-		known[transaction.target(id).Name] = id
+		existing[transaction.target(id).Name] = id
 	}
-	transaction.releaseAgents(known, wanted)
+	transaction.releaseAgentAddresses(existing, parameters)
 	changed := *record
 	changed.Targets = slices.Clone(record.Targets)
 	listed := make(map[model.TargetID]bool)
-	for _, parameter := range wanted {
-		id, exists := known[parameter.Name]
+	for _, parameter := range parameters {
+		id, exists := existing[parameter.Name]
 		if !exists {
 			transaction.lastTarget++
 			id = transaction.lastTarget
 			changed.Targets = append(changed.Targets, id)
 		}
 		listed[id] = true
-		if refusal := transaction.putWanted(command, id, record.ID, parameter); !refusal.Applied() {
+		if refusal := transaction.putListedTarget(command, id, record.ID, parameter); !refusal.Applied() {
 			return nil, refusal
 		}
 	}
 	for _, id := range record.Targets {
 		if !listed[id] {
-			transaction.leave(id)
+			transaction.markLeaving(id)
 		}
 	}
 	return &changed, transaction.checkTargetBounds(tenant, len(changed.Targets)-len(record.Targets))
 }
 
-// releaseAgents frees the agent addresses that known targets give up, so that
-// two targets of one service can swap them.
-func (transaction *transaction) releaseAgents(known map[string]model.TargetID, wanted []TargetParameter) {
-	for _, parameter := range wanted {
-		id, exists := known[parameter.Name]
+// releaseAgentAddresses frees the agent addresses of existing targets that get
+// another address, so that two targets of one service can swap theirs.
+func (transaction *transaction) releaseAgentAddresses(existing map[string]model.TargetID, parameters []TargetParameter) {
+	for _, parameter := range parameters {
+		id, exists := existing[parameter.Name]
 		if exists && transaction.target(id).Agent != parameter.Agent {
 			transaction.view.agents.remove(transaction.target(id).Agent)
 		}
 	}
 }
 
+// checkTargetBounds refuses a change that adds targets beyond the tenant's quota or
+// beyond MaximumTargets. The tables already contain the new targets; the tenant's
+// usage does not.
 func (transaction *transaction) checkTargetBounds(tenant *Tenant, added int) Result {
 	if added <= 0 {
 		return Result{}
 	}
-	if use := transaction.tenantUse(tenant.Name); use.targets+added > tenant.Spec.targets() {
+	if use := transaction.tenantUsage(tenant.Name); use.targets+added > tenant.Spec.targets() {
 		return refuse(faults.CodeQuotaExceeded, "the tenant's quota is %d targets; it has %d and asks for %d more", tenant.Spec.targets(), use.targets, added)
 	}
 	if transaction.view.targets.length() > MaximumTargets {
@@ -64,8 +69,9 @@
 	return Result{}
 }
 
-// putWanted creates or changes one target that the parameters list.
-func (transaction *transaction) putWanted(command PutService, id model.TargetID, service model.ServiceID, parameter TargetParameter) Result {
+// putListedTarget creates or changes one target that the parameters list. A target
+// that is listed unchanged keeps its revision.
+func (transaction *transaction) putListedTarget(command PutService, id model.TargetID, service model.ServiceID, parameter TargetParameter) Result {
 	if owner, taken := transaction.view.targetNames.get(parameter.Name); taken && owner != id {
 		return refuse(faults.CodeConflict, "target name %q is in use by another service", parameter.Name)
 	}
@@ -93,14 +99,16 @@
 	return Result{}
 }
 
+// stamp sets the revision, author and time of the record's last change.
 func (transaction *transaction) stamp(record *TargetRecord, actor string) {
 	record.Revision = transaction.revision
 	record.UpdatedBy = actor
 	record.UpdatedAt = transaction.now
 }
 
-// leave stops new flows to a target that its service no longer wants.
-func (transaction *transaction) leave(id model.TargetID) {
+// markLeaving stops new flows to a target that its service no longer lists, so that
+// it can be removed once its flows have ended.
+func (transaction *transaction) markLeaving(id model.TargetID) {
 	record, _ := transaction.view.targets.get(id)
 	if record.Leaving {
 		return
@@ -118,13 +126,15 @@
 	return transaction.setDrained(command.Change, command.Target, false)
 }
 
+// setDrained drains or undrains a target. If the target already is in the requested
+// state, its revision does not change.
 func (transaction *transaction) setDrained(change Change, key TargetKey, drained bool) Result {
 	target, record, known := transaction.view.Target(key)
 	if !known {
 		return refuse(faults.CodeNotFound, "there is no target %q of service %q of tenant %q",
-			clip(key.Name), clip(key.Service), clip(string(key.Tenant)))
+			truncate(key.Name), truncate(key.Service), truncate(string(key.Tenant)))
 	}
-	if refusal, based := change.checkBase(record.Revision); !based {
+	if refusal, matches := change.checkBase(record.Revision); !matches {
 		return refusal
 	}
 	if record.Leaving && !drained {
@@ -137,7 +147,7 @@
 	transaction.stamp(&record, change.Actor)
 	transaction.putTarget(target, record)
 	service, _ := transaction.view.services.get(key.ServiceKey())
-	transaction.settle(service)
+	transaction.reconcile(service)
 	return Result{Revision: transaction.revision, Service: target.Service}
 }
 
@@ -151,14 +161,14 @@
 	}
 	for _, key := range services {
 		if service, known := transaction.view.services.get(key); known {
-			transaction.settle(service)
+			transaction.reconcile(service)
 		}
 	}
 	return Result{Revision: transaction.revision}
 }
 
-// observe records one observation and tells whether it changed the target.
-// An observation of an older agent process is late and changes nothing.
+// observe records one observation. It returns the target's service and whether the
+// target changed. An observation of an older agent process is outdated and ignored.
 func (transaction *transaction) observe(observation TargetObservation) (ServiceKey, bool) {
 	record, known := transaction.view.targets.get(observation.Target)
 	if !known {
@@ -177,6 +187,8 @@
 	return record.Key.ServiceKey(), true
 }
 
+// apply groups the reports by service, in the order in which services first occur,
+// and skips reports of services that no longer exist.
 func (command ReportEmpty) apply(transaction *transaction) Result {
 	reports := make(map[model.ServiceID][]model.BucketEmpty)
 	var services []model.ServiceID
@@ -195,13 +207,15 @@
 	return Result{Revision: transaction.revision}
 }
 
+// reportEmpty removes the earlier targets that are reported empty from the buckets of
+// a service.
 func (transaction *transaction) reportEmpty(id model.ServiceID, reports []model.BucketEmpty) {
 	service := transaction.service(id)
 	record, known := transaction.view.services.get(ServiceKey{Tenant: service.Tenant, Name: service.Name})
-	pending := transaction.bucketsOf(id)
+	pending := transaction.editableBuckets(id)
 	if !known || pending == nil {
 		return
 	}
 	pending.set(routing.RemoveEmpty(pending.table, reports))
-	transaction.settle(record)
+	transaction.reconcile(record)
 }
--- a/internal/state/apply_template.go
+++ b/internal/state/apply_template.go
@@ -7,20 +7,22 @@
 	"merlinpaddle/internal/model"
 )
 
-// checkBase compares the revision that a change is based on with the object's
-// present one; zero means that the object does not exist.
-func (change Change) checkBase(present model.Revision) (Result, bool) {
-	if change.Base == present {
+// checkBase compares the revision that the change is based on with the object's
+// current revision, which is zero if the object does not exist. It returns a refusal
+// and false if they differ.
+func (change Change) checkBase(currentRevision model.Revision) (Result, bool) {
+	if change.Base == currentRevision {
 		return Result{}, true
 	}
-	refusal := refuse(faults.CodeRevisionMismatch, "the change is based on revision %d, the present one is %d", change.Base, present)
-	if present == 0 {
+	refusal := refuse(faults.CodeRevisionMismatch, "the change is based on revision %d, the present one is %d", change.Base, currentRevision)
+	if currentRevision == 0 {
 		refusal = refuse(faults.CodeRevisionMismatch, "the change is based on revision %d, but there is no such object", change.Base)
 	}
-	refusal.Revision = present
+	refusal.Revision = currentRevision
 	return refusal, false
 }
 
+// apply creates the template or adds a version to it.
 func (command PutTemplate) apply(transaction *transaction) Result {
 	var errors fieldErrors
 	errors.checkName("name", command.Name)
@@ -28,21 +30,21 @@
 	if len(errors) > 0 {
 		return refuseFields("the template is not valid", errors)
 	}
-	present, known := transaction.view.templates.get(command.Name)
+	existing, known := transaction.view.templates.get(command.Name)
 	if !known {
-		present = &Template{Name: command.Name}
+		existing = &Template{Name: command.Name}
 	}
-	if refusal, based := command.checkBase(present.Revision); !based {
+	if refusal, matches := command.checkBase(existing.Revision); !matches {
 		return refusal
 	}
 	if !known && transaction.view.templates.length() >= MaximumTemplates {
 		return refuse(faults.CodeQuotaExceeded, "there are %d templates already", MaximumTemplates)
 	}
-	versions, room := transaction.versionsWithRoom(present)
-	if !room {
+	versions, hasRoom := transaction.versionsWithRoom(existing)
+	if !hasRoom {
 		return refuse(faults.CodeQuotaExceeded, "all %d versions of the template are in use", MaximumTemplateVersions)
 	}
-	version := nextVersion(present)
+	version := nextVersion(existing)
 	transaction.view.templates.set(command.Name, &Template{
 		Name:     command.Name,
 		Revision: transaction.revision,
@@ -64,8 +66,9 @@
 	return template.Latest().Version + 1
 }
 
-// versionsWithRoom returns a copy of the template's versions with room for one
-// more; the oldest unused version leaves when there is none.
+// versionsWithRoom returns a copy of the template's versions to which one more can be
+// added. If the template has MaximumTemplateVersions, the oldest version that no
+// service uses is removed; versionsWithRoom returns false if all are in use.
 func (transaction *transaction) versionsWithRoom(template *Template) ([]TemplateVersion, bool) {
 	versions := slices.Clone(template.Versions)
 	if len(versions) < MaximumTemplateVersions {
@@ -86,11 +89,11 @@
 }
 
 func (command DeleteTemplate) apply(transaction *transaction) Result {
-	present, known := transaction.view.templates.get(command.Name)
+	existing, known := transaction.view.templates.get(command.Name)
 	if !known {
-		return refuse(faults.CodeNotFound, "there is no template %q", clip(command.Name))
+		return refuse(faults.CodeNotFound, "there is no template %q", truncate(command.Name))
 	}
-	if refusal, based := command.checkBase(present.Revision); !based {
+	if refusal, matches := command.checkBase(existing.Revision); !matches {
 		return refusal
 	}
 	for _, service := range transaction.view.services.sorted(func(left, right *ServiceRecord) int { return left.Key.compare(right.Key) }) {
--- a/internal/state/apply_tenant.go
+++ b/internal/state/apply_tenant.go
@@ -7,10 +7,10 @@
 	"merlinpaddle/internal/model"
 )
 
-// maximumTenantPrefixes bounds the networks of one tenant.
+// maximumTenantPrefixes is the maximum number of address networks of a tenant.
 const maximumTenantPrefixes = 256
 
-// CheckTenant returns what is wrong with a tenant, or nothing.
+// CheckTenant returns the errors in a tenant's settings, or none if they are valid.
 func CheckTenant(spec TenantSpec) []FieldError {
 	var errors fieldErrors
 	if len(spec.Description) > MaximumTextBytes {
@@ -37,18 +37,27 @@
 	}
 }
 
-// services, targets and claims are the quotas with defaults filled in.
-func (spec TenantSpec) services() int { return quotaOr(spec.MaximumServices, DefaultTenantServices) }
-func (spec TenantSpec) targets() int  { return quotaOr(spec.MaximumTargets, DefaultTenantTargets) }
-func (spec TenantSpec) claims() int   { return quotaOr(spec.MaximumClaims, DefaultTenantClaims) }
+// services returns the quota of services, or its default.
+func (spec TenantSpec) services() int {
+	return quotaOrDefault(spec.MaximumServices, DefaultTenantServices)
+}
+
+// targets returns the quota of targets, or its default.
+func (spec TenantSpec) targets() int {
+	return quotaOrDefault(spec.MaximumTargets, DefaultTenantTargets)
+}
+
+// claims returns the quota of claims, or its default.
+func (spec TenantSpec) claims() int { return quotaOrDefault(spec.MaximumClaims, DefaultTenantClaims) }
 
-func quotaOr(quota, otherwise int) int {
+func quotaOrDefault(quota, defaultQuota int) int {
 	if quota == 0 {
-		return otherwise
+		return defaultQuota
 	}
 	return quota
 }
 
+// apply creates the tenant or changes its settings.
 func (command PutTenant) apply(transaction *transaction) Result {
 	var errors fieldErrors
 	errors.checkName("name", string(command.Name))
@@ -56,11 +65,11 @@
 	if len(errors) > 0 {
 		return refuseFields("the tenant is not valid", errors)
 	}
-	present, known := transaction.view.tenants.get(command.Name)
+	existing, known := transaction.view.tenants.get(command.Name)
 	if !known {
-		present = &Tenant{}
+		existing = &Tenant{}
 	}
-	if refusal, based := command.checkBase(present.Revision); !based {
+	if refusal, matches := command.checkBase(existing.Revision); !matches {
 		return refusal
 	}
 	if !known && transaction.view.tenants.length() >= MaximumTenants {
@@ -77,28 +86,29 @@
 }
 
 func (command DeleteTenant) apply(transaction *transaction) Result {
-	present, known := transaction.view.tenants.get(command.Name)
+	existing, known := transaction.view.tenants.get(command.Name)
 	if !known {
-		return refuse(faults.CodeNotFound, "there is no tenant %q", clip(string(command.Name)))
+		return refuse(faults.CodeNotFound, "there is no tenant %q", truncate(string(command.Name)))
 	}
-	if refusal, based := command.checkBase(present.Revision); !based {
+	if refusal, matches := command.checkBase(existing.Revision); !matches {
 		return refusal
 	}
-	if use := transaction.tenantUse(command.Name); use.services > 0 {
+	if use := transaction.tenantUsage(command.Name); use.services > 0 {
 		return refuse(faults.CodeConflict, "the tenant still has %d services", use.services)
 	}
 	transaction.view.tenants.remove(command.Name)
 	return Result{Revision: transaction.revision}
 }
 
-// tenantUse counts what a tenant has.
-type tenantUse struct {
+// tenantUsage counts the services and targets of a tenant, including those that are
+// being removed.
+type tenantUsage struct {
 	services int
 	targets  int
 }
 
-func (transaction *transaction) tenantUse(tenant model.TenantName) tenantUse {
-	var use tenantUse
+func (transaction *transaction) tenantUsage(tenant model.TenantName) tenantUsage {
+	var use tenantUsage
 	for key, service := range transaction.view.services.rows {
 		if key.Tenant != tenant {
 			continue
--- a/internal/state/bounds.go
+++ b/internal/state/bounds.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Bounds of the tables. The package documentation says what happens at each.
+// Maximum numbers of entries. The package comment describes what happens when a
+// table reaches its bound.
 const (
 	MaximumTemplates         = 1024
 	MaximumTemplateVersions  = 64
@@ -17,7 +18,7 @@
 	MaximumDeltas            = 2_048
 )
 
-// Bounds of sizes, in bytes.
+// Maximum sizes, in bytes.
 const (
 	MaximumNameBytes           = 63
 	MaximumTextBytes           = 1_024
@@ -27,22 +28,24 @@
 	MaximumOutcomeTotalBytes   = 64 << 20
 )
 
-// Defaults of a tenant's quota.
+// Quotas of a tenant whose specification sets none.
 const (
 	DefaultTenantServices = 64
 	DefaultTenantTargets  = 2_048
 	DefaultTenantClaims   = 65_536
 )
 
-// Times, all by the log's clock.
+// Durations, all measured by the log's time.
 const (
-	// AnswerRetention is how long a resent command gets its first answer.
+	// AnswerRetention is how long the answer to a command is stored, so that a
+	// resent copy of the command gets the same answer.
 	AnswerRetention = 24 * time.Hour
-	// ClaimWindow is how long a claimed request can not run again.
+	// ClaimWindow is how long a claimed request cannot run again.
 	ClaimWindow = 24 * time.Hour
-	// ReleaseRetention is how long a released claim refuses late copies of
-	// the request that it was released from.
+	// ReleaseRetention is how long the row of a released claim is kept to refuse
+	// delayed copies of the claim request that was released.
 	ReleaseRetention = 10 * time.Minute
-	// ClaimGrant is the time in which a granted request may start.
+	// ClaimGrant is how long after its first claim request an agent may start to
+	// run the granted request.
 	ClaimGrant = 5 * time.Second
 )
--- a/internal/state/claim_test.go
+++ b/internal/state/claim_test.go
@@ -176,12 +176,12 @@
 	for index := range MaximumOutcomeTotalBytes/MaximumOutcomeBytes + 3 {
 		row := claimRow{Key: payout(fmt.Sprint(index)), Phase: claimHeld, ExpiresAt: testStart.Add(ClaimWindow), Serial: model.Revision(index + 1)}
 		claims.put(row)
-		claims.complete(row, claims.bound(protocol.ClaimOutcome{Body: body}))
+		claims.complete(row, claims.limitBody(protocol.ClaimOutcome{Body: body}))
 	}
 	require.Equal(t, MaximumOutcomeTotalBytes, claims.outcomeBytes)
 	claims.expire(testStart.Add(ClaimWindow))
 	require.Zero(t, claims.outcomeBytes)
 	require.Empty(t, claims.rows)
 	require.Empty(t, claims.tenants)
-	require.Empty(t, claims.windows)
+	require.Empty(t, claims.windowQueue)
 }
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -10,54 +10,59 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// claimPhase is where a claim is in its life.
+// claimPhase is the phase of a claim in its life cycle.
 type claimPhase uint8
 
 const (
-	// claimHeld: an agent may have run the request; no one runs it again.
+	// claimHeld: an agent holds the claim and may have run the request. No other
+	// agent may run it.
 	claimHeld claimPhase = iota + 1
-	// claimDone: the outcome is recorded.
+	// claimDone: the outcome of the request is recorded.
 	claimDone
-	// claimReleased: the request was not run and the key is free. The row
-	// stays a while to refuse late copies of the released request.
+	// claimReleased: the request was not run and the key is free. The row is kept
+	// for ReleaseRetention to refuse delayed copies of the claim request.
 	claimReleased
 )
 
-// claimHolder is one attempt of one agent process.
+// claimHolder identifies a claim request: one attempt of one agent process.
 type claimHolder struct {
 	Agent       model.NodeName
 	Incarnation model.Incarnation
 	Correlation uint64
 }
 
-// claimRow is one claimed request.
+// claimRow is the claim of one request.
 type claimRow struct {
 	Key         protocol.ClaimKey
 	Fingerprint uint64
 	Holder      claimHolder
 	Phase       claimPhase
-	Outcome     *protocol.ClaimOutcome
-	// ExpiresAt is when the row leaves, by the log's time.
+	// Outcome is set in phase claimDone.
+	Outcome *protocol.ClaimOutcome
+	// ExpiresAt is when the row is removed, by the log's time.
 	ExpiresAt time.Time
-	// Serial is the log index of the command that set ExpiresAt.
+	// Serial is the revision of the command that set ExpiresAt. It tells the row
+	// from earlier rows with the same key.
 	Serial model.Revision
 }
 
-// claimExpiry is a place in a queue of rows that leave.
+// claimExpiry is an entry in a queue of rows that will expire.
 type claimExpiry struct {
 	key    protocol.ClaimKey
 	serial model.Revision
 }
 
-// claimTable holds the claims. Each queue is in order of ExpiresAt, because
-// its rows stay equally long and the log's time never goes back.
+// claimTable holds the claims and two queues of their expiry: windowQueue for held
+// and completed claims, releaseQueue for released ones. Each queue is ordered by
+// ExpiresAt, because its rows are all kept for the same time and the log's time never
+// goes back.
 type claimTable struct {
-	rows     map[protocol.ClaimKey]claimRow
-	windows  []claimExpiry
-	releases []claimExpiry
-	// tenants counts the rows of each tenant.
+	rows         map[protocol.ClaimKey]claimRow
+	windowQueue  []claimExpiry
+	releaseQueue []claimExpiry
+	// tenants is the number of rows of each tenant.
 	tenants map[model.TenantName]int
-	// outcomeBytes is the size of all recorded bodies.
+	// outcomeBytes is the size of all stored bodies.
 	outcomeBytes int
 }
 
@@ -71,15 +76,15 @@
 	claims.rows[row.Key] = row
 	claims.tenants[row.Key.Tenant]++
 	claims.outcomeBytes += row.outcomeBytes()
-	place := claimExpiry{key: row.Key, serial: row.Serial}
+	expiry := claimExpiry{key: row.Key, serial: row.Serial}
 	if row.Phase == claimReleased {
-		claims.releases = append(claims.releases, place)
+		claims.releaseQueue = append(claims.releaseQueue, expiry)
 		return
 	}
-	claims.windows = append(claims.windows, place)
+	claims.windowQueue = append(claims.windowQueue, expiry)
 }
 
-// complete records the outcome of a held claim, which keeps its expiry.
+// complete records the outcome of a held claim. Its expiry does not change.
 func (claims *claimTable) complete(row claimRow, outcome protocol.ClaimOutcome) {
 	row.Phase = claimDone
 	row.Outcome = &outcome
@@ -107,14 +112,15 @@
 	}
 }
 
-// expire drops the rows whose time has come.
+// expire removes the rows whose ExpiresAt has been reached.
 func (claims *claimTable) expire(now time.Time) {
-	claims.windows = claims.expireQueue(claims.windows, now)
-	claims.releases = claims.expireQueue(claims.releases, now)
+	claims.windowQueue = claims.expireQueue(claims.windowQueue, now)
+	claims.releaseQueue = claims.expireQueue(claims.releaseQueue, now)
 }
 
-// expireQueue drops the due rows at the front of a queue. A place whose serial
-// is not the row's belongs to an earlier life of the key.
+// expireQueue removes the expired rows at the front of a queue and returns the rest
+// of the queue. An entry whose serial differs from its row's is left over from an
+// earlier row with the same key.
 func (claims *claimTable) expireQueue(queue []claimExpiry, now time.Time) []claimExpiry {
 	for len(queue) > 0 {
 		row, known := claims.rows[queue[0].key]
@@ -130,7 +136,7 @@
 	return queue
 }
 
-// list returns the rows in order of their serial, then key.
+// list returns the rows, sorted by serial and then by key.
 func (claims *claimTable) list() []claimRow {
 	return slices.SortedFunc(maps.Values(claims.rows), func(left, right claimRow) int {
 		return cmp.Or(
--- a/internal/state/codec.go
+++ b/internal/state/codec.go
@@ -14,42 +14,47 @@
 	"merlinpaddle/internal/gobstream"
 )
 
-// Every command in the log must be readable by itself, so each is a gob stream
-// of its own, which begins with descriptions of its types. They are two thirds
-// of a claim. A command is therefore compressed (RFC 1951) with a preset
-// dictionary that has these descriptions, so that a few bytes stand for them.
+// commandDictionary is the preset dictionary for the compression of commands.
 //
-// The dictionary belongs to the log's format: it must never change. A better
-// one gets a format of its own, and the old one stays for old logs. That the
-// numbers of types differ between processes makes a command longer and no
-// less readable.
+// Every command in the log must be decodable on its own, so each is a separate gob
+// stream, which begins with the descriptions of its types. In the stream of a
+// claim, they take two thirds of the bytes. Commands are therefore compressed with
+// DEFLATE (RFC 1951) and a preset dictionary that contains the descriptions, so
+// that a few bytes refer to them.
+//
+// The dictionary is part of the log's format and must never change. A better
+// dictionary needs a new format, and the old one is still needed to read old logs.
+// The numbers that gob assigns to types can differ between processes; a command is
+// then longer, because fewer bytes match the dictionary, but still decodable.
 //
 //go:embed command.dictionary
 var commandDictionary []byte
 
 const (
 	// formatDeflated is the first byte of a command that is compressed with
-	// commandDictionary; the second is its kind. A plain gob stream, as in
-	// logs of earlier versions, never begins with it, because it begins with a
-	// length of two or more.
+	// commandDictionary. The second byte is the command's kind. A plain gob
+	// stream, as in logs of earlier versions, never begins with this byte,
+	// because it begins with a length of at least two.
 	formatDeflated = 1
 	headerBytes    = 2
-	// maximumDecodedBytes bounds a command after decompression.
+	// maximumDecodedBytes is the maximum size of a command after decompression.
 	maximumDecodedBytes = 256 << 20
 )
 
-// commandKinds numbers the types of commands in the log by their position.
-// Kinds are added at the end and never renumbered.
+// commandKinds lists the types of commands. The position of a type is its kind, the
+// number that the log has for it. New kinds are appended and never renumbered.
 var commandKinds = []Command{PutTemplate{}, DeleteTemplate{}, PutTenant{}, DeleteTenant{}, PutService{}, DeleteService{},
 	DrainTarget{}, UndrainTarget{}, RestoreState{}, ObserveTargets{}, ReportEmpty{}, Claim{}, CompleteClaim{}}
 
-var kindOf = make(map[reflect.Type]byte)
+// kindByType is the inverse of commandKinds.
+var kindByType = make(map[reflect.Type]byte)
 
-// init numbers the types of commands, also in gob, before anything else runs,
-// so that all runs of one program encode a command in equally many bytes.
+// init assigns the kinds and makes gob assign its own type numbers in a fixed
+// order, so that all processes of one program encode a command to the same number
+// of bytes.
 func init() {
 	for kind, command := range commandKinds {
-		kindOf[reflect.TypeOf(command)] = byte(kind)
+		kindByType[reflect.TypeOf(command)] = byte(kind)
 		gob.Register(command)
 		if _, err := encodePlain(command); err != nil {
 			panic(fmt.Sprintf("encode %T: %v", command, err))
@@ -57,21 +62,22 @@
 	}
 }
 
-// deflaters and inflaters keep compressors, which are large, for reuse.
+// deflaterPool and inflaterPool reuse compressors and decompressors, which are
+// large.
 var (
-	deflaters = sync.Pool{New: func() any {
+	deflaterPool = sync.Pool{New: func() any {
 		deflater, err := flate.NewWriterDict(io.Discard, flate.DefaultCompression, commandDictionary)
 		if err != nil {
 			panic(fmt.Sprintf("compressor of commands: %v", err))
 		}
 		return deflater
 	}}
-	inflaters = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), commandDictionary) }}
+	inflaterPool = sync.Pool{New: func() any { return flate.NewReaderDict(bytes.NewReader(nil), commandDictionary) }}
 )
 
-// EncodeCommand returns command as bytes for the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(command Command) ([]byte, error) {
-	kind, known := kindOf[reflect.TypeOf(command)]
+	kind, known := kindByType[reflect.TypeOf(command)]
 	if !known {
 		return nil, fmt.Errorf("encode command: %T has no kind", command)
 	}
@@ -87,7 +93,7 @@
 	return encoded.Bytes(), nil
 }
 
-// encodePlain returns the gob stream of a command without its kind.
+// encodePlain returns the gob stream of a command, without a kind and compression.
 func encodePlain(command Command) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(command)
@@ -95,8 +101,8 @@
 }
 
 func deflate(output io.Writer, plain []byte) error {
-	deflater := deflaters.Get().(*flate.Writer)
-	defer deflaters.Put(deflater)
+	deflater := deflaterPool.Get().(*flate.Writer)
+	defer deflaterPool.Put(deflater)
 	deflater.Reset(output)
 	if _, err := deflater.Write(plain); err != nil {
 		return err
@@ -106,11 +112,11 @@
 
 var decoders = gobstream.NewDecoders()
 
-// DecodeCommand reads a command of the log, as EncodeCommand wrote it or as
-// earlier versions did.
+// DecodeCommand decodes a command from the log, in the format of EncodeCommand or
+// that of earlier versions.
 func DecodeCommand(encoded []byte) (Command, error) {
 	if len(encoded) < headerBytes || encoded[0] != formatDeflated {
-		return decodeInterface(encoded)
+		return decodeEnvelope(encoded)
 	}
 	kind := int(encoded[1])
 	if kind >= len(commandKinds) {
@@ -128,8 +134,8 @@
 }
 
 func inflate(deflated []byte) ([]byte, error) {
-	inflater := inflaters.Get().(io.ReadCloser)
-	defer inflaters.Put(inflater)
+	inflater := inflaterPool.Get().(io.ReadCloser)
+	defer inflaterPool.Put(inflater)
 	if err := inflater.(flate.Resetter).Reset(bytes.NewReader(deflated), commandDictionary); err != nil {
 		return nil, err
 	}
@@ -140,13 +146,13 @@
 	return plain, err
 }
 
-// commandEnvelope is the form of commands in logs of earlier versions: gob
-// carries the concrete type of the interface.
+// commandEnvelope is the format of commands in logs of earlier versions, in which
+// gob encodes the concrete type of the interface value.
 type commandEnvelope struct {
 	Command Command
 }
 
-func decodeInterface(encoded []byte) (Command, error) {
+func decodeEnvelope(encoded []byte) (Command, error) {
 	var envelope commandEnvelope
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&envelope); err != nil {
 		return nil, fmt.Errorf("decode command: %w", err)
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -7,27 +7,29 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// Command is one typed change of the state.
+// Command is one typed change of the state, stored as an entry of the replicated
+// log.
 type Command interface {
-	// apply checks the command and records its changes in the transaction,
-	// which is dropped when the result is a refusal.
+	// apply validates the command and records its changes in the transaction.
+	// The transaction is discarded when the result is a refusal.
 	apply(transaction *transaction) Result
 }
 
-// Change is what every operator command carries.
+// Change holds the fields that all operator commands have in common.
 type Change struct {
-	// Scope separates the idempotency keys of tenants; empty for operators
+	// Scope separates the idempotency keys of tenants. It is empty for operators
 	// of the whole system.
 	Scope string
-	// Key is the idempotency key.
+	// Key is the idempotency key, at most MaximumIdempotencyKeyBytes long. When
+	// it is empty, no answer is stored for the command.
 	Key string
-	// Fingerprint is a checksum of the whole request. The same key with
-	// another fingerprint is refused.
+	// Fingerprint is a checksum of the request. A known key with another
+	// fingerprint is refused.
 	Fingerprint uint64
-	// Base is the object's revision that the change is based on; zero means
-	// that the object must not exist.
+	// Base is the revision of the object that the change is based on. Zero
+	// means that the object must not exist.
 	Base model.Revision
-	// Actor names the token that asked for the change.
+	// Actor is the name of the token that requested the change.
 	Actor string
 }
 
@@ -39,14 +41,15 @@
 
 func (change Change) change() Change { return change }
 
-// PutTemplate makes the first or the next version of a template.
+// PutTemplate creates a template or adds a version to it.
 type PutTemplate struct {
 	Change
 	Name string
 	Spec TemplateSpec
 }
 
-// DeleteTemplate removes a template with all versions.
+// DeleteTemplate removes a template with all its versions. It is refused while a
+// service uses the template.
 type DeleteTemplate struct {
 	Change
 	Name string
@@ -59,30 +62,31 @@
 	Spec TenantSpec
 }
 
-// DeleteTenant removes a tenant that has no services.
+// DeleteTenant removes a tenant. It is refused while the tenant has services.
 type DeleteTenant struct {
 	Change
 	Name model.TenantName
 }
 
-// Parameter is one value for a template's parameter, as JSON.
+// Parameter is the value of one template parameter, as JSON.
 type Parameter struct {
 	Name  string          `json:"name"`
 	Value json.RawMessage `json:"value"`
 }
 
-// PutService creates or changes a service from a template and parameters.
+// PutService creates or changes a service, which is defined by a template and
+// parameters.
 type PutService struct {
 	Change
 	Tenant model.TenantName
 	Name   string
-	// Template names the version to use; version zero means the latest.
+	// Template is the template version to use; version zero means the latest.
 	Template   model.TemplateReference
 	Parameters []Parameter
 }
 
-// DeleteService drains all targets of a service and removes it once every
-// bucket is reported empty. Force removes it at once and cuts its flows.
+// DeleteService drains all targets of a service and removes the service once no
+// bucket refers to them. Force removes it at once, which breaks its open flows.
 type DeleteService struct {
 	Change
 	Tenant model.TenantName
@@ -102,37 +106,37 @@
 	Target TargetKey
 }
 
-// RestoreState replaces an empty state by a snapshot.
+// RestoreState replaces an empty state with a snapshot.
 type RestoreState struct {
 	Change
 	Snapshot []byte
 }
 
-// TargetObservation is what membership knows of one target's agent.
+// TargetObservation is the membership state of one target's agent.
 type TargetObservation struct {
 	Target      model.TargetID
 	Incarnation model.Incarnation
-	// Alive is false once the agent counts as dead.
+	// Alive is false once membership considers the agent dead.
 	Alive bool
 }
 
-// ObserveTargets records incarnations and which targets are dead or alive.
+// ObserveTargets records the incarnations of targets and whether they are alive.
 type ObserveTargets struct {
 	Observations []TargetObservation
 }
 
-// ReportEmpty records buckets that agents hold no flow of.
+// ReportEmpty records in which buckets agents have no flows left.
 type ReportEmpty struct {
 	Reports []model.BucketEmpty
 }
 
-// Claim asks for the right to run a request once.
+// Claim requests the exclusive right to run a request once.
 type Claim struct {
 	Request protocol.ClaimRequest
 }
 
-// CompleteClaim records the outcome of a claimed request, or that it was not
-// run and its key is free again.
+// CompleteClaim records the outcome of a claimed request, or releases the key of
+// a request that was not run.
 type CompleteClaim struct {
 	Outcome protocol.ClaimOutcome
 }
--- a/internal/state/deltas.go
+++ b/internal/state/deltas.go
@@ -8,21 +8,24 @@
 	"merlinpaddle/internal/model"
 )
 
-// maximumDeltaRows bounds the bucket rows that the delta log holds together.
+// maximumDeltaRows is the maximum number of bucket rows in all deltas of the log.
 const maximumDeltaRows = 1 << 20
 
-// deltaLog holds the latest deltas, oldest first, under its own lock. It is
-// not part of the replicated state: a member that restarted answers with whole
-// configurations until its log reaches back again.
+// deltaLog holds the latest deltas, oldest first. It has its own lock, so that
+// readers do not wait for Apply. It is not part of the replicated state: after a
+// restart, a member sends full configurations until its log covers the requested
+// revisions again.
 type deltaLog struct {
 	lock sync.RWMutex
 	// current is the revision that the last delta leads to.
 	current model.Revision
 	entries []model.Delta
-	rows    int
+	// rows is the number of bucket rows in all entries.
+	rows int
 }
 
-// reset empties the log at a configuration that no delta leads to.
+// reset empties the log when the configuration was replaced instead of changed by a
+// delta.
 func (log *deltaLog) reset(current model.Revision) {
 	log.lock.Lock()
 	defer log.lock.Unlock()
@@ -31,6 +34,7 @@
 	log.rows = 0
 }
 
+// add appends a delta and removes the oldest deltas beyond the bounds.
 func (log *deltaLog) add(delta model.Delta) {
 	log.lock.Lock()
 	defer log.lock.Unlock()
@@ -44,6 +48,7 @@
 	}
 }
 
+// deltaRows returns the number of bucket rows in the delta.
 func deltaRows(delta model.Delta) int {
 	rows := 0
 	for _, change := range delta.Buckets {
@@ -55,6 +60,7 @@
 	return rows
 }
 
+// since returns the deltas after revision, as Machine.DeltasSince does.
 func (log *deltaLog) since(revision model.Revision) ([]model.Delta, bool) {
 	log.lock.RLock()
 	defer log.lock.RUnlock()
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -10,9 +10,11 @@
 	"merlinpaddle/internal/model"
 )
 
-// Machine is one member's copy of the replicated state.
+// Machine is one member's copy of the replicated state. Its methods may be called
+// concurrently.
 type Machine struct {
-	// lock is held by Apply, Snapshot, Restore and Digest.
+	// lock guards core, answers and claims, and serializes all changes of the
+	// state. Readers of view and deltas do not take it.
 	lock     sync.Mutex
 	core     core
 	answers  answerTable
@@ -22,53 +24,54 @@
 	notifier board.Notifier
 }
 
-// core is the small part of the state that is not a table.
+// core holds the scalar values of the state.
 type core struct {
-	// Applied is the log index of the last applied command.
+	// Applied is the log index of the last applied entry.
 	Applied model.Revision
-	// Offset turns a log index into a revision.
+	// Offset is added to a log index to get a revision; see the package comment.
 	Offset model.Revision
 	// Clock is the log's time, which never goes back.
 	Clock time.Time
-	// LastService and LastTarget are the highest IDs ever given.
+	// LastService and LastTarget are the highest IDs ever assigned.
 	LastService model.ServiceID
 	LastTarget  model.TargetID
 }
 
-// NewMachine returns an empty state.
+// NewMachine returns a Machine with an empty state.
 func NewMachine() *Machine {
 	machine := &Machine{answers: newAnswerTable(), claims: newClaimTable()}
 	machine.view.Store(newView())
 	return machine
 }
 
-// View returns the state after the last applied command, which must not be
-// written.
+// View returns the state after the last applied command. Callers must not modify
+// it.
 func (machine *Machine) View() *View { return machine.view.Load() }
 
-// Configuration returns what nodes run, which must not be written.
+// Configuration returns the configuration that nodes run. Callers must not modify
+// it.
 func (machine *Machine) Configuration() *model.Configuration { return machine.View().Configuration }
 
-// DeltasSince returns the deltas that lead from revision to the present
-// configuration. It returns false when the log does not reach back that far;
-// the caller then sends the whole configuration.
+// DeltasSince returns the deltas that lead from the configuration at revision to
+// the current one. It returns false when the delta log does not go back to
+// revision; the caller then has to send the full configuration.
 func (machine *Machine) DeltasSince(revision model.Revision) ([]model.Delta, bool) {
 	return machine.deltas.since(revision)
 }
 
-// Revision returns the revision of the latest applied command.
+// Revision returns the revision of the last applied log entry.
 func (machine *Machine) Revision() model.Revision {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
 	return machine.revision()
 }
 
-// Watch registers a channel that gets a notice after each change of the
+// Watch returns a new channel that is notified after changes of the
 // configuration.
 func (machine *Machine) Watch() <-chan struct{} { return machine.notifier.Watch() }
 
-// Apply runs one committed command; see replica.StateMachine. An empty command
-// only moves the log's time.
+// Apply applies one committed log entry and returns the encoded Result, as
+// replica.StateMachine demands. An empty command only advances the log's time.
 func (machine *Machine) Apply(index model.Revision, at time.Time, command []byte) []byte {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
@@ -86,7 +89,8 @@
 	return encodeResult(machine.run(decoded))
 }
 
-// advance moves the log's time, which never goes back, and drops what expired.
+// advance records the applied index, moves the log's time forward, never back, and
+// removes expired answers and claims.
 func (machine *Machine) advance(index model.Revision, at time.Time) {
 	machine.core.Applied = index
 	at = at.Round(0).UTC()
@@ -97,7 +101,7 @@
 	machine.claims.expire(machine.core.Clock)
 }
 
-// run gives a resent command its first answer and runs every other command.
+// run executes a command, or returns the stored answer if an operator resent it.
 func (machine *Machine) run(command Command) Result {
 	operator, isOperator := command.(operatorCommand)
 	if !isOperator {
@@ -111,11 +115,12 @@
 		return first
 	}
 	result := machine.execute(command)
-	machine.answers.remember(change, machine.core.Clock, result)
+	machine.answers.record(change, machine.core.Clock, result)
 	return result
 }
 
-// execute runs the command in a transaction and commits it when applied.
+// execute applies the command in a transaction and commits it unless the command
+// is refused.
 func (machine *Machine) execute(command Command) Result {
 	transaction := newTransaction(machine)
 	result := command.apply(transaction)
@@ -125,5 +130,6 @@
 	return result
 }
 
-// revision is the revision of the command that is being applied.
+// revision returns the revision of the last log entry, which may be the one that is
+// being applied.
 func (machine *Machine) revision() model.Revision { return machine.core.Applied + machine.core.Offset }
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -8,19 +8,20 @@
 	"merlinpaddle/internal/model"
 )
 
-// TenantSpec is what administrators set for a tenant. A quota of zero means
-// the default.
+// TenantSpec holds the settings of a tenant that administrators may change. A
+// quota of zero means the default.
 type TenantSpec struct {
 	Description     string `json:"description,omitempty"`
 	MaximumServices int    `json:"maximum_services,omitempty"`
 	MaximumTargets  int    `json:"maximum_targets,omitempty"`
 	MaximumClaims   int    `json:"maximum_claims,omitempty"`
-	// Addresses are the networks from which the tenant may take service
-	// addresses; empty allows every address.
+	// Addresses are the networks in which the tenant's services may have their
+	// addresses. An empty list allows every address.
 	Addresses []netip.Prefix `json:"addresses,omitempty"`
 }
 
-// Tenant is one tenant.
+// Tenant is a tenant's settings and the revision and author of their last
+// change.
 type Tenant struct {
 	Name      model.TenantName `json:"name"`
 	Spec      TenantSpec       `json:"spec"`
@@ -29,7 +30,7 @@
 	UpdatedAt time.Time        `json:"updated_at"`
 }
 
-// ServiceKey names a service within its tenant.
+// ServiceKey identifies a service by its tenant and its name.
 type ServiceKey struct {
 	Tenant model.TenantName
 	Name   string
@@ -39,25 +40,25 @@
 	return cmp.Or(cmp.Compare(key.Tenant, other.Tenant), cmp.Compare(key.Name, other.Name))
 }
 
-// ServiceRecord is a service as its tenant stated it. The resolved form that
-// nodes run is the model.Service with the same ID.
+// ServiceRecord is a service as its tenant declared it. The resolved form, which
+// nodes run, is the model.Service with the same ID.
 type ServiceRecord struct {
 	Key        ServiceKey
 	ID         model.ServiceID
 	Template   model.TemplateReference
 	Parameters []Parameter
-	// Targets has the IDs of all targets, also of those that are on their
-	// way out, in growing order.
+	// Targets lists the IDs of all targets in ascending order, including those
+	// that are leaving.
 	Targets []model.TargetID
-	// Removing tells that the service is deleted and waits for its flows to
-	// end.
+	// Removing is set while the service is deleted but still has targets that
+	// may hold flows.
 	Removing  bool
 	Revision  model.Revision
 	UpdatedBy string
 	UpdatedAt time.Time
 }
 
-// TargetKey names a target within its service.
+// TargetKey identifies a target by its tenant, service and name.
 type TargetKey struct {
 	Tenant  model.TenantName
 	Service string
@@ -69,25 +70,27 @@
 	return ServiceKey{Tenant: key.Tenant, Name: key.Service}
 }
 
-// TargetRecord is why a target is in its phase.
+// TargetRecord holds the causes from which the phase of a target follows, and the
+// revision and author of its last operator change.
 type TargetRecord struct {
 	Key TargetKey
 	ID  model.TargetID
-	// Drained tells that an operator drained the target.
+	// Drained is set while the target is drained by an operator.
 	Drained bool
-	// Leaving tells that the target is no longer in its service's parameters
-	// and waits for its flows to end.
+	// Leaving is set when the target is no longer in its service's parameters,
+	// or its service is being removed, and its flows have not all ended.
 	Leaving bool
-	// Dead tells that the target's agent is taken to have lost its flows.
+	// Dead is set when membership considers the target's agent dead, so that its
+	// flows count as lost.
 	Dead bool
-	// Revision is that of the last operator change. Observations do not
-	// change it, so that they never make an operator's change fail.
+	// Revision is the revision of the last operator change. Observations leave it
+	// unchanged, so that they never cause a revision mismatch for an operator.
 	Revision  model.Revision
 	UpdatedBy string
 	UpdatedAt time.Time
 }
 
-// phase derives the phase that nodes see.
+// phase returns the phase that nodes get in their configuration.
 func (record TargetRecord) phase() model.TargetPhase {
 	switch {
 	case record.Dead:
@@ -98,8 +101,8 @@
 	return model.PhaseServing
 }
 
-// listener is what two live services never share. UDP and QUIC use the same
-// ports.
+// listener is the address and transport on which a service accepts flows. It is
+// unique among services. UDP and QUIC share their ports.
 type listener struct {
 	address   netip.AddrPort
 	datagrams bool
--- a/internal/state/refusal_test.go
+++ b/internal/state/refusal_test.go
@@ -296,7 +296,7 @@
 func TestAnswersAreBounded(t *testing.T) {
 	answers := newAnswerTable()
 	for index := range MaximumAnswers + 10 {
-		answers.remember(Change{Key: fmt.Sprint(index)}, testStart, Result{Revision: model.Revision(index)})
+		answers.record(Change{Key: fmt.Sprint(index)}, testStart, Result{Revision: model.Revision(index)})
 	}
 	require.Len(t, answers.rows, MaximumAnswers)
 	_, found := answers.find(Change{Key: "9"})
--- a/internal/state/resolve.go
+++ b/internal/state/resolve.go
@@ -9,8 +9,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// ResolvedService is what a template and parameters make of a service, before
-// it gets IDs.
+// ResolvedService is the service that a template and parameters define, before it
+// and its targets get IDs.
 type ResolvedService struct {
 	Protocol model.Protocol
 	Address  netip.AddrPort
@@ -19,38 +19,40 @@
 	Targets  []TargetParameter
 }
 
-// Resolve checks parameters against a template and returns the service they
-// make, or what is wrong with them.
+// Resolve checks parameters against a template and returns the service that they
+// define, or the errors in them.
 func Resolve(spec TemplateSpec, parameters []Parameter) (ResolvedService, []FieldError) {
 	var errors fieldErrors
 	values := errors.parameterValues(spec, parameters)
 	if len(errors) > 0 {
 		return ResolvedService{}, errors
 	}
-	resolved := ResolvedService{Limits: spec.Limits.merge()}
+	resolved := ResolvedService{Limits: spec.Limits.withDefaults()}
 	resolved.Protocol, _ = spec.Protocol.Protocol()
 	for _, definition := range spec.Parameters {
 		if given, set := values[definition.Name]; set {
-			resolved.set(definition.Sets, given)
+			resolved.setProperty(definition.Sets, given)
 		}
 	}
 	resolved.Rules = spec.rules(values)
 	errors.checkServiceLimits("limits", resolved.Limits)
-	errors.checkAddress(spec.fieldOf(PropertyAddress), resolved.Address)
-	errors.checkTargets(spec.fieldOf(PropertyTargets), resolved.Targets)
+	errors.checkAddress(spec.parameterField(PropertyAddress), resolved.Address)
+	errors.checkTargets(spec.parameterField(PropertyTargets), resolved.Targets)
 	return resolved, errors
 }
 
-// parameterValues parses the given parameters and the defaults of the rest.
+// parameterValues returns the values of the given parameters and the defaults of those
+// that are not given, by parameter name. It adds an error for each parameter that is
+// invalid, unknown, repeated or missing.
 func (errors *fieldErrors) parameterValues(spec TemplateSpec, parameters []Parameter) map[string]value {
 	values := make(map[string]value)
 	given := make(map[string]Parameter)
 	for _, parameter := range parameters {
 		field := "parameters." + parameter.Name
-		if _, declared := spec.kindOf(parameter.Name); !declared {
+		if _, declared := spec.parameterKind(parameter.Name); !declared {
 			errors.add(field, "the template has no such parameter")
 		}
-		if _, twice := given[parameter.Name]; twice {
+		if _, repeated := given[parameter.Name]; repeated {
 			errors.add(field, "given twice")
 		}
 		given[parameter.Name] = parameter
@@ -61,7 +63,7 @@
 		if present {
 			raw = parameter.Value
 		}
-		if !present && (definition.Required || definition.needed()) {
+		if !present && (definition.Required || definition.alwaysRequired()) {
 			errors.add("parameters."+definition.Name, "is required")
 			continue
 		}
@@ -78,13 +80,15 @@
 	return values
 }
 
-// needed tells that no service can do without the parameter.
-func (definition ParameterDefinition) needed() bool {
+// alwaysRequired reports whether every service needs the parameter, even if its
+// definition does not say that it is required.
+func (definition ParameterDefinition) alwaysRequired() bool {
 	return definition.Sets == PropertyAddress || definition.Sets == PropertyTargets
 }
 
-// fieldOf returns the field name of the parameter that sets property.
-func (spec TemplateSpec) fieldOf(property Property) string {
+// parameterField returns the field path of the parameter that sets property, for error
+// messages.
+func (spec TemplateSpec) parameterField(property Property) string {
 	for _, definition := range spec.Parameters {
 		if definition.Sets == property {
 			return "parameters." + definition.Name
@@ -93,7 +97,8 @@
 	return "parameters"
 }
 
-func (resolved *ResolvedService) set(property Property, given value) {
+// setProperty sets the part of the service that the property names.
+func (resolved *ResolvedService) setProperty(property Property, given value) {
 	limits := &resolved.Limits
 	switch property {
 	case PropertyAddress:
@@ -123,33 +128,36 @@
 	}
 }
 
-// merge fills the limits that the template does not state with defaults.
-func (limits LimitValues) merge() model.Limits {
+// withDefaults returns the limits, with defaults for those that the template does not
+// set.
+func (limits LimitValues) withDefaults() model.Limits {
 	merged := model.DefaultLimits()
-	setPositive(&merged.SlotsPerTarget, limits.SlotsPerTarget)
-	setPositive(&merged.MaximumConnections, limits.MaximumConnections)
-	setPositive(&merged.MaximumQueue, limits.MaximumQueue)
-	setPositive(&merged.MaximumHeaderBytes, limits.MaximumHeaderBytes)
-	setPositive(&merged.MaximumBodyBytes, limits.MaximumBodyBytes)
-	setPositive(&merged.HeaderTimeout, time.Duration(limits.HeaderTimeout))
-	setPositive(&merged.IdleTimeout, time.Duration(limits.IdleTimeout))
-	setPositive(&merged.RequestTimeout, time.Duration(limits.RequestTimeout))
-	setPositive(&merged.NewFlowsPerSecond, float64(limits.NewFlowsPerSecond))
-	setPositive(&merged.NewFlowBurst, limits.NewFlowBurst)
+	setIfNonzero(&merged.SlotsPerTarget, limits.SlotsPerTarget)
+	setIfNonzero(&merged.MaximumConnections, limits.MaximumConnections)
+	setIfNonzero(&merged.MaximumQueue, limits.MaximumQueue)
+	setIfNonzero(&merged.MaximumHeaderBytes, limits.MaximumHeaderBytes)
+	setIfNonzero(&merged.MaximumBodyBytes, limits.MaximumBodyBytes)
+	setIfNonzero(&merged.HeaderTimeout, time.Duration(limits.HeaderTimeout))
+	setIfNonzero(&merged.IdleTimeout, time.Duration(limits.IdleTimeout))
+	setIfNonzero(&merged.RequestTimeout, time.Duration(limits.RequestTimeout))
+	setIfNonzero(&merged.NewFlowsPerSecond, float64(limits.NewFlowsPerSecond))
+	setIfNonzero(&merged.NewFlowBurst, limits.NewFlowBurst)
 	return merged
 }
 
-// setPositive keeps a negative value, so that the check of limits names it.
-func setPositive[Number int | int64 | float64 | time.Duration](into *Number, stated Number) {
-	if stated != 0 {
-		*into = stated
+// setIfNonzero sets the limit to override unless override is zero. It also sets a
+// negative value, so that the later check of limits reports it.
+func setIfNonzero[Number int | int64 | float64 | time.Duration](into *Number, override Number) {
+	if override != 0 {
+		*into = override
 	}
 }
 
-// defaultWeight is the admission weight of a class that the template does not
+// defaultWeight is the admission weight of request classes that the template does not
 // list.
 const defaultWeight = 1
 
+// rules returns the request rules of a service whose parameters have the given values.
 func (spec TemplateSpec) rules(values map[string]value) []model.RequestRule {
 	var rules []model.RequestRule
 	for _, rule := range spec.Rules {
@@ -161,19 +169,22 @@
 			PathPrefix: fillPlaceholders(rule.PathPrefix, values),
 			Class:      rule.Class,
 			AtMostOnce: rule.AtMostOnce,
-			Weight:     spec.weightOf(rule),
+			Weight:     spec.ruleWeight(rule),
 		})
 	}
 	return rules
 }
 
+// fillPlaceholders replaces each "{name}" with the value of that string parameter.
 func fillPlaceholders(prefix string, values map[string]value) string {
 	return placeholderPattern.ReplaceAllStringFunc(prefix, func(match string) string {
 		return values[strings.Trim(match, "{}")].text
 	})
 }
 
-func (spec TemplateSpec) weightOf(rule RuleTemplate) uint32 {
+// ruleWeight returns the admission weight of the rule, of its class, or the default, in
+// this order.
+func (spec TemplateSpec) ruleWeight(rule RuleTemplate) uint32 {
 	if rule.Weight > 0 {
 		return rule.Weight
 	}
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -11,40 +11,46 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// FieldError names one field and what is wrong with it.
+// FieldError describes what is wrong with one field of a command.
 type FieldError struct {
 	// Field is the path of the field, such as "parameters.targets[2].agent".
 	Field   string `json:"field"`
 	Message string `json:"message"`
 }
 
-// Result is the answer to one command. Members that applied the same log give
+// Result is the answer to one command. Members that applied the same log return
 // equal results.
+//
+// The results of operator commands with an idempotency key are part of the
+// replicated state. The text of a message is therefore covered by Machine.Digest.
 type Result struct {
-	// Code is zero when the command was applied.
+	// Code is the reason of a refusal, or zero when the command was applied.
 	Code faults.Code
-	// Message says why the command was refused.
+	// Message describes why the command was refused.
 	Message string
-	// Fields lists the fields that were refused.
+	// Fields lists the invalid fields of a command refused with
+	// CodeInvalidField, at most maximumFieldErrors of them.
 	Fields []FieldError
-	// Revision is the object's revision after the command; when the command
-	// was refused with CodeRevisionMismatch it is the object's present
-	// revision, or zero when the object does not exist.
+	// Revision is the object's revision after the command. When the command was
+	// refused with CodeRevisionMismatch, it is the object's current revision, or
+	// zero when the object does not exist.
 	Revision model.Revision
-	// Version is the template's new version.
+	// Version is the version that PutTemplate created.
 	Version uint32
-	// Service is the ID of the service that was changed.
+	// Service is the ID of the service to which the change applies.
 	Service model.ServiceID
-	// Replayed tells that this is the first answer to a resent command.
+	// Replayed is set when the command was resent and this is the stored answer
+	// to its first copy.
 	Replayed bool
-	// Claim answers Claim and CompleteClaim.
+	// Claim is the reply to a Claim or CompleteClaim command.
 	Claim *protocol.ClaimReply
 }
 
-// Applied tells whether the command was applied.
+// Applied reports whether the command was applied.
 func (result Result) Applied() bool { return result.Code == 0 }
 
-// Err returns the refusal as an error with its code, or nil.
+// Err returns the refusal as an error with its code, or nil when the command was
+// applied.
 func (result Result) Err() error {
 	if result.Applied() {
 		return nil
@@ -63,14 +69,16 @@
 	return result.Message + ": " + strings.Join(lines, "; ")
 }
 
-// Bounds of a refusal, because refusals are kept for resent commands.
+// Bounds of the size of a refusal. Refusals are stored for resent commands, so
+// their size must not grow with the request.
 const (
 	maximumMessageBytes = 512
 	maximumFieldErrors  = 32
 )
 
-// clip shortens text that came from outside.
-func clip(text string) string {
+// truncate cuts text after maximumMessageBytes and appends an ellipsis. Names and
+// values in messages come from requests and can have any length.
+func truncate(text string) string {
 	if len(text) <= maximumMessageBytes {
 		return text
 	}
@@ -78,7 +86,7 @@
 }
 
 func refuse(code faults.Code, format string, arguments ...any) Result {
-	return Result{Code: code, Message: clip(fmt.Sprintf(format, arguments...))}
+	return Result{Code: code, Message: truncate(fmt.Sprintf(format, arguments...))}
 }
 
 func refuseFields(message string, fields []FieldError) Result {
@@ -98,7 +106,7 @@
 	return buffer.Bytes()
 }
 
-// DecodeResult reads the answer that Apply gave.
+// DecodeResult decodes a Result that Machine.Apply returned.
 func DecodeResult(encoded []byte) (Result, error) {
 	var result Result
 	if err := gob.NewDecoder(bytes.NewReader(encoded)).Decode(&result); err != nil {
--- a/internal/state/retire.go
+++ b/internal/state/retire.go
@@ -8,11 +8,12 @@
 
 func isServing(target model.Target) bool { return target.Phase == model.PhaseServing }
 
-// retireLeaving returns the rows that change when leaving targets stop being
-// heads and alternates of a service that has no serving target to take their
-// place. They become earlier targets, so that their open flows are still found
-// and their agents report the buckets empty in the end. A row without room for
-// them changes later, when an earlier target has left it.
+// retireLeaving returns the rows that change when leaving targets stop being heads
+// and alternates of a service that has no serving target to replace them. They become
+// earlier targets, so that their open flows are still found and their agents report
+// the buckets empty once these flows have ended. A row that has the maximum number of
+// earlier targets is left as it is and changes in a later call, after one of them was
+// removed.
 func (transaction *transaction) retireLeaving(buckets *model.BucketTable) []model.Bucket {
 	var rows []model.Bucket
 	for index := range buckets.Heads {
@@ -28,15 +29,15 @@
 	return rows
 }
 
-// retire makes the target in place, which is the row's head or alternate, an
-// earlier target if it is leaving and the row has room.
-func (transaction *transaction) retire(row *model.Bucket, place *model.TargetID) {
-	record, known := transaction.view.targets.get(*place)
+// retire clears position, which is the row's head or alternate, and makes its target
+// an earlier target, if the target is leaving and the row has space for it.
+func (transaction *transaction) retire(row *model.Bucket, position *model.TargetID) {
+	record, known := transaction.view.targets.get(*position)
 	if !known || !record.Leaving {
 		return
 	}
-	entry := model.EarlierTarget{Target: *place, MovedAt: transaction.revision}
-	listed := slices.IndexFunc(row.Earlier, func(earlier model.EarlierTarget) bool { return earlier.Target == *place })
+	entry := model.EarlierTarget{Target: *position, MovedAt: transaction.revision}
+	listed := slices.IndexFunc(row.Earlier, func(earlier model.EarlierTarget) bool { return earlier.Target == *position })
 	switch {
 	case listed >= 0:
 		row.Earlier[listed] = entry
@@ -45,5 +46,5 @@
 	default:
 		return
 	}
-	*place = 0
+	*position = 0
 }
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -13,13 +13,14 @@
 	"merlinpaddle/internal/model"
 )
 
-// snapshotMagic starts every snapshot and names its version.
+// snapshotMagic is the start of every snapshot. It contains the format version.
 const snapshotMagic = "merlinpaddle-state-1\n"
 
-// checksumBytes is the length of the checksum that follows the magic.
+// checksumBytes is the length of the xxHash checksum that follows snapshotMagic.
 const checksumBytes = 8
 
-// image is the whole state as plain values.
+// image is the complete state as plain values, in the form that is encoded in
+// snapshots. All slices have a fixed order.
 type image struct {
 	Core          core
 	Configuration *model.Configuration
@@ -31,6 +32,7 @@
 	Claims        []claimRow
 }
 
+// image returns the complete state. The caller must hold the lock.
 func (machine *Machine) image() *image {
 	view := machine.View()
 	return &image{
@@ -45,12 +47,13 @@
 	}
 }
 
+// targetRecords returns all target records, sorted by ID.
 func (view *View) targetRecords() []TargetRecord {
 	return view.targets.sorted(func(left, right TargetRecord) int { return cmp.Compare(left.ID, right.ID) })
 }
 
-// Snapshot returns the whole state: a magic with the version, a checksum, and
-// the state as gob.
+// Snapshot encodes the complete state as snapshotMagic, a big-endian checksum, and the
+// gob stream that the checksum covers.
 func (machine *Machine) Snapshot() ([]byte, error) {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
@@ -63,8 +66,8 @@
 	return append(snapshot, body.Bytes()...), nil
 }
 
-// Restore replaces the whole state by a snapshot. A snapshot that can not be
-// used leaves the state as it was.
+// Restore replaces the complete state with a snapshot. If the snapshot is invalid, it
+// returns an error and leaves the state unchanged.
 func (machine *Machine) Restore(snapshot []byte) error {
 	restored, err := decodeSnapshot(snapshot)
 	if err != nil {
@@ -76,12 +79,13 @@
 	return nil
 }
 
-// CheckSnapshot returns an error when a snapshot can not be restored.
+// CheckSnapshot returns an error if the snapshot cannot be restored.
 func CheckSnapshot(snapshot []byte) error {
 	_, err := decodeSnapshot(snapshot)
 	return err
 }
 
+// decodeSnapshot checks and decodes a snapshot. Its errors have CodeSnapshotInvalid.
 func decodeSnapshot(snapshot []byte) (*image, error) {
 	rest, found := bytes.CutPrefix(snapshot, []byte(snapshotMagic))
 	if !found {
@@ -102,7 +106,7 @@
 	return restored, nil
 }
 
-// normalize replaces what gob leaves out because it is empty.
+// normalize restores the empty maps, which gob does not encode.
 func (restored *image) normalize() {
 	empty := model.NewConfiguration()
 	if restored.Configuration == nil {
@@ -120,7 +124,7 @@
 	}
 }
 
-// install makes the image the state.
+// install replaces the state with the image. The caller must hold the lock.
 func (machine *Machine) install(restored *image) {
 	machine.core = restored.Core
 	machine.answers = newAnswerTable()
@@ -136,6 +140,7 @@
 	machine.notifier.Notify()
 }
 
+// view returns a view of the image, with its indexes rebuilt.
 func (restored *image) view() *View {
 	view := newView()
 	view.Configuration = restored.Configuration
@@ -154,14 +159,14 @@
 		view.targetNames.set(record.Key.Name, record.ID)
 		view.agents.set(restored.Configuration.Targets[record.ID].Agent, record.ID)
 	}
-	view.publish()
+	view.markShared()
 	return view
 }
 
-// apply replaces an empty state by a backup. Revisions go on above those of
+// apply replaces an empty state with a backup. Later revisions are higher than those of
 // the backup, so that nodes of the lost group accept the restored state.
 func (command RestoreState) apply(transaction *transaction) Result {
-	if refusal, based := command.checkBase(0); !based {
+	if refusal, matches := command.checkBase(0); !matches {
 		return refusal
 	}
 	machine := transaction.machine
@@ -172,13 +177,15 @@
 	if err != nil {
 		return refuse(faults.CodeOf(err), "%v", err)
 	}
-	restored.Core = restored.Core.continued(machine.core)
-	transaction.replaced = restored
+	restored.Core = restored.Core.continueAfter(machine.core)
+	transaction.replacement = restored
 	return Result{Revision: restored.Core.Applied + restored.Core.Offset}
 }
 
-// continued returns the restored core as it goes on in the running log.
-func (restored core) continued(running core) core {
+// continueAfter returns the restored core, adapted to the log of the running group: the
+// applied index is that of the running log, the offset is the last revision of the
+// backup, and the clock is the later of both.
+func (restored core) continueAfter(running core) core {
 	last := restored.Applied + restored.Offset
 	restored.Offset = last
 	restored.Applied = running.Applied
@@ -188,35 +195,36 @@
 	return restored
 }
 
-// Digest returns a checksum of the whole state. Rows are written as JSON in a
-// fixed order, because JSON, unlike gob, has one form on all members.
+// Digest returns a checksum of the complete state. Rows are hashed as JSON in a fixed
+// order, because the JSON encoding, unlike gob, is the same on all members.
 func (machine *Machine) Digest() uint64 {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
-	present := machine.image()
+	captured := machine.image()
 	hash := xxhash.New()
-	_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, present.Configuration.Digest()))
+	_, _ = hash.Write(binary.BigEndian.AppendUint64(nil, captured.Configuration.Digest()))
 	encoder := json.NewEncoder(hash)
-	writeRows(encoder, []core{present.Core})
-	writeRows(encoder, present.Templates)
-	writeRows(encoder, present.Tenants)
-	writeRows(encoder, present.Services)
-	writeRows(encoder, present.Targets)
-	writeRows(encoder, present.Answers)
-	writeRows(encoder, present.Claims)
+	writeRows(encoder, []core{captured.Core})
+	writeRows(encoder, captured.Templates)
+	writeRows(encoder, captured.Tenants)
+	writeRows(encoder, captured.Services)
+	writeRows(encoder, captured.Targets)
+	writeRows(encoder, captured.Answers)
+	writeRows(encoder, captured.Claims)
 	return hash.Sum64()
 }
 
-// writeRows writes one table: its length, then one line a row.
+// writeRows writes one table: its length and then one line per row.
 func writeRows[Row any](encoder *json.Encoder, rows []Row) {
 	for _, line := range append([]any{len(rows)}, anyRows(rows)...) {
 		if err := encoder.Encode(line); err != nil {
-			// Rows hold only types with a JSON form.
+			// Rows contain only types that can be encoded as JSON.
 			panic("state: digest: " + err.Error())
 		}
 	}
 }
 
+// anyRows converts rows to values that can share a slice with the table's length.
 func anyRows[Row any](rows []Row) []any {
 	lines := make([]any, 0, len(rows))
 	for _, row := range rows {
--- a/internal/state/table.go
+++ b/internal/state/table.go
@@ -5,10 +5,11 @@
 	"slices"
 )
 
-// table is a copy-on-write map. Copies of a table share rows until one of
-// them is written, so a published table is never written.
+// table is a copy-on-write map. Copies of a table share their rows until one of
+// them is written. The rows of a published table are never written.
 type table[Key comparable, Value any] struct {
-	rows  map[Key]Value
+	rows map[Key]Value
+	// owned is set when rows is not shared with another copy.
 	owned bool
 }
 
@@ -18,19 +19,19 @@
 }
 
 func (table *table[Key, Value]) set(key Key, row Value) {
-	table.own()
+	table.ensureOwned()
 	table.rows[key] = row
 }
 
 func (table *table[Key, Value]) remove(key Key) {
-	table.own()
+	table.ensureOwned()
 	delete(table.rows, key)
 }
 
 func (table *table[Key, Value]) length() int { return len(table.rows) }
 
-// own copies the rows before the first write.
-func (table *table[Key, Value]) own() {
+// ensureOwned copies the rows if they may be shared.
+func (table *table[Key, Value]) ensureOwned() {
 	if table.owned {
 		return
 	}
@@ -40,10 +41,10 @@
 	table.owned = true
 }
 
-// publish makes the next write copy the rows again.
-func (table *table[Key, Value]) publish() { table.owned = false }
+// markShared makes the next write copy the rows.
+func (table *table[Key, Value]) markShared() { table.owned = false }
 
-// sorted returns the rows in order of compare.
+// sorted returns the rows in the order that compare defines.
 func (table *table[Key, Value]) sorted(compare func(left, right Value) int) []Value {
 	return slices.SortedFunc(maps.Values(table.rows), compare)
 }
--- a/internal/state/template.go
+++ b/internal/state/template.go
@@ -10,27 +10,27 @@
 // ParameterKind is the type of a template parameter's value.
 type ParameterKind string
 
-// The kinds of parameters and their JSON forms.
+// Parameter kinds and the JSON form of their values.
 const (
-	// KindInteger is a whole number.
+	// KindInteger is a number without a fraction.
 	KindInteger ParameterKind = "integer"
-	// KindDuration is text such as "1.5s" or "200ms".
+	// KindDuration is a string such as "1.5s" or "200ms".
 	KindDuration ParameterKind = "duration"
-	// KindString is text.
+	// KindString is a string.
 	KindString ParameterKind = "string"
 	// KindBoolean is true or false.
 	KindBoolean ParameterKind = "boolean"
-	// KindAddress is text with an IP address and port.
+	// KindAddress is a string with an IP address and a port.
 	KindAddress ParameterKind = "address"
-	// KindTargets is a list of TargetParameter.
+	// KindTargets is an array of TargetParameter.
 	KindTargets ParameterKind = "targets"
 )
 
-// Property is the part of a service that a parameter sets.
+// Property names a part of a service that a parameter can set.
 type Property string
 
-// The properties that parameters can set. A template must have one parameter
-// for PropertyAddress and one for PropertyTargets.
+// Properties that parameters can set. A template must have exactly one parameter for
+// PropertyAddress and one for PropertyTargets.
 const (
 	PropertyNone               Property = ""
 	PropertyAddress            Property = "address"
@@ -52,34 +52,39 @@
 	Name        string        `json:"name"`
 	Kind        ParameterKind `json:"kind"`
 	Description string        `json:"description,omitempty"`
-	// Sets is the property that the value goes to. Integers and durations set
-	// limits; strings fill "{name}" in rule prefixes; booleans switch rules.
+	// Sets is the property that the value is assigned to. Integers and durations
+	// set limits. Strings and booleans set no property: a string replaces "{name}"
+	// in the path prefixes of rules, and a boolean enables rules.
 	Sets Property `json:"sets,omitempty"`
-	// Required refuses a service without the parameter. A parameter that is
-	// neither required nor has a default leaves the template's own value.
+	// Required makes a service invalid that does not give the parameter. If a
+	// parameter is not required, not given and has no default, the template's own
+	// value remains in force.
 	Required bool `json:"required,omitempty"`
-	// Default is used when the service does not give the parameter.
+	// Default is the value if the service does not give the parameter.
 	Default json.RawMessage `json:"default,omitempty"`
-	// Minimum and Maximum bound integers and durations, in the parameter's
-	// own JSON form, and the length of strings (bytes) and target lists.
+	// Minimum and Maximum are inclusive. They limit the value of integers and
+	// durations, in the JSON form of the parameter, and, as integers, the length of
+	// strings (in bytes) and of target lists.
 	Minimum json.RawMessage `json:"minimum,omitempty"`
 	Maximum json.RawMessage `json:"maximum,omitempty"`
-	// Allowed lists the values of a string, if not empty.
+	// Allowed lists the permitted values of a string. If empty, all are permitted.
 	Allowed []string `json:"allowed,omitempty"`
 }
 
-// RuleTemplate makes one request rule of a service.
+// RuleTemplate defines one request rule of a service.
 type RuleTemplate struct {
 	// Method is the HTTP method; empty matches every method.
 	Method string `json:"method,omitempty"`
-	// PathPrefix may hold "{name}" for the value of a string parameter.
+	// PathPrefix may contain "{name}" for the value of a string parameter.
 	PathPrefix string             `json:"path_prefix"`
 	Class      model.RequestClass `json:"class"`
-	// AtMostOnce rules need an idempotency key and are claimed before they run.
+	// AtMostOnce demands that requests have an idempotency key and are claimed
+	// before they run.
 	AtMostOnce bool `json:"at_most_once,omitempty"`
-	// Weight is the admission weight; zero takes the weight of the class.
+	// Weight is the admission weight; zero means the weight of the class.
 	Weight uint32 `json:"weight,omitempty"`
-	// OnlyIf names a boolean parameter that must be true for the rule.
+	// OnlyIf is the name of a boolean parameter. If set, services have the rule
+	// only if the parameter is true.
 	OnlyIf string `json:"only_if,omitempty"`
 }
 
@@ -89,8 +94,8 @@
 	Weight uint32             `json:"weight"`
 }
 
-// LimitValues are the limits that a template states. A limit that is not
-// stated has the value of model.DefaultLimits.
+// LimitValues are the limits that a template sets. A limit that is zero has the value
+// of model.DefaultLimits.
 type LimitValues struct {
 	SlotsPerTarget     int      `json:"slots_per_target,omitempty"`
 	MaximumConnections int      `json:"maximum_connections,omitempty"`
@@ -104,41 +109,44 @@
 	NewFlowBurst       int      `json:"new_flow_burst,omitempty"`
 }
 
-// TemplateSpec describes a kind of service.
+// TemplateSpec defines the parameters, limits and rules that services made from a
+// template have in common.
 type TemplateSpec struct {
 	Description string `json:"description,omitempty"`
 	// Protocol is "udp", "tcp" or "quic".
 	Protocol   ProtocolName          `json:"protocol"`
 	Parameters []ParameterDefinition `json:"parameters"`
 	Limits     LimitValues           `json:"limits"`
-	Classes    []ClassWeight         `json:"classes,omitempty"`
-	Rules      []RuleTemplate        `json:"rules,omitempty"`
+	// Classes are the admission weights of the request classes that rules use.
+	Classes []ClassWeight  `json:"classes,omitempty"`
+	Rules   []RuleTemplate `json:"rules,omitempty"`
 }
 
-// TemplateVersion is one version of a template, which never changes.
+// TemplateVersion is one version of a template. Versions are immutable.
 type TemplateVersion struct {
 	Version uint32       `json:"version"`
 	Spec    TemplateSpec `json:"spec"`
-	// Revision is the revision at which the version was made.
+	// Revision is the revision at which the version was created.
 	Revision  model.Revision `json:"revision"`
 	CreatedBy string         `json:"created_by,omitempty"`
 	CreatedAt time.Time      `json:"created_at"`
 }
 
-// Template is a named list of versions, oldest first.
+// Template is a named template with its versions, oldest first.
 type Template struct {
 	Name string `json:"name"`
-	// Revision is the revision of the last change.
+	// Revision is the revision of the template's last change.
 	Revision model.Revision    `json:"revision"`
 	Versions []TemplateVersion `json:"versions"`
 }
 
-// Latest returns the newest version.
+// Latest returns the newest version. The template must have one.
 func (template *Template) Latest() TemplateVersion {
 	return template.Versions[len(template.Versions)-1]
 }
 
-// Find returns the version with the given number; zero means the latest.
+// Find returns the version with the given number, or the latest for zero. It returns
+// false if the template does not have the version.
 func (template *Template) Find(version uint32) (TemplateVersion, bool) {
 	if version == 0 {
 		return template.Latest(), true
@@ -154,14 +162,14 @@
 // ProtocolName is the name of a transport protocol in the API.
 type ProtocolName string
 
-// The names of protocols.
+// Protocol names.
 const (
 	ProtocolNameUDP  ProtocolName = "udp"
 	ProtocolNameTCP  ProtocolName = "tcp"
 	ProtocolNameQUIC ProtocolName = "quic"
 )
 
-// Protocol returns the protocol of that name.
+// Protocol returns the protocol with this name, or false if the name is unknown.
 func (name ProtocolName) Protocol() (model.Protocol, bool) {
 	switch name {
 	case ProtocolNameUDP:
@@ -174,7 +182,7 @@
 	return 0, false
 }
 
-// NameOfProtocol returns the name of a protocol.
+// NameOfProtocol returns the name of a protocol, or an empty name if it has none.
 func NameOfProtocol(protocol model.Protocol) ProtocolName {
 	switch protocol {
 	case model.ProtocolUDP:
@@ -187,15 +195,15 @@
 	return ""
 }
 
-// Duration is a time.Duration whose JSON form is text such as "1.5s".
+// Duration is a time.Duration that is encoded in JSON as a string such as "1.5s".
 type Duration time.Duration
 
-// MarshalText writes the duration as time.Duration does.
+// MarshalText implements encoding.TextMarshaler with time.Duration.String.
 func (duration Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// UnmarshalText reads the form that time.ParseDuration takes.
+// UnmarshalText implements encoding.TextUnmarshaler with time.ParseDuration.
 func (duration *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/internal/state/template_check.go
+++ b/internal/state/template_check.go
@@ -9,26 +9,26 @@
 	"merlinpaddle/internal/model"
 )
 
-// namePattern is the form of names of templates, tenants, services, targets
-// and parameters.
+// namePattern matches the names of templates, tenants, services, targets, zones and
+// parameters.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9._-]*[a-z0-9])?$`)
 
-// placeholderPattern finds "{name}" in a rule's path prefix.
+// placeholderPattern matches "{name}" in the path prefix of a rule.
 var placeholderPattern = regexp.MustCompile(`\{([^{}]*)\}`)
 
-// ValidName tells whether name can name an object.
+// ValidName reports whether an object may have the name.
 func ValidName(name string) bool {
 	return len(name) <= MaximumNameBytes && namePattern.MatchString(name)
 }
 
-// nameRule is the message for a name that ValidName refuses.
+// nameRule describes valid names, for messages about names that ValidName refuses.
 const nameRule = "must be 1 to 63 lower-case letters, digits, '.', '_' or '-', with a letter or digit at both ends"
 
-// fieldErrors collects what is wrong with a command.
+// fieldErrors collects the errors in the fields of a command.
 type fieldErrors []FieldError
 
 func (errors *fieldErrors) add(field, format string, arguments ...any) {
-	*errors = append(*errors, FieldError{Field: clip(field), Message: clip(fmt.Sprintf(format, arguments...))})
+	*errors = append(*errors, FieldError{Field: truncate(field), Message: truncate(fmt.Sprintf(format, arguments...))})
 }
 
 func (errors *fieldErrors) checkName(field, name string) {
@@ -37,7 +37,8 @@
 	}
 }
 
-// propertyKinds says which kind of parameter can set a property.
+// kind returns the kind of parameter that can set the property, or false if there is no
+// such property.
 func (property Property) kind() (ParameterKind, bool) {
 	switch property {
 	case PropertyAddress:
@@ -53,7 +54,7 @@
 	return "", false
 }
 
-// CheckTemplate returns what is wrong with a template, or nothing.
+// CheckTemplate returns the errors in a template, or none if it is valid.
 func CheckTemplate(spec TemplateSpec) []FieldError {
 	var errors fieldErrors
 	if _, known := spec.Protocol.Protocol(); !known {
@@ -69,6 +70,8 @@
 	return errors
 }
 
+// checkParameters checks each parameter definition, that names and properties occur
+// only once, and that the address and the targets can be set.
 func (errors *fieldErrors) checkParameters(spec TemplateSpec) {
 	if len(spec.Parameters) > MaximumParameters {
 		errors.add("parameters", "more than %d", MaximumParameters)
@@ -123,10 +126,11 @@
 	}
 }
 
-// checkBounds tells whether minimum and maximum are usable.
+// checkBounds checks the minimum and maximum of a parameter and reports whether they are
+// valid.
 func (errors *fieldErrors) checkBounds(field string, definition ParameterDefinition) bool {
-	kind, ranged := rangeKind(definition.Kind)
-	if !ranged {
+	kind, hasRange := rangeKind(definition.Kind)
+	if !hasRange {
 		if len(definition.Minimum)+len(definition.Maximum) > 0 {
 			errors.add(field, "a parameter of kind %q has no range", definition.Kind)
 			return false
@@ -148,7 +152,7 @@
 			usable = false
 		}
 	}
-	if usable && len(definition.Minimum) > 0 && len(definition.Maximum) > 0 && minimum.size() > maximum.size() {
+	if usable && len(definition.Minimum) > 0 && len(definition.Maximum) > 0 && minimum.magnitude() > maximum.magnitude() {
 		errors.add(field+".minimum", "above the maximum")
 		usable = false
 	}
@@ -172,10 +176,10 @@
 }
 
 func (errors *fieldErrors) checkLimits(limits LimitValues) {
-	errors.checkServiceLimits("limits", limits.merge())
+	errors.checkServiceLimits("limits", limits.withDefaults())
 }
 
-// checkServiceLimits checks the limits that a service would have.
+// checkServiceLimits checks that all limits of a service are positive.
 func (errors *fieldErrors) checkServiceLimits(field string, limits model.Limits) {
 	positive := []struct {
 		name  string
@@ -199,6 +203,7 @@
 	}
 }
 
+// knownClasses are the request classes that templates may use.
 var knownClasses = []model.RequestClass{model.ClassCall, model.ClassUpload, model.ClassFeed}
 
 func (errors *fieldErrors) checkClasses(spec TemplateSpec) {
@@ -248,19 +253,21 @@
 		errors.add(field+".method", "must be in capitals")
 	}
 	for _, match := range placeholderPattern.FindAllStringSubmatch(rule.PathPrefix, -1) {
-		if kind, declared := spec.kindOf(match[1]); !declared || kind != KindString {
+		if kind, declared := spec.parameterKind(match[1]); !declared || kind != KindString {
 			errors.add(field+".path_prefix", "%q is not a string parameter", match[1])
 		}
 	}
 	if rule.OnlyIf == "" {
 		return
 	}
-	if kind, declared := spec.kindOf(rule.OnlyIf); !declared || kind != KindBoolean {
+	if kind, declared := spec.parameterKind(rule.OnlyIf); !declared || kind != KindBoolean {
 		errors.add(field+".only_if", "%q is not a boolean parameter", rule.OnlyIf)
 	}
 }
 
-func (spec TemplateSpec) kindOf(name string) (ParameterKind, bool) {
+// parameterKind returns the kind of the parameter with the given name, or false if the
+// template does not declare it.
+func (spec TemplateSpec) parameterKind(name string) (ParameterKind, bool) {
 	for _, definition := range spec.Parameters {
 		if definition.Name == name {
 			return definition.Kind, true
--- a/internal/state/transaction.go
+++ b/internal/state/transaction.go
@@ -10,33 +10,40 @@
 	"merlinpaddle/internal/routing"
 )
 
-// transaction collects the changes of one command. Dropping it leaves the
-// state as it was.
+// transaction collects the changes of one command. The state changes only when the
+// transaction is committed, except for claims, which change at once; see Claim.apply.
 type transaction struct {
-	machine  *Machine
+	machine *Machine
+	// revision is the revision that the changes get.
 	revision model.Revision
-	now      time.Time
-	// view is a private copy of the published view.
+	// now is the log's time.
+	now time.Time
+	// view is a private copy of the published view, which writes to its tables do
+	// not affect. Its Configuration is not replaced before commit.
 	view View
-	// lastService and lastTarget become the machine's on commit.
+	// lastService and lastTarget are the highest IDs assigned so far. They are
+	// stored in the machine on commit.
 	lastService model.ServiceID
 	lastTarget  model.TargetID
 
+	// services, targets and buckets hold the new values of what changes in the
+	// configuration; the removed maps hold what is removed from it.
 	services        map[model.ServiceID]model.Service
 	targets         map[model.TargetID]model.Target
 	removedServices map[model.ServiceID]bool
 	removedTargets  map[model.TargetID]bool
 	buckets         map[model.ServiceID]*pendingBuckets
-	// replaced, when set, is a whole state that takes the place of this one.
-	replaced *image
+	// replacement, if set, is a complete state that replaces the current one. All
+	// other changes are then ignored.
+	replacement *image
 }
 
-// pendingBuckets is a bucket table as the transaction changes it.
+// pendingBuckets is a bucket table that the transaction creates or changes.
 type pendingBuckets struct {
 	table *model.BucketTable
-	// whole tells that the table is new.
-	whole bool
-	// rows has the changed rows of a table that is not new.
+	// isNew is set if the transaction created the table.
+	isNew bool
+	// rows holds the changed rows of a table that is not new.
 	rows map[model.BucketIndex]model.Bucket
 }
 
@@ -56,6 +63,7 @@
 	}
 }
 
+// service returns the service, with the changes of the transaction.
 func (transaction *transaction) service(id model.ServiceID) model.Service {
 	if changed, pending := transaction.services[id]; pending {
 		return changed
@@ -63,6 +71,7 @@
 	return transaction.view.Configuration.Services[id]
 }
 
+// target returns the target, with the changes of the transaction.
 func (transaction *transaction) target(id model.TargetID) model.Target {
 	if changed, pending := transaction.targets[id]; pending {
 		return changed
@@ -70,12 +79,14 @@
 	return transaction.view.Configuration.Targets[id]
 }
 
+// putService records a new or changed service.
 func (transaction *transaction) putService(service model.Service) {
 	service.Revision = transaction.revision
 	transaction.services[service.ID] = service
 }
 
-// putTarget records a changed target with the phase of its record.
+// putTarget records a new or changed target and its record, from which the target gets
+// its phase.
 func (transaction *transaction) putTarget(target model.Target, record TargetRecord) {
 	target.Phase = record.phase()
 	target.Revision = transaction.revision
@@ -83,6 +94,7 @@
 	transaction.view.targets.set(target.ID, record)
 }
 
+// removeTarget removes a target, its record and its index entries.
 func (transaction *transaction) removeTarget(id model.TargetID) {
 	target := transaction.target(id)
 	delete(transaction.targets, id)
@@ -94,7 +106,8 @@
 	}
 }
 
-// removeService removes a service, its targets and its buckets at once.
+// removeService removes a service with its targets and buckets, whether or not it has
+// flows.
 func (transaction *transaction) removeService(record *ServiceRecord) {
 	for _, id := range record.Targets {
 		transaction.removeTarget(id)
@@ -106,7 +119,7 @@
 	transaction.removedServices[record.ID] = true
 }
 
-// serviceTargets returns the targets of a service in order of their ID.
+// serviceTargets returns the targets of a service, sorted by ID.
 func (transaction *transaction) serviceTargets(record *ServiceRecord) []model.Target {
 	targets := make([]model.Target, 0, len(record.Targets))
 	for _, id := range record.Targets {
@@ -115,8 +128,9 @@
 	return targets
 }
 
-// bucketsOf returns the service's table to change, or nil when it has none.
-func (transaction *transaction) bucketsOf(service model.ServiceID) *pendingBuckets {
+// editableBuckets returns the bucket table of a service in a form that the transaction
+// can change, or nil if the service has none.
+func (transaction *transaction) editableBuckets(service model.ServiceID) *pendingBuckets {
 	if pending, known := transaction.buckets[service]; known {
 		return pending
 	}
@@ -129,26 +143,27 @@
 	return pending
 }
 
+// set replaces rows of the table.
 func (pending *pendingBuckets) set(rows []model.Bucket) {
 	for _, row := range rows {
 		pending.table.Set(row)
-		if !pending.whole {
+		if !pending.isNew {
 			pending.rows[row.Index] = row
 		}
 	}
 }
 
-// newBuckets makes the table of a new service.
-func (transaction *transaction) newBuckets(record *ServiceRecord) {
-	made := routing.NewTable(record.ID, transaction.serviceTargets(record), transaction.revision)
-	transaction.buckets[record.ID] = &pendingBuckets{table: made, whole: true}
+// createBuckets creates the bucket table of a new service.
+func (transaction *transaction) createBuckets(record *ServiceRecord) {
+	created := routing.NewTable(record.ID, transaction.serviceTargets(record), transaction.revision)
+	transaction.buckets[record.ID] = &pendingBuckets{table: created, isNew: true}
 }
 
-// settle moves buckets after targets of the service changed, and removes what
-// has nothing left to wait for: leaving targets that no bucket names, and a
-// service that is being removed and has no target left.
-func (transaction *transaction) settle(record *ServiceRecord) {
-	pending := transaction.bucketsOf(record.ID)
+// reconcile adapts the bucket table of a service after its targets or buckets changed.
+// It then removes leaving targets that are in no bucket, and the service itself if it is
+// being removed and has no targets left.
+func (transaction *transaction) reconcile(record *ServiceRecord) {
+	pending := transaction.editableBuckets(record.ID)
 	targets := transaction.serviceTargets(record)
 	pending.set(routing.Rebalance(pending.table, targets, transaction.revision))
 	if !slices.ContainsFunc(targets, isServing) {
@@ -160,8 +175,8 @@
 	}
 }
 
-// removeUnused removes the leaving targets that no bucket names and returns
-// the service's record after it.
+// removeUnused removes the leaving targets that are in no bucket and returns the
+// service's updated record.
 func (transaction *transaction) removeUnused(record *ServiceRecord, uses map[model.TargetID]BucketUse) *ServiceRecord {
 	var kept []model.TargetID
 	for _, id := range record.Targets {
@@ -181,8 +196,8 @@
 	return &changed
 }
 
-// delta returns the configuration change of the transaction, in an order that
-// does not depend on maps.
+// delta returns the configuration change of the transaction. All its lists are sorted by
+// ID, so that the order does not depend on map iteration.
 func (transaction *transaction) delta() model.Delta {
 	delta := model.Delta{From: transaction.view.Configuration.Revision, To: transaction.revision}
 	for _, id := range slices.Sorted(maps.Keys(transaction.services)) {
@@ -201,8 +216,10 @@
 	return delta
 }
 
+// change returns the change of the service's bucket table, sorted by index, or false if
+// no row changed.
 func (pending *pendingBuckets) change(service model.ServiceID) (model.BucketChange, bool) {
-	if pending.whole {
+	if pending.isNew {
 		return model.BucketChange{Service: service, Whole: pending.table}, true
 	}
 	if len(pending.rows) == 0 {
@@ -214,16 +231,18 @@
 	return model.BucketChange{Service: service, Rows: rows}, true
 }
 
+// isEmpty reports whether the delta changes nothing.
 func isEmpty(delta model.Delta) bool {
 	changes := len(delta.Services) + len(delta.Targets) + len(delta.Buckets)
 	return changes+len(delta.RemovedServices)+len(delta.RemovedTargets) == 0
 }
 
-// commit makes the transaction's changes the state.
+// commit applies the transaction to the machine: it publishes the new view and, if the
+// configuration changed, logs the delta and notifies watchers.
 func (transaction *transaction) commit() {
 	machine := transaction.machine
-	if transaction.replaced != nil {
-		machine.install(transaction.replaced)
+	if transaction.replacement != nil {
+		machine.install(transaction.replacement)
 		return
 	}
 	machine.core.LastService = transaction.lastService
@@ -232,12 +251,12 @@
 	if !isEmpty(delta) {
 		next, err := transaction.view.Configuration.Apply(delta)
 		if err != nil {
-			// The delta was made from this very configuration.
+			// The delta was computed from this configuration, so it must fit.
 			panic("state: " + err.Error())
 		}
 		transaction.view.Configuration = next
 	}
-	transaction.view.publish()
+	transaction.view.markShared()
 	published := transaction.view
 	machine.view.Store(&published)
 	if !isEmpty(delta) {
--- a/internal/state/value.go
+++ b/internal/state/value.go
@@ -11,17 +11,17 @@
 
 // TargetParameter is one target in a service's parameters.
 type TargetParameter struct {
-	// Name is the node name of the target's agent. It is unique among all
-	// targets of all services, because reports of agents carry it.
+	// Name is the node name of the target's agent. It is unique across all
+	// services, because agents identify themselves by it in their reports.
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	// Agent is the UDP address at which the agent receives packets.
 	Agent netip.AddrPort `json:"agent"`
-	// Backend is the address of the back end behind the agent.
+	// Backend is the address of the server that the agent forwards to.
 	Backend netip.AddrPort `json:"backend"`
 }
 
-// value is a parsed parameter value; the field of its kind is set.
+// value is a parsed parameter value. Only the field that belongs to kind is set.
 type value struct {
 	kind     ParameterKind
 	integer  int64
@@ -32,7 +32,8 @@
 	targets  []TargetParameter
 }
 
-// parseValue reads raw as a value of kind. The error says what is expected.
+// parseValue parses raw as a value of the given kind. The error says which form
+// is expected.
 func parseValue(kind ParameterKind, raw json.RawMessage) (value, error) {
 	parsed := value{kind: kind}
 	switch kind {
@@ -55,6 +56,8 @@
 	return value{}, fmt.Errorf("kind %q is not known", kind)
 }
 
+// decodeStrict decodes raw, which must be exactly one JSON value other than null
+// and without unknown fields.
 func decodeStrict(raw json.RawMessage, into any, expected string) error {
 	if bytes.Equal(bytes.TrimSpace(raw), []byte("null")) {
 		return fmt.Errorf("null is no value; expected %s", expected)
@@ -70,8 +73,8 @@
 	return nil
 }
 
-// rangeKind is the kind in which Minimum and Maximum of a parameter of the
-// given kind are written.
+// rangeKind returns the kind of Minimum and Maximum for a parameter of the given
+// kind, or false when such a parameter has no range.
 func rangeKind(kind ParameterKind) (ParameterKind, bool) {
 	switch kind {
 	case KindInteger, KindString, KindTargets:
@@ -82,8 +85,10 @@
 	return "", false
 }
 
-// size is the number that a parameter's range bounds.
-func (parsed value) size() int64 {
+// magnitude returns the number that a parameter's range limits: the integer
+// itself, a duration in nanoseconds, the bytes of a string, or the number of
+// targets.
+func (parsed value) magnitude() int64 {
 	switch parsed.kind {
 	case KindInteger:
 		return parsed.integer
@@ -97,8 +102,8 @@
 	return 0
 }
 
-// checkValue parses raw and checks it against the definition's range and
-// allowed values.
+// checkValue parses raw and checks it against the definition's range and allowed
+// values. The error says what is wrong.
 func (definition ParameterDefinition) checkValue(raw json.RawMessage) (value, error) {
 	parsed, err := parseValue(definition.Kind, raw)
 	if err != nil {
@@ -117,8 +122,8 @@
 }
 
 func (definition ParameterDefinition) checkRange(parsed value) error {
-	kind, ranged := rangeKind(definition.Kind)
-	if !ranged {
+	kind, hasRange := rangeKind(definition.Kind)
+	if !hasRange {
 		return nil
 	}
 	if len(definition.Minimum) > 0 {
@@ -126,7 +131,7 @@
 		if err != nil {
 			return fmt.Errorf("minimum: %w", err)
 		}
-		if parsed.size() < minimum.size() {
+		if parsed.magnitude() < minimum.magnitude() {
 			return fmt.Errorf("below the minimum of %s", definition.Minimum)
 		}
 	}
@@ -135,7 +140,7 @@
 		if err != nil {
 			return fmt.Errorf("maximum: %w", err)
 		}
-		if parsed.size() > maximum.size() {
+		if parsed.magnitude() > maximum.magnitude() {
 			return fmt.Errorf("above the maximum of %s", definition.Maximum)
 		}
 	}
--- a/internal/state/view.go
+++ b/internal/state/view.go
@@ -9,15 +9,17 @@
 	"merlinpaddle/internal/model"
 )
 
-// View is an immutable picture of the state after one command.
+// View is an immutable snapshot of the state after one command, without claims
+// and stored answers.
 type View struct {
-	// Configuration is what nodes run.
+	// Configuration is the configuration that nodes run.
 	Configuration *model.Configuration
 	templates     table[string, *Template]
 	tenants       table[model.TenantName, *Tenant]
 	services      table[ServiceKey, *ServiceRecord]
 	targets       table[model.TargetID, TargetRecord]
-	// targetNames, agents and listeners hold what must be unique.
+	// targetNames, agents and listeners are indexes of values that must be
+	// unique: target names, agent addresses and listeners.
 	targetNames table[string, model.TargetID]
 	agents      table[netip.AddrPort, model.TargetID]
 	listeners   table[listener, ServiceKey]
@@ -25,52 +27,52 @@
 
 func newView() *View { return &View{Configuration: model.NewConfiguration()} }
 
-// publish makes every table copy its rows before the next write.
-func (view *View) publish() {
-	view.templates.publish()
-	view.tenants.publish()
-	view.services.publish()
-	view.targets.publish()
-	view.targetNames.publish()
-	view.agents.publish()
-	view.listeners.publish()
+// markShared makes every table copy its rows before the next write.
+func (view *View) markShared() {
+	view.templates.markShared()
+	view.tenants.markShared()
+	view.services.markShared()
+	view.targets.markShared()
+	view.targetNames.markShared()
+	view.agents.markShared()
+	view.listeners.markShared()
 }
 
-// empty tells that no operator has put anything into the state.
+// empty reports whether there are no templates, tenants and services.
 func (view *View) empty() bool {
 	return view.templates.length()+view.tenants.length()+view.services.length() == 0
 }
 
-// Template returns the template of that name.
+// Template returns the template with the given name.
 func (view *View) Template(name string) (*Template, bool) { return view.templates.get(name) }
 
-// Templates returns all templates in order of name.
+// Templates returns all templates, sorted by name.
 func (view *View) Templates() []*Template {
 	return view.templates.sorted(func(left, right *Template) int { return strings.Compare(left.Name, right.Name) })
 }
 
-// Tenant returns the tenant of that name.
+// Tenant returns the tenant with the given name.
 func (view *View) Tenant(name model.TenantName) (*Tenant, bool) { return view.tenants.get(name) }
 
-// Tenants returns all tenants in order of name.
+// Tenants returns all tenants, sorted by name.
 func (view *View) Tenants() []*Tenant {
 	return view.tenants.sorted(func(left, right *Tenant) int { return cmp.Compare(left.Name, right.Name) })
 }
 
-// Service returns the service with that key.
+// Service returns the service with the given key.
 func (view *View) Service(key ServiceKey) (*ServiceRecord, bool) { return view.services.get(key) }
 
-// Services returns all services in order of tenant and name.
+// Services returns all services, sorted by tenant and name.
 func (view *View) Services() []*ServiceRecord {
 	return view.services.sorted(func(left, right *ServiceRecord) int { return left.Key.compare(right.Key) })
 }
 
-// TenantServices returns the services of a tenant in order of name.
+// TenantServices returns the services of a tenant, sorted by name.
 func (view *View) TenantServices(tenant model.TenantName) []*ServiceRecord {
 	return slices.DeleteFunc(view.Services(), func(record *ServiceRecord) bool { return record.Key.Tenant != tenant })
 }
 
-// Target returns the target of that name and its record.
+// Target returns the target with the given key and its record.
 func (view *View) Target(key TargetKey) (model.Target, TargetRecord, bool) {
 	id, known := view.targetNames.get(key.Name)
 	if !known {
@@ -83,7 +85,7 @@
 	return view.Configuration.Targets[id], record, true
 }
 
-// TargetOfNode returns the target whose agent has that node name.
+// TargetOfNode returns the target whose agent has the given node name.
 func (view *View) TargetOfNode(name model.NodeName) (model.Target, bool) {
 	id, known := view.targetNames.get(string(name))
 	if !known {
@@ -92,23 +94,25 @@
 	return view.Configuration.Targets[id], true
 }
 
-// TargetRecord returns why a target is in its phase.
+// TargetRecord returns the record of a target, from which its phase follows.
 func (view *View) TargetRecord(id model.TargetID) (TargetRecord, bool) { return view.targets.get(id) }
 
-// BucketUse counts the buckets that name a target.
+// BucketUse counts the bucket entries that refer to one target.
 type BucketUse struct {
-	// Heads is the number of buckets that send it new flows.
+	// Heads is the number of buckets whose new flows go to the target.
 	Heads int `json:"heads"`
-	// Alternates is the number of buckets that have it as second choice.
+	// Alternates is the number of buckets that have the target as second choice.
 	Alternates int `json:"alternates"`
-	// Earlier is the number of buckets of which it may still hold flows.
+	// Earlier is the number of buckets whose head or alternate the target was
+	// before, and of which it may still hold flows.
 	Earlier int `json:"earlier"`
 }
 
-// Total is the number of entries of any kind.
+// Total returns the number of entries of all kinds.
 func (use BucketUse) Total() int { return use.Heads + use.Alternates + use.Earlier }
 
-// BucketUses counts, for every target of a service, the buckets that name it.
+// BucketUses counts the bucket entries of a service for each target that has any.
+// It returns nil when there is no such service.
 func (view *View) BucketUses(service model.ServiceID) map[model.TargetID]BucketUse {
 	found, known := view.Configuration.Buckets[service]
 	if !known {
