--- a/internal/state/claim_test.go
+++ b/internal/state/claim_test.go
@@ -12,23 +12,26 @@
 	"merlinpaddle/internal/protocol"
 )
 
-func payout(key string) protocol.ClaimKey {
+// tiplineClaimKey returns the claim key of a request to the service "tipline" of riga.
+func tiplineClaimKey(key string) protocol.ClaimKey {
 	return protocol.ClaimKey{Tenant: "riga", Service: "tipline", Key: key}
 }
 
 func claimBy(agent model.NodeName, incarnation model.Incarnation, correlation uint64, key string) Claim {
-	return Claim{Request: protocol.ClaimRequest{Key: payout(key), Fingerprint: 1, Agent: agent, Incarnation: incarnation, Correlation: correlation}}
+	return Claim{Request: protocol.ClaimRequest{Key: tiplineClaimKey(key), Fingerprint: 1, Agent: agent, Incarnation: incarnation, Correlation: correlation}}
 }
 
 func outcomeBy(agent model.NodeName, incarnation model.Incarnation, correlation uint64, key string) CompleteClaim {
-	return CompleteClaim{Outcome: protocol.ClaimOutcome{Key: payout(key), Agent: agent, Incarnation: incarnation,
+	return CompleteClaim{Outcome: protocol.ClaimOutcome{Key: tiplineClaimKey(key), Agent: agent, Incarnation: incarnation,
 		Correlation: correlation, Status: 200, Body: []byte("paid")}}
 }
 
-func notRunBy(agent model.NodeName, incarnation model.Incarnation, correlation uint64, key string) CompleteClaim {
-	return CompleteClaim{Outcome: protocol.ClaimOutcome{Key: payout(key), Agent: agent, Incarnation: incarnation, Correlation: correlation, NotRun: true}}
+// releaseBy returns the report that a claimed request was not run.
+func releaseBy(agent model.NodeName, incarnation model.Incarnation, correlation uint64, key string) CompleteClaim {
+	return CompleteClaim{Outcome: protocol.ClaimOutcome{Key: tiplineClaimKey(key), Agent: agent, Incarnation: incarnation, Correlation: correlation, NotRun: true}}
 }
 
+// claim applies a Claim or CompleteClaim and returns the reply.
 func (member *member) claim(command Command) protocol.ClaimReply {
 	member.t.Helper()
 	reply := member.must(command).Claim
@@ -36,14 +39,13 @@
 	return *reply
 }
 
-// step is one command of a claim's life and the state it must be answered
-// with.
+// step is one command for a claim and the state that its reply must have.
 type step struct {
-	what    string
+	label   string
 	command Command
 	want    protocol.ClaimState
-	// after moves the log's time before the step.
-	after time.Duration
+	// elapsed is how far the log's time advances before the step.
+	elapsed time.Duration
 }
 
 func TestClaims(t *testing.T) {
@@ -60,7 +62,7 @@
 			{"first", first, protocol.ClaimGranted, 0},
 			{"copy after a lost reply", first, protocol.ClaimGranted, 0},
 			{"second request at the same agent", claimBy("tip-1", 1, 2, "k"), protocol.ClaimInProgress, 0},
-			{"second request elsewhere", claimBy("tip-2", 1, 1, "k"), protocol.ClaimInProgress, 0},
+			{"second request at another agent", claimBy("tip-2", 1, 1, "k"), protocol.ClaimInProgress, 0},
 			{"other body", otherBody, protocol.ClaimMismatch, 0},
 		}},
 		{"outcome answers a resent request", []step{
@@ -68,37 +70,37 @@
 			{"outcome of another agent", outcomeBy("tip-2", 1, 1, "k"), protocol.ClaimMismatch, 0},
 			{"outcome of an older process", outcomeBy("tip-1", 0, 1, "k"), protocol.ClaimMismatch, 0},
 			{"outcome", outcomeBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
-			{"resent elsewhere", claimBy("tip-2", 1, 9, "k"), protocol.ClaimCompleted, 0},
+			{"resent to another agent", claimBy("tip-2", 1, 9, "k"), protocol.ClaimCompleted, 0},
 			{"outcome again", outcomeBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
-			{"late release", notRunBy("tip-1", 1, 1, "k"), protocol.ClaimMismatch, 0},
+			{"late release", releaseBy("tip-1", 1, 1, "k"), protocol.ClaimMismatch, 0},
 			{"other body", otherBody, protocol.ClaimMismatch, 0},
 		}},
-		{"refused before the run is free again", []step{
+		{"released key can be claimed again", []step{
 			{"first", first, protocol.ClaimGranted, 0},
-			{"release of another agent", notRunBy("tip-2", 1, 1, "k"), protocol.ClaimMismatch, 0},
-			{"release", notRunBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
+			{"release of another agent", releaseBy("tip-2", 1, 1, "k"), protocol.ClaimMismatch, 0},
+			{"release", releaseBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
 			{"late copy of the released request", first, protocol.ClaimUnavailable, 0},
 			{"late outcome", outcomeBy("tip-1", 1, 1, "k"), protocol.ClaimMismatch, 0},
 			{"retry with another body", otherBody, protocol.ClaimGranted, 0},
 		}},
 		{"release before the claim", []step{
-			{"release", notRunBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
-			{"claim that comes late", first, protocol.ClaimUnavailable, 0},
+			{"release", releaseBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
+			{"claim after its release", first, protocol.ClaimUnavailable, 0},
 			{"retry", claimBy("tip-1", 1, 2, "k"), protocol.ClaimGranted, 0},
-			{"copy of the release", notRunBy("tip-1", 1, 1, "k"), protocol.ClaimMismatch, 0},
+			{"copy of the release", releaseBy("tip-1", 1, 1, "k"), protocol.ClaimMismatch, 0},
 			{"still held", claimBy("tip-2", 1, 1, "k"), protocol.ClaimInProgress, 0},
 		}},
-		{"release is forgotten", []step{
-			{"release", notRunBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
-			{"very late claim", first, protocol.ClaimGranted, ReleaseRetention},
+		{"release expires", []step{
+			{"release", releaseBy("tip-1", 1, 1, "k"), protocol.ClaimCompleted, 0},
+			{"claim after the retention", first, protocol.ClaimGranted, ReleaseRetention},
 		}},
-		{"dead agent stays unknown until the window ends", []step{
+		{"claim of a restarted agent is held until the window ends", []step{
 			{"first", first, protocol.ClaimGranted, 0},
 			{"retry of the new process", claimBy("tip-1", 2, 1, "k"), protocol.ClaimInProgress, 0},
 			{"retry just before the window ends", claimBy("tip-2", 1, 5, "k"), protocol.ClaimInProgress, ClaimWindow - time.Nanosecond},
 			{"retry after", claimBy("tip-2", 1, 6, "k"), protocol.ClaimGranted, time.Nanosecond},
 		}},
-		{"who may claim", []step{
+		{"claims that are not permitted", []step{
 			{"agent of another service", claimBy("resa-1", 1, 1, "k"), protocol.ClaimUnavailable, 0},
 			{"unknown agent", claimBy("ghost", 1, 1, "k"), protocol.ClaimUnavailable, 0},
 			{"another tenant's key", otherTenant, protocol.ClaimUnavailable, 0},
@@ -108,17 +110,17 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			member := seeded(t)
+			member := memberWithTipline(t)
 			for _, step := range test.steps {
-				member.now = member.now.Add(step.after)
-				require.Equal(t, step.want, member.claim(step.command).State, step.what)
+				member.now = member.now.Add(step.elapsed)
+				require.Equal(t, step.want, member.claim(step.command).State, step.label)
 			}
 		})
 	}
 }
 
-func TestClaimReplyPairsAndCarriesTheOutcome(t *testing.T) {
-	member := seeded(t)
+func TestClaimReplyCarriesCorrelationAndOutcome(t *testing.T) {
+	member := memberWithTipline(t)
 	granted := member.claim(claimBy("tip-1", 1, 41, "k"))
 	require.Equal(t, protocol.ClaimReply{Correlation: 41, Agent: "tip-1", State: protocol.ClaimGranted, GrantedFor: ClaimGrant}, granted)
 	member.claim(outcomeBy("tip-1", 1, 41, "k"))
@@ -128,26 +130,26 @@
 	require.Equal(t, 200, replayed.Outcome.Status)
 }
 
-func TestAgentThatIsDeadOrOldMayNotClaim(t *testing.T) {
-	member := seeded(t)
+func TestDeadOrReplacedAgentMayNotClaim(t *testing.T) {
+	member := memberWithTipline(t)
 	id := member.target("tip-1").ID
 	member.must(ObserveTargets{Observations: []TargetObservation{{Target: id, Incarnation: 5, Alive: true}}})
-	require.Equal(t, protocol.ClaimUnavailable, member.claim(claimBy("tip-1", 4, 1, "a")).State, "a process that woke up after its successor started")
-	require.Equal(t, protocol.ClaimGranted, member.claim(claimBy("tip-1", 6, 1, "b")).State, "observations may lag")
+	require.Equal(t, protocol.ClaimUnavailable, member.claim(claimBy("tip-1", 4, 1, "a")).State, "a process that was replaced by a newer one")
+	require.Equal(t, protocol.ClaimGranted, member.claim(claimBy("tip-1", 6, 1, "b")).State, "a process newer than the last observation, which can lag")
 	member.must(ObserveTargets{Observations: []TargetObservation{{Target: id, Incarnation: 5, Alive: false}}})
 	require.Equal(t, protocol.ClaimUnavailable, member.claim(claimBy("tip-1", 5, 2, "c")).State)
 }
 
 func TestClaimsOutliveTheirService(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	require.Equal(t, protocol.ClaimGranted, member.claim(claimBy("tip-1", 1, 1, "k")).State)
 	member.must(DeleteService{Change: Change{Base: member.service(tiplineKey()).Revision}, Tenant: "riga", Name: "tipline", Force: true})
-	member.must(tipline(0, "192.0.2.1:443", "tip-1"))
+	member.must(putTipline(0, "192.0.2.1:443", "tip-1"))
 	require.Equal(t, protocol.ClaimInProgress, member.claim(claimBy("tip-1", 2, 1, "k")).State)
 }
 
-func TestClaimQuotaRefusesAndNeverForgets(t *testing.T) {
-	member := seeded(t)
+func TestFullClaimQuotaRefusesWithoutEviction(t *testing.T) {
+	member := memberWithTipline(t)
 	member.must(PutTenant{Change: Change{Base: 2}, Name: "riga", Spec: TenantSpec{MaximumClaims: 2}})
 	require.Equal(t, protocol.ClaimGranted, member.claim(claimBy("tip-1", 1, 1, "a")).State)
 	require.Equal(t, protocol.ClaimGranted, member.claim(claimBy("tip-1", 1, 2, "b")).State)
@@ -158,8 +160,8 @@
 	require.Equal(t, ClaimStatus{Rows: 1}, member.machine.ClaimStatus())
 }
 
-func TestLargeOutcomeKeepsItsStatus(t *testing.T) {
-	member := seeded(t)
+func TestOversizedOutcomeKeepsOnlyItsStatus(t *testing.T) {
+	member := memberWithTipline(t)
 	member.claim(claimBy("tip-1", 1, 1, "k"))
 	large := outcomeBy("tip-1", 1, 1, "k")
 	large.Outcome.Body = make([]byte, MaximumOutcomeBytes+1)
@@ -174,7 +176,7 @@
 	claims := newClaimTable()
 	body := make([]byte, MaximumOutcomeBytes)
 	for index := range MaximumOutcomeTotalBytes/MaximumOutcomeBytes + 3 {
-		row := claimRow{Key: payout(fmt.Sprint(index)), Phase: claimHeld, ExpiresAt: testStart.Add(ClaimWindow), Serial: model.Revision(index + 1)}
+		row := claimRow{Key: tiplineClaimKey(fmt.Sprint(index)), Phase: claimHeld, ExpiresAt: testStart.Add(ClaimWindow), Serial: model.Revision(index + 1)}
 		claims.put(row)
 		claims.complete(row, claims.limitBody(protocol.ClaimOutcome{Body: body}))
 	}
--- a/internal/state/codec_test.go
+++ b/internal/state/codec_test.go
@@ -14,9 +14,9 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// writeDictionary makes the dictionary of a new format:
+// writeDictionary writes the dictionary for a new format:
 //
-//	go test ./internal/state -run TestDictionary -write-dictionary
+//	go test ./internal/state -run TestDictionaryCompressesClaims -write-dictionary
 var writeDictionary = flag.Bool("write-dictionary", false, "write command.dictionary")
 
 func exampleClaim() Claim {
@@ -34,10 +34,11 @@
 	}}
 }
 
-// TestDictionary demands that what claims repeat is in the dictionary: their
-// type descriptions are.
-func TestDictionary(t *testing.T) {
-	// The most frequent commands come last, where references are shortest.
+// TestDictionaryCompressesClaims checks that the dictionary contains the type
+// descriptions of claims and outcomes: compressed, they must be less than half as long.
+func TestDictionaryCompressesClaims(t *testing.T) {
+	// The most frequent commands come last, where references from the compressed data
+	// are shortest.
 	examples := []Command{PutTenant{}, DrainTarget{}, PutService{}, ReportEmpty{}, ObserveTargets{}, CompleteClaim{}, Claim{}}
 	if *writeDictionary {
 		var dictionary bytes.Buffer
@@ -58,8 +59,8 @@
 	}
 }
 
-// encodeInterface is the form of commands in logs of earlier versions.
-func encodeInterface(t testing.TB, command Command) []byte {
+// encodeEnvelope encodes a command in the format of earlier versions.
+func encodeEnvelope(t testing.TB, command Command) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
 	require.NoError(t, gob.NewEncoder(&buffer).Encode(commandEnvelope{Command: command}))
@@ -73,32 +74,33 @@
 	return encoded
 }
 
-// TestCommandsAreReadInBothFormats reads commands whose fields are set and
-// unset in turn, so that nothing of one is left in the next.
+// TestCommandsAreReadInBothFormats decodes commands whose fields are alternately set
+// and unset. Decoders are reused, so a field of one command must not remain in the next.
 func TestCommandsAreReadInBothFormats(t *testing.T) {
 	commands := []Command{exampleClaim(), exampleOutcome(), CompleteClaim{Outcome: protocol.ClaimOutcome{NotRun: true}}, exampleOutcome(),
 		PutTenant{}, PutTenant{Name: "riga"}, PutTenant{}, RestoreState{Snapshot: bytes.Repeat([]byte("x"), 1<<20)}}
 	for _, command := range append(commands, commandKinds...) {
-		for name, encoded := range map[string][]byte{"deflated": encode(t, command), "earlier": encodeInterface(t, command)} {
+		for name, encoded := range map[string][]byte{"deflated": encode(t, command), "earlier": encodeEnvelope(t, command)} {
 			decoded, err := DecodeCommand(encoded)
 			require.NoError(t, err, name)
 			require.Equal(t, command, decoded, name)
 		}
-		require.NotEqual(t, byte(formatDeflated), encodeInterface(t, command)[0])
+		require.NotEqual(t, byte(formatDeflated), encodeEnvelope(t, command)[0])
 	}
 }
 
-// TestKindsKeepTheirNumbers is the format of the log: a number that changes
-// makes every old log unreadable.
-func TestKindsKeepTheirNumbers(t *testing.T) {
+// TestCommandKindsKeepTheirNumbers guards the format of the log: old logs become
+// unreadable if the number of a command kind changes.
+func TestCommandKindsKeepTheirNumbers(t *testing.T) {
 	for kind, name := range []string{"PutTemplate", "DeleteTemplate", "PutTenant", "DeleteTenant", "PutService", "DeleteService",
 		"DrainTarget", "UndrainTarget", "RestoreState", "ObserveTargets", "ReportEmpty", "Claim", "CompleteClaim"} {
 		require.Equal(t, name, reflect.TypeOf(commandKinds[kind]).Name())
 	}
 }
 
-// TestDictionaryStaysAsItIs: the dictionary is part of the log's format.
-func TestDictionaryStaysAsItIs(t *testing.T) {
+// TestDictionaryIsUnchanged guards the dictionary, which is part of the log's format:
+// with another one, existing logs cannot be decompressed.
+func TestDictionaryIsUnchanged(t *testing.T) {
 	require.Equal(t, uint64(0x1c8cbe858cf9b3e2), xxhash.Sum64(commandDictionary))
 }
 
@@ -121,7 +123,7 @@
 func FuzzDecodeCommand(f *testing.F) {
 	for _, command := range []Command{exampleClaim(), exampleOutcome()} {
 		f.Add(encode(f, command))
-		f.Add(encodeInterface(f, command))
+		f.Add(encodeEnvelope(f, command))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		command, err := DecodeCommand(data)
@@ -129,10 +131,10 @@
 	})
 }
 
-// BenchmarkCommandCodec measures a claim's way into the log and out of it,
-// beside the form of earlier versions.
+// BenchmarkCommandCodec measures encoding and decoding of claims and outcomes in the
+// current format and in that of earlier versions.
 func BenchmarkCommandCodec(b *testing.B) {
-	variants := map[string]func(testing.TB, Command) []byte{"earlier": encodeInterface, "deflated": encode}
+	variants := map[string]func(testing.TB, Command) []byte{"earlier": encodeEnvelope, "deflated": encode}
 	for variant, encode := range variants {
 		for name, command := range map[string]Command{"claim": exampleClaim(), "outcome": exampleOutcome()} {
 			b.Run(variant+"/"+name+"/encode", func(b *testing.B) {
--- a/internal/state/concurrency_test.go
+++ b/internal/state/concurrency_test.go
@@ -10,10 +10,10 @@
 	"merlinpaddle/internal/model"
 )
 
-// Readers see whole changes: the race detector watches this test, and every
-// view must be consistent in itself.
-func TestReadersSeeWholeChanges(t *testing.T) {
-	member := prepared(t)
+// TestReadersSeeConsistentViews reads views and deltas while commands are applied. Each
+// view must be consistent, and the race detector must find no unsynchronized access.
+func TestReadersSeeConsistentViews(t *testing.T) {
+	member := memberWithTenants(t)
 	done := make(chan struct{})
 	var readers sync.WaitGroup
 	for range 4 {
@@ -32,18 +32,20 @@
 					}
 					view.BucketUses(record.ID)
 				}
-				follower = readDeltas(t, member.machine, follower)
+				follower = applyDeltasOrReload(t, member.machine, follower)
 			}
 		})
 	}
 	for number := range uint32(400) {
-		member.play(history{number * 2654435761})
+		member.applyHistory(history{number * 2654435761})
 	}
 	close(done)
 	readers.Wait()
 }
 
-func readDeltas(t *testing.T, machine *Machine, follower *model.Configuration) *model.Configuration {
+// applyDeltasOrReload brings follower up to date by deltas, or returns the machine's
+// configuration if the delta log does not cover follower's revision.
+func applyDeltasOrReload(t *testing.T, machine *Machine, follower *model.Configuration) *model.Configuration {
 	deltas, known := machine.DeltasSince(follower.Revision)
 	if !known {
 		return machine.Configuration()
@@ -59,12 +61,12 @@
 	return follower
 }
 
-func TestWatchersHearOfChanges(t *testing.T) {
-	member := seeded(t)
+func TestWatchersAreNotifiedOfConfigurationChanges(t *testing.T) {
+	member := memberWithTipline(t)
 	changes := member.machine.Watch()
 	member.must(PutTenant{Name: "new"})
 	require.Empty(t, changes, "a tenant is not part of the configuration")
-	member.must(tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
+	member.must(putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
 	require.Len(t, changes, 1)
 }
 
@@ -82,7 +84,7 @@
 	require.EqualValues(t, 15, deltas[0].From)
 }
 
-func TestDeltaLogBoundsItsRows(t *testing.T) {
+func TestDeltaLogBoundsItsTotalRows(t *testing.T) {
 	var log deltaLog
 	for index := range model.Revision(10) {
 		rows := make([]model.Bucket, maximumDeltaRows/4)
@@ -95,8 +97,8 @@
 	require.False(t, known)
 }
 
-func TestRestoreIsChecked(t *testing.T) {
-	member := seeded(t)
+func TestInvalidSnapshotLeavesStateUnchanged(t *testing.T) {
+	member := memberWithTipline(t)
 	snapshot, err := member.machine.Snapshot()
 	require.NoError(t, err)
 	damaged := append([]byte(nil), snapshot...)
@@ -110,37 +112,37 @@
 		"damaged":   damaged,
 	} {
 		require.Equal(t, faults.CodeSnapshotInvalid, faults.CodeOf(member.machine.Restore(broken)), name)
-		require.Equal(t, digest, member.machine.Digest(), "a refused snapshot leaves the state")
+		require.Equal(t, digest, member.machine.Digest(), "an invalid snapshot leaves the state unchanged")
 	}
 }
 
-func TestRestoreIntoAnEmptyGroupGoesOn(t *testing.T) {
-	source := seeded(t)
-	source.must(tipline(source.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-4"))
+func TestRestoreIntoEmptyGroupContinuesRevisionsAndIDs(t *testing.T) {
+	source := memberWithTipline(t)
+	source.must(putTipline(source.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-4"))
 	require.NotNil(t, source.must(claimBy("tip-1", 1, 1, "k")).Claim)
 	snapshot, err := source.machine.Snapshot()
 	require.NoError(t, err)
 
-	target := newMember(t)
-	target.machine.Apply(1, testStart, nil)
-	target.index = 1
-	target.must(RestoreState{Change: Change{Key: "restore"}, Snapshot: snapshot})
-	require.Equal(t, source.machine.Configuration().Digest(), target.machine.Configuration().Digest())
-	require.True(t, target.must(RestoreState{Change: Change{Key: "restore"}, Snapshot: snapshot}).Replayed)
-	require.Equal(t, faults.CodeGroupNotEmpty, target.run(RestoreState{Snapshot: snapshot}).Code)
+	restored := newMember(t)
+	restored.machine.Apply(1, testStart, nil)
+	restored.index = 1
+	restored.must(RestoreState{Change: Change{Key: "restore"}, Snapshot: snapshot})
+	require.Equal(t, source.machine.Configuration().Digest(), restored.machine.Configuration().Digest())
+	require.True(t, restored.must(RestoreState{Change: Change{Key: "restore"}, Snapshot: snapshot}).Replayed)
+	require.Equal(t, faults.CodeGroupNotEmpty, restored.run(RestoreState{Snapshot: snapshot}).Code)
 	require.Equal(t, faults.CodeSnapshotInvalid, newMember(t).run(RestoreState{Snapshot: snapshot[:9]}).Code)
 
-	before := target.machine.Configuration().Revision
-	target.must(tipline(target.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
-	require.Greater(t, target.machine.Configuration().Revision, before)
-	made := target.must(service("teranga", "resa", 0, "192.0.2.9:443", "resa-1"))
-	require.Greater(t, made.Service, source.service(tiplineKey()).ID, "IDs of the backup are not given again")
-	_, known := target.machine.DeltasSince(before)
+	before := restored.machine.Configuration().Revision
+	restored.must(putTipline(restored.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
+	require.Greater(t, restored.machine.Configuration().Revision, before)
+	created := restored.must(putService("teranga", "resa", 0, "192.0.2.9:443", "resa-1"))
+	require.Greater(t, created.Service, source.service(tiplineKey()).ID, "IDs of the backup are not assigned again")
+	_, known := restored.machine.DeltasSince(before)
 	require.True(t, known)
 
-	again, err := target.machine.Snapshot()
+	secondSnapshot, err := restored.machine.Snapshot()
 	require.NoError(t, err)
 	copied := NewMachine()
-	require.NoError(t, copied.Restore(again))
-	require.Equal(t, target.machine.Digest(), copied.Digest())
+	require.NoError(t, copied.Restore(secondSnapshot))
+	require.Equal(t, restored.machine.Digest(), copied.Digest())
 }
--- a/internal/state/machine_test.go
+++ b/internal/state/machine_test.go
@@ -15,7 +15,7 @@
 
 var testStart = time.Date(2026, 3, 1, 18, 0, 0, 0, time.UTC)
 
-// member drives one machine as a log would.
+// member applies commands to one machine like a replicated log.
 type member struct {
 	t       testing.TB
 	machine *Machine
@@ -38,7 +38,7 @@
 	return result
 }
 
-// must applies a command that must not be refused.
+// must applies the command and fails the test if it is refused.
 func (member *member) must(command Command) Result {
 	member.t.Helper()
 	result := member.run(command)
@@ -46,13 +46,14 @@
 	return result
 }
 
-// seeded has a template, two tenants and the service "tipline" of riga.
-func seeded(t testing.TB) *member {
+// memberWithTipline returns a member with the template "web", the tenants riga and
+// teranga, and the service "tipline" of riga.
+func memberWithTipline(t testing.TB) *member {
 	member := newMember(t)
 	member.must(PutTemplate{Name: "web", Spec: webTemplate()})
 	member.must(PutTenant{Name: "riga"})
 	member.must(PutTenant{Name: "teranga"})
-	member.must(tipline(0, "192.0.2.1:443", "tip-1", "tip-2", "tip-3"))
+	member.must(putTipline(0, "192.0.2.1:443", "tip-1", "tip-2", "tip-3"))
 	return member
 }
 
@@ -75,12 +76,13 @@
 	}
 }
 
-// tipline is the service "tipline" of tenant riga with the named targets.
-func tipline(base model.Revision, address string, targets ...string) PutService {
-	return service("riga", "tipline", base, address, targets...)
+// putTipline returns a change of the service "tipline" of tenant riga with the named
+// targets.
+func putTipline(base model.Revision, address string, targets ...string) PutService {
+	return putService("riga", "tipline", base, address, targets...)
 }
 
-func service(tenant model.TenantName, name string, base model.Revision, address string, targets ...string) PutService {
+func putService(tenant model.TenantName, name string, base model.Revision, address string, targets ...string) PutService {
 	return PutService{
 		Change:   Change{Base: base},
 		Tenant:   tenant,
@@ -101,8 +103,8 @@
 	return encoded
 }
 
-// targetParameters gives each name an address of its own that depends on the
-// name alone.
+// targetParameters returns targets with the given names. Each gets addresses that
+// depend only on its name.
 func targetParameters(names []string) []TargetParameter {
 	parameters := []TargetParameter{}
 	for _, name := range names {
@@ -136,7 +138,7 @@
 	return target
 }
 
-// reportAllEmpty reports every earlier target of every bucket empty.
+// reportAllEmpty reports all earlier targets of all buckets as empty.
 func (member *member) reportAllEmpty() {
 	member.t.Helper()
 	configuration := member.machine.Configuration()
@@ -151,19 +153,19 @@
 	member.must(ReportEmpty{Reports: reports})
 }
 
-func TestPutServiceMakesWhatNodesRun(t *testing.T) {
-	member := seeded(t)
+func TestPutServiceConfiguresTheService(t *testing.T) {
+	member := memberWithTipline(t)
 	record := member.service(tiplineKey())
 	configuration := member.machine.Configuration()
-	made := configuration.Services[record.ID]
-	require.Equal(t, netip.MustParseAddrPort("192.0.2.1:443"), made.Address)
-	require.Equal(t, 2, made.Limits.SlotsPerTarget)
-	require.Equal(t, model.DefaultRequestTimeout, made.Limits.RequestTimeout)
+	resolved := configuration.Services[record.ID]
+	require.Equal(t, netip.MustParseAddrPort("192.0.2.1:443"), resolved.Address)
+	require.Equal(t, 2, resolved.Limits.SlotsPerTarget)
+	require.Equal(t, model.DefaultRequestTimeout, resolved.Limits.RequestTimeout)
 	require.Equal(t, []model.RequestRule{
 		{Method: "POST", PathPrefix: "/api/payout", Class: model.ClassCall, AtMostOnce: true, Weight: 2},
 		{Method: "GET", PathPrefix: "/feed", Class: model.ClassFeed, Weight: 1},
-	}, made.Rules)
-	require.Equal(t, model.TemplateReference{Name: "web", Version: 1}, made.Template)
+	}, resolved.Rules)
+	require.Equal(t, model.TemplateReference{Name: "web", Version: 1}, resolved.Template)
 	require.Equal(t, member.index, configuration.Revision)
 	require.Len(t, configuration.ServiceTargets(record.ID), 3)
 	uses := member.machine.View().BucketUses(record.ID)
@@ -172,10 +174,10 @@
 	}
 }
 
-func TestRemovedTargetLeavesAfterItsBucketsAreEmpty(t *testing.T) {
-	member := seeded(t)
+func TestRemovedTargetIsDeletedOnceItsBucketsAreEmpty(t *testing.T) {
+	member := memberWithTipline(t)
 	leaving := member.target("tip-3")
-	member.must(tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-2"))
+	member.must(putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-2"))
 	require.Equal(t, model.PhaseDraining, member.target("tip-3").Phase)
 	use := member.machine.View().BucketUses(leaving.Service)[leaving.ID]
 	require.Zero(t, use.Heads)
@@ -189,21 +191,21 @@
 }
 
 func TestTargetKeepsItsIDWhenParametersChange(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	before := member.target("tip-2").ID
-	member.must(tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-2", "tip-4"))
-	member.must(tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-4", "tip-1", "tip-2"))
+	member.must(putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-2", "tip-4"))
+	member.must(putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-4", "tip-1", "tip-2"))
 	require.Equal(t, before, member.target("tip-2").ID)
-	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase, "a leaving target that is listed again serves again")
+	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase, "a leaving target that is listed again returns to service")
 }
 
 func TestDeleteServiceWaitsForItsFlows(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	record := member.service(tiplineKey())
 	member.must(DeleteService{Change: Change{Base: record.Revision}, Tenant: "riga", Name: "tipline"})
 	require.True(t, member.service(tiplineKey()).Removing)
-	again := member.run(service("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
-	require.Equal(t, faults.CodeConflict, again.Code, "the address is still in use")
+	conflicting := member.run(putService("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
+	require.Equal(t, faults.CodeConflict, conflicting.Code, "the address is still in use")
 
 	for range 3 {
 		member.reportAllEmpty()
@@ -215,19 +217,19 @@
 	require.Empty(t, configuration.Targets)
 	require.Empty(t, configuration.Buckets)
 
-	reused := member.must(service("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
+	reused := member.must(putService("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
 	require.Greater(t, reused.Service, record.ID)
 }
 
-func TestForcedDeleteRemovesAtOnce(t *testing.T) {
-	member := seeded(t)
+func TestForcedDeleteRemovesServiceImmediately(t *testing.T) {
+	member := memberWithTipline(t)
 	member.must(DeleteService{Change: Change{Base: member.service(tiplineKey()).Revision}, Tenant: "riga", Name: "tipline", Force: true})
 	require.Empty(t, member.machine.Configuration().Services)
 	require.Empty(t, member.machine.Configuration().Targets)
 }
 
 func TestDrainAndUndrain(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	key := TargetKey{Tenant: "riga", Service: "tipline", Name: "tip-1"}
 	_, record, _ := member.machine.View().Target(key)
 	drained := member.must(DrainTarget{Change: Change{Base: record.Revision}, Target: key})
@@ -242,8 +244,8 @@
 	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase)
 }
 
-func TestObservations(t *testing.T) {
-	member := seeded(t)
+func TestTargetObservations(t *testing.T) {
+	member := memberWithTipline(t)
 	id := member.target("tip-1").ID
 	observe := func(incarnation model.Incarnation, alive bool) {
 		member.must(ObserveTargets{Observations: []TargetObservation{{Target: id, Incarnation: incarnation, Alive: alive}}})
@@ -251,48 +253,48 @@
 	observe(5, true)
 	require.Equal(t, model.Incarnation(5), member.target("tip-1").Incarnation)
 	observe(4, false)
-	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase, "a late observation changes nothing")
+	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase, "an observation of an older process is ignored")
 	observe(5, false)
 	require.Equal(t, model.PhaseDead, member.target("tip-1").Phase)
-	require.Zero(t, member.machine.View().BucketUses(1)[id].Total(), "a dead target leaves every bucket")
+	require.Zero(t, member.machine.View().BucketUses(1)[id].Total(), "a dead target is removed from all buckets")
 	observe(6, true)
 	require.Equal(t, model.PhaseServing, member.target("tip-1").Phase)
 
 	revision := member.machine.Configuration().Revision
 	observe(6, true)
-	require.Equal(t, revision, member.machine.Configuration().Revision, "nothing changed, so nothing travels")
+	require.Equal(t, revision, member.machine.Configuration().Revision, "an observation without a change makes no new revision")
 }
 
-func TestDeltasLeadToTheConfiguration(t *testing.T) {
+func TestDeltasReproduceTheConfiguration(t *testing.T) {
 	member := newMember(t)
-	start := member.machine.Configuration()
-	follower := seeded(t)
-	record := follower.service(tiplineKey())
-	follower.must(tipline(record.Revision, "192.0.2.1:443", "tip-2", "tip-5"))
-	follower.reportAllEmpty()
-	deltas, known := follower.machine.DeltasSince(0)
+	rebuilt := member.machine.Configuration()
+	source := memberWithTipline(t)
+	record := source.service(tiplineKey())
+	source.must(putTipline(record.Revision, "192.0.2.1:443", "tip-2", "tip-5"))
+	source.reportAllEmpty()
+	deltas, known := source.machine.DeltasSince(0)
 	require.True(t, known)
 	var err error
 	for _, delta := range deltas {
-		start, err = start.Apply(delta)
+		rebuilt, err = rebuilt.Apply(delta)
 		require.NoError(t, err)
 	}
-	require.Equal(t, follower.machine.Configuration().Digest(), start.Digest())
+	require.Equal(t, source.machine.Configuration().Digest(), rebuilt.Digest())
 
-	current := follower.machine.Configuration().Revision
-	none, known := follower.machine.DeltasSince(current)
+	current := source.machine.Configuration().Revision
+	none, known := source.machine.DeltasSince(current)
 	require.True(t, known)
 	require.Empty(t, none)
-	_, known = follower.machine.DeltasSince(current + 1)
+	_, known = source.machine.DeltasSince(current + 1)
 	require.False(t, known)
 }
 
-func TestLateServiceOfManyTargets(t *testing.T) {
-	member := seeded(t)
+func TestServiceWithManyTargetsIsAccepted(t *testing.T) {
+	member := memberWithTipline(t)
 	names := make([]string, 0, 41)
 	for index := range 41 {
 		names = append(names, fmt.Sprintf("depot-%d", index))
 	}
-	made := member.must(service("riga", "depot", 0, "192.0.2.7:443", names...))
-	require.Len(t, member.machine.Configuration().ServiceTargets(made.Service), 41)
+	created := member.must(putService("riga", "depot", 0, "192.0.2.7:443", names...))
+	require.Len(t, member.machine.Configuration().ServiceTargets(created.Service), 41)
 }
--- a/internal/state/property_test.go
+++ b/internal/state/property_test.go
@@ -14,37 +14,38 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// history is a log as a slice of numbers, so that gopter can shrink it. Each
-// number is read against the state so far, which makes a command that has a
-// fair chance to be applied.
+// history is a log as a slice of numbers, which gopter can shrink. commandFrom turns
+// each number into a command that fits the state so far, so that the command is likely
+// to be applied.
 type history []uint32
 
-// digits takes choices out of a number.
-type digits uint32
+// choiceStream derives a sequence of choices from a number.
+type choiceStream uint32
 
-func (left *digits) next(count int) int {
-	choice := uint32(*left) % uint32(count)
-	*left /= digits(count)
+// next returns the next choice from 0 to count-1.
+func (choices *choiceStream) next(count int) int {
+	choice := uint32(*choices) % uint32(count)
+	*choices /= choiceStream(count)
 	return int(choice)
 }
 
-// commandOf reads one number of a history.
-func commandOf(view *View, number uint32) Command {
-	left := digits(number)
-	kind := left.next(11)
-	service := view.randomService(&left)
-	change := Change{Base: service.Revision, Key: fmt.Sprint("key-", left.next(200)), Fingerprint: uint64(left.next(2))}
-	if left.next(8) == 0 {
+// commandFrom returns the command that a number of a history stands for.
+func commandFrom(view *View, number uint32) Command {
+	choices := choiceStream(number)
+	kind := choices.next(11)
+	service := view.randomService(&choices)
+	change := Change{Base: service.Revision, Key: fmt.Sprint("key-", choices.next(200)), Fingerprint: uint64(choices.next(2))}
+	if choices.next(8) == 0 {
 		change.Base++
 	}
-	target := view.randomTarget(&left, service)
+	target := view.randomTarget(&choices, service)
 	switch kind {
 	case 0, 1, 2:
-		command := serviceWith(&left, service.Key)
+		command := putServiceWithRandomTargets(&choices, service.Key)
 		command.Change = change
 		return command
 	case 3:
-		return DeleteService{Change: change, Tenant: service.Key.Tenant, Name: service.Key.Name, Force: left.next(3) == 0}
+		return DeleteService{Change: change, Tenant: service.Key.Tenant, Name: service.Key.Name, Force: choices.next(3) == 0}
 	case 4:
 		change.Base = target.Revision
 		return DrainTarget{Change: change, Target: target.Key}
@@ -52,52 +53,56 @@
 		change.Base = target.Revision
 		return UndrainTarget{Change: change, Target: target.Key}
 	case 6:
-		return ObserveTargets{Observations: []TargetObservation{{Target: target.ID, Incarnation: model.Incarnation(left.next(4)), Alive: left.next(2) == 0}}}
+		return ObserveTargets{Observations: []TargetObservation{{Target: target.ID, Incarnation: model.Incarnation(choices.next(4)), Alive: choices.next(2) == 0}}}
 	case 7, 8:
-		return reportOf(view, &left)
+		return randomEmptyReport(view, &choices)
 	case 9:
-		return claimBy(model.NodeName(target.Key.Name), model.Incarnation(left.next(3)), uint64(left.next(3)), fmt.Sprint(left.next(4)))
+		return claimBy(model.NodeName(target.Key.Name), model.Incarnation(choices.next(3)), uint64(choices.next(3)), fmt.Sprint(choices.next(4)))
 	default:
-		command := outcomeBy(model.NodeName(target.Key.Name), model.Incarnation(left.next(3)), uint64(left.next(3)), fmt.Sprint(left.next(4)))
-		command.Outcome.NotRun = left.next(2) == 0
+		command := outcomeBy(model.NodeName(target.Key.Name), model.Incarnation(choices.next(3)), uint64(choices.next(3)), fmt.Sprint(choices.next(4)))
+		command.Outcome.NotRun = choices.next(2) == 0
 		return command
 	}
 }
 
-// randomService chooses one of four service names; the record is nearly empty
-// when there is no such service.
-func (view *View) randomService(left *digits) *ServiceRecord {
+// randomService chooses one of four service keys. If there is no such service, the
+// record contains only the key.
+func (view *View) randomService(choices *choiceStream) *ServiceRecord {
 	keys := []ServiceKey{{"riga", "tipline"}, {"riga", "ledger"}, {"teranga", "resa"}, {"teranga", "depot"}}
-	key := keys[left.next(len(keys))]
+	key := keys[choices.next(len(keys))]
 	if record, known := view.Service(key); known {
 		return record
 	}
 	return &ServiceRecord{Key: key}
 }
 
-func (view *View) randomTarget(left *digits, service *ServiceRecord) TargetRecord {
+// randomTarget chooses a target of the service, or returns an empty record if it has
+// none.
+func (view *View) randomTarget(choices *choiceStream, service *ServiceRecord) TargetRecord {
 	if len(service.Targets) == 0 {
 		return TargetRecord{}
 	}
-	record, _ := view.TargetRecord(service.Targets[left.next(len(service.Targets))])
+	record, _ := view.TargetRecord(service.Targets[choices.next(len(service.Targets))])
 	return record
 }
 
-func serviceWith(left *digits, key ServiceKey) PutService {
+// putServiceWithRandomTargets returns a change of the service to a random subset of five
+// targets. "tipline" and "ledger" have the same address, so that they conflict.
+func putServiceWithRandomTargets(choices *choiceStream, key ServiceKey) PutService {
 	var targets []string
 	for number := range 5 {
-		if left.next(2) == 0 {
+		if choices.next(2) == 0 {
 			targets = append(targets, fmt.Sprintf("%s-%d", key.Name, number))
 		}
 	}
 	addresses := map[string]string{"tipline": "192.0.2.1:443", "ledger": "192.0.2.1:443", "resa": "192.0.2.2:443", "depot": "192.0.2.3:443"}
-	return service(key.Tenant, key.Name, 0, addresses[key.Name], targets...)
+	return putService(key.Tenant, key.Name, 0, addresses[key.Name], targets...)
 }
 
-// reportOf reports some or all earlier targets empty.
-func reportOf(view *View, left *digits) ReportEmpty {
+// randomEmptyReport reports the earlier targets of some or all buckets as empty.
+func randomEmptyReport(view *View, choices *choiceStream) ReportEmpty {
 	var command ReportEmpty
-	every := 1 + left.next(3)
+	every := 1 + choices.next(3)
 	for _, record := range view.Services() {
 		buckets := view.Configuration.Buckets[record.ID]
 		for index := range buckets.Heads {
@@ -112,8 +117,9 @@
 	return command
 }
 
-// prepared has the template and the tenants that histories use.
-func prepared(t testing.TB) *member {
+// memberWithTenants returns a member with the template "web" and the tenants riga and
+// teranga.
+func memberWithTenants(t testing.TB) *member {
 	member := newMember(t)
 	member.must(PutTemplate{Name: "web", Spec: webTemplate()})
 	member.must(PutTenant{Name: "riga"})
@@ -121,28 +127,28 @@
 	return member
 }
 
-// entry is one entry of a log that was written by a member.
+// entry is one entry of a log.
 type entry struct {
 	index   model.Revision
 	at      time.Time
 	command []byte
 }
 
-// pause is the time before a command: mostly short, sometimes long enough that
-// claims and answers expire.
-func pause(number uint32) time.Duration {
+// pauseBefore returns the time between the previous command and the one of the number.
+// It is mostly short, and sometimes long enough that claims and answers expire.
+func pauseBefore(number uint32) time.Duration {
 	if number%7 == 0 {
 		return 20 * time.Hour
 	}
 	return time.Duration(number%3) * 5 * time.Minute
 }
 
-// play runs a history on a member and returns its log.
-func (member *member) play(numbers history) []entry {
+// applyHistory applies a history to the member and returns its log.
+func (member *member) applyHistory(numbers history) []entry {
 	var log []entry
 	for _, number := range numbers {
-		member.now = member.now.Add(pause(number))
-		encoded, err := EncodeCommand(commandOf(member.machine.View(), number))
+		member.now = member.now.Add(pauseBefore(number))
+		encoded, err := EncodeCommand(commandFrom(member.machine.View(), number))
 		require.NoError(member.t, err)
 		member.index++
 		log = append(log, entry{index: member.index, at: member.now, command: encoded})
@@ -151,6 +157,7 @@
 	return log
 }
 
+// checkProperty checks that the property holds for random histories.
 func checkProperty(t *testing.T, seed int64, name string, property func(history) bool) {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(seed)
@@ -162,52 +169,52 @@
 	properties.TestingRun(t)
 }
 
-func TestMembersThatApplyTheSameLogAgree(t *testing.T) {
-	checkProperty(t, 11, "equal results and digests", func(numbers history) bool {
-		first, second := prepared(t), prepared(t)
-		for _, entry := range first.play(numbers) {
+func TestMembersApplyingTheSameLogHaveEqualDigests(t *testing.T) {
+	checkProperty(t, 11, "members have equal digests", func(numbers history) bool {
+		first, second := memberWithTenants(t), memberWithTenants(t)
+		for _, entry := range first.applyHistory(numbers) {
 			second.machine.Apply(entry.index, entry.at.In(time.FixedZone("other", 3600)), entry.command)
 		}
 		return first.machine.Digest() == second.machine.Digest()
 	})
 }
 
-func TestSnapshotInTheMiddleChangesNothing(t *testing.T) {
-	checkProperty(t, 12, "restored members go on alike", func(numbers history) bool {
-		first, restored := prepared(t), NewMachine()
-		log := first.play(numbers)
-		again := prepared(t)
+func TestRestoredMemberContinuesIdentically(t *testing.T) {
+	checkProperty(t, 12, "a restored member continues identically", func(numbers history) bool {
+		original, restored := memberWithTenants(t), NewMachine()
+		log := original.applyHistory(numbers)
+		replayed := memberWithTenants(t)
 		for index, entry := range log {
 			if index == len(log)/2 {
-				snapshot, err := again.machine.Snapshot()
+				snapshot, err := replayed.machine.Snapshot()
 				require.NoError(t, err)
 				require.NoError(t, restored.Restore(snapshot))
-				require.Equal(t, again.machine.Digest(), restored.Digest())
+				require.Equal(t, replayed.machine.Digest(), restored.Digest())
 			}
-			expected := again.machine.Apply(entry.index, entry.at, entry.command)
+			expected := replayed.machine.Apply(entry.index, entry.at, entry.command)
 			if index >= len(log)/2 {
 				require.Equal(t, expected, restored.Apply(entry.index, entry.at, entry.command))
 			}
 		}
-		return len(log) == 0 || restored.Digest() == first.machine.Digest()
+		return len(log) == 0 || restored.Digest() == original.machine.Digest()
 	})
 }
 
 func TestResentCommandsChangeNothing(t *testing.T) {
 	checkProperty(t, 13, "a resent operator command gets its first answer", func(numbers history) bool {
-		member := prepared(t)
+		member := memberWithTenants(t)
 		for _, number := range numbers {
-			command, isOperator := commandOf(member.machine.View(), number).(operatorCommand)
+			command, isOperator := commandFrom(member.machine.View(), number).(operatorCommand)
 			if !isOperator {
-				member.play(history{number})
+				member.applyHistory(history{number})
 				continue
 			}
 			first := member.run(command)
 			configuration := member.machine.Configuration()
 			resent := member.run(command)
-			reused := first.Code == resent.Code && !resent.Replayed
+			keyReused := first.Code == resent.Code && !resent.Replayed
 			first.Replayed = true
-			if !reused && !equalResults(first, resent) || configuration != member.machine.Configuration() {
+			if !keyReused && !equalResults(first, resent) || configuration != member.machine.Configuration() {
 				return false
 			}
 		}
@@ -215,7 +222,7 @@
 	})
 }
 
-// equalResults compares what an operator sees.
+// equalResults reports whether two results look the same to an operator.
 func equalResults(left, right Result) bool {
 	return left.Code == right.Code && left.Revision == right.Revision && left.Service == right.Service &&
 		left.Version == right.Version && left.Message == right.Message && left.Replayed == right.Replayed
@@ -223,19 +230,19 @@
 
 func TestStateInvariants(t *testing.T) {
 	checkProperty(t, 14, "invariants hold after every command", func(numbers history) bool {
-		member := prepared(t)
+		member := memberWithTenants(t)
 		follower := member.machine.Configuration()
 		highest := model.ServiceID(0)
 		owners := make(map[model.ServiceID]ServiceKey)
 		for _, number := range numbers {
-			member.play(history{number})
+			member.applyHistory(history{number})
 			view := member.machine.View()
-			follower = followDeltas(t, member.machine, follower)
+			follower = applyDeltas(t, member.machine, follower)
 			require.Equal(t, view.Configuration.Digest(), follower.Digest())
-			checkView(t, view)
+			checkViewInvariants(t, view)
 			for _, record := range view.Services() {
 				owner, seen := owners[record.ID]
-				require.True(t, !seen && record.ID > highest || owner == record.Key, "service ID %d was given twice", record.ID)
+				require.True(t, !seen && record.ID > highest || owner == record.Key, "service ID %d was assigned twice", record.ID)
 				owners[record.ID] = record.Key
 			}
 			for id := range owners {
@@ -246,7 +253,8 @@
 	})
 }
 
-func followDeltas(t *testing.T, machine *Machine, configuration *model.Configuration) *model.Configuration {
+// applyDeltas returns the configuration after all later deltas of the machine.
+func applyDeltas(t *testing.T, machine *Machine, configuration *model.Configuration) *model.Configuration {
 	deltas, known := machine.DeltasSince(configuration.Revision)
 	require.True(t, known)
 	for _, delta := range deltas {
@@ -258,8 +266,8 @@
 	return configuration
 }
 
-// checkView checks what must hold between the tables of a view.
-func checkView(t *testing.T, view *View) {
+// checkViewInvariants checks that the tables and indexes of a view agree with each other.
+func checkViewInvariants(t *testing.T, view *View) {
 	configuration := view.Configuration
 	listeners := make(map[listener]bool)
 	for id, service := range configuration.Services {
@@ -286,14 +294,15 @@
 	}
 }
 
-func TestHistoriesReachTheCommands(t *testing.T) {
-	// The properties are worth little if most commands are refused.
+// TestHistoriesApplyEveryCommandKind checks the generator of the property tests: they
+// test little if most commands are refused.
+func TestHistoriesApplyEveryCommandKind(t *testing.T) {
 	applied := make(map[string]int)
-	member := prepared(t)
+	member := memberWithTenants(t)
 	for number := range uint32(2000) {
 		number *= 2654435761
-		member.now = member.now.Add(pause(number))
-		command := commandOf(member.machine.View(), number)
+		member.now = member.now.Add(pauseBefore(number))
+		command := commandFrom(member.machine.View(), number)
 		result := member.run(command)
 		if result.Applied() && (result.Claim == nil || result.Claim.State == protocol.ClaimGranted || result.Claim.State == protocol.ClaimCompleted) {
 			applied[fmt.Sprintf("%T", command)]++
--- a/internal/state/refusal_test.go
+++ b/internal/state/refusal_test.go
@@ -14,53 +14,54 @@
 	"merlinpaddle/internal/model"
 )
 
-func editTemplate(edit func(*TemplateSpec)) TemplateSpec {
+// webTemplateWith returns webTemplate with one edit.
+func webTemplateWith(edit func(*TemplateSpec)) TemplateSpec {
 	spec := webTemplate()
 	edit(&spec)
 	return spec
 }
 
-func TestTemplateChecks(t *testing.T) {
+func TestInvalidTemplatesAreRefused(t *testing.T) {
 	cases := []struct {
 		name  string
 		spec  TemplateSpec
 		field string
 	}{
-		{"protocol", editTemplate(func(s *TemplateSpec) { s.Protocol = "sctp" }), "protocol"},
-		{"description", editTemplate(func(s *TemplateSpec) { s.Description = strings.Repeat("x", 2000) }), "description"},
-		{"no address", editTemplate(func(s *TemplateSpec) { s.Parameters = s.Parameters[1:] }), "parameters"},
-		{"no targets", editTemplate(func(s *TemplateSpec) { s.Parameters[1].Sets = "" }), "parameters"},
-		{"name", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Name = "Slots!" }), "parameters[2].name"},
-		{"name twice", editTemplate(func(s *TemplateSpec) { s.Parameters[3].Name = "slots" }), "parameters[3].name"},
-		{"kind", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Kind = "float" }), "parameters[2].kind"},
-		{"property", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Sets = "limits.none" }), "parameters[2].sets"},
-		{"property of other kind", editTemplate(func(s *TemplateSpec) { s.Parameters[3].Sets = PropertyMaximumQueue }), "parameters[3].sets"},
-		{"property twice", editTemplate(func(s *TemplateSpec) {
+		{"protocol", webTemplateWith(func(s *TemplateSpec) { s.Protocol = "sctp" }), "protocol"},
+		{"description", webTemplateWith(func(s *TemplateSpec) { s.Description = strings.Repeat("x", 2000) }), "description"},
+		{"no address", webTemplateWith(func(s *TemplateSpec) { s.Parameters = s.Parameters[1:] }), "parameters"},
+		{"no targets", webTemplateWith(func(s *TemplateSpec) { s.Parameters[1].Sets = "" }), "parameters"},
+		{"name", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Name = "Slots!" }), "parameters[2].name"},
+		{"name twice", webTemplateWith(func(s *TemplateSpec) { s.Parameters[3].Name = "slots" }), "parameters[3].name"},
+		{"kind", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Kind = "float" }), "parameters[2].kind"},
+		{"property", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Sets = "limits.none" }), "parameters[2].sets"},
+		{"property of another kind", webTemplateWith(func(s *TemplateSpec) { s.Parameters[3].Sets = PropertyMaximumQueue }), "parameters[3].sets"},
+		{"property twice", webTemplateWith(func(s *TemplateSpec) {
 			s.Parameters[3].Kind, s.Parameters[3].Sets = KindInteger, PropertySlotsPerTarget
 			s.Parameters[3].Minimum, s.Parameters[3].Maximum = nil, nil
 		}), "parameters[3].sets"},
-		{"minimum type", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Minimum = json.RawMessage(`"x"`) }), "parameters[2].minimum"},
-		{"maximum type", editTemplate(func(s *TemplateSpec) { s.Parameters[3].Maximum = json.RawMessage(`5`) }), "parameters[3].maximum"},
-		{"range upside down", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Minimum = json.RawMessage(`17`) }), "parameters[2].minimum"},
-		{"range of a boolean", editTemplate(func(s *TemplateSpec) { s.Parameters[5].Minimum = json.RawMessage(`1`) }), "parameters[5]"},
-		{"default out of range", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Default = json.RawMessage(`17`) }), "parameters[2].default"},
-		{"default of a required parameter", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Required = true }), "parameters[2].default"},
-		{"default address", editTemplate(func(s *TemplateSpec) {
+		{"minimum type", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Minimum = json.RawMessage(`"x"`) }), "parameters[2].minimum"},
+		{"maximum type", webTemplateWith(func(s *TemplateSpec) { s.Parameters[3].Maximum = json.RawMessage(`5`) }), "parameters[3].maximum"},
+		{"minimum above maximum", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Minimum = json.RawMessage(`17`) }), "parameters[2].minimum"},
+		{"range of a boolean", webTemplateWith(func(s *TemplateSpec) { s.Parameters[5].Minimum = json.RawMessage(`1`) }), "parameters[5]"},
+		{"default out of range", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Default = json.RawMessage(`17`) }), "parameters[2].default"},
+		{"default of a required parameter", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Required = true }), "parameters[2].default"},
+		{"default address", webTemplateWith(func(s *TemplateSpec) {
 			s.Parameters[0].Required, s.Parameters[0].Default = false, json.RawMessage(`"192.0.2.1:1"`)
 		}), "parameters[0].default"},
-		{"default not allowed", editTemplate(func(s *TemplateSpec) { s.Parameters[4].Default = json.RawMessage(`"v3"`) }), "parameters[4].default"},
-		{"allowed values of an integer", editTemplate(func(s *TemplateSpec) { s.Parameters[2].Allowed = []string{"1"} }), "parameters[2].allowed"},
-		{"limit", editTemplate(func(s *TemplateSpec) { s.Limits.MaximumQueue = -1 }), "limits.maximum_queue"},
-		{"class", editTemplate(func(s *TemplateSpec) { s.Classes[0].Class = "bulk" }), "classes[0].class"},
-		{"class weight", editTemplate(func(s *TemplateSpec) { s.Classes[0].Weight = 0 }), "classes[0].weight"},
-		{"class twice", editTemplate(func(s *TemplateSpec) { s.Classes = append(s.Classes, s.Classes[0]) }), "classes[1].class"},
-		{"rules of a udp service", editTemplate(func(s *TemplateSpec) { s.Protocol = ProtocolNameUDP }), "rules"},
-		{"rule class", editTemplate(func(s *TemplateSpec) { s.Rules[0].Class = "bulk" }), "rules[0].class"},
-		{"claimed feed", editTemplate(func(s *TemplateSpec) { s.Rules[1].AtMostOnce = true }), "rules[1].at_most_once"},
-		{"rule path", editTemplate(func(s *TemplateSpec) { s.Rules[1].PathPrefix = "feed" }), "rules[1].path_prefix"},
-		{"rule placeholder", editTemplate(func(s *TemplateSpec) { s.Rules[1].PathPrefix = "/{slots}" }), "rules[1].path_prefix"},
-		{"rule method", editTemplate(func(s *TemplateSpec) { s.Rules[1].Method = "get" }), "rules[1].method"},
-		{"rule condition", editTemplate(func(s *TemplateSpec) { s.Rules[0].OnlyIf = "slots" }), "rules[0].only_if"},
+		{"default not allowed", webTemplateWith(func(s *TemplateSpec) { s.Parameters[4].Default = json.RawMessage(`"v3"`) }), "parameters[4].default"},
+		{"allowed values of an integer", webTemplateWith(func(s *TemplateSpec) { s.Parameters[2].Allowed = []string{"1"} }), "parameters[2].allowed"},
+		{"limit", webTemplateWith(func(s *TemplateSpec) { s.Limits.MaximumQueue = -1 }), "limits.maximum_queue"},
+		{"class", webTemplateWith(func(s *TemplateSpec) { s.Classes[0].Class = "bulk" }), "classes[0].class"},
+		{"class weight", webTemplateWith(func(s *TemplateSpec) { s.Classes[0].Weight = 0 }), "classes[0].weight"},
+		{"class twice", webTemplateWith(func(s *TemplateSpec) { s.Classes = append(s.Classes, s.Classes[0]) }), "classes[1].class"},
+		{"rules of a udp service", webTemplateWith(func(s *TemplateSpec) { s.Protocol = ProtocolNameUDP }), "rules"},
+		{"rule class", webTemplateWith(func(s *TemplateSpec) { s.Rules[0].Class = "bulk" }), "rules[0].class"},
+		{"claimed feed", webTemplateWith(func(s *TemplateSpec) { s.Rules[1].AtMostOnce = true }), "rules[1].at_most_once"},
+		{"rule path", webTemplateWith(func(s *TemplateSpec) { s.Rules[1].PathPrefix = "feed" }), "rules[1].path_prefix"},
+		{"rule placeholder", webTemplateWith(func(s *TemplateSpec) { s.Rules[1].PathPrefix = "/{slots}" }), "rules[1].path_prefix"},
+		{"rule method", webTemplateWith(func(s *TemplateSpec) { s.Rules[1].Method = "get" }), "rules[1].method"},
+		{"rule condition", webTemplateWith(func(s *TemplateSpec) { s.Rules[0].OnlyIf = "slots" }), "rules[0].only_if"},
 	}
 	require.Empty(t, CheckTemplate(webTemplate()))
 	for _, test := range cases {
@@ -74,8 +75,10 @@
 	}
 }
 
-func withParameter(name string, value string) PutService {
-	command := service("riga", "depot", 0, "192.0.2.9:443", "depot-1")
+// putDepotWith returns a creation of the service "depot" of riga with one parameter
+// changed or added.
+func putDepotWith(name string, value string) PutService {
+	command := putService("riga", "depot", 0, "192.0.2.9:443", "depot-1")
 	for index := range command.Parameters {
 		if command.Parameters[index].Name == name {
 			command.Parameters[index].Value = json.RawMessage(value)
@@ -86,10 +89,10 @@
 	return command
 }
 
-func TestServiceRefusals(t *testing.T) {
-	good := service("riga", "depot", 0, "192.0.2.9:443", "depot-1")
+func TestInvalidServicesAreRefused(t *testing.T) {
+	good := putService("riga", "depot", 0, "192.0.2.9:443", "depot-1")
 	edit := func(change func(*PutService)) PutService {
-		command := service("riga", "depot", 0, "192.0.2.9:443", "depot-1")
+		command := putService("riga", "depot", 0, "192.0.2.9:443", "depot-1")
 		change(&command)
 		return command
 	}
@@ -105,94 +108,94 @@
 		{"must not exist", edit(func(c *PutService) { c.Name = "tipline" }), faults.CodeRevisionMismatch, ""},
 		{"must exist", edit(func(c *PutService) { c.Base = 3 }), faults.CodeRevisionMismatch, ""},
 		{"name", edit(func(c *PutService) { c.Name = "Depot" }), faults.CodeInvalidField, "name"},
-		{"undeclared parameter", withParameter("colour", `1`), faults.CodeInvalidField, "parameters.colour"},
+		{"undeclared parameter", putDepotWith("colour", `1`), faults.CodeInvalidField, "parameters.colour"},
 		{"missing parameter", edit(func(c *PutService) { c.Parameters = c.Parameters[:1] }), faults.CodeInvalidField, "parameters.targets"},
 		{"parameter twice", edit(func(c *PutService) { c.Parameters = append(c.Parameters, c.Parameters[0]) }), faults.CodeInvalidField, "parameters.address"},
-		{"integer", withParameter("slots", `"two"`), faults.CodeInvalidField, "parameters.slots"},
-		{"fraction", withParameter("slots", `2.5`), faults.CodeInvalidField, "parameters.slots"},
-		{"null", withParameter("slots", `null`), faults.CodeInvalidField, "parameters.slots"},
-		{"below the minimum", withParameter("slots", `0`), faults.CodeInvalidField, "parameters.slots"},
-		{"above the maximum", withParameter("slots", `17`), faults.CodeInvalidField, "parameters.slots"},
-		{"duration", withParameter("timeout", `5`), faults.CodeInvalidField, "parameters.timeout"},
-		{"short duration", withParameter("timeout", `"1ms"`), faults.CodeInvalidField, "parameters.timeout"},
-		{"text that is not allowed", withParameter("prefix", `"v9"`), faults.CodeInvalidField, "parameters.prefix"},
-		{"boolean", withParameter("payouts", `"yes"`), faults.CodeInvalidField, "parameters.payouts"},
-		{"address", withParameter("address", `"example"`), faults.CodeInvalidField, "parameters.address"},
-		{"address without port", withParameter("address", `"192.0.2.9:0"`), faults.CodeInvalidField, "parameters.address"},
-		{"unspecified address", withParameter("address", `"0.0.0.0:443"`), faults.CodeInvalidField, "parameters.address"},
-		{"multicast address", withParameter("address", `"224.0.0.1:443"`), faults.CodeInvalidField, "parameters.address"},
-		{"target field", withParameter("targets", `[{"nam":"x"}]`), faults.CodeInvalidField, "parameters.targets"},
-		{"target without address", withParameter("targets", `[{"name":"x","zone":"z","backend":"127.0.0.1:1"}]`), faults.CodeInvalidField, "parameters.targets[0].agent"},
-		{"target twice", withParameter("targets", string(jsonOf(targetParameters([]string{"x", "x"})))), faults.CodeInvalidField, "parameters.targets[1].name"},
-		{"target name of another service", withParameter("targets", string(jsonOf(targetParameters([]string{"tip-1"})))), faults.CodeConflict, ""},
-		{"address in use", withParameter("address", `"192.0.2.1:443"`), faults.CodeConflict, ""},
-		{"address in use in its mapped form", withParameter("address", `"[::ffff:192.0.2.1]:443"`), faults.CodeConflict, ""},
+		{"integer", putDepotWith("slots", `"two"`), faults.CodeInvalidField, "parameters.slots"},
+		{"fraction", putDepotWith("slots", `2.5`), faults.CodeInvalidField, "parameters.slots"},
+		{"null", putDepotWith("slots", `null`), faults.CodeInvalidField, "parameters.slots"},
+		{"below the minimum", putDepotWith("slots", `0`), faults.CodeInvalidField, "parameters.slots"},
+		{"above the maximum", putDepotWith("slots", `17`), faults.CodeInvalidField, "parameters.slots"},
+		{"duration", putDepotWith("timeout", `5`), faults.CodeInvalidField, "parameters.timeout"},
+		{"short duration", putDepotWith("timeout", `"1ms"`), faults.CodeInvalidField, "parameters.timeout"},
+		{"string that is not allowed", putDepotWith("prefix", `"v9"`), faults.CodeInvalidField, "parameters.prefix"},
+		{"boolean", putDepotWith("payouts", `"yes"`), faults.CodeInvalidField, "parameters.payouts"},
+		{"address", putDepotWith("address", `"example"`), faults.CodeInvalidField, "parameters.address"},
+		{"address without port", putDepotWith("address", `"192.0.2.9:0"`), faults.CodeInvalidField, "parameters.address"},
+		{"unspecified address", putDepotWith("address", `"0.0.0.0:443"`), faults.CodeInvalidField, "parameters.address"},
+		{"multicast address", putDepotWith("address", `"224.0.0.1:443"`), faults.CodeInvalidField, "parameters.address"},
+		{"target field", putDepotWith("targets", `[{"nam":"x"}]`), faults.CodeInvalidField, "parameters.targets"},
+		{"target without address", putDepotWith("targets", `[{"name":"x","zone":"z","backend":"127.0.0.1:1"}]`), faults.CodeInvalidField, "parameters.targets[0].agent"},
+		{"target twice", putDepotWith("targets", string(jsonOf(targetParameters([]string{"x", "x"})))), faults.CodeInvalidField, "parameters.targets[1].name"},
+		{"target name of another service", putDepotWith("targets", string(jsonOf(targetParameters([]string{"tip-1"})))), faults.CodeConflict, ""},
+		{"address in use", putDepotWith("address", `"192.0.2.1:443"`), faults.CodeConflict, ""},
+		{"address in use, as IPv4-mapped IPv6", putDepotWith("address", `"[::ffff:192.0.2.1]:443"`), faults.CodeConflict, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			member := seeded(t)
+			member := memberWithTipline(t)
 			before := member.machine.View()
 			result := member.run(test.command)
 			require.Equal(t, test.code, result.Code, "%v", result.Err())
 			if test.field != "" {
 				require.Equal(t, test.field, result.Fields[0].Field, "%v", result.Fields)
 			}
-			require.Same(t, before, member.machine.View(), "a refused command changes nothing")
+			require.Same(t, before, member.machine.View(), "a refused command leaves the view unchanged")
 		})
 	}
-	member := seeded(t)
+	member := memberWithTipline(t)
 	require.True(t, member.machine.View().CheckService(good).Applied())
 	member.must(good)
 }
 
 func TestAgentAddressBelongsToOneTarget(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	stolen := targetParameters([]string{"resa-1"})
 	stolen[0].Agent = member.target("tip-1").Agent
-	command := service("teranga", "resa", 0, "192.0.2.9:443")
+	command := putService("teranga", "resa", 0, "192.0.2.9:443")
 	command.Parameters[1].Value = jsonOf(stolen)
 	require.Equal(t, faults.CodeConflict, member.run(command).Code)
 
 	swapped := targetParameters([]string{"tip-1", "tip-2", "tip-3"})
 	swapped[0].Agent, swapped[1].Agent = swapped[1].Agent, swapped[0].Agent
-	command = tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443")
+	command = putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443")
 	command.Parameters[1].Value = jsonOf(swapped)
 	member.must(command)
 	require.Equal(t, swapped[0].Agent, member.target("tip-1").Agent, "two targets of a service may swap addresses")
 }
 
 func TestServiceKeepsAddressAndProtocol(t *testing.T) {
-	member := seeded(t)
-	moved := member.run(tipline(member.service(tiplineKey()).Revision, "192.0.2.8:443", "tip-1"))
+	member := memberWithTipline(t)
+	moved := member.run(putTipline(member.service(tiplineKey()).Revision, "192.0.2.8:443", "tip-1"))
 	require.Equal(t, faults.CodeConflict, moved.Code)
 
 	udp := webTemplate()
 	udp.Protocol, udp.Rules, udp.Classes = ProtocolNameUDP, nil, nil
 	member.must(PutTemplate{Change: Change{Base: 1}, Name: "web", Spec: udp})
-	other := member.run(tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
+	other := member.run(putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1"))
 	require.Equal(t, faults.CodeConflict, other.Code)
-	shared := member.run(service("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
+	shared := member.run(putService("teranga", "resa", 0, "192.0.2.1:443", "resa-1"))
 	require.Equal(t, faults.CodeConflict, shared.Code, "UDP and QUIC share ports")
 }
 
-func TestQuotas(t *testing.T) {
-	member := seeded(t)
+func TestTenantQuotas(t *testing.T) {
+	member := memberWithTipline(t)
 	member.must(PutTenant{Change: Change{Base: 2}, Name: "riga", Spec: TenantSpec{MaximumServices: 2, MaximumTargets: 4}})
-	require.Equal(t, faults.CodeQuotaExceeded, member.run(service("riga", "depot", 0, "192.0.2.9:443", "depot-1", "depot-2")).Code)
-	member.must(service("riga", "depot", 0, "192.0.2.9:443", "depot-1"))
-	require.Equal(t, faults.CodeQuotaExceeded, member.run(service("riga", "more", 0, "192.0.2.10:443")).Code)
-	member.must(service("teranga", "resa", 0, "192.0.2.11:443", "resa-1"))
+	require.Equal(t, faults.CodeQuotaExceeded, member.run(putService("riga", "depot", 0, "192.0.2.9:443", "depot-1", "depot-2")).Code)
+	member.must(putService("riga", "depot", 0, "192.0.2.9:443", "depot-1"))
+	require.Equal(t, faults.CodeQuotaExceeded, member.run(putService("riga", "more", 0, "192.0.2.10:443")).Code)
+	member.must(putService("teranga", "resa", 0, "192.0.2.11:443", "resa-1"))
 }
 
-func TestTenantAddresses(t *testing.T) {
-	member := seeded(t)
+func TestServiceAddressMustBeInTenantNetworks(t *testing.T) {
+	member := memberWithTipline(t)
 	member.must(PutTenant{Change: Change{Base: 3}, Name: "teranga", Spec: TenantSpec{Addresses: []netip.Prefix{netip.MustParsePrefix("198.51.100.0/24")}}})
-	refused := member.run(service("teranga", "resa", 0, "192.0.2.9:443", "resa-1"))
+	refused := member.run(putService("teranga", "resa", 0, "192.0.2.9:443", "resa-1"))
 	require.Equal(t, faults.CodeInvalidField, refused.Code)
-	member.must(service("teranga", "resa", 0, "198.51.100.9:443", "resa-1"))
+	member.must(putService("teranga", "resa", 0, "198.51.100.9:443", "resa-1"))
 }
 
-func TestTenantChecks(t *testing.T) {
+func TestTenantAndDeletionRefusals(t *testing.T) {
 	for name, test := range map[string]struct {
 		command Command
 		code    faults.Code
@@ -214,13 +217,13 @@
 		"delete stale service":  {DeleteService{Change: Change{Base: 1}, Tenant: "riga", Name: "tipline"}, faults.CodeRevisionMismatch},
 	} {
 		t.Run(name, func(t *testing.T) {
-			require.Equal(t, test.code, seeded(t).run(test.command).Code)
+			require.Equal(t, test.code, memberWithTipline(t).run(test.command).Code)
 		})
 	}
 }
 
-func TestUnusedTemplateVersionsLeaveFirst(t *testing.T) {
-	member := seeded(t)
+func TestOldestUnusedTemplateVersionIsRemovedFirst(t *testing.T) {
+	member := memberWithTipline(t)
 	for range MaximumTemplateVersions {
 		template, _ := member.machine.View().Template("web")
 		member.must(PutTemplate{Change: Change{Base: template.Revision}, Name: "web", Spec: webTemplate()})
@@ -234,33 +237,33 @@
 	require.EqualValues(t, MaximumTemplateVersions+1, template.Latest().Version)
 }
 
-func TestUnknownCommandIsRefusedByAll(t *testing.T) {
+func TestUnreadableCommandIsRefused(t *testing.T) {
 	member := newMember(t)
 	result, err := DecodeResult(member.machine.Apply(1, testStart, []byte("junk")))
 	require.NoError(t, err)
 	require.Equal(t, faults.CodeUnknownCommand, result.Code)
-	require.Nil(t, member.machine.Apply(2, testStart, nil), "an empty command only moves the time")
-	again, err := DecodeResult(member.machine.Apply(2, testStart, []byte("junk")))
+	require.Nil(t, member.machine.Apply(2, testStart, nil), "an empty command only advances the time")
+	repeated, err := DecodeResult(member.machine.Apply(2, testStart, []byte("junk")))
 	require.NoError(t, err)
-	require.Equal(t, faults.CodeInternalFault, again.Code, "no index is applied twice")
+	require.Equal(t, faults.CodeInternalFault, repeated.Code, "an index is not applied twice")
 }
 
-func TestRefusalsStaySmall(t *testing.T) {
-	member := seeded(t)
+func TestRefusalSizeIsBounded(t *testing.T) {
+	member := memberWithTipline(t)
 	var parameters []Parameter
 	for index := range 500 {
 		parameters = append(parameters, Parameter{Name: strings.Repeat("x", 5000) + fmt.Sprint(index), Value: json.RawMessage(`1`)})
 	}
-	command := tipline(0, "192.0.2.9:443", "x")
+	command := putTipline(0, "192.0.2.9:443", "x")
 	command.Name, command.Parameters = "other", parameters
 	result := member.run(command)
 	require.Equal(t, faults.CodeInvalidField, result.Code)
 	require.Less(t, len(encodeResult(result)), 64<<10)
 }
 
-func TestResentCommands(t *testing.T) {
-	member := seeded(t)
-	put := tipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-2")
+func TestResentCommandGetsItsFirstAnswer(t *testing.T) {
+	member := memberWithTipline(t)
+	put := putTipline(member.service(tiplineKey()).Revision, "192.0.2.1:443", "tip-1", "tip-2")
 	put.Change.Key, put.Change.Fingerprint = "k", 7
 	first := member.must(put)
 
@@ -275,14 +278,14 @@
 
 	scoped := put
 	scoped.Change.Scope = "tenant/riga"
-	require.Equal(t, faults.CodeRevisionMismatch, member.run(scoped).Code, "another scope is another request")
+	require.Equal(t, faults.CodeRevisionMismatch, member.run(scoped).Code, "the same key in another scope is another request")
 
 	member.now = member.now.Add(AnswerRetention)
-	require.Equal(t, faults.CodeRevisionMismatch, member.run(put).Code, "after the retention the base revision still refuses it")
+	require.Equal(t, faults.CodeRevisionMismatch, member.run(put).Code, "after the retention, the command is refused because of its base revision")
 }
 
 func TestLogTimeNeverGoesBack(t *testing.T) {
-	member := seeded(t)
+	member := memberWithTipline(t)
 	put := PutTenant{Change: Change{Key: "k", Fingerprint: 1}, Name: "late"}
 	member.must(put)
 	member.now = member.now.Add(-48 * time.Hour)
@@ -300,7 +303,7 @@
 	}
 	require.Len(t, answers.rows, MaximumAnswers)
 	_, found := answers.find(Change{Key: "9"})
-	require.False(t, found, "the oldest leaves first")
+	require.False(t, found, "the oldest answer is removed first")
 	_, found = answers.find(Change{Key: "10"})
 	require.True(t, found)
 }
