--- a/internal/direct/requests/continuity.go
+++ b/internal/direct/requests/continuity.go
@@ -22,7 +22,8 @@
 }
 
 // checkSequence records a packet of an open flow in the sample. checked reports whether the packet
-// could be compared with earlier ones, and contiguous whether it then leaves no gap after them.
+// has data that could be compared with earlier packets, and contiguous whether there is no gap
+// between them.
 func (shard *shard) checkSequence(key flowKey, segment steer.Segment, now time.Time) (contiguous, checked bool) {
 	known, sampled := shard.samples[key]
 	if segment.Closing || segment.Abort {
--- a/internal/direct/requests/waiting_test.go
+++ b/internal/direct/requests/waiting_test.go
@@ -38,7 +38,7 @@
 	require.Equal(t, 0, listener.open[7])
 	require.Equal(t, 1, listener.waiting[7])
 	watcher.Dequeued(openingSegment(1), start.Add(110*time.Millisecond))
-	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not carry the request")
+	require.Equal(t, 1, listener.waiting[7], "a late copy of the opening packet does not contain the request")
 	watcher.Dequeued(request, start.Add(200*time.Millisecond))
 	require.Equal(t, 1, listener.open[7])
 	watcher.PacketForwarded(acknowledgement(1, 100, 50).segment, targetOf(7), start.Add(240*time.Millisecond))
@@ -97,17 +97,17 @@
 	watcher.Queued(openingSegment(1), again)
 	require.Equal(t, 1, listener.open[7])
 
-	asked := start.Add(300 * time.Millisecond)
-	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), asked)
+	requestedAt := start.Add(300 * time.Millisecond)
+	watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), requestedAt)
 	for _, later := range []time.Duration{200 * time.Millisecond, 600 * time.Millisecond} {
-		again = asked.Add(later)
+		again = requestedAt.Add(later)
 		watcher.PacketForwarded(requestPacket(1, 1, 1).segment, targetOf(7), again)
 		watcher.Queued(requestPacket(1, 1, 1).segment, again)
 		require.Equal(t, 1, listener.open[7])
 		require.Zero(t, listener.waiting[7])
 		watcher.Dequeued(requestPacket(1, 1, 1).segment, again.Add(50*time.Millisecond))
 	}
-	watcher.Reconcile(asked.Add(AnswerTimeout))
+	watcher.Reconcile(requestedAt.Add(AnswerTimeout))
 	require.Equal(t, 1, listener.unanswered[7])
 	require.Zero(t, listener.open[7])
 }
--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -1,10 +1,10 @@
 // Package requests tracks the requests on a balancer's flows. It derives them from the packets of
 // the callers, because the packets of the targets bypass the balancer.
 //
-// A request begins when an opening packet is forwarded to a target, because a request follows soon,
-// or with the first data of an open flow. It is answered when the caller acknowledges data that the
-// target sent after the request. It is unanswered when the caller ends the flow before that or
-// receives no answer within a timeout.
+// A request begins when an opening packet is forwarded to a target, because the request's data
+// follows soon, or with the first data of an open flow. It is answered when the caller acknowledges
+// data that the target sent after the request. It is unanswered when the caller ends the flow before
+// that or receives no answer within a timeout.
 //
 // Watcher is safe for concurrent use: flows are kept in shards, each under its own lock. Listeners
 // are notified of each request's beginning and of exactly one ending for it. In between they are
@@ -26,7 +26,7 @@
 	shardCount = 16
 	// maxWatchedFlows bounds the flows with an open request that are tracked at a time. Requests
 	// of further flows are not tracked.
-	maxWatchedFlows = 2048
+	maxTrackedFlows = 2048
 	// AnswerTimeout is how long a request may stay open before it counts as unanswered. It is far
 	// above the time of a request at a busy target.
 	AnswerTimeout = time.Second
@@ -58,7 +58,9 @@
 const (
 	// Answered: the caller acknowledged data of the target.
 	Answered Ending = iota
-	// Unanswered: the caller gave up, or acknowledged no answer within AnswerTimeout.
+	// Unanswered: the caller ended the flow without an answer, or the request timed out: after
+	// AnswerTimeout, or after receiveIdleTimeout or receiveStallTimeout while more data of a long
+	// request is expected.
 	Unanswered
 	// Withdrawn: the request was forwarded to another target, the flow did not open or moved to
 	// another balancer, or the request never left this balancer. It says nothing about the target.
@@ -81,7 +83,7 @@
 	// balancer's link, so that the target has not received it, or that this no longer holds. It
 	// is not called while more data of the request is expected.
 	Waiting(target Target, waiting bool)
-	// SequenceChecked reports whether a data packet of a known flow was contiguous with the
+	// SequenceChecked reports whether a data packet of a sampled flow was contiguous with the
 	// earlier ones. If it was not, data in between may have passed through another balancer.
 	SequenceChecked(contiguous bool)
 }
@@ -184,7 +186,7 @@
 		return
 	case known:
 		watcher.end(shard, key, open, Withdrawn, now)
-	case len(shard.requests) >= maxWatchedFlows/shardCount:
+	case len(shard.requests) >= maxTrackedFlows/shardCount:
 		return
 	}
 	watcher.begin(shard, key, request{target: target, previousTarget: open.target.Token, progressAt: now}, now)
@@ -254,7 +256,7 @@
 	if remembered := shard.rememberFlow(key); !known {
 		watcher.moves.record(!remembered, now)
 	}
-	if !known && len(shard.requests) >= maxWatchedFlows/shardCount {
+	if !known && len(shard.requests) >= maxTrackedFlows/shardCount {
 		return
 	}
 	updated := request{
--- a/internal/direct/requests/watcher_test.go
+++ b/internal/direct/requests/watcher_test.go
@@ -368,12 +368,12 @@
 func TestTrackedFlowsAreBounded(t *testing.T) {
 	recorder := newListenerRecorder()
 	watcher := NewWatcher(recorder)
-	for port := range uint16(maxWatchedFlows + 500) {
+	for port := range uint16(maxTrackedFlows + 500) {
 		step := requestPacket(port+1, 1, 1)
 		watcher.PacketForwarded(step.segment, step.target, start)
 		watcher.OpeningForwarded(openingSegment(port+1), targetOf(8), start)
 	}
-	require.Equal(t, maxWatchedFlows, recorder.open[7]+recorder.open[8])
+	require.Equal(t, maxTrackedFlows, recorder.open[7]+recorder.open[8])
 	for index := range watcher.shards {
 		require.LessOrEqual(t, len(watcher.shards[index].samples), maxSampledFlows)
 	}
@@ -381,12 +381,12 @@
 	require.Zero(t, recorder.open[7]+recorder.open[8])
 }
 
-func BenchmarkNote(b *testing.B) {
+func BenchmarkPacketForwarded(b *testing.B) {
 	watcher := NewWatcher()
-	ask, answer := requestPacket(1, 1, 1), acknowledgement(1, 100, 50)
+	data, answer := requestPacket(1, 1, 1), acknowledgement(1, 100, 50)
 	b.ReportAllocs()
 	for b.Loop() {
-		watcher.PacketForwarded(ask.segment, ask.target, start)
+		watcher.PacketForwarded(data.segment, data.target, start)
 		watcher.PacketForwarded(answer.segment, answer.target, start)
 	}
 }
