--- a/internal/direct/egress/egress.go
+++ b/internal/direct/egress/egress.go
@@ -65,7 +65,7 @@
 }
 
 // ObserveWaits sets a function that is called with the time that each queued datagram waited for the
-// link. It must be set before the first Send, and must return at once.
+// link. It must be called before the first Send; observe must return at once.
 func (egress *Egress) ObserveWaits(observe func(waited time.Duration)) { egress.observeWait = observe }
 
 // QueueObserver is notified of tracked datagrams that are not written at once. Its methods must
@@ -87,7 +87,7 @@
 // Dequeued implements QueueObserver.
 func (noQueueObserver) Dequeued(*Datagram, time.Time) {}
 
-// ObserveQueue sets the observer of tracked datagrams. It must be set before the first Send.
+// ObserveQueue sets the observer of tracked datagrams. It must be called before the first Send.
 func (egress *Egress) ObserveQueue(observer QueueObserver) { egress.queueObserver = observer }
 
 // Counts returns the counts of datagrams since the start.
--- a/internal/direct/egress/egress_test.go
+++ b/internal/direct/egress/egress_test.go
@@ -23,7 +23,7 @@
 	target = netip.MustParseAddrPort("10.0.0.1:8080")
 )
 
-// largest is the content of a full packet, in bytes.
+// fullPacketBytes is the size of the content of a full packet.
 const fullPacketBytes = 1240
 
 func flowOf(port int) Flow {
@@ -33,7 +33,8 @@
 	}
 }
 
-// data returns a datagram of the flow from a caller's port, with a sequence number and data of a size.
+// data returns a datagram of the flow from the caller's port, with number as its sequence number and size
+// bytes of data.
 func data(port int, number uint32, size int) Datagram {
 	content := make([]byte, size)
 	content[0] = byte(number)
@@ -43,18 +44,19 @@
 // link simulates the machine's link: it drops datagrams when its queue is full.
 type link struct {
 	bytesPerSecond float64
-	queue          time.Duration
-	now            time.Time
-	idleAt         time.Time
-	transmitted    []int
-	lost           int
+	// maxQueueDelay is the transmission time of what the link's queue holds when it is full.
+	maxQueueDelay time.Duration
+	now           time.Time
+	idleAt        time.Time
+	transmitted   []int
+	lost          int
 }
 
 func (link *link) write(content []byte, _ netip.AddrPort) {
 	if link.idleAt.Before(link.now) {
 		link.idleAt = link.now
 	}
-	if link.idleAt.Sub(link.now) > link.queue {
+	if link.idleAt.Sub(link.now) > link.maxQueueDelay {
 		link.lost++
 		return
 	}
@@ -84,7 +86,7 @@
 // own queue can hold a few.
 func TestBurstIsNotLostOnANarrowLink(t *testing.T) {
 	for _, paced := range []bool{false, true} {
-		link := &link{bytesPerSecond: narrowRate, queue: 10 * time.Millisecond, now: start}
+		link := &link{bytesPerSecond: narrowRate, maxQueueDelay: 10 * time.Millisecond, now: start}
 		rate := 0.0
 		if paced {
 			rate = narrowRate
@@ -246,7 +248,7 @@
 }
 
 func TestRetransmittedDataIsSentOnce(t *testing.T) {
-	link := &link{bytesPerSecond: narrowRate, queue: time.Second, now: start}
+	link := &link{bytesPerSecond: narrowRate, maxQueueDelay: time.Second, now: start}
 	egress := New(linkOf(narrowRate), link.write)
 	for number := range uint32(16) {
 		egress.Send(data(1, number, fullPacketBytes), link.now)
@@ -282,7 +284,7 @@
 }
 
 func TestNothingIsQueuedWithoutARateLimit(t *testing.T) {
-	link := &link{bytesPerSecond: narrowRate, queue: time.Hour, now: start}
+	link := &link{bytesPerSecond: narrowRate, maxQueueDelay: time.Hour, now: start}
 	egress := New(linkOf(0), link.write)
 	for number := range uint32(100) {
 		egress.Send(data(1, number, fullPacketBytes), start)
--- a/internal/direct/egress/follow_test.go
+++ b/internal/direct/egress/follow_test.go
@@ -37,7 +37,7 @@
 // queued, so the observer must be notified when a tracked datagram is queued and when it is sent, also
 // when a retransmission superseded it. Datagrams that are written at once are not reported.
 func TestTrackedDatagramsAreReported(t *testing.T) {
-	link := &link{bytesPerSecond: narrowRate, queue: time.Second, now: start}
+	link := &link{bytesPerSecond: narrowRate, maxQueueDelay: time.Second, now: start}
 	egress, recorder := New(linkOf(narrowRate), link.write), &queueRecorder{}
 	egress.ObserveQueue(recorder)
 	for number := range uint32(2) {
--- a/internal/direct/egress/queue.go
+++ b/internal/direct/egress/queue.go
@@ -55,9 +55,9 @@
 	// quantum is the number of bytes that a flow may send in one round: one datagram of the largest
 	// usual size.
 	quantum = 1300
-	// longFlowBytes is the number of queued bytes from which on a flow counts as long: eight full
-	// datagrams. Requests without a body are far below it; an upload exceeds it within its first
-	// window.
+	// longFlowBytes is the number of bytes after which a flow counts as long, summed over all that
+	// it has put into the queue: eight full datagrams. Requests without a body are far below it; an
+	// upload exceeds it within its first window.
 	longFlowBytes = 8 * quantum
 	// activeLongFlows is the number of long flows, the oldest first, that take turns on the
 	// capacity that short flows leave. One alone saturates the link; beside two or more others its
@@ -76,7 +76,8 @@
 	// credit is the number of bytes that the flow may still send in this round; it becomes negative
 	// when the last datagram exceeds it.
 	credit int
-	// enqueuedBytes is the number of bytes that the flow has put into the queue so far.
+	// enqueuedBytes is the number of bytes that the flow has put into the queue so far, including
+	// those that were dequeued since.
 	enqueuedBytes int
 	// isLong is true once the flow is in the list of long flows. emptiedAt is since when it has had
 	// nothing queued there.
--- a/internal/direct/egress/shaping_test.go
+++ b/internal/direct/egress/shaping_test.go
@@ -35,18 +35,21 @@
 	sentAt   time.Time
 }
 
-// unacknowledged is the retransmission timer of a sent packet.
-type unacknowledged struct {
+// retransmissionTimer is the timer of a packet that was sent and not acknowledged yet.
+type retransmissionTimer struct {
 	retransmitAt time.Time
-	wait         time.Duration
+	// wait is the current retransmission timeout.
+	wait time.Duration
 }
 
 // sender is a caller with a long upload: it keeps a window of packets in flight and retransmits those
 // that are not acknowledged in time.
 type sender struct {
-	port           int
-	lastNumber     uint32
-	unacknowledged map[uint32]unacknowledged
+	port int
+	// lastNumber is the number of the newest packet that was sent.
+	lastNumber uint32
+	// unacknowledged holds the timers of the packets in flight by number.
+	unacknowledged map[uint32]retransmissionTimer
 }
 
 // narrowPath is a balancer with a first-in, first-out link towards it and a link of the same rate from it.
@@ -66,11 +69,13 @@
 	shortDelays      []time.Duration
 }
 
+// newNarrowPath returns a path with the given number of uploads, whose balancer sends at the given share of
+// its link's rate.
 func newNarrowPath(share float64, uploads int) *narrowPath {
 	path := &narrowPath{now: start, acknowledgements: make(map[time.Time][]Datagram), shortSentAt: make(map[uint32]time.Time)}
 	path.egress = New(linkOf(share*narrowRate), path.receiveForwarded)
 	for port := 1; port <= uploads; port++ {
-		path.senders = append(path.senders, &sender{port: port, unacknowledged: make(map[uint32]unacknowledged)})
+		path.senders = append(path.senders, &sender{port: port, unacknowledged: make(map[uint32]retransmissionTimer)})
 	}
 	return path
 }
@@ -134,23 +139,24 @@
 func (sender *sender) send(path *narrowPath) {
 	for len(sender.unacknowledged) < senderWindow {
 		sender.lastNumber++
-		sender.unacknowledged[sender.lastNumber] = unacknowledged{retransmitAt: path.now.Add(retransmissionTimeout), wait: retransmissionTimeout}
+		sender.unacknowledged[sender.lastNumber] = retransmissionTimer{retransmitAt: path.now.Add(retransmissionTimeout), wait: retransmissionTimeout}
 		path.enqueueInbound(packetDatagram(sender.port, sender.lastNumber, fullPacketBytes))
 	}
 	for _, number := range slices.Sorted(maps.Keys(sender.unacknowledged)) {
-		packet := sender.unacknowledged[number]
-		if path.now.Before(packet.retransmitAt) {
+		timer := sender.unacknowledged[number]
+		if path.now.Before(timer.retransmitAt) {
 			continue
 		}
-		packet.wait = min(2*packet.wait, 8*retransmissionTimeout)
-		packet.retransmitAt = path.now.Add(packet.wait)
-		sender.unacknowledged[number] = packet
+		timer.wait = min(2*timer.wait, 8*retransmissionTimeout)
+		timer.retransmitAt = path.now.Add(timer.wait)
+		sender.unacknowledged[number] = timer
 		path.enqueueInbound(packetDatagram(sender.port, number, fullPacketBytes))
 	}
 }
 
 // shortDelayP90 returns the 90th percentile of the time that short packets take to pass a balancer which
-// also forwards uploads. It returns an hour when fewer than nine of ten short packets passed.
+// also forwards uploads and sends at the given share of its link's rate. It returns an hour when fewer
+// than nine of ten short packets passed.
 func shortDelayP90(share float64, uploads int) time.Duration {
 	path := newNarrowPath(share, uploads)
 	for number := range uint32(shortPackets) {
