--- a/internal/direct/forwarder/forwarder.go
+++ b/internal/direct/forwarder/forwarder.go
@@ -66,8 +66,7 @@
 	Dequeued(segment steer.Segment, now time.Time)
 }
 
-// Admission controls whether the balancer's link has room for a new flow. Its method must return at
-// once.
+// Admission refuses new flows that the balancer's link has no room for. Its method must return at once.
 type Admission interface {
 	// Review returns the given decision about a packet, or a refusal in its place.
 	Review(segment steer.Segment, decision steer.Decision, now time.Time) steer.Decision
@@ -111,7 +110,8 @@
 	if err != nil {
 		return nil, faults.New(faults.PacketSocket, "direct.packets: listen on %s: %v", options.Address, err)
 	}
-	// With smaller buffers than requested packets are lost earlier; nothing else depends on them.
+	// If the kernel grants less than was requested, packets of bursts are lost earlier; nothing else
+	// depends on the buffer sizes.
 	options.Failures.Note(socketfault.Buffer, socket.SetReadBuffer(socketBufferBytes))
 	options.Failures.Note(socketfault.Buffer, socket.SetWriteBuffer(socketBufferBytes))
 	forwarder := &Forwarder{socket: socket, codec: codec, table: table, suspects: suspects, requests: requests, admission: admission, observer: observer, parking: newParking(), tableChanges: table.Watch(), failures: options.Failures}
--- a/internal/direct/forwarder/forwarder_test.go
+++ b/internal/direct/forwarder/forwarder_test.go
@@ -89,13 +89,13 @@
 	return packetOf(kindReset, segment.Caller.Port(), segment.Service.Port(), 0), segment.Caller
 }
 
-// counter counts decisions and the notifications of a RequestWatcher.
+// counter counts decisions and notifications. It implements Observer and RequestWatcher.
 type counter struct {
-	lock      sync.Mutex
-	reasons   map[steer.Reason]int
-	malformed int
-	noted     int
-	placed    int
+	lock              sync.Mutex
+	reasons           map[steer.Reason]int
+	malformed         int
+	packetsForwarded  int
+	openingsForwarded int
 	// queued and dequeued count packets that entered and left the queue for the link.
 	queued, dequeued int
 }
@@ -107,35 +107,35 @@
 	counter.reasons[decision.Reason]++
 }
 
-// Placed implements Requests.
+// OpeningForwarded implements RequestWatcher.
 func (counter *counter) OpeningForwarded(steer.Segment, requests.Target, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
-	counter.placed++
+	counter.openingsForwarded++
 }
 
-// Tried implements Requests.
+// PreviousTargets implements RequestWatcher.
 func (counter *counter) PreviousTargets(steer.Segment) (targets [steer.TrackedAttempts]directory.Token, seen bool) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
-	return targets, counter.placed > 0
+	return targets, counter.openingsForwarded > 0
 }
 
-// Note implements Requests.
+// PacketForwarded implements RequestWatcher.
 func (counter *counter) PacketForwarded(steer.Segment, requests.Target, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
-	counter.noted++
+	counter.packetsForwarded++
 }
 
-// Waits implements Requests.
+// Queued implements RequestWatcher.
 func (counter *counter) Queued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
 	counter.queued++
 }
 
-// Left implements Requests.
+// Dequeued implements RequestWatcher.
 func (counter *counter) Dequeued(steer.Segment, time.Time) {
 	counter.lock.Lock()
 	defer counter.lock.Unlock()
@@ -169,12 +169,12 @@
 // fixture is a running forwarder with sockets of one caller and one target.
 type fixture struct {
 	t *testing.T
-	// start runs a function of the forwarder until the test ends.
+	// start runs a method of the forwarder in a goroutine until the test ends.
 	start     func(run func(ctx context.Context) error)
 	forwarder *Forwarder
 	table     *steer.Table
 	counter   *counter
-	link      *admission
+	admission *admission
 	caller    *net.UDPConn
 	target    *net.UDPConn
 }
@@ -208,12 +208,12 @@
 	t.Helper()
 	created := &fixture{
 		t: t, table: steer.NewTable(steer.DefaultOptions()), counter: &counter{reasons: make(map[steer.Reason]int)},
-		link: &admission{}, caller: socket(t), target: socket(t),
+		admission: &admission{}, caller: socket(t), target: socket(t),
 	}
 	mailbox := protocol.NewMailbox("balancer")
 	suspects := NewSuspects(created.table, probe.New(probe.DialTCP), mailbox, func() model.NodeName { return "" }, zap.NewNop())
 	var err error
-	created.forwarder, err = New(Options{Address: "127.0.0.1:0", Link: link, Failures: newFailures()}, codec{}, created.table, suspects, created.counter, created.link, created.counter)
+	created.forwarder, err = New(Options{Address: "127.0.0.1:0", Link: link, Failures: newFailures()}, codec{}, created.table, suspects, created.counter, created.admission, created.counter)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -284,7 +284,7 @@
 func TestFlowsAreRefusedWhileTheLinkIsFull(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.applyTable(1, directory.TargetReady)
-	fixture.link.full.Store(true)
+	fixture.admission.full.Store(true)
 	caller := portOf(fixture.caller)
 	fixture.send(packetOf(kindOpen, caller, servicePort, 0))
 	require.Equal(t, packetOf(kindReset, caller, servicePort, 0), fixture.receive(fixture.caller))
@@ -293,15 +293,15 @@
 	require.Equal(t, 2, fixture.counter.count(steer.ReasonLinkFull))
 	fixture.send(packetOf(kindData, caller, servicePort, 7))
 	require.Equal(t, byte(kindData), fixture.receive(fixture.target)[headroom])
-	fixture.link.full.Store(false)
+	fixture.admission.full.Store(false)
 	fixture.send(packetOf(kindOpen, caller, servicePort, 0))
 	require.Equal(t, byte(kindOpen), fixture.receive(fixture.target)[headroom])
-	fixture.link.full.Store(true)
+	fixture.admission.full.Store(true)
 	fixture.send(packetOf(kindCopy, caller, servicePort, 0))
 	require.Equal(t, byte(kindCopy), fixture.receive(fixture.target)[headroom])
 	fixture.counter.lock.Lock()
 	defer fixture.counter.lock.Unlock()
-	require.Equal(t, 2, fixture.counter.placed, "a refused flow is not forwarded to a target")
+	require.Equal(t, 2, fixture.counter.openingsForwarded, "a refused flow is not forwarded to a target")
 }
 
 func TestMalformedPacketsAreCounted(t *testing.T) {
--- a/internal/direct/forwarder/parking.go
+++ b/internal/direct/forwarder/parking.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// put stores a copy of the packet. It discards the packet when the parking is full.
+// put stores a copy of the packet. It discards the packet when maxParkedPackets are stored, unless the
+// packet replaces an earlier copy of the same opening packet.
 func (parking *parking) put(packet []byte, segment steer.Segment, now time.Time) {
 	parking.lock.Lock()
 	defer parking.lock.Unlock()
@@ -72,7 +73,7 @@
 	parking.packets = append(parking.packets, parked)
 }
 
-// take empties the parking and returns the packets that have not timed out.
+// take removes all packets and returns those that have not timed out.
 func (parking *parking) take(now time.Time) []parkedPacket {
 	parking.lock.Lock()
 	defer parking.lock.Unlock()
--- a/internal/direct/forwarder/suspects.go
+++ b/internal/direct/forwarder/suspects.go
@@ -19,35 +19,36 @@
 	maxQueuedSuspects = 256
 	// minProbeInterval is the least time between two probes of one target by this balancer.
 	minProbeInterval = 500 * time.Millisecond
-	// maxProbedTargets bounds the targets whose last probe time is kept. Beyond it all of them are
-	// discarded.
+	// maxProbedTargets bounds the targets whose last probe time is kept. When it is reached, all of
+	// these times are discarded.
 	maxProbedTargets = 4096
 )
 
 // Suspects is the controller that probes targets which did not answer an opening packet in time,
-// keeps new flows off those that have failed, and reports them to the followed member. An opening
-// packet without an answer is not sufficient evidence: an overloaded target does not answer either.
+// keeps new flows off those that have failed, and reports them to the node that this balancer follows:
+// a member or another balancer. An opening packet without an answer is not sufficient evidence: an
+// overloaded target does not answer either.
 type Suspects struct {
-	queue          *board.Queue[directory.Token]
-	table          *steer.Table
-	prober         *probe.Prober
-	mailbox        *protocol.Mailbox
-	followedMember func() model.NodeName
-	logger         *zap.Logger
-	probedAt       map[directory.Token]time.Time
+	queue        *board.Queue[directory.Token]
+	table        *steer.Table
+	prober       *probe.Prober
+	mailbox      *protocol.Mailbox
+	followedNode func() model.NodeName
+	logger       *zap.Logger
+	probedAt     map[directory.Token]time.Time
 }
 
-// NewSuspects returns the controller. followedMember returns the member that receives the reports, or
-// an empty name if there is none.
-func NewSuspects(table *steer.Table, prober *probe.Prober, mailbox *protocol.Mailbox, followedMember func() model.NodeName, logger *zap.Logger) *Suspects {
+// NewSuspects returns the controller. followedNode returns the node that receives the reports, or the
+// empty name if there is none.
+func NewSuspects(table *steer.Table, prober *probe.Prober, mailbox *protocol.Mailbox, followedNode func() model.NodeName, logger *zap.Logger) *Suspects {
 	return &Suspects{
-		queue:          board.NewQueue[directory.Token]("suspects", maxQueuedSuspects),
-		table:          table,
-		prober:         prober,
-		mailbox:        mailbox,
-		followedMember: followedMember,
-		logger:         logger,
-		probedAt:       make(map[directory.Token]time.Time),
+		queue:        board.NewQueue[directory.Token]("suspects", maxQueuedSuspects),
+		table:        table,
+		prober:       prober,
+		mailbox:      mailbox,
+		followedNode: followedNode,
+		logger:       logger,
+		probedAt:     make(map[directory.Token]time.Time),
 	}
 }
 
@@ -87,20 +88,20 @@
 }
 
 // handleResult logs the result of a probe. If the target did not answer the probe, it keeps new flows
-// off the target and reports it to the followed member.
+// off the target and reports it to the followed node.
 func (suspects *Suspects) handleResult(now time.Time, result probe.Result) {
 	token := directory.Token(result.Key)
 	target, known := suspects.table.Lookup(token)
 	if !known {
 		return
 	}
-	member := suspects.followedMember()
+	node := suspects.followedNode()
 	suspects.logger.Info("suspected target probed",
 		zap.Uint64("target", uint64(target.ID)),
 		zap.Uint32("token", uint32(token)),
 		zap.Stringer("state", target.State),
 		zap.Stringer("outcome", result.Outcome),
-		zap.String("reported_to", string(member)))
+		zap.String("reported_to", string(node)))
 	if result.Outcome == probe.Answered {
 		return
 	}
@@ -109,7 +110,7 @@
 	if result.Outcome == probe.Refused {
 		verdict = feed.VerdictRefused
 	}
-	if member != "" {
-		suspects.mailbox.Send(member, feed.HealthReport{Token: token, Verdict: verdict, Balancer: suspects.mailbox.Self})
+	if node != "" {
+		suspects.mailbox.Send(node, feed.HealthReport{Token: token, Verdict: verdict, Balancer: suspects.mailbox.Self})
 	}
 }
