--- a/internal/direct/feed/feed.go
+++ b/internal/direct/feed/feed.go
@@ -40,8 +40,8 @@
 	Changes directory.Changes
 	// Packed holds the changes in compressed form if there are many. Changes then has no entries.
 	Packed []byte
-	// Fresh means that the sender has a recent quorum confirmation: a member that leads or is in
-	// contact with its leader, or a balancer that follows such a member.
+	// Fresh means that the sender has a recent quorum confirmation: it is a member that leads or
+	// is in contact with its leader, or a balancer that such a confirmation reached.
 	Fresh bool
 	// Age is the time since the quorum was confirmed.
 	Age time.Duration
--- a/internal/direct/feed/feed_test.go
+++ b/internal/direct/feed/feed_test.go
@@ -140,18 +140,18 @@
 
 // TestOneNodeIsAskedAtATime guards against subscriptions at several nodes at once, when an answer
 // takes longer than searchInterval.
-func TestOneNodeIsAskedAtATime(t *testing.T) {
+func TestOneNodeIsTriedAtATime(t *testing.T) {
 	first, second := newMember("a"), newMember("b")
 	first.declare(t, 1)
 	second.declare(t, 1)
 	harness := newTestHarness(t, first, second)
 	subscriptions := 0
 	harness.drop = func(envelope protocol.Envelope) bool {
-		if _, isQuestion := envelope.Message.(Subscribe); isQuestion {
+		if _, isSubscription := envelope.Message.(Subscribe); isSubscription {
 			subscriptions++
 		}
-		_, isAnswer := envelope.Message.(Update)
-		return isAnswer && harness.now.Sub(start) < 120*time.Millisecond
+		_, isUpdate := envelope.Message.(Update)
+		return isUpdate && harness.now.Sub(start) < 120*time.Millisecond
 	}
 	harness.run(140 * time.Millisecond)
 	require.Equal(t, 1, subscriptions)
--- a/internal/direct/feed/pack_test.go
+++ b/internal/direct/feed/pack_test.go
@@ -149,7 +149,7 @@
 
 // BenchmarkWholeTable compares the time to encode a full table by gob with the time to pack it, and
 // the sizes of the results.
-func BenchmarkWholeTable(b *testing.B) {
+func BenchmarkFullTable(b *testing.B) {
 	changes := largeTable(870, 3000)
 	b.Run("gob", func(b *testing.B) {
 		size := 0
--- a/internal/direct/feed/subscriber.go
+++ b/internal/direct/feed/subscriber.go
@@ -24,11 +24,12 @@
 	maxConfirmationAge = 700 * time.Millisecond
 	// minAnswerTimeout is how long a connected node may take to answer before the next one is
 	// tried. The timeout doubles with each node that does not answer, up to maxAnswerTimeout. A
-	// full table takes a while on a slow link, and subscriptions at several nodes would bring one
-	// from each.
+	// full table takes a while on a slow link, and subscriptions at several nodes at once would
+	// bring a full table from each.
 	minAnswerTimeout = 150 * time.Millisecond
 	maxAnswerTimeout = 1200 * time.Millisecond
-	// memberRetryInterval is the time between attempts at two members while a balancer is followed.
+	// memberRetryInterval is the time between attempts at two members while another balancer is
+	// followed.
 	memberRetryInterval = time.Second
 	// maxDepth bounds the number of balancers on the path from a member to a balancer, including
 	// that balancer.
