--- a/internal/direct/balancernode/metrics.go
+++ b/internal/direct/balancernode/metrics.go
@@ -14,12 +14,14 @@
 // metrics exports the counters of decisions and the state of the table, the load and the egress.
 // Counting a decision is one atomic addition, so that it does not block the packet path.
 type metrics struct {
-	decisions     []atomic.Uint64
-	places        []atomic.Uint64
-	malformed     atomic.Uint64
-	packetsDesc   *prometheus.Desc
-	flowsDesc     *prometheus.Desc
-	malformedDesc *prometheus.Desc
+	// decisions counts decisions by steer.Reason, and flowsByLocality new flows by the locality of
+	// their target.
+	decisions       []atomic.Uint64
+	flowsByLocality []atomic.Uint64
+	malformed       atomic.Uint64
+	packetsDesc     *prometheus.Desc
+	flowsDesc       *prometheus.Desc
+	malformedDesc   *prometheus.Desc
 
 	egressDesc   *prometheus.Desc
 	egressCounts func() egress.Counts
@@ -28,7 +30,7 @@
 	tableAge         prometheus.Histogram
 	egressWait       prometheus.Histogram
 	table            *steer.Table
-	book             *load.Counter
+	loadCounter      *load.Counter
 	openRequestsDesc *prometheus.Desc
 	reliableDesc     *prometheus.Desc
 	revisionDesc     *prometheus.Desc
@@ -45,7 +47,7 @@
 	egressWaitBuckets = []float64{.005, .01, .02, .05, .1, .2, .4, .8, 1.6}
 )
 
-func newMetrics(table *steer.Table, book *load.Counter) *metrics {
+func newMetrics(table *steer.Table, loadCounter *load.Counter) *metrics {
 	return &metrics{
 		tableAge: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "merlinpaddle_direct_table_age_seconds", Buckets: tableAgeBuckets,
@@ -55,8 +57,8 @@
 			Name: "merlinpaddle_direct_egress_wait_seconds", Buckets: egressWaitBuckets,
 			Help: "Time that datagrams waited in the queue for the link; datagrams that were sent at once are not counted.",
 		}),
-		table: table,
-		book:  book,
+		table:       table,
+		loadCounter: loadCounter,
 		openRequestsDesc: prometheus.NewDesc("merlinpaddle_direct_open_requests",
 			"Requests that are open at targets, by the balancers that forwarded them: this one, or others by their reports.",
 			[]string{"of"}, nil),
@@ -70,8 +72,8 @@
 			"1 while the table counts as current, because a member confirmed it recently; else 0.", nil, nil),
 		evacuatedDesc: prometheus.NewDesc("merlinpaddle_direct_evacuated_zones",
 			"Zones that an operator has evacuated: their targets get no new flows from this balancer.", nil, nil),
-		decisions: make([]atomic.Uint64, len(steer.Reasons())),
-		places:    make([]atomic.Uint64, len(steer.Localities())),
+		decisions:       make([]atomic.Uint64, len(steer.Reasons())),
+		flowsByLocality: make([]atomic.Uint64, len(steer.Localities())),
 		flowsDesc: prometheus.NewDesc("merlinpaddle_direct_flows_total",
 			"New flows, by the zone of their target: near (local zone), elsewhere (remote zone, by hash), or spilled (remote zone, because near targets had no room).",
 			[]string{"place"}, nil),
@@ -114,9 +116,9 @@
 		count := float64(metrics.decisions[reason].Load())
 		collected <- prometheus.MustNewConstMetric(metrics.packetsDesc, prometheus.CounterValue, count, reason.String())
 	}
-	for _, place := range steer.Localities() {
-		count := float64(metrics.places[place].Load())
-		collected <- prometheus.MustNewConstMetric(metrics.flowsDesc, prometheus.CounterValue, count, place.String())
+	for _, locality := range steer.Localities() {
+		count := float64(metrics.flowsByLocality[locality].Load())
+		collected <- prometheus.MustNewConstMetric(metrics.flowsDesc, prometheus.CounterValue, count, locality.String())
 	}
 	metrics.collectEgress(collected)
 	metrics.collectLoad(collected)
@@ -138,10 +140,10 @@
 }
 
 func (metrics *metrics) collectLoad(collected chan<- prometheus.Metric) {
-	local, remote := metrics.book.Totals()
+	local, remote := metrics.loadCounter.Totals()
 	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(local), "this")
 	collected <- prometheus.MustNewConstMetric(metrics.openRequestsDesc, prometheus.GaugeValue, float64(remote), "others")
-	collected <- prometheus.MustNewConstMetric(metrics.reliableDesc, prometheus.GaugeValue, boolGauge(metrics.book.Reliable()))
+	collected <- prometheus.MustNewConstMetric(metrics.reliableDesc, prometheus.GaugeValue, boolGauge(metrics.loadCounter.Reliable()))
 }
 
 func (metrics *metrics) collectEgress(collected chan<- prometheus.Metric) {
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -1,9 +1,9 @@
 // Package balancernode is the fx module of a balancer of direct services.
 //
-// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Publisher, *renewal.Relay,
-// *outcome.Tracker, *requests.Watcher, *load.Book, *load.Exchange, *transfer.Admission,
-// *forwarder.Suspects and *forwarder.Forwarder. It includes transport.Module, and requires a
-// forwarder.Codec in addition to what the process base provides.
+// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Replica, *feed.Publisher,
+// *feed.ReportRelay, *renewal.Relay, *outcome.Tracker, *requests.Watcher, *load.Counter,
+// *transfer.Admission, *forwarder.Suspects and *forwarder.Forwarder. It includes the module of package
+// transport, and requires a forwarder.Codec in addition to what the process base provides.
 package balancernode
 
 import (
@@ -68,7 +68,7 @@
 	)
 }
 
-func newTable(config settings.Settings, book *load.Counter) *steer.Table {
+func newTable(config settings.Settings, loadCounter *load.Counter) *steer.Table {
 	options := steer.DefaultOptions()
 	options.Self = model.NodeName(config.Node)
 	options.Zone = config.Zone
@@ -78,7 +78,7 @@
 	options.Candidates = config.Direct.LoadCandidates
 	options.MaxOccupancy = config.Direct.LoadCrowd
 	options.MaxObjectiveShare = config.Direct.LoadAdmission
-	options.Loads = book
+	options.Loads = loadCounter
 	return steer.NewTable(options)
 }
 
@@ -107,7 +107,7 @@
 	return config.Listen != "" && config.Direct.PeerFollowers > 0
 }
 
-// changeListeners are called for each update that changed the table.
+// changeListeners holds the functions that are called for each update that changed the table.
 type changeListeners struct {
 	functions []func(changes directory.Changes, from model.NodeName)
 }
@@ -165,8 +165,8 @@
 	return outcome.NewTracker(mailbox, subscriber.Following)
 }
 
-func provideWatcher(tracker *outcome.Tracker, book *load.Counter) *requests.Watcher {
-	watcher := requests.NewWatcher(tracker, book)
+func provideWatcher(tracker *outcome.Tracker, loadCounter *load.Counter) *requests.Watcher {
+	watcher := requests.NewWatcher(tracker, loadCounter)
 	watcher.ObserveAnswers(tracker)
 	return watcher
 }
@@ -224,7 +224,8 @@
 	Reloads    *process.Reloads
 }
 
-// registerTasks connects the components and makes the lifecycle start them and drain the balancer.
+// registerTasks connects the components and registers lifecycle hooks that start them, and that drain
+// the balancer on stop.
 func registerTasks(deps dependencies) {
 	deps.Readiness.Set(readinessPart, false)
 	deps.Metrics.egressCounts = deps.Forwarder.Counts
--- a/internal/direct/balancernode/observer.go
+++ b/internal/direct/balancernode/observer.go
@@ -31,7 +31,7 @@
 	}
 	if decision.Reason == steer.ReasonChosen {
 		observer.metrics.observeTableAge(decision.ConfirmedAgo)
-		observer.metrics.places[decision.Locality].Add(1)
+		observer.metrics.flowsByLocality[decision.Locality].Add(1)
 	}
 	message := "packet dropped"
 	switch {
--- a/internal/direct/balancernode/sharing.go
+++ b/internal/direct/balancernode/sharing.go
@@ -15,16 +15,16 @@
 	"merlinpaddle/internal/settings"
 )
 
-// loadSharing is the exchange of load with other balancers and the receiver of their reports.
+// loadSharing is the exchange of load reports with other balancers and the receiver of their datagrams.
 type loadSharing struct {
 	exchange *load.Exchange
-	// run receives reports until ctx ends.
+	// run receives datagrams until ctx ends. It returns at once if reports are sent over links.
 	run func(ctx context.Context) error
 }
 
 // provideSharing returns the exchange of load reports. They are sent as datagrams, or over links if the
 // process has keys, because datagrams do not authenticate their sender, or does not listen.
-func provideSharing(config settings.Settings, book *load.Counter, table *steer.Table, subscriber *feed.Subscriber,
+func provideSharing(config settings.Settings, loadCounter *load.Counter, table *steer.Table, subscriber *feed.Subscriber,
 	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, connections *connections,
 	registry *prometheus.Registry, logger *zap.Logger) (loadSharing, error) {
 	options := load.ExchangeOptions{
@@ -35,13 +35,13 @@
 		OnChange:   load.NewSharingObserver(registry, logger.Named("load")),
 	}
 	if config.Keys != "" || config.Listen == "" {
-		outlet := load.NewLinkSender(mailbox, connections)
-		exchange := load.NewExchange(options, book, outlet, dispatcher.Handle(load.Report{}))
+		sender := load.NewLinkSender(mailbox, connections)
+		exchange := load.NewExchange(options, loadCounter, sender, dispatcher.Handle(load.Report{}))
 		return loadSharing{exchange: exchange, run: func(context.Context) error { return nil }}, nil
 	}
 	socket, err := datagram.Listen(config.Listen, socketfault.New(registry, logger.Named("load"), "load"))
 	if err != nil {
 		return loadSharing{}, err
 	}
-	return loadSharing{exchange: load.NewExchange(options, book, socket, socket.Reports()), run: socket.Run}, nil
+	return loadSharing{exchange: load.NewExchange(options, loadCounter, socket, socket.Reports()), run: socket.Run}, nil
 }
