--- a/internal/direct/feed/feed_test.go
+++ b/internal/direct/feed/feed_test.go
@@ -138,7 +138,7 @@
 	require.Equal(t, uint64(2), harness.table.Version())
 }
 
-// TestOneNodeIsAskedAtATime guards against subscriptions at several nodes at once, when an answer
+// TestOneNodeIsTriedAtATime guards against subscriptions at several nodes at once, when an answer
 // takes longer than searchInterval.
 func TestOneNodeIsTriedAtATime(t *testing.T) {
 	first, second := newMember("a"), newMember("b")
--- a/internal/direct/feed/pack_test.go
+++ b/internal/direct/feed/pack_test.go
@@ -147,7 +147,7 @@
 	require.False(t, balancer.table.Fresh(start))
 }
 
-// BenchmarkWholeTable compares the time to encode a full table by gob with the time to pack it, and
+// BenchmarkFullTable compares the time to encode a full table by gob with the time to pack it, and
 // the sizes of the results.
 func BenchmarkFullTable(b *testing.B) {
 	changes := largeTable(870, 3000)
