--- a/internal/direct/requests/watcher.go
+++ b/internal/direct/requests/watcher.go
@@ -24,7 +24,7 @@
 const (
 	// shardCount is the number of shards; a power of two.
 	shardCount = 16
-	// maxWatchedFlows bounds the flows with an open request that are tracked at a time. Requests
+	// maxTrackedFlows bounds the flows with an open request that are tracked at a time. Requests
 	// of further flows are not tracked.
 	maxTrackedFlows = 2048
 	// AnswerTimeout is how long a request may stay open before it counts as unanswered. It is far
