--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -204,7 +204,7 @@
 	}
 	group, err := replica.NewController(options, disk, process.mailbox, dispatcher, machine)
 	require.NoError(cluster.t, err)
-	member := NewMember(Parts{
+	member := NewMember(Dependencies{
 		Mailbox: process.mailbox, Dispatcher: dispatcher, Group: group, Machine: machine,
 		DeadAfter: 5 * time.Second, Machines: cluster.machines,
 	})
--- a/internal/control/distributor.go
+++ b/internal/control/distributor.go
@@ -122,7 +122,7 @@
 	}
 	acknowledgement := protocol.ReportAck{Sequence: report.Sequence, Leader: leader}
 	if distributor.leadership.Leadership().Leading {
-		if distributor.registry.Fold(now, envelope.From, report) {
+		if distributor.registry.ApplyReport(now, envelope.From, report) {
 			acknowledgement.LeaseFor = max(0, min(rollout.LeaseLength, rollout.LeaseLength-now.Sub(confirmedAt)))
 			acknowledgement.Committed = distributor.source.Current().Revision
 			distributor.registry.Grant(envelope.From, now.Add(acknowledgement.LeaseFor))
@@ -203,7 +203,7 @@
 		loads:    make(map[model.ServiceID][]relayedLoad),
 	}
 	registry.View().Range(func(node membership.Node) bool {
-		relay, held := node.FreshHolder()
+		relay, held := node.FreshRelay()
 		if node.Load == nil || !held {
 			return true
 		}
--- a/internal/control/member.go
+++ b/internal/control/member.go
@@ -18,8 +18,8 @@
 	ListedLive(node model.NodeName) (live, known bool)
 }
 
-// Parts are what a Member is made of.
-type Parts struct {
+// Dependencies are what a Member is made of.
+type Dependencies struct {
 	Mailbox    *protocol.Mailbox
 	Dispatcher *protocol.Dispatcher
 	Group      Group
@@ -46,7 +46,7 @@
 
 // NewMember returns the controllers of one member. The dispatcher gets the
 // routes of their messages.
-func NewMember(parts Parts) *Member {
+func NewMember(parts Dependencies) *Member {
 	registry := membership.NewRegistry()
 	leadership := newLeadershipTracker(parts.Group)
 	member := &Member{
@@ -68,13 +68,13 @@
 	return []board.Controller{member.Distributor, member.Claims, member.Liveness, member.Proposer}
 }
 
-// Leadership implements membership.World.
+// Leadership implements membership.Environment.
 func (member *Member) Leadership() membership.Leadership { return member.leadership.Leadership() }
 
-// Configuration implements membership.World.
+// Configuration implements membership.Environment.
 func (member *Member) Configuration() *model.Configuration { return member.machine.Configuration() }
 
-// ListedLive implements membership.World.
+// ListedLive implements membership.Environment.
 func (member *Member) ListedLive(node model.NodeName) (live, known bool) {
 	if member.machines == nil {
 		return false, false
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -104,7 +104,7 @@
 
 func provideMember(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher,
 	group *replica.Controller, machine *state.Machine, machines MachineList) *Member {
-	return NewMember(Parts{
+	return NewMember(Dependencies{
 		Mailbox:    mailbox,
 		Dispatcher: dispatcher,
 		Group:      group,
--- a/internal/control/proposer.go
+++ b/internal/control/proposer.go
@@ -32,8 +32,8 @@
 		if len(proposal.Observations) > 0 {
 			proposer.submit(observeTargets(proposal.Observations))
 		}
-		if len(proposal.Empty) > 0 {
-			proposer.submit(state.ReportEmpty{Reports: proposal.Empty})
+		if len(proposal.EmptyBuckets) > 0 {
+			proposer.submit(state.ReportEmpty{Reports: proposal.EmptyBuckets})
 		}
 	}
 }
--- a/internal/membership/benchmark_test.go
+++ b/internal/membership/benchmark_test.go
@@ -36,7 +36,7 @@
 	for index, report := range reports {
 		name := model.NodeName(fmt.Sprintf("relay-%d", index))
 		report.Sequence, report.Incarnation, report.Full, report.FreshWithin = 1, 1, true, time.Second
-		registry.Fold(testStart, name, report)
+		registry.ApplyReport(testStart, name, report)
 		registry.Grant(name, testStart.Add(time.Hour))
 	}
 	return registry, configuration
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -21,11 +21,11 @@
 // Proposal is a batch of changes that membership asks the group to commit.
 type Proposal struct {
 	Observations []Observation
-	Empty        []model.BucketEmpty
+	EmptyBuckets []model.BucketEmpty
 }
 
-// World is what liveness reads besides the registry.
-type World interface {
+// Environment is what liveness reads besides the registry.
+type Environment interface {
 	// Leadership returns this member's leadership.
 	Leadership() Leadership
 	// Configuration returns the latest committed configuration.
@@ -55,7 +55,7 @@
 // their agents' own heartbeats, and passes on empty buckets in batches.
 type Liveness struct {
 	registry  *Registry
-	world     World
+	world     Environment
 	deadAfter time.Duration
 	proposals *board.Queue[Proposal]
 
@@ -77,7 +77,7 @@
 
 // NewLiveness returns the controller. A target is dead once its agent was
 // silent for deadAfter. Decisions go to proposals.
-func NewLiveness(registry *Registry, world World, deadAfter time.Duration, proposals *board.Queue[Proposal]) *Liveness {
+func NewLiveness(registry *Registry, world Environment, deadAfter time.Duration, proposals *board.Queue[Proposal]) *Liveness {
 	return &Liveness{
 		registry:    registry,
 		world:       world,
@@ -294,17 +294,17 @@
 // proposeEmpty passes on the reports of empty buckets that the configuration
 // waits for.
 func (liveness *Liveness) proposeEmpty(now time.Time) {
-	if now.Sub(liveness.emptyAt) < emptyInterval || liveness.registry.Empty.Length() == 0 {
+	if now.Sub(liveness.emptyAt) < emptyInterval || liveness.registry.EmptyBuckets.Length() == 0 {
 		return
 	}
 	liveness.emptyAt = now
 	configuration := liveness.world.Configuration()
 	var batch []model.BucketEmpty
-	liveness.registry.Empty.Range(func(key EmptyKey, row board.Row[model.BucketEmpty]) bool {
+	liveness.registry.EmptyBuckets.Range(func(key BucketKey, row board.Row[model.BucketEmpty]) bool {
 		if len(batch) == maximumEmptyBatch {
 			return false
 		}
-		liveness.registry.Empty.Delete(key)
+		liveness.registry.EmptyBuckets.Delete(key)
 		if rollout.AwaitsEmpty(configuration, row.Value) {
 			batch = append(batch, row.Value)
 		}
@@ -312,7 +312,7 @@
 	})
 	if len(batch) > 0 {
 		slices.SortFunc(batch, compareEmpty)
-		liveness.proposals.Put(Proposal{Empty: batch})
+		liveness.proposals.Put(Proposal{EmptyBuckets: batch})
 	}
 }
 
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -52,7 +52,7 @@
 // report folds a full report of relay that heard the agent age ago.
 func (fixture *livenessFixture) report(at time.Duration, relay model.NodeName, age time.Duration) {
 	fixture.sequence++
-	fixture.registry.Fold(testStart.Add(at), relay, protocol.Report{
+	fixture.registry.ApplyReport(testStart.Add(at), relay, protocol.Report{
 		Zone: "a", Sequence: fixture.sequence, Full: true, Incarnation: 1,
 		Nodes: []protocol.NodeReport{{
 			Node: testAgent, Age: age,
@@ -128,7 +128,7 @@
 				Heartbeat: protocol.Heartbeat{Role: model.RoleAgent, Zone: "a", Incarnation: 1, Sequence: fixture.sequence},
 			})
 		}
-		fixture.registry.Fold(testStart.Add(at), "relay-1", protocol.Report{
+		fixture.registry.ApplyReport(testStart.Add(at), "relay-1", protocol.Report{
 			Zone: "a", Sequence: fixture.sequence, Full: true, Incarnation: 1, Nodes: nodes,
 		})
 	}
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -26,15 +26,15 @@
 	LastRelay model.NodeName
 	// Leaving tells that the node announced a planned stop.
 	Leaving bool
-	// Holders are the relays that hold the node.
-	Holders []Holder
-	// LeaseUntil is when the last lease ends that relay processes may have
+	// Attachments are the relays that hold the node.
+	Attachments []Attachment
+	// OrphanedLeaseUntil is when the last lease ends that relay processes may have
 	// granted which have restarted since.
-	LeaseUntil time.Time
+	OrphanedLeaseUntil time.Time
 }
 
-// Holder is one relay's account of a node.
-type Holder struct {
+// Attachment is one relay's account of a node.
+type Attachment struct {
 	Relay model.NodeName
 	// LeaseExpired tells that the relay granted no lease that still runs.
 	LeaseExpired bool
@@ -53,9 +53,9 @@
 	Applied     model.Revision
 	// LastSeen is when its latest report came.
 	LastSeen time.Time
-	// FreshAt is a time since which all its nodes were heard that are not
+	// NodesHeardSince is a time since which all its nodes were heard that are not
 	// stale.
-	FreshAt time.Time
+	NodesHeardSince time.Time
 	// Floors has for each role a revision that all its nodes run or have
 	// passed that are neither stale nor behind.
 	Floors map[model.Role]protocol.Floor
@@ -70,17 +70,17 @@
 	// nodes has the balancers and agents as they were last named. A View adds
 	// what the relays' reports say of the nodes that they do not name.
 	nodes *board.Table[model.NodeName, Node]
-	// agents has the node of each target whose load is reported. Only Fold
+	// agents has the node of each target whose load is reported. Only ApplyReport
 	// uses it.
 	agents map[model.TargetID]model.NodeName
 	// Relays has the relays.
 	Relays *board.Table[model.NodeName, Relay]
-	// Empty has the reports of empty buckets that wait for a proposal.
-	Empty *board.Table[EmptyKey, model.BucketEmpty]
+	// EmptyBuckets has the reports of empty buckets that wait for a proposal.
+	EmptyBuckets *board.Table[BucketKey, model.BucketEmpty]
 }
 
-// EmptyKey names one bucket of one target.
-type EmptyKey struct {
+// BucketKey names one bucket of one target.
+type BucketKey struct {
 	Service model.ServiceID
 	Target  model.TargetID
 	Bucket  model.BucketIndex
@@ -93,14 +93,14 @@
 // NewRegistry returns empty tables.
 func NewRegistry() *Registry {
 	return &Registry{
-		nodes:  board.NewTable[model.NodeName, Node]("nodes", board.HashString[model.NodeName]),
-		agents: make(map[model.TargetID]model.NodeName),
-		Relays: board.NewTable[model.NodeName, Relay]("relays", board.HashString[model.NodeName]),
-		Empty:  board.NewTable[EmptyKey, model.BucketEmpty]("empty buckets", hashEmptyKey),
+		nodes:        board.NewTable[model.NodeName, Node]("nodes", board.HashString[model.NodeName]),
+		agents:       make(map[model.TargetID]model.NodeName),
+		Relays:       board.NewTable[model.NodeName, Relay]("relays", board.HashString[model.NodeName]),
+		EmptyBuckets: board.NewTable[BucketKey, model.BucketEmpty]("empty buckets", hashEmptyKey),
 	}
 }
 
-func hashEmptyKey(key EmptyKey) uint64 {
+func hashEmptyKey(key BucketKey) uint64 {
 	return board.HashNumber(uint64(key.Service)<<32 ^ uint64(key.Target)<<16 ^ uint64(key.Bucket))
 }
 
@@ -109,7 +109,7 @@
 	clearTable(registry.nodes)
 	clear(registry.agents)
 	clearTable(registry.Relays)
-	clearTable(registry.Empty)
+	clearTable(registry.EmptyBuckets)
 }
 
 func clearTable[Key comparable, Value any](table *board.Table[Key, Value]) {
@@ -119,9 +119,9 @@
 	})
 }
 
-// Fold takes one relay's report. It returns false when a full report is needed
+// ApplyReport takes one relay's report. It returns false when a full report is needed
 // first, because the relay's earlier reports are not known here.
-func (registry *Registry) Fold(now time.Time, name model.NodeName, report protocol.Report) bool {
+func (registry *Registry) ApplyReport(now time.Time, name model.NodeName, report protocol.Report) bool {
 	relay, known := registry.Relays.Get(name)
 	restarted := known && report.Incarnation > relay.Incarnation
 	if known && !restarted && (report.Incarnation < relay.Incarnation || report.Sequence <= relay.Sequence) {
@@ -143,7 +143,7 @@
 	relay.Sequence = report.Sequence
 	relay.Applied = report.Applied
 	relay.LastSeen = now
-	relay.FreshAt = now.Add(-report.FreshWithin)
+	relay.NodesHeardSince = now.Add(-report.FreshWithin)
 	relay.Floors = make(map[model.Role]protocol.Floor, len(report.Floors))
 	for _, floor := range report.Floors {
 		relay.Floors[floor.Role] = floor
@@ -158,8 +158,8 @@
 	registry.nodes.Range(func(node model.NodeName, row board.Row[Node]) bool {
 		if row.Value.leasedBy(name) {
 			registry.nodes.Update(node, func(node Node, exists bool) (Node, bool) {
-				if relay.GrantedUntil.After(node.LeaseUntil) {
-					node.LeaseUntil = relay.GrantedUntil
+				if relay.GrantedUntil.After(node.OrphanedLeaseUntil) {
+					node.OrphanedLeaseUntil = relay.GrantedUntil
 				}
 				return node, exists
 			})
@@ -216,7 +216,7 @@
 		node = view.present(node)
 		node.take(heartbeat)
 		node.seen(now.Add(-report.Age), relay)
-		node.hold(Holder{
+		node.hold(Attachment{
 			Relay: relay, LeaseExpired: report.LeaseExpired || heartbeat.Leaving, Stale: report.Age > rollout.FreshWithin, Behind: report.Behind,
 		})
 		return node, true
@@ -264,29 +264,29 @@
 }
 
 // hold records the holder in a new list, because rows are shared by readers.
-func (node *Node) hold(holder Holder) {
-	holders := make([]Holder, 0, len(node.Holders)+1)
-	for _, present := range node.Holders {
+func (node *Node) hold(holder Attachment) {
+	holders := make([]Attachment, 0, len(node.Attachments)+1)
+	for _, present := range node.Attachments {
 		if present.Relay != holder.Relay {
 			holders = append(holders, present)
 		}
 	}
-	node.Holders = append(holders, holder)
+	node.Attachments = append(holders, holder)
 }
 
 // leasedBy tells whether the relay did not say that its leases of the node are
 // over.
 func (node Node) leasedBy(relay model.NodeName) bool {
-	return slices.ContainsFunc(node.Holders, func(holder Holder) bool { return holder.Relay == relay && !holder.LeaseExpired })
+	return slices.ContainsFunc(node.Attachments, func(holder Attachment) bool { return holder.Relay == relay && !holder.LeaseExpired })
 }
 
 func (node Node) heldBy(relay model.NodeName) bool {
-	return slices.ContainsFunc(node.Holders, func(holder Holder) bool { return holder.Relay == relay })
+	return slices.ContainsFunc(node.Attachments, func(holder Attachment) bool { return holder.Relay == relay })
 }
 
-// FreshHolder returns the relay that heard the node lately, if one did.
-func (node Node) FreshHolder() (model.NodeName, bool) {
-	for _, holder := range node.Holders {
+// FreshRelay returns the relay that heard the node lately, if one did.
+func (node Node) FreshRelay() (model.NodeName, bool) {
+	for _, holder := range node.Attachments {
 		if !holder.Stale {
 			return holder.Relay, true
 		}
@@ -299,18 +299,18 @@
 func (registry *Registry) removeHolder(view View, name, relay model.NodeName) {
 	registry.nodes.Update(name, func(node Node, exists bool) (Node, bool) {
 		node = view.present(node)
-		node.Holders = slices.DeleteFunc(slices.Clone(node.Holders), func(holder Holder) bool { return holder.Relay == relay })
+		node.Attachments = slices.DeleteFunc(slices.Clone(node.Attachments), func(holder Attachment) bool { return holder.Relay == relay })
 		return node, exists
 	})
 }
 
 func (registry *Registry) foldEmpty(reports []model.BucketEmpty) {
 	for _, report := range reports {
-		if registry.Empty.Length() >= maximumEmptyRows {
+		if registry.EmptyBuckets.Length() >= maximumEmptyRows {
 			return
 		}
-		key := EmptyKey{Service: report.Service, Target: report.Target, Bucket: report.Bucket}
-		registry.Empty.Update(key, func(present model.BucketEmpty, exists bool) (model.BucketEmpty, bool) {
+		key := BucketKey{Service: report.Service, Target: report.Target, Bucket: report.Bucket}
+		registry.EmptyBuckets.Update(key, func(present model.BucketEmpty, exists bool) (model.BucketEmpty, bool) {
 			if exists && present.At >= report.At {
 				return present, true
 			}
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -18,9 +18,9 @@
 	Since time.Time
 }
 
-// Settled tells whether all leases that an earlier leader granted have run
+// PriorLeasesExpired tells whether all leases that an earlier leader granted have run
 // out.
-func (leadership Leadership) Settled(now time.Time) bool {
+func (leadership Leadership) PriorLeasesExpired(now time.Time) bool {
 	return leadership.Leading && now.Sub(leadership.Since) >= rollout.LeaseLength+rollout.ClockMargin
 }
 
@@ -28,10 +28,10 @@
 // relays has a grant that may still run, and did not say that the node's lease
 // is over. A node that leaves has given its lease up.
 func (registry *Registry) MayHoldLease(now time.Time, node Node) bool {
-	if !node.Leaving && now.Before(node.LeaseUntil.Add(rollout.ClockMargin)) {
+	if !node.Leaving && now.Before(node.OrphanedLeaseUntil.Add(rollout.ClockMargin)) {
 		return true
 	}
-	for _, holder := range node.Holders {
+	for _, holder := range node.Attachments {
 		if holder.LeaseExpired {
 			continue
 		}
@@ -60,7 +60,7 @@
 		return true
 	})
 	slices.SortFunc(status.Nodes, func(left, right model.NodeStatus) int { return cmp.Compare(left.Name, right.Name) })
-	if leadership.Settled(now) {
+	if leadership.PriorLeasesExpired(now) {
 		status.InForce = inForce
 	}
 	return status
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -40,12 +40,12 @@
 
 // present adds what the reports of the node's relays say without its name.
 func (view View) present(node Node) Node {
-	for _, holder := range node.Holders {
+	for _, holder := range node.Attachments {
 		relay, known := view.relays[holder.Relay]
 		if !known || holder.Stale {
 			continue
 		}
-		node.seen(relay.FreshAt, holder.Relay)
+		node.seen(relay.NodesHeardSince, holder.Relay)
 		floor := relay.Floors[node.Role]
 		if !holder.Behind && floor.Revision > node.Applied {
 			node.Applied = floor.Revision
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -88,8 +88,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			registry := NewRegistry()
 			relay := &relayReports{name: "relay-1", incarnation: 1}
-			require.True(t, registry.Fold(testStart, relay.name, relay.next(7, test.first...)))
-			require.True(t, registry.Fold(testStart.Add(later), relay.name, relay.next(9, test.second...)))
+			require.True(t, registry.ApplyReport(testStart, relay.name, relay.next(7, test.first...)))
+			require.True(t, registry.ApplyReport(testStart.Add(later), relay.name, relay.next(9, test.second...)))
 			node, known := registry.View().Node("x")
 			require.True(t, known)
 			require.Equal(t, test.applied, node.Applied)
@@ -105,9 +105,9 @@
 	registry := NewRegistry()
 	first := &relayReports{name: "relay-1", incarnation: 1}
 	second := &relayReports{name: "relay-2", incarnation: 1}
-	require.True(t, registry.Fold(testStart, first.name, first.next(7, balancer("x", 1, 7))))
-	require.True(t, registry.Fold(testStart, second.name, second.next(9, behind(balancer("x", 2, 0)))))
-	require.True(t, registry.Fold(testStart, first.name, first.next(9)))
+	require.True(t, registry.ApplyReport(testStart, first.name, first.next(7, balancer("x", 1, 7))))
+	require.True(t, registry.ApplyReport(testStart, second.name, second.next(9, behind(balancer("x", 2, 0)))))
+	require.True(t, registry.ApplyReport(testStart, first.name, first.next(9)))
 	node, _ := registry.View().Node("x")
 	require.Zero(t, node.Applied, "the first relay speaks of a process that is gone")
 }
@@ -117,13 +117,13 @@
 func TestMovedNodeKeepsWhatItsRelaySaid(t *testing.T) {
 	registry := NewRegistry()
 	relay := &relayReports{name: "relay-1", incarnation: 1}
-	require.True(t, registry.Fold(testStart, relay.name, relay.next(7, balancer("x", 1, 7))))
-	require.True(t, registry.Fold(testStart.Add(later), relay.name, relay.next(9)))
+	require.True(t, registry.ApplyReport(testStart, relay.name, relay.next(7, balancer("x", 1, 7))))
+	require.True(t, registry.ApplyReport(testStart.Add(later), relay.name, relay.next(9)))
 	restarted := &relayReports{name: "relay-1", incarnation: 2}
-	require.True(t, registry.Fold(testStart.Add(2*later), relay.name, restarted.next(0)))
+	require.True(t, registry.ApplyReport(testStart.Add(2*later), relay.name, restarted.next(0)))
 	node, known := registry.View().Node("x")
 	require.True(t, known)
-	require.Empty(t, node.Holders)
+	require.Empty(t, node.Attachments)
 	require.Equal(t, model.Revision(9), node.Applied)
 	require.Equal(t, testStart.Add(later-rollout.FreshWithin), node.LastSeen)
 }
@@ -136,7 +136,7 @@
 	leadership := Leadership{Leading: true, Term: 1, Since: testStart.Add(-time.Minute)}
 	inForce := func() model.Revision { return registry.RolloutStatus(testStart, leadership, 9).InForce }
 	report := func(floor model.Revision, nodes ...protocol.NodeReport) {
-		require.True(t, registry.Fold(testStart, relay.name, relay.next(floor, nodes...)))
+		require.True(t, registry.ApplyReport(testStart, relay.name, relay.next(floor, nodes...)))
 		registry.Grant(relay.name, testStart.Add(rollout.LeaseLength))
 	}
 	report(7, balancer("x", 1, 7), balancer("y", 1, 7))
@@ -155,10 +155,10 @@
 	agent := protocol.NodeReport{Node: "agent-1", Heartbeat: protocol.Heartbeat{
 		Role: model.RoleAgent, Incarnation: 1, Sequence: 1, Load: &model.TargetLoad{Target: 4, Flows: 1},
 	}}
-	require.True(t, registry.Fold(testStart, relay.name, relay.next(7, agent)))
+	require.True(t, registry.ApplyReport(testStart, relay.name, relay.next(7, agent)))
 	report := relay.next(7)
 	report.Loads = []model.TargetLoad{{Target: 4, Flows: 2}, {Target: 5, Flows: 3}}
-	require.True(t, registry.Fold(testStart, relay.name, report))
+	require.True(t, registry.ApplyReport(testStart, relay.name, report))
 	node, _ := registry.View().Node("agent-1")
 	require.Equal(t, &model.TargetLoad{Target: 4, Flows: 2}, node.Load)
 	require.Equal(t, model.RoleAgent, node.Role)
@@ -181,11 +181,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			registry := NewRegistry()
 			relay := &relayReports{name: "relay-1", incarnation: 1}
-			require.True(t, registry.Fold(testStart, relay.name, relay.next(7, balancer("x", 1, 7))))
+			require.True(t, registry.ApplyReport(testStart, relay.name, relay.next(7, balancer("x", 1, 7))))
 			end := testStart.Add(rollout.LeaseLength)
 			registry.Grant(relay.name, end)
 			restarted := &relayReports{name: "relay-1", incarnation: 2}
-			require.True(t, registry.Fold(testStart.Add(time.Second), relay.name, restarted.next(0, test.nodes...)))
+			require.True(t, registry.ApplyReport(testStart.Add(time.Second), relay.name, restarted.next(0, test.nodes...)))
 			registry.Grant(relay.name, testStart.Add(time.Hour))
 			node, _ := registry.View().Node("x")
 			require.True(t, registry.MayHoldLease(end, node))
--- a/internal/sim/world/control.go
+++ b/internal/sim/world/control.go
@@ -22,7 +22,7 @@
 // controlControllers returns the product's controllers of a control member,
 // apart from consensus.
 func (member *member) controlControllers(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher) []board.Controller {
-	member.control = control.NewMember(control.Parts{
+	member.control = control.NewMember(control.Dependencies{
 		Mailbox:    mailbox,
 		Dispatcher: dispatcher,
 		Group:      groupAt{Controller: member.controller, member: member},
