--- a/internal/membership/benchmark_test.go
+++ b/internal/membership/benchmark_test.go
@@ -10,12 +10,12 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// benchmarkRelays is the number of relays that report the nodes.
+// benchmarkRelays is the number of relays that the nodes are spread over.
 const benchmarkRelays = 32
 
-// benchmarkGroup returns a registry with that many nodes, one of eight a
-// balancer and the others agents with targets.
-func benchmarkGroup(nodes int) (*Registry, *model.Configuration) {
+// benchmarkRegistry returns a registry and a configuration for the given number of nodes. One node in
+// eight is a balancer; the others are agents with one target each.
+func benchmarkRegistry(nodes int) (*Registry, *model.Configuration) {
 	registry, configuration := NewRegistry(), model.NewConfiguration()
 	reports := make([]protocol.Report, benchmarkRelays)
 	for index := range nodes {
@@ -42,12 +42,12 @@
 	return registry, configuration
 }
 
-// BenchmarkLeader gives the slopes of docs/CAPACITY.md for what the leader
-// does over all nodes: one look at what is in force, which each waiting
-// request takes each 20 ms, and one decision about the targets, each 250 ms.
+// BenchmarkLeader measures how the leader's work over all nodes grows with their number, for
+// docs/CAPACITY.md: one computation of the rollout status, which each waiting request does every
+// 20 ms, and one decision about all targets, every 250 ms.
 func BenchmarkLeader(b *testing.B) {
 	for _, nodes := range []int{5900, 11_800, 23_600, 47_300} {
-		registry, configuration := benchmarkGroup(nodes)
+		registry, configuration := benchmarkRegistry(nodes)
 		leadership := Leadership{Leading: true, Term: 1, Since: testStart.Add(-time.Hour)}
 		b.Run(fmt.Sprintf("rollout_status/nodes=%d", nodes), func(b *testing.B) {
 			for b.Loop() {
@@ -58,7 +58,7 @@
 		})
 		b.Run(fmt.Sprintf("decide/nodes=%d", nodes), func(b *testing.B) {
 			proposals := board.NewQueue[Proposal]("proposals", 16)
-			liveness := NewLiveness(registry, &fixedWorld{leadership: leadership, configuration: configuration}, testDeadAfter, proposals)
+			liveness := NewLiveness(registry, &fixedEnvironment{leadership: leadership, configuration: configuration}, testDeadAfter, proposals)
 			for b.Loop() {
 				liveness.decide(testStart)
 			}
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,17 +1,19 @@
-// Package membership keeps what the control leader knows of relays, balancers
-// and agents, decides which targets are dead or alive, and tells how far the
-// configuration has come.
+// Package membership records what the control leader knows about relays, balancers and agents,
+// decides which targets are dead or alive, and reports how far the configuration has been rolled
+// out.
 //
-// The package is pure: time is given, and decisions leave through a queue.
+// The package does no I/O and reads no clock: callers pass the time, and decisions are put into a
+// queue.
 //
-// Two rules are kept here:
+// It implements two rules:
 //
-//   - A revision is in force when every balancer that may hold a lease runs it.
-//     Control counts a lease from when it granted, plus a margin, so it ends
-//     later by control's clock than by the node's, which counts from when it
-//     asked. A new leader waits out the leases of the one before.
-//   - A target is dead when its own heartbeats stay away, never because a list
-//     says so. When most targets of a zone, or all its relays, fall silent at
-//     once, that is taken for a cut and not for their death: their flows are
-//     kept until the platform's list also has them as gone.
+//   - A revision is in force when every balancer that may hold a lease runs it. Control counts a
+//     lease from the time of the grant and adds a margin; the node counts it from the time of its
+//     request. A lease therefore ends later for control than for the node. A new leader waits until
+//     the leases granted under the previous leader have expired.
+//   - A target is dead when control receives no heartbeats of its agent, or when the agent announces
+//     a planned stop, and never only because the platform does not list its machine. When most
+//     targets of a zone fall silent at once, or all of them together with all relays of the zone,
+//     control assumes a network partition: their flows are kept until the platform does not list
+//     the machines either.
 package membership
--- a/internal/membership/liveness.go
+++ b/internal/membership/liveness.go
@@ -10,63 +10,63 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// Observation is a decision about one target.
+// Observation is a decision that one target is alive or dead.
 type Observation struct {
 	Target      model.TargetID
 	Incarnation model.Incarnation
-	// Alive is false when the target is taken to have lost its flows.
+	// Alive is false when the target is dead, so that its flows are considered lost.
 	Alive bool
 }
 
-// Proposal is a batch of changes that membership asks the group to commit.
+// Proposal is a batch of changes that membership asks the control group to commit.
 type Proposal struct {
 	Observations []Observation
 	EmptyBuckets []model.BucketEmpty
 }
 
-// Environment is what liveness reads besides the registry.
+// Environment provides what Liveness reads besides the registry.
 type Environment interface {
 	// Leadership returns this member's leadership.
 	Leadership() Leadership
 	// Configuration returns the latest committed configuration.
 	Configuration() *model.Configuration
-	// ListedLive tells whether the platform's list has the machine as live.
-	// known is false when there is no usable list.
+	// ListedLive reports whether the platform's list shows the machine as live. known is false
+	// when there is no usable list.
 	ListedLive(node model.NodeName) (live, known bool)
 }
 
 const (
-	// decideInterval is the time between two looks at all targets.
+	// decideInterval is the time between two evaluations of all targets.
 	decideInterval = 250 * time.Millisecond
-	// repeatAfter is how long a proposal may take before it is made again.
-	repeatAfter = 2 * time.Second
-	// moveTime is how long a node whose relay died may need to appear at
-	// another one.
-	moveTime = 3 * time.Second
-	// emptyInterval is the time between two batches of empty buckets.
-	emptyInterval = 500 * time.Millisecond
-	// maximumEmptyBatch bounds one batch of empty buckets.
-	maximumEmptyBatch = 1024
-	// massLeast is the least number of silent targets that can be a cut.
-	massLeast = 2
+	// proposalRetryInterval is how long a proposal may take to be committed before it is sent again.
+	proposalRetryInterval = 2 * time.Second
+	// relayFailoverTime is how long a node whose relay failed may need to connect to another relay.
+	relayFailoverTime = 3 * time.Second
+	// emptyBucketInterval is the time between two batches of empty-bucket reports.
+	emptyBucketInterval = 500 * time.Millisecond
+	// maximumEmptyBucketBatch limits the empty-bucket reports in one batch.
+	maximumEmptyBucketBatch = 1024
+	// minimumPartitionedTargets is the smallest number of silent targets that counts as a network
+	// partition while relays of the zone still report.
+	minimumPartitionedTargets = 2
 )
 
-// Liveness is the controller that decides which targets are dead or alive, by
-// their agents' own heartbeats, and passes on empty buckets in batches.
+// Liveness is the controller that decides from the agents' heartbeats which targets are dead or
+// alive, and that proposes reports of empty buckets in batches. It acts only on the leader.
 type Liveness struct {
-	registry  *Registry
-	world     Environment
-	deadAfter time.Duration
-	proposals *board.Queue[Proposal]
+	registry    *Registry
+	environment Environment
+	deadAfter   time.Duration
+	proposals   *board.Queue[Proposal]
 
-	decidedAt time.Time
-	emptyAt   time.Time
-	term      uint64
-	// listedSince has when this leader first saw each target.
-	listedSince map[model.TargetID]time.Time
-	// cutAt has when each zone last looked cut off.
-	cutAt map[model.ZoneName]time.Time
-	// proposed has the latest proposal for each target.
+	decidedAt       time.Time
+	emptyProposedAt time.Time
+	term            uint64
+	// firstListedAt is when this leader first found each target in the configuration.
+	firstListedAt map[model.TargetID]time.Time
+	// lastPartitionAt is when each zone last appeared to be partitioned from control.
+	lastPartitionAt map[model.ZoneName]time.Time
+	// proposed is the latest observation proposed for each target.
 	proposed map[model.TargetID]proposedObservation
 }
 
@@ -75,17 +75,18 @@
 	at          time.Time
 }
 
-// NewLiveness returns the controller. A target is dead once its agent was
-// silent for deadAfter. Decisions go to proposals.
-func NewLiveness(registry *Registry, world Environment, deadAfter time.Duration, proposals *board.Queue[Proposal]) *Liveness {
+// NewLiveness returns the controller. A target is dead once control has received no heartbeat of
+// its agent for deadAfter, or longer while the agent may be changing relays. Decisions are put
+// into proposals.
+func NewLiveness(registry *Registry, environment Environment, deadAfter time.Duration, proposals *board.Queue[Proposal]) *Liveness {
 	return &Liveness{
-		registry:    registry,
-		world:       world,
-		deadAfter:   deadAfter,
-		proposals:   proposals,
-		listedSince: make(map[model.TargetID]time.Time),
-		cutAt:       make(map[model.ZoneName]time.Time),
-		proposed:    make(map[model.TargetID]proposedObservation),
+		registry:        registry,
+		environment:     environment,
+		deadAfter:       deadAfter,
+		proposals:       proposals,
+		firstListedAt:   make(map[model.TargetID]time.Time),
+		lastPartitionAt: make(map[model.ZoneName]time.Time),
+		proposed:        make(map[model.TargetID]proposedObservation),
 	}
 }
 
@@ -94,17 +95,17 @@
 
 // Reconcile implements board.Controller.
 func (liveness *Liveness) Reconcile(now time.Time) {
-	leadership := liveness.world.Leadership()
+	leadership := liveness.environment.Leadership()
 	if !leadership.Leading {
 		return
 	}
 	if leadership.Term != liveness.term {
 		liveness.term = leadership.Term
-		clear(liveness.listedSince)
-		clear(liveness.cutAt)
+		clear(liveness.firstListedAt)
+		clear(liveness.lastPartitionAt)
 		clear(liveness.proposed)
 	}
-	liveness.proposeEmpty(now)
+	liveness.proposeEmptyBuckets(now)
 	if now.Sub(liveness.decidedAt) < decideInterval {
 		return
 	}
@@ -112,36 +113,40 @@
 	liveness.decide(now)
 }
 
-// verdict is what the heartbeats say of one target.
-type verdict struct {
+// assessment is the state of one target according to its agent's heartbeats.
+type assessment struct {
 	target model.Target
 	node   Node
-	// seen tells that the node is in the registry.
-	seen bool
-	// silent tells that its heartbeats have stayed away for long enough.
-	silent bool
-	// quiet tells that they have stayed away for half as long: the targets of
-	// a zone that was cut off do not all reach the limit in the same moment.
-	quiet bool
-	// lost tells that there are flows to lose: an agent ran at this target.
-	lost bool
+	// registered reports whether the registry has the node as an agent of the target's
+	// incarnation or a later one.
+	registered bool
+	// timedOut reports whether the agent has been silent for longer than its timeout, or announced
+	// a planned stop.
+	timedOut bool
+	// suspected reports whether the agent has been silent for half of deadAfter. Partitions are
+	// detected by this shorter time because the targets of a partitioned zone do not all reach
+	// their timeouts at the same moment.
+	suspected bool
+	// hadAgent reports whether an agent ever ran at this target, so that it may have flows to lose.
+	hadAgent bool
 }
 
+// decide assesses all targets and proposes the observations that changed.
 func (liveness *Liveness) decide(now time.Time) {
-	configuration := liveness.world.Configuration()
-	liveness.forgetTargets(configuration)
+	configuration := liveness.environment.Configuration()
+	liveness.removeDeletedTargets(configuration)
 	view := liveness.registry.View()
-	zones := make(map[model.ZoneName][]verdict)
+	zones := make(map[model.ZoneName][]assessment)
 	for _, target := range configuration.Targets {
-		liveness.list(now, target.ID)
-		judged := liveness.judge(now, view, target)
-		zones[target.Zone] = append(zones[target.Zone], judged)
+		liveness.recordListed(now, target.ID)
+		assessed := liveness.assess(now, view, target)
+		zones[target.Zone] = append(zones[target.Zone], assessed)
 	}
 	var observations []Observation
-	for zone, verdicts := range zones {
-		cut := liveness.latelyCut(now, zone, verdicts)
-		for _, judged := range verdicts {
-			if observation, changed := liveness.conclude(now, judged, cut); changed {
+	for zone, assessments := range zones {
+		partitioned := liveness.recentlyPartitioned(now, zone, assessments)
+		for _, assessed := range assessments {
+			if observation, changed := liveness.observationFor(now, assessed, partitioned); changed {
 				observations = append(observations, observation)
 			}
 		}
@@ -153,95 +158,101 @@
 	liveness.proposals.Put(Proposal{Observations: observations})
 }
 
-func (liveness *Liveness) list(now time.Time, target model.TargetID) {
-	if _, listed := liveness.listedSince[target]; !listed {
-		liveness.listedSince[target] = now
+func (liveness *Liveness) recordListed(now time.Time, target model.TargetID) {
+	if _, listed := liveness.firstListedAt[target]; !listed {
+		liveness.firstListedAt[target] = now
 	}
 }
 
-func (liveness *Liveness) forgetTargets(configuration *model.Configuration) {
-	for id := range liveness.listedSince {
+// removeDeletedTargets drops the state of targets that are no longer in the configuration.
+func (liveness *Liveness) removeDeletedTargets(configuration *model.Configuration) {
+	for id := range liveness.firstListedAt {
 		if _, known := configuration.Targets[id]; !known {
-			delete(liveness.listedSince, id)
+			delete(liveness.firstListedAt, id)
 			delete(liveness.proposed, id)
 		}
 	}
 }
 
-func (liveness *Liveness) judge(now time.Time, view View, target model.Target) verdict {
-	node, seen := view.Node(model.NodeName(target.Name))
-	seen = seen && node.Role == model.RoleAgent && node.Incarnation >= target.Incarnation
-	judged := verdict{target: target, node: node, seen: seen, lost: target.Incarnation != 0}
-	if !seen {
-		unseenFor := now.Sub(liveness.listedSince[target.ID])
-		judged.silent = unseenFor > liveness.deadAfter+moveTime
-		judged.quiet = unseenFor > liveness.deadAfter/2
-		return judged
+// assess compares how long the target's agent has been silent with its timeout. A target whose
+// agent is not registered counts as silent since this leader first found it in the configuration.
+func (liveness *Liveness) assess(now time.Time, view View, target model.Target) assessment {
+	node, registered := view.Node(model.NodeName(target.Name))
+	registered = registered && node.Role == model.RoleAgent && node.Incarnation >= target.Incarnation
+	assessed := assessment{target: target, node: node, registered: registered, hadAgent: target.Incarnation != 0}
+	if !registered {
+		unseenFor := now.Sub(liveness.firstListedAt[target.ID])
+		assessed.timedOut = unseenFor > liveness.deadAfter+relayFailoverTime
+		assessed.suspected = unseenFor > liveness.deadAfter/2
+		return assessed
 	}
-	patience := liveness.deadAfter
-	if !liveness.witnessed(now, node) {
-		patience += moveTime
+	timeout := liveness.deadAfter
+	if !liveness.lastRelayReporting(now, node) {
+		timeout += relayFailoverTime
 	}
-	silence := now.Sub(liveness.heard(node))
-	judged.quiet = silence > liveness.deadAfter/2
-	judged.silent = node.Leaving || silence > patience
-	return judged
+	silence := now.Sub(liveness.silentSince(node))
+	assessed.suspected = silence > liveness.deadAfter/2
+	assessed.timedOut = node.Leaving || silence > timeout
+	return assessed
 }
 
-// heard returns the moment from which a node's silence counts. A new leader
-// may learn first of a relay that the node left long ago, so silence before
-// its own time of leadership does not count.
-func (liveness *Liveness) heard(node Node) time.Time {
-	since := liveness.world.Leadership().Since
+// silentSince returns the time from which a node's silence is counted: its last heartbeat, or the
+// start of this leadership if that is later. The first report that a new leader receives may come
+// from a relay that the node left long ago, so silence before this leadership does not count.
+func (liveness *Liveness) silentSince(node Node) time.Time {
+	since := liveness.environment.Leadership().Since
 	if since.After(node.LastSeen) {
 		return since
 	}
 	return node.LastSeen
 }
 
-// witnessed tells whether the relay that heard the node last is alive and can
-// tell that it is silent, so that the silence is the node's and not the
-// relay's. A relay that the node left before is no witness.
-func (liveness *Liveness) witnessed(now time.Time, node Node) bool {
+// lastRelayReporting reports whether the relay that last received the node's heartbeat still
+// reports to control. If it does, the node itself is silent; if it does not, the relay may have
+// failed. Relays that the node left earlier are not evidence of the node's silence.
+func (liveness *Liveness) lastRelayReporting(now time.Time, node Node) bool {
 	relay, known := liveness.registry.Relays.Get(node.LastRelay)
 	return known && now.Sub(relay.LastSeen) <= rollout.FreshWithin
 }
 
-// latelyCut tells whether a zone looks cut off or did so lately. When a cut
-// heals, the agents' first heartbeats do not come in the same moment, and those
-// that are still missing must not be taken for dead.
-func (liveness *Liveness) latelyCut(now time.Time, zone model.ZoneName, verdicts []verdict) bool {
-	if liveness.looksCut(now, zone, verdicts) {
-		liveness.cutAt[zone] = now
+// recentlyPartitioned reports whether a zone appears to be partitioned from control, or did so
+// within deadAfter plus relayFailoverTime. After a partition heals, the agents' first heartbeats
+// arrive at different times, and agents whose heartbeats are still missing must not be declared
+// dead.
+func (liveness *Liveness) recentlyPartitioned(now time.Time, zone model.ZoneName, assessments []assessment) bool {
+	if liveness.appearsPartitioned(now, zone, assessments) {
+		liveness.lastPartitionAt[zone] = now
 		return true
 	}
-	cutAt, known := liveness.cutAt[zone]
-	return known && now.Sub(cutAt) <= liveness.deadAfter+moveTime
+	partitionedAt, known := liveness.lastPartitionAt[zone]
+	return known && now.Sub(partitionedAt) <= liveness.deadAfter+relayFailoverTime
 }
 
-// looksCut tells whether the silence of a zone's targets may be a cut between
-// control and the zone: more than half of the targets that ran, and at least
-// two, are quiet without having said goodbye; or all of them are, be it only
-// one, and so are the zone's relays.
-func (liveness *Liveness) looksCut(now time.Time, zone model.ZoneName, verdicts []verdict) bool {
-	quiet, running := 0, 0
-	for _, judged := range verdicts {
-		if !judged.lost || judged.target.Phase == model.PhaseDead || judged.node.Leaving {
+// appearsPartitioned reports whether the silence of a zone's targets may be caused by a network
+// partition between control and the zone. It counts the targets that had an agent, are not dead and
+// did not announce a planned stop. The zone appears partitioned when more than half of them, and at
+// least two, are suspected; or when all of them are, even if it is only one, and all relays of the
+// zone are silent too.
+func (liveness *Liveness) appearsPartitioned(now time.Time, zone model.ZoneName, assessments []assessment) bool {
+	suspected, running := 0, 0
+	for _, assessed := range assessments {
+		if !assessed.hadAgent || assessed.target.Phase == model.PhaseDead || assessed.node.Leaving {
 			continue
 		}
 		running++
-		if judged.quiet {
-			quiet++
+		if assessed.suspected {
+			suspected++
 		}
 	}
-	if quiet > 0 && quiet == running && liveness.relaysSilent(now, zone) {
+	if suspected > 0 && suspected == running && liveness.allRelaysSilent(now, zone) {
 		return true
 	}
-	return quiet >= massLeast && 2*quiet > running
+	return suspected >= minimumPartitionedTargets && 2*suspected > running
 }
 
-// relaysSilent tells whether the zone has known relays and none reports.
-func (liveness *Liveness) relaysSilent(now time.Time, zone model.ZoneName) bool {
+// allRelaysSilent reports whether the zone has known relays and none of them has reported within
+// rollout.FreshWithin.
+func (liveness *Liveness) allRelaysSilent(now time.Time, zone model.ZoneName) bool {
 	known, silent := 0, 0
 	liveness.registry.Relays.Range(func(_ model.NodeName, row board.Row[Relay]) bool {
 		if row.Value.Zone != zone {
@@ -256,52 +267,56 @@
 	return known > 0 && known == silent
 }
 
-// conclude returns the observation to propose for a target, if any.
-func (liveness *Liveness) conclude(now time.Time, judged verdict, cut bool) (Observation, bool) {
-	target := judged.target
-	observation := Observation{Target: target.ID, Incarnation: target.Incarnation, Alive: !judged.silent}
-	if judged.seen {
-		observation.Incarnation = judged.node.Incarnation
+// observationFor returns the observation to propose for a target. It returns false when the
+// configuration already shows it, when an unregistered agent has not timed out yet, when a
+// partition may explain the silence, or when the same observation was proposed within
+// proposalRetryInterval.
+func (liveness *Liveness) observationFor(now time.Time, assessed assessment, partitioned bool) (Observation, bool) {
+	target := assessed.target
+	observation := Observation{Target: target.ID, Incarnation: target.Incarnation, Alive: !assessed.timedOut}
+	if assessed.registered {
+		observation.Incarnation = assessed.node.Incarnation
 	}
 	dead := target.Phase == model.PhaseDead
-	if observation.Incarnation == target.Incarnation && dead == judged.silent {
+	if observation.Incarnation == target.Incarnation && dead == assessed.timedOut {
 		return Observation{}, false
 	}
-	if !judged.silent && !judged.seen {
+	if !assessed.timedOut && !assessed.registered {
 		return Observation{}, false
 	}
-	if judged.silent && liveness.spared(judged, cut) {
+	if assessed.timedOut && liveness.keptDuringPartition(assessed, partitioned) {
 		return Observation{}, false
 	}
 	last, repeated := liveness.proposed[target.ID]
-	if repeated && last.observation == observation && now.Sub(last.at) < repeatAfter {
+	if repeated && last.observation == observation && now.Sub(last.at) < proposalRetryInterval {
 		return Observation{}, false
 	}
 	liveness.proposed[target.ID] = proposedObservation{observation: observation, at: now}
 	return observation, true
 }
 
-// spared tells whether a silent target keeps its place. One that said goodbye,
-// or that never ran, has no flows to lose.
-func (liveness *Liveness) spared(judged verdict, cut bool) bool {
-	if !cut || !judged.lost || (judged.seen && judged.node.Leaving) {
+// keptDuringPartition reports whether a target that timed out stays alive because its zone appears
+// partitioned. A target whose agent announced a planned stop, or that never had an agent, is not
+// kept: it has no flows to lose. Neither is a target whose machine the platform no longer lists.
+func (liveness *Liveness) keptDuringPartition(assessed assessment, partitioned bool) bool {
+	if !partitioned || !assessed.hadAgent || (assessed.registered && assessed.node.Leaving) {
 		return false
 	}
-	live, known := liveness.world.ListedLive(model.NodeName(judged.target.Name))
+	live, known := liveness.environment.ListedLive(model.NodeName(assessed.target.Name))
 	return !known || live
 }
 
-// proposeEmpty passes on the reports of empty buckets that the configuration
-// waits for.
-func (liveness *Liveness) proposeEmpty(now time.Time) {
-	if now.Sub(liveness.emptyAt) < emptyInterval || liveness.registry.EmptyBuckets.Length() == 0 {
+// proposeEmptyBuckets proposes the reports of empty buckets that the configuration waits for, and
+// drops the others.
+func (liveness *Liveness) proposeEmptyBuckets(now time.Time) {
+	if now.Sub(liveness.emptyProposedAt) < emptyBucketInterval || liveness.registry.EmptyBuckets.Length() == 0 {
 		return
 	}
-	liveness.emptyAt = now
-	configuration := liveness.world.Configuration()
+	liveness.emptyProposedAt = now
+	configuration := liveness.environment.Configuration()
 	var batch []model.BucketEmpty
 	liveness.registry.EmptyBuckets.Range(func(key BucketKey, row board.Row[model.BucketEmpty]) bool {
-		if len(batch) == maximumEmptyBatch {
+		if len(batch) == maximumEmptyBucketBatch {
 			return false
 		}
 		liveness.registry.EmptyBuckets.Delete(key)
@@ -311,12 +326,12 @@
 		return true
 	})
 	if len(batch) > 0 {
-		slices.SortFunc(batch, compareEmpty)
+		slices.SortFunc(batch, compareEmptyBuckets)
 		liveness.proposals.Put(Proposal{EmptyBuckets: batch})
 	}
 }
 
-func compareEmpty(left, right model.BucketEmpty) int {
+func compareEmptyBuckets(left, right model.BucketEmpty) int {
 	return cmp.Or(
 		cmp.Compare(left.Service, right.Service),
 		cmp.Compare(left.Target, right.Target),
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -20,17 +20,19 @@
 
 var testStart = time.Date(2030, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// fixedWorld is a World with one target and without a list of machines.
-type fixedWorld struct {
+// fixedEnvironment is an Environment with fixed answers and without a platform list.
+type fixedEnvironment struct {
 	leadership    Leadership
 	configuration *model.Configuration
 }
 
-func (world *fixedWorld) Leadership() Leadership                 { return world.leadership }
-func (world *fixedWorld) Configuration() *model.Configuration    { return world.configuration }
-func (world *fixedWorld) ListedLive(model.NodeName) (bool, bool) { return false, false }
+func (environment *fixedEnvironment) Leadership() Leadership { return environment.leadership }
+func (environment *fixedEnvironment) Configuration() *model.Configuration {
+	return environment.configuration
+}
+func (environment *fixedEnvironment) ListedLive(model.NodeName) (bool, bool) { return false, false }
 
-// livenessFixture is the liveness of one leader.
+// livenessFixture runs the Liveness of one leader over a registry that the test fills.
 type livenessFixture struct {
 	registry  *Registry
 	liveness  *Liveness
@@ -38,18 +40,19 @@
 	sequence  uint64
 }
 
+// newLivenessFixture returns the fixture for a leader since testStart, with testTarget serving.
 func newLivenessFixture() *livenessFixture {
 	configuration := model.NewConfiguration()
 	configuration.Targets[testTarget] = model.Target{
 		ID: testTarget, Name: string(testAgent), Zone: "a", Phase: model.PhaseServing, Incarnation: 1,
 	}
 	fixture := &livenessFixture{registry: NewRegistry(), proposals: board.NewQueue[Proposal]("proposals", 16)}
-	world := &fixedWorld{leadership: Leadership{Leading: true, Term: 3, Since: testStart}, configuration: configuration}
-	fixture.liveness = NewLiveness(fixture.registry, world, testDeadAfter, fixture.proposals)
+	environment := &fixedEnvironment{leadership: Leadership{Leading: true, Term: 3, Since: testStart}, configuration: configuration}
+	fixture.liveness = NewLiveness(fixture.registry, environment, testDeadAfter, fixture.proposals)
 	return fixture
 }
 
-// report folds a full report of relay that heard the agent age ago.
+// report applies a full report of the relay, whose last heartbeat of testAgent is age old.
 func (fixture *livenessFixture) report(at time.Duration, relay model.NodeName, age time.Duration) {
 	fixture.sequence++
 	fixture.registry.ApplyReport(testStart.Add(at), relay, protocol.Report{
@@ -61,8 +64,9 @@
 	})
 }
 
-// anyDead tells whether a target is proposed as dead at a time.
-func (fixture *livenessFixture) anyDead(at time.Duration) bool {
+// proposesDead runs the controller at the given time since testStart and reports whether it proposes
+// a target as dead.
+func (fixture *livenessFixture) proposesDead(at time.Duration) bool {
 	fixture.liveness.Reconcile(testStart.Add(at))
 	for _, proposal := range fixture.proposals.Drain() {
 		for _, observation := range proposal.Observations {
@@ -74,53 +78,61 @@
 	return false
 }
 
-func TestANewLeaderWaitsForTheRelayThatHoldsTheNode(t *testing.T) {
+// TestNewLeaderWaitsForReportsOfTheNodesCurrentRelay checks that the report of a relay that the node
+// left long ago does not make its target dead before the node's current relay has reported.
+func TestNewLeaderWaitsForReportsOfTheNodesCurrentRelay(t *testing.T) {
 	fixture := newLivenessFixture()
-	// The node moved away from relay-1 long ago; relay-2 has not reported yet.
+	// The node moved from relay-1 to relay-2, which has not reported yet.
 	fixture.report(100*time.Millisecond, "relay-1", 20*time.Second)
-	require.False(t, fixture.anyDead(200*time.Millisecond))
+	require.False(t, fixture.proposesDead(200*time.Millisecond))
 	fixture.report(300*time.Millisecond, "relay-2", 0)
-	require.False(t, fixture.anyDead(600*time.Millisecond))
+	require.False(t, fixture.proposesDead(600*time.Millisecond))
 }
 
-func TestANewLeaderFindsANodeDeadThatNobodyHears(t *testing.T) {
+// TestNewLeaderDeclaresDeadANodeThatNoRelayReceives checks that a new leader counts a node's silence
+// from the start of its leadership and declares the target dead after the timeout.
+func TestNewLeaderDeclaresDeadANodeThatNoRelayReceives(t *testing.T) {
 	fixture := newLivenessFixture()
 	for at := time.Duration(0); at <= testDeadAfter; at += time.Second {
 		fixture.report(at, "relay-1", 20*time.Second+at)
-		require.False(t, fixture.anyDead(at))
+		require.False(t, fixture.proposesDead(at))
 	}
 	fixture.report(testDeadAfter+time.Second, "relay-1", 26*time.Second)
-	require.True(t, fixture.anyDead(testDeadAfter+time.Second+time.Millisecond))
+	require.True(t, fixture.proposesDead(testDeadAfter+time.Second+time.Millisecond))
 }
 
-func TestARelayThatANodeLeftIsNoWitnessOfItsSilence(t *testing.T) {
+// TestPreviousRelayDoesNotShortenTheTimeout checks that a node whose relay failed gets
+// relayFailoverTime in addition to the timeout, although the relay that it used before still reports
+// it as silent.
+func TestPreviousRelayDoesNotShortenTheTimeout(t *testing.T) {
 	fixture := newLivenessFixture()
 	for at := time.Duration(0); at <= 10*time.Second; at += time.Second {
 		fixture.report(at, "relay-1", 20*time.Second+at)
 		fixture.report(at, "relay-2", 0)
-		require.False(t, fixture.anyDead(at))
+		require.False(t, fixture.proposesDead(at))
 	}
-	// relay-2 dies; the node needs time to come to another relay.
+	// relay-2 fails; the node needs time to connect to another relay.
 	for at := 11 * time.Second; at <= 17*time.Second; at += time.Second {
 		fixture.report(at, "relay-1", 20*time.Second+at)
-		require.False(t, fixture.anyDead(at), "at %s", at)
+		require.False(t, fixture.proposesDead(at), "at %s", at)
 	}
 	fixture.report(19*time.Second, "relay-1", 39*time.Second)
-	require.True(t, fixture.anyDead(19*time.Second))
+	require.True(t, fixture.proposesDead(19*time.Second))
 }
 
-// TestAZoneThatComesBackOneByOneLosesNoTarget heals a cut: the agents' first
-// heartbeats do not all come in the same moment.
-func TestAZoneThatComesBackOneByOneLosesNoTarget(t *testing.T) {
+// TestTargetsSurviveAGradualRecoveryOfTheirZone heals a partition of a zone. The agents' first
+// heartbeats arrive one after the other, and the targets that are still missing must not be declared
+// dead at once. A target whose agent never returns is declared dead later.
+func TestTargetsSurviveAGradualRecoveryOfTheirZone(t *testing.T) {
 	const agents = 4
 	fixture := newLivenessFixture()
-	configuration := fixture.liveness.world.Configuration()
-	report := func(at time.Duration, heard int, silentSince time.Duration) {
+	configuration := fixture.liveness.environment.Configuration()
+	report := func(at time.Duration, returned int, silentSince time.Duration) {
 		fixture.sequence++
 		var nodes []protocol.NodeReport
 		for number := 1; number <= agents; number++ {
 			age := time.Duration(0)
-			if number > heard {
+			if number > returned {
 				age = at - silentSince
 			}
 			nodes = append(nodes, protocol.NodeReport{
@@ -141,20 +153,20 @@
 	report(0, agents, 0)
 	for at := time.Second; at <= 20*time.Second; at += time.Second {
 		report(at, 0, 0)
-		require.False(t, fixture.anyDead(at), "the zone looks cut off")
+		require.False(t, fixture.proposesDead(at), "the zone appears partitioned")
 	}
 	healed := 21 * time.Second
-	for heard := 1; heard < agents; heard++ {
-		report(healed, heard, 0)
-		require.False(t, fixture.anyDead(healed), "%d agents are back", heard)
+	for returned := 1; returned < agents; returned++ {
+		report(healed, returned, 0)
+		require.False(t, fixture.proposesDead(healed), "%d agents are back", returned)
 		healed += 500 * time.Millisecond
 	}
-	// The last one never comes: it died during the cut.
+	// The last agent never returns: it failed during the partition.
 	for at := healed; at <= healed+testDeadAfter; at += time.Second {
 		report(at, agents-1, 0)
-		require.False(t, fixture.anyDead(at), "at %s", at)
+		require.False(t, fixture.proposesDead(at), "at %s", at)
 	}
-	at := healed + testDeadAfter + 2*moveTime
+	at := healed + testDeadAfter + 2*relayFailoverTime
 	report(at, agents-1, 0)
-	require.True(t, fixture.anyDead(at))
+	require.True(t, fixture.proposesDead(at))
 }
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// Node is what control knows of one balancer or agent.
+// Node is what control knows about one balancer or agent.
 type Node struct {
 	Name        model.NodeName
 	Role        model.Role
@@ -20,94 +20,95 @@
 	Applied     model.Revision
 	Digest      uint64
 	Load        *model.TargetLoad
-	// LastSeen is when the latest heartbeat came, by control's clock.
+	// LastSeen is when a relay received the node's latest heartbeat, by control's clock.
 	LastSeen time.Time
-	// LastRelay is the relay that heard it.
+	// LastRelay is the relay that received it.
 	LastRelay model.NodeName
-	// Leaving tells that the node announced a planned stop.
+	// Leaving reports whether the node announced a planned stop.
 	Leaving bool
-	// Attachments are the relays that hold the node.
+	// Attachments has one entry for each relay that reports the node as its own. There may be
+	// several while a node changes relays.
 	Attachments []Attachment
-	// OrphanedLeaseUntil is when the last lease ends that relay processes may have
-	// granted which have restarted since.
+	// OrphanedLeaseUntil is when the last lease ends that the node may have from relay processes
+	// that have restarted since. The new processes do not know these leases.
 	OrphanedLeaseUntil time.Time
 }
 
-// Attachment is one relay's account of a node.
+// Attachment is what one relay last reported about a node that is connected to it.
 type Attachment struct {
 	Relay model.NodeName
-	// LeaseExpired tells that the relay granted no lease that still runs.
+	// LeaseExpired reports whether all leases that the relay granted to the node have expired.
 	LeaseExpired bool
-	// Stale tells that the relay did not hear the node lately.
+	// Stale reports whether the relay's latest heartbeat of the node was older than
+	// rollout.FreshWithin.
 	Stale bool
-	// Behind tells that the node does not run the relay's floor for its role.
+	// Behind reports whether the node's revision is older than the relay's floor for its role.
 	Behind bool
 }
 
-// Relay is what control knows of one relay.
+// Relay is what control knows about one relay.
 type Relay struct {
 	Name        model.NodeName
 	Zone        model.ZoneName
 	Incarnation model.Incarnation
 	Sequence    uint64
 	Applied     model.Revision
-	// LastSeen is when its latest report came.
+	// LastSeen is when control received the relay's latest report.
 	LastSeen time.Time
-	// NodesHeardSince is a time since which all its nodes were heard that are not
-	// stale.
+	// NodesHeardSince is a time since which the relay received heartbeats of all its nodes that
+	// are not stale.
 	NodesHeardSince time.Time
-	// Floors has for each role a revision that all its nodes run or have
-	// passed that are neither stale nor behind.
+	// Floors has for each role the revision that all nodes of the relay run or have passed, except
+	// those that are stale or behind.
 	Floors map[model.Role]protocol.Floor
-	// GrantedUntil is the end of the latest grant, counted by control from
-	// when it granted.
+	// GrantedUntil is the end of the latest grant, counted by control from the time of the grant.
 	GrantedUntil time.Time
 }
 
-// Registry is the node and relay tables of one time of leadership. One
-// controller writes it; others read.
+// Registry holds the tables of nodes and relays for one period of leadership. One controller
+// applies reports to it; any goroutine may read.
 type Registry struct {
-	// nodes has the balancers and agents as they were last named. A View adds
-	// what the relays' reports say of the nodes that they do not name.
+	// nodes has the balancers and agents as reports last listed them. A View adds what the relays'
+	// latest reports say about the nodes that they do not list.
 	nodes *board.Table[model.NodeName, Node]
-	// agents has the node of each target whose load is reported. Only ApplyReport
-	// uses it.
-	agents map[model.TargetID]model.NodeName
-	// Relays has the relays.
+	// agentOfTarget maps each target whose load was reported to its agent's node. Only ApplyReport
+	// and Clear use it.
+	agentOfTarget map[model.TargetID]model.NodeName
+	// Relays has the relays by name.
 	Relays *board.Table[model.NodeName, Relay]
-	// EmptyBuckets has the reports of empty buckets that wait for a proposal.
+	// EmptyBuckets has the reports of empty buckets that are not proposed yet.
 	EmptyBuckets *board.Table[BucketKey, model.BucketEmpty]
 }
 
-// BucketKey names one bucket of one target.
+// BucketKey identifies one bucket of one target.
 type BucketKey struct {
 	Service model.ServiceID
 	Target  model.TargetID
 	Bucket  model.BucketIndex
 }
 
-// maximumEmptyRows bounds the reports of empty buckets that wait. Agents
-// repeat those that do not fit.
-const maximumEmptyRows = 1 << 16
+// maximumEmptyReports limits the reports of empty buckets that wait for a proposal. Reports beyond
+// it are dropped, and agents repeat them.
+const maximumEmptyReports = 1 << 16
 
-// NewRegistry returns empty tables.
+// NewRegistry returns an empty registry.
 func NewRegistry() *Registry {
 	return &Registry{
-		nodes:        board.NewTable[model.NodeName, Node]("nodes", board.HashString[model.NodeName]),
-		agents:       make(map[model.TargetID]model.NodeName),
-		Relays:       board.NewTable[model.NodeName, Relay]("relays", board.HashString[model.NodeName]),
-		EmptyBuckets: board.NewTable[BucketKey, model.BucketEmpty]("empty buckets", hashEmptyKey),
+		nodes:         board.NewTable[model.NodeName, Node]("nodes", board.HashString[model.NodeName]),
+		agentOfTarget: make(map[model.TargetID]model.NodeName),
+		Relays:        board.NewTable[model.NodeName, Relay]("relays", board.HashString[model.NodeName]),
+		EmptyBuckets:  board.NewTable[BucketKey, model.BucketEmpty]("empty buckets", hashBucketKey),
 	}
 }
 
-func hashEmptyKey(key BucketKey) uint64 {
+func hashBucketKey(key BucketKey) uint64 {
 	return board.HashNumber(uint64(key.Service)<<32 ^ uint64(key.Target)<<16 ^ uint64(key.Bucket))
 }
 
-// Clear empties the tables, at the begin and end of leadership.
+// Clear removes everything from the registry. It is called when leadership begins and ends.
 func (registry *Registry) Clear() {
 	clearTable(registry.nodes)
-	clear(registry.agents)
+	clear(registry.agentOfTarget)
 	clearTable(registry.Relays)
 	clearTable(registry.EmptyBuckets)
 }
@@ -119,24 +120,24 @@
 	})
 }
 
-// ApplyReport takes one relay's report. It returns false when a full report is needed
-// first, because the relay's earlier reports are not known here.
+// ApplyReport applies one relay's report. It returns false when the relay must send a full report
+// first, because the registry does not have the earlier reports of this relay process.
 func (registry *Registry) ApplyReport(now time.Time, name model.NodeName, report protocol.Report) bool {
 	relay, known := registry.Relays.Get(name)
 	restarted := known && report.Incarnation > relay.Incarnation
 	if known && !restarted && (report.Incarnation < relay.Incarnation || report.Sequence <= relay.Sequence) {
-		// A late or doubled report: what it said is known or outdated.
+		// The report is delayed or duplicated: a later one was applied already.
 		return true
 	}
 	if (!known || restarted) && !report.Full {
 		return false
 	}
 	if restarted {
-		registry.keepLeases(name, relay)
+		registry.keepOutstandingLeases(name, relay)
 	}
-	// The nodes come first: a reader who sees the new floor must also see who
-	// is behind it.
-	registry.foldNodes(now, name, report)
+	// The nodes are updated first: a reader that sees the new floor must also see which nodes are
+	// behind it.
+	registry.applyNodeReports(now, name, report)
 	relay.Name = name
 	relay.Zone = report.Zone
 	relay.Incarnation = report.Incarnation
@@ -152,11 +153,11 @@
 	return true
 }
 
-// keepLeases notes that nodes may still hold leases of a relay process that has
-// restarted. The new process knows nothing of them.
-func (registry *Registry) keepLeases(name model.NodeName, relay Relay) {
+// keepOutstandingLeases records that nodes may still hold leases from a relay process that has
+// restarted. The new process does not know these leases.
+func (registry *Registry) keepOutstandingLeases(name model.NodeName, relay Relay) {
 	registry.nodes.Range(func(node model.NodeName, row board.Row[Node]) bool {
-		if row.Value.leasedBy(name) {
+		if row.Value.mayHoldLeaseFrom(name) {
 			registry.nodes.Update(node, func(node Node, exists bool) (Node, bool) {
 				if relay.GrantedUntil.After(node.OrphanedLeaseUntil) {
 					node.OrphanedLeaseUntil = relay.GrantedUntil
@@ -168,41 +169,40 @@
 	})
 }
 
-// foldNodes takes what a report says of the nodes that it names. Its cost
-// grows with these, and not with the nodes of the relay, unless it is full.
-func (registry *Registry) foldNodes(now time.Time, relay model.NodeName, report protocol.Report) {
+// applyNodeReports applies what a report says about the nodes that it lists. The cost grows with the
+// listed nodes, not with all nodes of the relay, unless the report is full.
+func (registry *Registry) applyNodeReports(now time.Time, relay model.NodeName, report protocol.Report) {
 	view := registry.View()
 	for _, nodeReport := range report.Nodes {
-		registry.foldNode(now, view, relay, nodeReport)
-		registry.foldEmpty(nodeReport.Heartbeat.Empty)
+		registry.applyNodeReport(now, view, relay, nodeReport)
+		registry.recordEmptyBuckets(nodeReport.Heartbeat.Empty)
 	}
 	for _, load := range report.Loads {
-		registry.foldLoad(relay, load)
+		registry.applyLoad(relay, load)
 	}
 	if report.Full {
-		registry.removeUnnamed(view, relay, report.Nodes)
+		registry.detachUnlisted(view, relay, report.Nodes)
 	}
 }
 
-// removeUnnamed drops the relay's hold of all nodes that a full report leaves
-// out.
-func (registry *Registry) removeUnnamed(view View, relay model.NodeName, reports []protocol.NodeReport) {
-	named := make(map[model.NodeName]struct{}, len(reports))
+// detachUnlisted detaches from the relay all nodes that its full report does not list.
+func (registry *Registry) detachUnlisted(view View, relay model.NodeName, reports []protocol.NodeReport) {
+	listed := make(map[model.NodeName]struct{}, len(reports))
 	for _, report := range reports {
-		named[report.Node] = struct{}{}
+		listed[report.Node] = struct{}{}
 	}
 	registry.nodes.Range(func(name model.NodeName, row board.Row[Node]) bool {
-		if _, isNamed := named[name]; !isNamed && row.Value.heldBy(relay) {
-			registry.removeHolder(view, name, relay)
+		if _, isListed := listed[name]; !isListed && row.Value.attachedTo(relay) {
+			registry.detach(view, name, relay)
 		}
 		return true
 	})
 }
 
-// foldNode takes one node's heartbeat as its relay reports it.
-func (registry *Registry) foldNode(now time.Time, view View, relay model.NodeName, report protocol.NodeReport) {
+// applyNodeReport applies one node's entry in a relay's report.
+func (registry *Registry) applyNodeReport(now time.Time, view View, relay model.NodeName, report protocol.NodeReport) {
 	if report.Gone && !report.Heartbeat.Leaving {
-		registry.removeHolder(view, report.Node, relay)
+		registry.detach(view, report.Node, relay)
 		return
 	}
 	heartbeat := report.Heartbeat
@@ -213,35 +213,35 @@
 		if !exists || heartbeat.Incarnation > node.Incarnation {
 			node = Node{Name: report.Node, Incarnation: heartbeat.Incarnation}
 		}
-		node = view.present(node)
-		node.take(heartbeat)
-		node.seen(now.Add(-report.Age), relay)
-		node.hold(Attachment{
+		node = view.withRelaySummaries(node)
+		node.applyHeartbeat(heartbeat)
+		node.recordSeen(now.Add(-report.Age), relay)
+		node.attach(Attachment{
 			Relay: relay, LeaseExpired: report.LeaseExpired || heartbeat.Leaving, Stale: report.Age > rollout.FreshWithin, Behind: report.Behind,
 		})
 		return node, true
 	})
 	if heartbeat.Load != nil {
-		registry.agents[heartbeat.Load.Target] = report.Node
+		registry.agentOfTarget[heartbeat.Load.Target] = report.Node
 	}
 }
 
-// foldLoad takes the load of a node that an earlier report named.
-func (registry *Registry) foldLoad(relay model.NodeName, load model.TargetLoad) {
-	name, known := registry.agents[load.Target]
+// applyLoad updates the load of a node that an earlier report of the relay listed.
+func (registry *Registry) applyLoad(relay model.NodeName, load model.TargetLoad) {
+	name, known := registry.agentOfTarget[load.Target]
 	if !known {
 		return
 	}
 	registry.nodes.Update(name, func(node Node, exists bool) (Node, bool) {
-		if exists && node.heldBy(relay) && node.Load != nil && node.Load.Target == load.Target {
+		if exists && node.attachedTo(relay) && node.Load != nil && node.Load.Target == load.Target {
 			node.Load = &load
 		}
 		return node, exists
 	})
 }
 
-// take copies the heartbeat unless a later one is known.
-func (node *Node) take(heartbeat protocol.Heartbeat) {
+// applyHeartbeat copies the heartbeat unless a later one of the same incarnation is known.
+func (node *Node) applyHeartbeat(heartbeat protocol.Heartbeat) {
 	if heartbeat.Sequence < node.Sequence {
 		return
 	}
@@ -256,70 +256,74 @@
 	node.Leaving = heartbeat.Leaving
 }
 
-func (node *Node) seen(at time.Time, relay model.NodeName) {
+// recordSeen records that the relay received a heartbeat of the node at the given time, unless a
+// later one is known.
+func (node *Node) recordSeen(at time.Time, relay model.NodeName) {
 	if at.After(node.LastSeen) {
 		node.LastSeen = at
 		node.LastRelay = relay
 	}
 }
 
-// hold records the holder in a new list, because rows are shared by readers.
-func (node *Node) hold(holder Attachment) {
-	holders := make([]Attachment, 0, len(node.Attachments)+1)
-	for _, present := range node.Attachments {
-		if present.Relay != holder.Relay {
-			holders = append(holders, present)
+// attach adds or replaces the relay's attachment. It builds a new list because readers share the
+// old one.
+func (node *Node) attach(attachment Attachment) {
+	attachments := make([]Attachment, 0, len(node.Attachments)+1)
+	for _, existing := range node.Attachments {
+		if existing.Relay != attachment.Relay {
+			attachments = append(attachments, existing)
 		}
 	}
-	node.Attachments = append(holders, holder)
+	node.Attachments = append(attachments, attachment)
 }
 
-// leasedBy tells whether the relay did not say that its leases of the node are
-// over.
-func (node Node) leasedBy(relay model.NodeName) bool {
-	return slices.ContainsFunc(node.Attachments, func(holder Attachment) bool { return holder.Relay == relay && !holder.LeaseExpired })
+// mayHoldLeaseFrom reports whether the node is attached to the relay and the relay has not reported
+// its leases to the node as expired.
+func (node Node) mayHoldLeaseFrom(relay model.NodeName) bool {
+	return slices.ContainsFunc(node.Attachments, func(attachment Attachment) bool { return attachment.Relay == relay && !attachment.LeaseExpired })
 }
 
-func (node Node) heldBy(relay model.NodeName) bool {
-	return slices.ContainsFunc(node.Attachments, func(holder Attachment) bool { return holder.Relay == relay })
+func (node Node) attachedTo(relay model.NodeName) bool {
+	return slices.ContainsFunc(node.Attachments, func(attachment Attachment) bool { return attachment.Relay == relay })
 }
 
-// FreshRelay returns the relay that heard the node lately, if one did.
+// FreshRelay returns a relay whose latest heartbeat of the node was fresh when it reported it. It
+// returns false if there is none.
 func (node Node) FreshRelay() (model.NodeName, bool) {
-	for _, holder := range node.Attachments {
-		if !holder.Stale {
-			return holder.Relay, true
+	for _, attachment := range node.Attachments {
+		if !attachment.Stale {
+			return attachment.Relay, true
 		}
 	}
 	return "", false
 }
 
-// removeHolder drops the relay's hold of a node. The node's row stays: its
-// last heartbeat still decides when its target is dead.
-func (registry *Registry) removeHolder(view View, name, relay model.NodeName) {
+// detach removes the relay's attachment from a node. The node's row stays, because its last heartbeat
+// still decides when its target is dead.
+func (registry *Registry) detach(view View, name, relay model.NodeName) {
 	registry.nodes.Update(name, func(node Node, exists bool) (Node, bool) {
-		node = view.present(node)
-		node.Attachments = slices.DeleteFunc(slices.Clone(node.Attachments), func(holder Attachment) bool { return holder.Relay == relay })
+		node = view.withRelaySummaries(node)
+		node.Attachments = slices.DeleteFunc(slices.Clone(node.Attachments), func(attachment Attachment) bool { return attachment.Relay == relay })
 		return node, exists
 	})
 }
 
-func (registry *Registry) foldEmpty(reports []model.BucketEmpty) {
+func (registry *Registry) recordEmptyBuckets(reports []model.BucketEmpty) {
 	for _, report := range reports {
-		if registry.EmptyBuckets.Length() >= maximumEmptyRows {
+		if registry.EmptyBuckets.Length() >= maximumEmptyReports {
 			return
 		}
 		key := BucketKey{Service: report.Service, Target: report.Target, Bucket: report.Bucket}
-		registry.EmptyBuckets.Update(key, func(present model.BucketEmpty, exists bool) (model.BucketEmpty, bool) {
-			if exists && present.At >= report.At {
-				return present, true
+		registry.EmptyBuckets.Update(key, func(existing model.BucketEmpty, exists bool) (model.BucketEmpty, bool) {
+			if exists && existing.At >= report.At {
+				return existing, true
 			}
 			return report, true
 		})
 	}
 }
 
-// Grant records that the relay may grant leases until the given time.
+// Grant records that the relay may grant leases until the given time. It never shortens a grant.
 func (registry *Registry) Grant(name model.NodeName, until time.Time) {
 	registry.Relays.Update(name, func(relay Relay, exists bool) (Relay, bool) {
 		if until.After(relay.GrantedUntil) {
--- a/internal/membership/status.go
+++ b/internal/membership/status.go
@@ -9,33 +9,34 @@
 	"merlinpaddle/internal/rollout"
 )
 
-// Leadership is this member's time as leader.
+// Leadership is this member's current period of leadership; the zero value means that it does not
+// lead.
 type Leadership struct {
-	// Leading tells that this member is the leader and holds its lease.
+	// Leading reports whether this member is the leader and holds its lease.
 	Leading bool
 	Term    uint64
-	// Since is when this member saw that it leads.
+	// Since is when this member began to act as leader.
 	Since time.Time
 }
 
-// PriorLeasesExpired tells whether all leases that an earlier leader granted have run
-// out.
+// PriorLeasesExpired reports whether this member has led for long enough that all leases granted
+// under earlier leaders have expired.
 func (leadership Leadership) PriorLeasesExpired(now time.Time) bool {
 	return leadership.Leading && now.Sub(leadership.Since) >= rollout.LeaseLength+rollout.ClockMargin
 }
 
-// MayHoldLease tells whether the node may hold a lease at now: one of its
-// relays has a grant that may still run, and did not say that the node's lease
-// is over. A node that leaves has given its lease up.
+// MayHoldLease reports whether the node may hold a lease at now: one of its relays has a grant that
+// may not have expired yet and has not reported the node's lease as expired, or the node may have a
+// lease from a relay process that has restarted since. A node that leaves has released its lease.
 func (registry *Registry) MayHoldLease(now time.Time, node Node) bool {
 	if !node.Leaving && now.Before(node.OrphanedLeaseUntil.Add(rollout.ClockMargin)) {
 		return true
 	}
-	for _, holder := range node.Attachments {
-		if holder.LeaseExpired {
+	for _, attachment := range node.Attachments {
+		if attachment.LeaseExpired {
 			continue
 		}
-		relay, known := registry.Relays.Get(holder.Relay)
+		relay, known := registry.Relays.Get(attachment.Relay)
 		if known && now.Before(relay.GrantedUntil.Add(rollout.ClockMargin)) {
 			return true
 		}
@@ -43,8 +44,9 @@
 	return false
 }
 
-// RolloutStatus returns how far the configuration has come. In force is zero
-// while it is not known, as on a member that does not lead.
+// RolloutStatus returns how far the configuration has been rolled out. InForce is zero while it is
+// not known: on members that do not lead, and while leases granted under an earlier leader may
+// still run. Nodes is empty on members that do not lead.
 func (registry *Registry) RolloutStatus(now time.Time, leadership Leadership, committed model.Revision) model.RolloutStatus {
 	status := model.RolloutStatus{Committed: committed}
 	if !leadership.Leading {
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,17 +5,16 @@
 	"merlinpaddle/internal/model"
 )
 
-// View shows nodes as the relays' latest reports have them: what a report says
-// of all nodes that it does not name is added to what was last said of each by
-// name. The reports are those that were folded when the view was made, so a
-// view never takes a node for further than it is.
+// View shows nodes as the relays' latest reports describe them. A report lists only some nodes and
+// summarizes the others; a view adds these summaries to the entry that last listed each node. The
+// summaries are copied when the view is made, before any node is read, so a view never shows a node
+// at a later revision than it runs.
 type View struct {
 	registry *Registry
 	relays   map[model.NodeName]Relay
 }
 
-// View returns a view of the registry as it is now. It may be used from any
-// goroutine.
+// View returns a view with the relays' current summaries. It may be used from any goroutine.
 func (registry *Registry) View() View {
 	relays := make(map[model.NodeName]Relay)
 	registry.Relays.Range(func(name model.NodeName, row board.Row[Relay]) bool {
@@ -25,29 +24,30 @@
 	return View{registry: registry, relays: relays}
 }
 
-// Node returns one node and whether it is known.
+// Node returns the node with the given name and whether it is known.
 func (view View) Node(name model.NodeName) (Node, bool) {
 	node, known := view.registry.nodes.Get(name)
-	return view.present(node), known
+	return view.withRelaySummaries(node), known
 }
 
-// Range calls visit for each node until it returns false.
+// Range calls visit for each node until visit returns false.
 func (view View) Range(visit func(node Node) bool) {
 	view.registry.nodes.Range(func(_ model.NodeName, row board.Row[Node]) bool {
-		return visit(view.present(row.Value))
+		return visit(view.withRelaySummaries(row.Value))
 	})
 }
 
-// present adds what the reports of the node's relays say without its name.
-func (view View) present(node Node) Node {
-	for _, holder := range node.Attachments {
-		relay, known := view.relays[holder.Relay]
-		if !known || holder.Stale {
+// withRelaySummaries returns the node updated by the summaries of the relays that it is attached to.
+// Summaries do not cover stale nodes, and floors do not cover nodes that are behind.
+func (view View) withRelaySummaries(node Node) Node {
+	for _, attachment := range node.Attachments {
+		relay, known := view.relays[attachment.Relay]
+		if !known || attachment.Stale {
 			continue
 		}
-		node.seen(relay.NodesHeardSince, holder.Relay)
+		node.recordSeen(relay.NodesHeardSince, attachment.Relay)
 		floor := relay.Floors[node.Role]
-		if !holder.Behind && floor.Revision > node.Applied {
+		if !attachment.Behind && floor.Revision > node.Applied {
 			node.Applied = floor.Revision
 			node.Digest = floor.Digest
 		}
