--- a/internal/direct/admin/admin_test.go
+++ b/internal/direct/admin/admin_test.go
@@ -147,10 +147,10 @@
 	for _, body := range []string{"", "{", `{"version":"7"}`, `{"version":7,"colour":"blue"}`} {
 		request, err := http.NewRequest(http.MethodPut, "http://"+address+pathConfiguration, strings.NewReader(body))
 		require.NoError(t, err)
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		require.NoError(t, err)
-		require.NoError(t, answer.Body.Close())
-		require.Equal(t, http.StatusBadRequest, answer.StatusCode, "%q", body)
+		require.NoError(t, response.Body.Close())
+		require.Equal(t, http.StatusBadRequest, response.StatusCode, "%q", body)
 	}
 }
 
--- a/internal/direct/admin/document.go
+++ b/internal/direct/admin/document.go
@@ -90,29 +90,29 @@
 	return document
 }
 
-func serviceOf(configuration declared.Service) Service {
+func serviceOf(declaredService declared.Service) Service {
 	service := Service{
-		Name: configuration.Name, HealthPath: configuration.HealthPath, MaxConnections: configuration.MaxConnections, Protocol: configuration.Protocol, TLS: configuration.TLS,
+		Name: declaredService.Name, HealthPath: declaredService.HealthPath, MaxConnections: declaredService.MaxConnections, Protocol: declaredService.Protocol, TLS: declaredService.TLS,
 	}
-	if configuration.Cold.Stated {
-		service.Cold = &ColdLimit{Start: formatDuration(configuration.Cold.Start), PerSecond: configuration.Cold.PerSecond}
+	if declaredService.Cold.Stated {
+		service.Cold = &ColdLimit{Start: formatDuration(declaredService.Cold.Start), PerSecond: declaredService.Cold.PerSecond}
 	}
 	return service
 }
 
-func routeOf(configuration *declared.Route) Route {
+func routeOf(declaredRoute *declared.Route) Route {
 	route := Route{
-		Name:      configuration.Name,
-		Address:   configuration.Address.String(),
-		Kind:      string(configuration.Kind),
-		Timeout:   formatDuration(configuration.Timeout),
-		Objective: formatDuration(configuration.Objective),
-		Priority:  configuration.Priority,
-		Attempts:  configuration.Attempts,
-		Weighted:  configuration.Weighted,
-		Regions:   configuration.Regions,
-	}
-	for _, part := range configuration.Pool {
+		Name:      declaredRoute.Name,
+		Address:   declaredRoute.Address.String(),
+		Kind:      string(declaredRoute.Kind),
+		Timeout:   formatDuration(declaredRoute.Timeout),
+		Objective: formatDuration(declaredRoute.Objective),
+		Priority:  declaredRoute.Priority,
+		Attempts:  declaredRoute.Attempts,
+		Weighted:  declaredRoute.Weighted,
+		Regions:   declaredRoute.Regions,
+	}
+	for _, part := range declaredRoute.Pool {
 		route.Pool = append(route.Pool, Part(part))
 	}
 	return route
@@ -161,19 +161,19 @@
 }
 
 func (service *Service) service(field string) (declared.Service, error) {
-	configuration := declared.Service{
+	declaredService := declared.Service{
 		Name: service.Name, HealthPath: service.HealthPath, MaxConnections: service.MaxConnections,
 		Protocol: service.Protocol, TLS: service.TLS,
 	}
 	if service.Cold == nil {
-		return configuration, nil
+		return declaredService, nil
 	}
 	start, err := parseDuration(field+".cold.start", service.Cold.Start)
 	if err != nil {
 		return declared.Service{}, err
 	}
-	configuration.Cold = declared.ColdLimit{Stated: true, Start: start, PerSecond: service.Cold.PerSecond}
-	return configuration, nil
+	declaredService.Cold = declared.ColdLimit{Stated: true, Start: start, PerSecond: service.Cold.PerSecond}
+	return declaredService, nil
 }
 
 func (route *Route) route(field string) (declared.Route, error) {
@@ -189,7 +189,7 @@
 	if err != nil {
 		return declared.Route{}, err
 	}
-	configuration := declared.Route{
+	declaredRoute := declared.Route{
 		Name:      route.Name,
 		Address:   address,
 		Kind:      declared.RequestKind(route.Kind),
@@ -201,9 +201,9 @@
 		Regions:   route.Regions,
 	}
 	for _, part := range route.Pool {
-		configuration.Pool = append(configuration.Pool, declared.PoolPart(part))
+		declaredRoute.Pool = append(declaredRoute.Pool, declared.PoolPart(part))
 	}
-	return configuration, nil
+	return declaredRoute, nil
 }
 
 func parseDuration(field, text string) (time.Duration, error) {
--- a/internal/direct/admin/server.go
+++ b/internal/direct/admin/server.go
@@ -159,7 +159,7 @@
 }
 
 func (server *server) getEvacuations(writer http.ResponseWriter, request *http.Request) {
-	ordered, err := server.declarations.Evacuations(request.Context())
+	listed, err := server.declarations.Evacuations(request.Context())
 	if err != nil {
 		server.writeError(writer, err)
 		return
@@ -171,7 +171,7 @@
 		}
 	}
 	evacuations := []Evacuation{}
-	for _, evacuation := range ordered {
+	for _, evacuation := range listed {
 		evacuations = append(evacuations, Evacuation{
 			Zone: evacuation.Zone, Since: uint64(evacuation.Since), Targets: ready[evacuation.Zone],
 			Behind: server.followers.Behind(evacuation.Since),
@@ -215,12 +215,12 @@
 }
 
 // Serve runs the HTTP interface on the address in direct.admin, if it is set.
-func Serve(lifecycle fx.Lifecycle, tasks *process.Tasks, chosen settings.Settings, calls *registrar.BlockingRegistrar, state *directory.Directory,
+func Serve(lifecycle fx.Lifecycle, tasks *process.Tasks, chosen settings.Settings, declarations *registrar.BlockingRegistrar, state *directory.Directory,
 	publisher *feed.Publisher, logger *zap.Logger) {
 	if chosen.Direct.Admin == "" {
 		return
 	}
 	process.Serve(lifecycle, tasks, process.Endpoint{
-		Name: "admin", Field: "direct.admin", Address: chosen.Direct.Admin, Handler: Handler(calls, state, publisher, logger.Named("admin")),
+		Name: "admin", Field: "direct.admin", Address: chosen.Direct.Admin, Handler: Handler(declarations, state, publisher, logger.Named("admin")),
 	})
 }
