--- a/internal/direct/directory/apply.go
+++ b/internal/direct/directory/apply.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// startedBefore reports whether the call comes from a later start of the target. A record without
-// a start time was written by an earlier version of the program, which kept none, or by another
-// writer. A call with a start time continues such a record if its sequence number is higher, and
-// belongs to another start otherwise.
+// startedBefore reports whether the recorded target started before the reported one, so that the
+// call comes from a later start. A record without a start time was written by an earlier version of
+// the program, which kept none, or by another writer. A call with a start time continues such a
+// record if its sequence number is higher, and belongs to another start otherwise.
 func (target *Target) startedBefore(reported Target) bool {
 	if target.Started == 0 {
 		return reported.Started != 0 && reported.Sequence <= target.Sequence
--- a/internal/direct/directory/coldness.go
+++ b/internal/direct/directory/coldness.go
@@ -6,8 +6,8 @@
 	"merlinpaddle/internal/direct/declared"
 )
 
-// minColdTime is the remaining time of a target that is assumed to be cold while its service
-// states no time. Zero would mean warm.
+// minColdTime is the remaining cold time of a target that is assumed to be cold if the cold limit of
+// its service declares no start time. Zero would mean warm.
 const minColdTime = time.Millisecond
 
 // ColdLimit returns the limit for cold targets of a service, and false when the service has none.
--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -71,7 +71,8 @@
 	Address netip.AddrPort
 	Zone    string
 	// Version is the version of the target's software.
-	Version  string
+	Version string
+	// Capacity is the number of requests that the target processes concurrently.
 	Capacity int
 	State    TargetState
 	// Before is the state to which a failed target returns when it recovers.
--- a/internal/direct/directory/evacuation.go
+++ b/internal/direct/directory/evacuation.go
@@ -23,12 +23,13 @@
 //
 // Orders have no version. A member may delay an order and propose it after the operator gave up on
 // that member and had a later order acknowledged by another one. Base protects against that: an
-// order takes effect only if no other order was applied since the member received it.
+// order takes effect only if no other order was applied since the member read the state for it.
 type EvacuationOrder struct {
 	Zone string
 	// End ends the evacuation; otherwise the order begins it.
 	End bool
-	// Base is the revision of the latest order that the member knew when it received the call.
+	// Base is the revision of the latest order in the state that the member read before it proposed
+	// this one.
 	Base model.Revision
 }
 
--- a/internal/direct/directory/evacuation_test.go
+++ b/internal/direct/directory/evacuation_test.go
@@ -96,7 +96,7 @@
 		require.Zero(t, runner.orderEvacuation(fmt.Sprintf("zone-%d", index), false, runner.lastOrderRevision()))
 	}
 	require.True(t, runner.orderEvacuation("one-more", false, runner.lastOrderRevision()).Full)
-	require.Zero(t, runner.orderEvacuation("zone-7", false, runner.lastOrderRevision()), "a zone that is already evacuated needs no further place")
+	require.Zero(t, runner.orderEvacuation("zone-7", false, runner.lastOrderRevision()), "a zone that is already evacuated does not count again")
 	require.Zero(t, runner.orderEvacuation("zone-7", true, runner.lastOrderRevision()))
 	require.Zero(t, runner.orderEvacuation("one-more", false, runner.lastOrderRevision()))
 	require.Len(t, runner.evacuatedZones(), maxEvacuatedZones)
--- a/internal/direct/directory/restart_test.go
+++ b/internal/direct/directory/restart_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLaterStartIsANewIncarnation checks that a target that restarts under its identifier counts
-// its calls from the beginning. Its earlier start remains only as a failed entry, from which
-// balancers know whose flows are lost.
+// TestLaterStartIsANewIncarnation checks that a target that restarts under its identifier gets a
+// new token and may begin its sequence numbers again. Its earlier start remains only as a failed
+// entry, from which balancers know whose flows are lost.
 func TestLaterStartIsANewIncarnation(t *testing.T) {
 	cases := []struct {
 		name         string
--- a/internal/direct/directory/targets.go
+++ b/internal/direct/directory/targets.go
@@ -22,8 +22,8 @@
 // tokens, and in the order of their changes.
 //
 // Invariants: each incarnation is once in byToken and once in byAddress; byID has the latest
-// incarnation of each identifier; the last entry of changeLog with an incarnation's Revision is its
-// latest change; the revisions in changeLog never decrease.
+// incarnation of each identifier; the last entry of an incarnation in changeLog has its Revision;
+// the revisions in changeLog never decrease.
 type targetIndex struct {
 	byID      map[TargetID]*Target
 	byAddress map[netip.AddrPort][]*Target
--- a/internal/direct/member/collecting.go
+++ b/internal/direct/member/collecting.go
@@ -23,9 +23,9 @@
 	run func(ctx context.Context) error
 }
 
-// provideLoadCollection sends and receives load reports over the same transport as balancers: as
-// datagrams, or over the connections of the control protocol if the processes have keys or this
-// one listens on no address.
+// provideLoadCollection returns the collection of load reports, over the same transport as at
+// balancers: as datagrams, or over the connections of the control protocol if the processes have
+// keys or this one listens on no address.
 func provideLoadCollection(chosen settings.Settings, state *directory.Directory, group *replica.Controller,
 	mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, registry *prometheus.Registry, logger *zap.Logger) (loadCollection, error) {
 	self := model.NodeName(chosen.Node)
--- a/internal/direct/member/metrics.go
+++ b/internal/direct/member/metrics.go
@@ -13,7 +13,7 @@
 )
 
 // callBuckets are bucket bounds for call times in seconds: from a single sync of a fast disk to
-// the longest time in which a call is answered.
+// 0.85 s, the default of direct.answer_within.
 var callBuckets = []float64{.002, .005, .01, .02, .05, .1, .2, .4, .85}
 
 // metrics is the Prometheus collector of the member's state and its calls.
@@ -49,8 +49,8 @@
 		revision:        describe("member_revision", "The revision that this member has applied."),
 		declaredVersion: describe("declared_version", "The declared version that this member holds."),
 		targets:         describe("targets", "Targets, by state.", "state"),
-		staleness:       describe("member_current_seconds", "How long ago this follower last held all that its leader had committed."),
-		members:         describe("members", "Members of the control group, by vote.", "vote"),
+		staleness:       describe("member_current_seconds", "Time since this follower was last up to date with its leader's commit index."),
+		members:         describe("members", "Members of the control group, by whether they vote.", "vote"),
 		logEntries:      describe("log_entries_total", "Entries that this member wrote to its log."),
 		logSyncs:        describe("log_syncs_total", "Synced batches that this member wrote to its log."),
 		logBytes:        describe("log_bytes_total", "Bytes that this member wrote to its log."),
--- a/internal/direct/registrar/batch_test.go
+++ b/internal/direct/registrar/batch_test.go
@@ -10,9 +10,9 @@
 	"merlinpaddle/internal/faults"
 )
 
-// TestManyTargetsThatStartTogether checks that the number of proposals grows with the number of
+// TestTargetsThatStartTogetherAreBatched checks that the number of proposals grows with the number of
 // batches, not of targets.
-func TestManyTargetsThatStartTogether(t *testing.T) {
+func TestTargetsThatStartTogetherAreBatched(t *testing.T) {
 	const targets = 2000
 	harness := newHarness(t)
 	completed := 0
--- a/internal/direct/registrar/evacuate.go
+++ b/internal/direct/registrar/evacuate.go
@@ -23,17 +23,18 @@
 	Zone string
 	// End ends the evacuation.
 	End bool
-	// CallerWaiting reports whether the caller still waits for the answer. After a
-	// stall of its process, a member finds calls whose callers have long gone to another one.
+	// CallerWaiting reports whether the caller still waits for the answer. A member whose process
+	// stalled may start calls whose callers have called another member long since.
 	CallerWaiting func() bool
 }
 
 // Evacuate evacuates a zone or ends its evacuation. It calls done without an error once the
 // order is durable on a majority. The zone need not have any targets: they may register later.
 //
-// The order is made on top of the latest order committed when the call arrived, which a
-// confirmed read returns. An order that is proposed late, after the operator got the opposite
-// order acknowledged by another member, therefore conflicts and changes nothing.
+// The order is made on top of the latest committed order, which a confirmed read returns. If it
+// enters the log late, after the operator got the opposite order acknowledged by another member,
+// it conflicts and changes nothing. After a conflict it is proposed again only while its caller
+// waits.
 func (registrar *Registrar) Evacuate(now time.Time, order ZoneOrder, deadline time.Time, done func(error)) {
 	if order.Zone == "" || len(order.Zone) > maxZoneNameBytes {
 		done(faults.New(faults.ZoneOrderInvalid, "zone: %q is not a name of 1 to %d bytes", order.Zone, maxZoneNameBytes))
--- a/internal/direct/registrar/handover.go
+++ b/internal/direct/registrar/handover.go
@@ -31,9 +31,9 @@
 	return &RenewalRedirector{limit: limit, peers: peers}
 }
 
-// Redirect counts the renewal of a ready target at this member and returns the address at which the
-// target is to renew from now on. It is empty when the target stays at this member, as targets
-// in other states always do.
+// Redirect counts the renewal of a ready target at this member and returns the address at which
+// the target is to renew from now on. It is empty when the target stays at this member, as
+// targets in other states always do.
 func (redirector *RenewalRedirector) Redirect(now time.Time, target directory.Target) string {
 	if redirector.limit == 0 || target.State != directory.TargetReady || !redirector.countRenewal(now) {
 		return ""
--- a/internal/direct/registrar/health.go
+++ b/internal/direct/registrar/health.go
@@ -38,7 +38,7 @@
 	renewalMessages *board.Queue[protocol.Envelope]
 	healthReports   *board.Queue[protocol.Envelope]
 	outcomeReports  *board.Queue[protocol.Envelope]
-	outlierDetector *outcome.Ejector
+	ejector         *outcome.Ejector
 	prober          *probe.Prober
 	logger          *zap.Logger
 
@@ -66,7 +66,7 @@
 		renewalMessages: dispatcher.Handle(Renewals{}),
 		healthReports:   dispatcher.Handle(feed.HealthReport{}),
 		outcomeReports:  dispatcher.Handle(feed.OutcomeReport{}),
-		outlierDetector: outcome.NewEjector(),
+		ejector:         outcome.NewEjector(),
 		prober:          prober,
 		logger:          logger,
 		observations:    newObservations(),
@@ -101,7 +101,7 @@
 		health.leadingSince = now
 		health.term = status.Term
 		health.observations = newObservations()
-		health.outlierDetector = outcome.NewEjector()
+		health.ejector = outcome.NewEjector()
 	}
 	health.recordRenewals(now, renewals)
 	health.handleHealthReports(now)
--- a/internal/direct/registrar/health_inspect.go
+++ b/internal/direct/registrar/health_inspect.go
@@ -17,7 +17,9 @@
 	renewedAt  time.Time
 	answeredAt time.Time
 	probedAt   time.Time
-	failedAt   time.Time
+	// failedAt is when the leader marked the target as failed or first found it marked; zero if it
+	// has not failed.
+	failedAt time.Time
 	// proposedAt is when a change to the target was last proposed.
 	proposedAt time.Time
 	// unansweredProbes counts the leader's consecutive unanswered probes.
@@ -114,7 +116,7 @@
 func (health *HealthMonitor) recoverIfAlive(now time.Time, target *directory.Target, observed *observation) {
 	if successor, replaced := health.directory.Successor(target.Token); replaced {
 		if observed.renewedAt.Sub(health.observationOf(successor.Token).renewedAt) >= health.options.MissedAfter*successorMissedRenewals {
-			health.markFailed(now, successor, "another incarnation renews at its address")
+			health.markFailed(now, successor, "an earlier incarnation renews at its address")
 		}
 		return
 	}
--- a/internal/direct/registrar/health_outcomes.go
+++ b/internal/direct/registrar/health_outcomes.go
@@ -15,13 +15,13 @@
 func (health *HealthMonitor) ejectOutliers(now time.Time) {
 	for _, received := range protocol.Receive[feed.OutcomeReport](health.outcomeReports) {
 		report := received.Message
-		health.outlierDetector.AddReport(report, now)
+		health.ejector.AddReport(report, now)
 	}
 	if now.Sub(health.outliersCheckedAt) < outlierCheckInterval {
 		return
 	}
 	health.outliersCheckedAt = now
-	verdict := health.outlierDetector.Decide(health.targets, now)
+	verdict := health.ejector.Decide(health.targets, now)
 	if len(verdict.Eject)+len(verdict.Restore) == 0 {
 		return
 	}
--- a/internal/direct/registrar/health_renewals.go
+++ b/internal/direct/registrar/health_renewals.go
@@ -14,7 +14,7 @@
 // renewalFlushInterval is the time between two messages with the renewals at this member.
 const renewalFlushInterval = 250 * time.Millisecond
 
-// collectRenewals returns the renewals that other members forwarded and, every
+// collectRenewals returns the renewals that other members and balancers sent and, every
 // renewalFlushInterval, those received at this member since the last flush.
 func (health *HealthMonitor) collectRenewals(now time.Time) []Renewal {
 	var renewals []Renewal
@@ -66,7 +66,8 @@
 
 // recordRenewals records renewals. A renewal counts for the latest incarnation of its target,
 // because the process of an earlier one has ended. Renewals of targets that are not in the
-// directory are ignored: their registration was not committed.
+// directory are ignored: their registration was not committed. A renewal younger than
+// renewalFlushInterval also discards the findings that the target does not answer.
 func (health *HealthMonitor) recordRenewals(now time.Time, renewals []Renewal) {
 	for _, renewal := range renewals {
 		token, exists := health.directory.TokenOf(renewal.ID)
--- a/internal/direct/registrar/health_verdict.go
+++ b/internal/direct/registrar/health_verdict.go
@@ -13,9 +13,9 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// handleHealthReports handles balancers' reports of dead targets. A refused connection fails the
-// target at once. One without an answer counts as the finding of one node, and the leader
-// probes the target too.
+// handleHealthReports handles balancers' reports of failed probes. A refused probe fails the target
+// at once. An unanswered one counts as the finding of one node, and the leader probes the target
+// too.
 func (health *HealthMonitor) handleHealthReports(now time.Time) {
 	for _, received := range protocol.Receive[feed.HealthReport](health.healthReports) {
 		report := received.Message
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -403,7 +403,7 @@
 	return target
 }
 
-func TestFailedTargetIsRemovedAfterItsFlows(t *testing.T) {
+func TestFailedTargetIsRemovedAfterTheLongestFlow(t *testing.T) {
 	harness := newHarness(t)
 	require.NoError(t, harness.register(readyTarget(1, 1)))
 	harness.reportVerdict("one", 1, feed.VerdictRefused)
--- a/internal/direct/registrar/restart_test.go
+++ b/internal/direct/registrar/restart_test.go
@@ -57,9 +57,9 @@
 	require.Equal(t, directory.TargetFailed, harness.targetState(1))
 }
 
-// TestEarlierIncarnationIsRemovedAfterItsFlows: the token of the earlier incarnation is removed
-// while the later incarnation keeps renewing.
-func TestEarlierIncarnationIsRemovedAfterItsFlows(t *testing.T) {
+// TestEarlierIncarnationIsRemovedAfterTheLongestFlow: the token of the earlier incarnation is
+// removed while the later incarnation keeps renewing.
+func TestEarlierIncarnationIsRemovedAfterTheLongestFlow(t *testing.T) {
 	harness := newHarness(t)
 	require.NoError(t, harness.register(withStart(100, readyTarget(1, 50))))
 	previous, _ := harness.group.directory.TokenOf(1)
--- a/internal/direct/renewal/relay.go
+++ b/internal/direct/renewal/relay.go
@@ -2,8 +2,8 @@
 //
 // A member that gets too many renewals redirects targets to a balancer. The balancer accepts only
 // renewals that change nothing, and only while a quorum has confirmed its table recently. It
-// refuses all other calls, so that the target goes back to a member. It combines the accepted
-// renewals into one message at a time and sends it to the node that it follows.
+// refuses all other calls, so that the target goes back to a member. Once per interval, it sends
+// the accepted renewals in one message to the node that it follows.
 package renewal
 
 import (
@@ -24,9 +24,9 @@
 const sendInterval = 400 * time.Millisecond
 
 // maxConfirmationAge is how long after the last confirmation by a quorum a balancer accepts
-// renewals. It is longer than a table counts as current. When members are overloaded, they could
-// not handle all the targets that would go back to them, and a target whose renewals do not arrive
-// is probed before it is marked as failed.
+// renewals. It is longer than the time for which a table counts as current: when members are
+// overloaded, they could not handle all the targets that would go back to them. This is safe
+// because a target whose renewals do not arrive is probed before it is marked as failed.
 const maxConfirmationAge = 6 * time.Second
 
 // maxRenewalAge is the age above which a renewal is dropped instead of sent: it is no longer
