--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -208,7 +208,7 @@
 		line, err := lines.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, "update\n", line)
-		return other.instance.Load().plane.Counters().Passed.Load() > 3 && fleet.fabric.hints.Load() > 3
+		return other.instance.Load().plane.Counters().Forwarded.Load() > 3 && fleet.fabric.hints.Load() > 3
 	})
 	require.Zero(t, other.instance.Load().owners.Len())
 }
--- a/internal/agent/dataplane/counters.go
+++ b/internal/agent/dataplane/counters.go
@@ -21,8 +21,8 @@
 	// DropNoTarget is an opening packet that no target may take: all drain, are
 	// full, or are at their limit of new flows.
 	DropNoTarget
-	// DropPasses is a packet that was passed on steering.MaximumPasses times.
-	DropPasses
+	// DropTooManyPasses is a packet that was passed on steering.MaximumPasses times.
+	DropTooManyPasses
 	// DropUnknownTarget is a packet whose next target this agent does not know
 	// yet.
 	DropUnknownTarget
@@ -48,7 +48,7 @@
 	case steering.ReasonNoTarget:
 		return DropNoTarget
 	case steering.ReasonTooManyPasses:
-		return DropPasses
+		return DropTooManyPasses
 	default:
 		return DropOther
 	}
@@ -56,7 +56,7 @@
 
 // Counters count what became of packets. Dropped is the sum over all reasons.
 type Counters struct {
-	Delivered, Passed, Reset, Dropped, Hinted, Rejected, Opened atomic.Uint64
+	Delivered, Forwarded, Reset, Dropped, Hinted, Rejected, Opened atomic.Uint64
 
 	dropsByReason [dropReasonCount]atomic.Uint64
 }
--- a/internal/agent/dataplane/datagrams.go
+++ b/internal/agent/dataplane/datagrams.go
@@ -13,10 +13,10 @@
 // maximumBackendDatagram is the size of the buffer for a back end's datagram.
 const maximumBackendDatagram = 64 << 10
 
-// Datagrams forwards the flows of a plain UDP service to the back end, each
+// DatagramReceiver forwards the flows of a plain UDP service to the back end, each
 // through a socket of its own, so that the back end can tell flows apart. It
 // implements Receiver.
-type Datagrams struct {
+type DatagramReceiver struct {
 	plane   *Plane
 	backend string
 
@@ -27,13 +27,13 @@
 	failed  atomic.Uint64
 }
 
-// NewDatagrams returns a receiver for plane that forwards to backend.
-func NewDatagrams(plane *Plane, backend string) *Datagrams {
-	return &Datagrams{plane: plane, backend: backend, sockets: make(map[model.FiveTuple]*net.UDPConn)}
+// NewDatagramReceiver returns a receiver for plane that forwards to backend.
+func NewDatagramReceiver(plane *Plane, backend string) *DatagramReceiver {
+	return &DatagramReceiver{plane: plane, backend: backend, sockets: make(map[model.FiveTuple]*net.UDPConn)}
 }
 
 // Deliver implements Receiver.
-func (datagrams *Datagrams) Deliver(flow model.FiveTuple, payload []byte) {
+func (datagrams *DatagramReceiver) Deliver(flow model.FiveTuple, payload []byte) {
 	socket, err := datagrams.socket(flow)
 	if err == nil {
 		_, err = socket.Write(payload)
@@ -45,10 +45,10 @@
 }
 
 // Failed returns how many datagrams could not be forwarded.
-func (datagrams *Datagrams) Failed() uint64 { return datagrams.failed.Load() }
+func (datagrams *DatagramReceiver) Failed() uint64 { return datagrams.failed.Load() }
 
 // socket returns the flow's socket and opens it if needed.
-func (datagrams *Datagrams) socket(flow model.FiveTuple) (*net.UDPConn, error) {
+func (datagrams *DatagramReceiver) socket(flow model.FiveTuple) (*net.UDPConn, error) {
 	datagrams.lock.Lock()
 	defer datagrams.lock.Unlock()
 	if socket, open := datagrams.sockets[flow]; open {
@@ -73,7 +73,7 @@
 
 // readAnswers sends the back end's datagrams to the caller until the flow
 // ends.
-func (datagrams *Datagrams) readAnswers(flow model.FiveTuple, socket *net.UDPConn) {
+func (datagrams *DatagramReceiver) readAnswers(flow model.FiveTuple, socket *net.UDPConn) {
 	defer datagrams.readers.Done()
 	buffer := make([]byte, maximumBackendDatagram)
 	for {
@@ -94,10 +94,10 @@
 }
 
 // Reset implements Receiver. Plain UDP has no reset.
-func (datagrams *Datagrams) Reset(model.FiveTuple, []byte) {}
+func (datagrams *DatagramReceiver) Reset(model.FiveTuple, []byte) {}
 
 // Expired implements Receiver.
-func (datagrams *Datagrams) Expired(flows []model.FiveTuple) {
+func (datagrams *DatagramReceiver) Expired(flows []model.FiveTuple) {
 	datagrams.lock.Lock()
 	defer datagrams.lock.Unlock()
 	for _, flow := range flows {
@@ -108,15 +108,15 @@
 	}
 }
 
-// Open returns the number of open flows.
-func (datagrams *Datagrams) Open() int {
+// OpenFlows returns the number of open flows.
+func (datagrams *DatagramReceiver) OpenFlows() int {
 	datagrams.lock.Lock()
 	defer datagrams.lock.Unlock()
 	return len(datagrams.sockets)
 }
 
 // Close ends all flows and waits for their readers.
-func (datagrams *Datagrams) Close() {
+func (datagrams *DatagramReceiver) Close() {
 	datagrams.lock.Lock()
 	datagrams.closed = true
 	for flow, socket := range datagrams.sockets {
--- a/internal/agent/dataplane/plane.go
+++ b/internal/agent/dataplane/plane.go
@@ -134,7 +134,7 @@
 		plane.counters.drop(DropSendFailed)
 		return
 	}
-	plane.counters.Passed.Add(1)
+	plane.counters.Forwarded.Add(1)
 }
 
 // sendHint tells the balancer that this target owns the flow. The hint says
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -173,7 +173,7 @@
 		{"ingress packet", func(p *packet.Encapsulated) { p.Kind = packet.KindIngress }, DropUnexpectedKind},
 		{"return packet", func(p *packet.Encapsulated) { p.Kind = packet.KindReturn }, DropUnexpectedKind},
 		{"hint", func(p *packet.Encapsulated) { p.Kind = packet.KindHint }, DropUnexpectedKind},
-		{"passed on too often", func(p *packet.Encapsulated) { p.Passes = steering.MaximumPasses }, DropPasses},
+		{"passed on too often", func(p *packet.Encapsulated) { p.Passes = steering.MaximumPasses }, DropTooManyPasses},
 		{"newer chain to an unknown target", func(p *packet.Encapsulated) {
 			p.Revision, p.Chain = runningRevision+1, []model.TargetID{unlistedTarget, ownTarget}
 		}, DropUnknownTarget},
@@ -208,7 +208,7 @@
 	asked := receive(t, fixture.other)
 	require.Equal(t, model.StageSearch, asked.Stage)
 	require.Equal(t, []byte("tap"), asked.Payload)
-	require.EqualValues(t, 1, fixture.plane.Counters().Passed.Load())
+	require.EqualValues(t, 1, fixture.plane.Counters().Forwarded.Load())
 	require.Empty(t, fixture.receiver.delivered)
 }
 
@@ -346,7 +346,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newPlaneFixture(t, model.ProtocolTCP)
-			NewSegments(fixture.plane, nil).Reset(test.tuple, segmentOf(t, test.tuple, test.segment, test.payload))
+			NewSegmentReceiver(fixture.plane, nil).Reset(test.tuple, segmentOf(t, test.tuple, test.segment, test.payload))
 			returned := receive(t, fixture.caller)
 			require.Equal(t, packet.KindReturn, returned.Kind)
 			require.Equal(t, rigaService, returned.Service)
@@ -363,7 +363,7 @@
 func TestSegmentsAnswerNothingToResetsAndGarbage(t *testing.T) {
 	tuple := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	fixture := newPlaneFixture(t, model.ProtocolTCP)
-	segments := NewSegments(fixture.plane, nil)
+	segments := NewSegmentReceiver(fixture.plane, nil)
 	segments.Reset(tuple, segmentOf(t, tuple, layers.TCP{RST: true, Seq: 1}, ""))
 	segments.Reset(tuple, []byte("garbage"))
 	segments.Reset(tuple, nil)
@@ -377,7 +377,7 @@
 func TestSegmentsReachTheSink(t *testing.T) {
 	tuple := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	var got []byte
-	segments := NewSegments(nil, func(_ model.FiveTuple, segment []byte) { got = append(got, segment...) })
+	segments := NewSegmentReceiver(nil, func(_ model.FiveTuple, segment []byte) { got = append(got, segment...) })
 	want := segmentOf(t, tuple, layers.TCP{SYN: true}, "")
 	segments.Deliver(tuple, want)
 	require.Equal(t, want, got)
--- a/internal/agent/dataplane/segments.go
+++ b/internal/agent/dataplane/segments.go
@@ -12,31 +12,33 @@
 // says what an operator puts here.
 type SegmentSink func(flow model.FiveTuple, segment []byte)
 
-// Segments receives the packets of a TCP service: it hands segments of owned
+// SegmentReceiver receives the packets of a TCP service: it hands segments of owned
 // flows to a sink and answers those of unknown flows with a reset. It
 // implements Receiver.
-type Segments struct {
+type SegmentReceiver struct {
 	plane *Plane
 	sink  SegmentSink
 }
 
-// NewSegments returns a receiver for plane. A nil sink discards segments.
-func NewSegments(plane *Plane, sink SegmentSink) *Segments {
+// NewSegmentReceiver returns a receiver for plane. A nil sink discards segments.
+func NewSegmentReceiver(plane *Plane, sink SegmentSink) *SegmentReceiver {
 	if sink == nil {
 		sink = func(model.FiveTuple, []byte) {}
 	}
-	return &Segments{plane: plane, sink: sink}
+	return &SegmentReceiver{plane: plane, sink: sink}
 }
 
 // Deliver implements Receiver.
-func (segments *Segments) Deliver(flow model.FiveTuple, segment []byte) { segments.sink(flow, segment) }
+func (segments *SegmentReceiver) Deliver(flow model.FiveTuple, segment []byte) {
+	segments.sink(flow, segment)
+}
 
 // Expired implements Receiver.
-func (segments *Segments) Expired([]model.FiveTuple) {}
+func (segments *SegmentReceiver) Expired([]model.FiveTuple) {}
 
 // Reset implements Receiver: it answers with RST as RFC 9293 section 3.10.7.1
 // says for a connection that does not exist.
-func (segments *Segments) Reset(flow model.FiveTuple, segment []byte) {
+func (segments *SegmentReceiver) Reset(flow model.FiveTuple, segment []byte) {
 	var received layers.TCP
 	if err := received.DecodeFromBytes(segment, gopacket.NilDecodeFeedback); err != nil || received.RST {
 		return
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -35,7 +35,7 @@
 		}
 		current := agent.instance.Load()
 		if current != nil && current.frontend != nil {
-			current.gate.HealthReport(agent.checkHealth(ctx, client))
+			current.gate.RecordHealthReport(agent.checkHealth(ctx, client))
 		}
 	}
 }
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -34,7 +34,7 @@
 	gate      *requests.Gate
 	pool      *upstream.Pool
 	frontend  *frontend
-	datagrams *dataplane.Datagrams
+	datagrams *dataplane.DatagramReceiver
 
 	// drainingSince is when the drain began, or zero. Only the goroutine of
 	// Agent.Run uses it.
@@ -82,10 +82,10 @@
 func (agent *Agent) startReceiver(created *instance, service model.Service) error {
 	switch service.Protocol {
 	case model.ProtocolUDP:
-		created.datagrams = dataplane.NewDatagrams(created.plane, agent.settings.Agent.Backend)
+		created.datagrams = dataplane.NewDatagramReceiver(created.plane, agent.settings.Agent.Backend)
 		created.plane.SetReceiver(created.datagrams)
 	case model.ProtocolTCP:
-		created.plane.SetReceiver(dataplane.NewSegments(created.plane, nil))
+		created.plane.SetReceiver(dataplane.NewSegmentReceiver(created.plane, nil))
 	default:
 		return agent.startFrontend(created, service)
 	}
@@ -100,12 +100,12 @@
 	}
 	created.pool = upstream.NewPool(agent.settings.Agent.Backend)
 	handler := requests.NewHandler(requests.Options{
-		Service:     func() model.Service { return agent.currentService(service) },
-		Gate:        created.gate,
-		Pool:        created.pool,
-		Claims:      agent.claims,
-		Identifiers: agent.identifiers,
-		Metrics:     agent.requestMetrics,
+		Service:    func() model.Service { return agent.currentService(service) },
+		Gate:       created.gate,
+		Pool:       created.pool,
+		Claims:     agent.claims,
+		IDAssigner: agent.identifiers,
+		Metrics:    agent.requestMetrics,
 	})
 	created.frontend, err = newFrontend(created.plane, service, pair, handler)
 	if err != nil {
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -58,7 +58,7 @@
 	}
 	counters := current.plane.Counters()
 	counter(collector.packets, counters.Delivered.Load(), "delivered")
-	counter(collector.packets, counters.Passed.Load(), "passed")
+	counter(collector.packets, counters.Forwarded.Load(), "passed")
 	counter(collector.packets, counters.Reset.Load(), "reset")
 	counter(collector.packets, counters.Dropped.Load(), "dropped")
 	counter(collector.packets, counters.Hinted.Load(), "hinted")
--- a/internal/agent/requests/backend_faults_test.go
+++ b/internal/agent/requests/backend_faults_test.go
@@ -215,7 +215,7 @@
 	rig := newRig(t, answerWhole)
 	for range 5 {
 		rig.get(http.MethodGet, "/call", "")
-		eventually(t, func() bool { return rig.pool.Open() == 0 })
+		eventually(t, func() bool { return rig.pool.ActiveConnections() == 0 })
 	}
 	require.Equal(t, int32(1), rig.backend.connections.Load())
 }
--- a/internal/agent/requests/gate.go
+++ b/internal/agent/requests/gate.go
@@ -76,8 +76,8 @@
 	return newRefusal(decision)
 }
 
-// Report passes on a result of the back end that ends no request.
-func (gate *Gate) Report(result admission.Result) {
+// RecordResult passes on a result of the back end that ends no request.
+func (gate *Gate) RecordResult(result admission.Result) {
 	gate.deliver(gate.controller.RecordResult(time.Now(), result))
 }
 
@@ -177,8 +177,8 @@
 	return definition.Meaning
 }
 
-// HealthReport passes on a health report of the back end.
-func (gate *Gate) HealthReport(good bool) { gate.controller.RecordHealthReport(good) }
+// RecordHealthReport passes on a health report of the back end.
+func (gate *Gate) RecordHealthReport(good bool) { gate.controller.RecordHealthReport(good) }
 
 // SetClosed ends or begins the starting of requests. Closing refuses those
 // that wait.
--- a/internal/agent/requests/handler.go
+++ b/internal/agent/requests/handler.go
@@ -21,12 +21,12 @@
 // Options are what a Handler needs.
 type Options struct {
 	// Service returns the service as the running configuration has it.
-	Service     func() model.Service
-	Gate        *Gate
-	Pool        *upstream.Pool
-	Claims      Claims
-	Identifiers *Identifiers
-	Metrics     *Metrics
+	Service    func() model.Service
+	Gate       *Gate
+	Pool       *upstream.Pool
+	Claims     Claims
+	IDAssigner *IDAssigner
+	Metrics    *Metrics
 }
 
 // Handler answers the HTTP requests of one service at one target.
@@ -72,7 +72,7 @@
 		rule:     matchRule(service.Rules, request),
 		callerID: request.Header.Get(protocol.HeaderRequestID),
 	}
-	current.id = handler.Identifiers.Assign(current.callerID)
+	current.id = handler.IDAssigner.Assign(current.callerID)
 	if current.callerID == "" {
 		current.callerID = current.id
 	}
@@ -145,7 +145,7 @@
 		return err
 	}
 	timer.Stop()
-	handler.Gate.Report(admission.ResultAnswered)
+	handler.Gate.RecordResult(admission.ResultAnswered)
 	passFeed(writer, answer, current.callerID)
 	return nil
 }
--- a/internal/agent/requests/harness_test.go
+++ b/internal/agent/requests/harness_test.go
@@ -210,7 +210,7 @@
 	created.pool = upstream.NewPool(address)
 	created.front = httptest.NewServer(NewHandler(Options{
 		Service: func() model.Service { return service }, Gate: created.gate, Pool: created.pool, Claims: created.claims,
-		Identifiers: NewIdentifiers("agent-1", 7), Metrics: NewMetrics(prometheus.NewRegistry()),
+		IDAssigner: NewIDAssigner("agent-1", 7), Metrics: NewMetrics(prometheus.NewRegistry()),
 	}))
 	t.Cleanup(func() {
 		created.front.CloseClientConnections()
--- a/internal/agent/requests/identifiers.go
+++ b/internal/agent/requests/identifiers.go
@@ -16,9 +16,9 @@
 	maximumIDLength = 128
 )
 
-// Identifiers gives each request an ID that no other request of this agent
+// IDAssigner gives each request an ID that no other request of this agent
 // has lately had, so that an answer with the ID can only be that request's.
-type Identifiers struct {
+type IDAssigner struct {
 	prefix string
 
 	lock    sync.Mutex
@@ -28,10 +28,10 @@
 	oldest  int
 }
 
-// NewIdentifiers returns identifiers that differ from those of other nodes
+// NewIDAssigner returns an assigner whose IDs differ from those of other nodes
 // and of other incarnations of node.
-func NewIdentifiers(node model.NodeName, incarnation model.Incarnation) *Identifiers {
-	return &Identifiers{
+func NewIDAssigner(node model.NodeName, incarnation model.Incarnation) *IDAssigner {
+	return &IDAssigner{
 		prefix: fmt.Sprintf("%s-%x", node, uint64(incarnation)),
 		seen:   make(map[string]struct{}, rememberedIDs),
 	}
@@ -39,7 +39,7 @@
 
 // Assign returns the ID under which a request goes to the back end: the
 // caller's own when it is usable and was not used lately.
-func (identifiers *Identifiers) Assign(callerID string) string {
+func (identifiers *IDAssigner) Assign(callerID string) string {
 	identifiers.lock.Lock()
 	defer identifiers.lock.Unlock()
 	id := callerID
@@ -50,12 +50,12 @@
 	return id
 }
 
-func (identifiers *Identifiers) wasSeen(id string) bool {
+func (identifiers *IDAssigner) wasSeen(id string) bool {
 	_, seen := identifiers.seen[id]
 	return seen
 }
 
-func (identifiers *Identifiers) unique(callerID string) string {
+func (identifiers *IDAssigner) unique(callerID string) string {
 	identifiers.counter++
 	own := identifiers.prefix + "-" + strconv.FormatUint(identifiers.counter, 16)
 	if usableID(callerID) {
@@ -64,7 +64,7 @@
 	return own
 }
 
-func (identifiers *Identifiers) remember(id string) {
+func (identifiers *IDAssigner) remember(id string) {
 	identifiers.seen[id] = struct{}{}
 	if len(identifiers.order) < rememberedIDs {
 		identifiers.order = append(identifiers.order, id)
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -62,7 +62,7 @@
 		open.connections, open.requests = current.frontend.connections.counts()
 	}
 	if current.datagrams != nil {
-		open.datagrams = current.datagrams.Open()
+		open.datagrams = current.datagrams.OpenFlows()
 	}
 	if tracker, ok := agent.claims.(interface{ Unreported() int }); ok {
 		open.claims = tracker.Unreported()
--- a/internal/agent/upstream/pool.go
+++ b/internal/agent/upstream/pool.go
@@ -58,8 +58,8 @@
 // sent an answer that nobody had asked for.
 func (pool *Pool) Unsolicited() uint64 { return pool.unsolicited.Load() }
 
-// Open returns the number of connections that carry a request.
-func (pool *Pool) Open() int {
+// ActiveConnections returns the number of connections that carry a request.
+func (pool *Pool) ActiveConnections() int {
 	pool.lock.Lock()
 	defer pool.lock.Unlock()
 	return len(pool.active)
