--- a/internal/agent/dataplane/datagrams.go
+++ b/internal/agent/dataplane/datagrams.go
@@ -10,54 +10,56 @@
 	"merlinpaddle/internal/model"
 )
 
-// maximumBackendDatagram is the size of the buffer for a back end's datagram.
-const maximumBackendDatagram = 64 << 10
+// backendBufferSize is the size of the buffer for one datagram of the back end, in bytes. UDP allows
+// no longer ones.
+const backendBufferSize = 64 << 10
 
-// DatagramReceiver forwards the flows of a plain UDP service to the back end, each
-// through a socket of its own, so that the back end can tell flows apart. It
-// implements Receiver.
+// DatagramReceiver forwards the datagrams of a plain UDP service to the back end. Each flow has its
+// own socket, so that the back end can distinguish flows by their source port. It implements
+// Receiver.
 type DatagramReceiver struct {
 	plane   *Plane
 	backend string
 
-	lock    sync.Mutex
-	sockets map[model.FiveTuple]*net.UDPConn
-	closed  bool
-	readers sync.WaitGroup
-	failed  atomic.Uint64
+	// lock guards sockets and closed.
+	lock             sync.Mutex
+	sockets          map[model.FiveTuple]*net.UDPConn
+	closed           bool
+	readerGoroutines sync.WaitGroup
+	failed           atomic.Uint64
 }
 
-// NewDatagramReceiver returns a receiver for plane that forwards to backend.
+// NewDatagramReceiver returns a receiver for plane that forwards to the UDP address backend.
 func NewDatagramReceiver(plane *Plane, backend string) *DatagramReceiver {
 	return &DatagramReceiver{plane: plane, backend: backend, sockets: make(map[model.FiveTuple]*net.UDPConn)}
 }
 
 // Deliver implements Receiver.
-func (datagrams *DatagramReceiver) Deliver(flow model.FiveTuple, payload []byte) {
-	socket, err := datagrams.socket(flow)
+func (receiver *DatagramReceiver) Deliver(flow model.FiveTuple, payload []byte) {
+	socket, err := receiver.socketOf(flow)
 	if err == nil {
 		_, err = socket.Write(payload)
 	}
 	if err != nil {
-		// The datagram is lost, as on any network.
-		datagrams.failed.Add(1)
+		// The datagram is lost; UDP callers must expect loss anyway.
+		receiver.failed.Add(1)
 	}
 }
 
-// Failed returns how many datagrams could not be forwarded.
-func (datagrams *DatagramReceiver) Failed() uint64 { return datagrams.failed.Load() }
+// Failed returns how many datagrams could not be forwarded, in either direction.
+func (receiver *DatagramReceiver) Failed() uint64 { return receiver.failed.Load() }
 
-// socket returns the flow's socket and opens it if needed.
-func (datagrams *DatagramReceiver) socket(flow model.FiveTuple) (*net.UDPConn, error) {
-	datagrams.lock.Lock()
-	defer datagrams.lock.Unlock()
-	if socket, open := datagrams.sockets[flow]; open {
+// socketOf returns the flow's socket and opens it if needed.
+func (receiver *DatagramReceiver) socketOf(flow model.FiveTuple) (*net.UDPConn, error) {
+	receiver.lock.Lock()
+	defer receiver.lock.Unlock()
+	if socket, open := receiver.sockets[flow]; open {
 		return socket, nil
 	}
-	if datagrams.closed {
+	if receiver.closed {
 		return nil, net.ErrClosed
 	}
-	address, err := net.ResolveUDPAddr("udp", datagrams.backend)
+	address, err := net.ResolveUDPAddr("udp", receiver.backend)
 	if err != nil {
 		return nil, err
 	}
@@ -65,64 +67,64 @@
 	if err != nil {
 		return nil, err
 	}
-	datagrams.sockets[flow] = socket
-	datagrams.readers.Add(1)
-	go datagrams.readAnswers(flow, socket)
+	receiver.sockets[flow] = socket
+	receiver.readerGoroutines.Add(1)
+	go receiver.forwardAnswers(flow, socket)
 	return socket, nil
 }
 
-// readAnswers sends the back end's datagrams to the caller until the flow
-// ends.
-func (datagrams *DatagramReceiver) readAnswers(flow model.FiveTuple, socket *net.UDPConn) {
-	defer datagrams.readers.Done()
-	buffer := make([]byte, maximumBackendDatagram)
+// forwardAnswers sends the back end's datagrams to the caller until the flow's socket is closed.
+func (receiver *DatagramReceiver) forwardAnswers(flow model.FiveTuple, socket *net.UDPConn) {
+	defer receiver.readerGoroutines.Done()
+	buffer := make([]byte, backendBufferSize)
 	for {
 		length, err := socket.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			// The back end's port was closed for a moment.
-			datagrams.failed.Add(1)
+			// For example, an ICMP message that the back end's port is closed. The back end may
+			// open it again.
+			receiver.failed.Add(1)
 			continue
 		}
-		datagrams.plane.Touch(time.Now(), flow)
-		if err := datagrams.plane.SendUDP(flow.Protocol, flow.Destination, flow.Source, buffer[:length]); err != nil {
-			datagrams.failed.Add(1)
+		receiver.plane.Touch(time.Now(), flow)
+		if err := receiver.plane.SendUDP(flow.Protocol, flow.Destination, flow.Source, buffer[:length]); err != nil {
+			receiver.failed.Add(1)
 		}
 	}
 }
 
-// Reset implements Receiver. Plain UDP has no reset.
-func (datagrams *DatagramReceiver) Reset(model.FiveTuple, []byte) {}
+// Reset implements Receiver. It does nothing, because plain UDP has no reset.
+func (receiver *DatagramReceiver) Reset(model.FiveTuple, []byte) {}
 
-// Expired implements Receiver.
-func (datagrams *DatagramReceiver) Expired(flows []model.FiveTuple) {
-	datagrams.lock.Lock()
-	defer datagrams.lock.Unlock()
+// Expired implements Receiver. It closes the flows' sockets.
+func (receiver *DatagramReceiver) Expired(flows []model.FiveTuple) {
+	receiver.lock.Lock()
+	defer receiver.lock.Unlock()
 	for _, flow := range flows {
-		if socket, open := datagrams.sockets[flow]; open {
+		if socket, open := receiver.sockets[flow]; open {
 			_ = socket.Close()
-			delete(datagrams.sockets, flow)
+			delete(receiver.sockets, flow)
 		}
 	}
 }
 
-// OpenFlows returns the number of open flows.
-func (datagrams *DatagramReceiver) OpenFlows() int {
-	datagrams.lock.Lock()
-	defer datagrams.lock.Unlock()
-	return len(datagrams.sockets)
+// OpenFlows returns the number of flows that have a socket.
+func (receiver *DatagramReceiver) OpenFlows() int {
+	receiver.lock.Lock()
+	defer receiver.lock.Unlock()
+	return len(receiver.sockets)
 }
 
-// Close ends all flows and waits for their readers.
-func (datagrams *DatagramReceiver) Close() {
-	datagrams.lock.Lock()
-	datagrams.closed = true
-	for flow, socket := range datagrams.sockets {
+// Close closes the sockets of all flows and waits for their reader goroutines.
+func (receiver *DatagramReceiver) Close() {
+	receiver.lock.Lock()
+	receiver.closed = true
+	for flow, socket := range receiver.sockets {
 		_ = socket.Close()
-		delete(datagrams.sockets, flow)
+		delete(receiver.sockets, flow)
 	}
-	datagrams.lock.Unlock()
-	datagrams.readers.Wait()
+	receiver.lock.Unlock()
+	receiver.readerGoroutines.Wait()
 }
--- a/internal/agent/dataplane/packetconn.go
+++ b/internal/agent/dataplane/packetconn.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// deliveryQueue is the number of delivered datagrams that may wait.
-	deliveryQueue = 4096
-	// maximumQUICDatagram is the size of a buffer for one datagram, in bytes.
-	// QUIC callers send none that are longer on common networks.
-	maximumQUICDatagram = 2048
+	// deliveryQueueLength is the largest number of datagrams that wait for ReadFrom.
+	deliveryQueueLength = 4096
+	// deliveryBufferSize is the initial size of the buffer for one datagram, in bytes. QUIC
+	// callers send no longer ones on common networks; for a longer one the buffer grows.
+	deliveryBufferSize = 2048
 )
 
-// delivery is one datagram of a caller.
+// delivery is one datagram from a caller.
 type delivery struct {
 	source netip.AddrPort
 	buffer *[]byte
 }
 
-// PacketConn gives the datagrams of a service's callers to a QUIC endpoint, and
-// sends its answers through the fabric. ReadFrom returns the callers' own
-// addresses, as if the endpoint were bound to the service's address.
+// PacketConn is a net.PacketConn that connects a QUIC endpoint to the packet path. ReadFrom returns
+// the datagrams that were passed to Deliver, with the callers' own addresses, as if the endpoint were
+// bound to the service's address. WriteTo sends the endpoint's datagrams to the callers.
 type PacketConn struct {
 	local      net.Addr
 	send       func(caller netip.AddrPort, payload []byte) error
@@ -38,25 +38,24 @@
 	deadline  readDeadline
 }
 
-// NewPacketConn returns a connection of the service at address. send carries
-// an answer to a caller.
+// NewPacketConn returns a connection of the service at address. send sends a datagram to a caller.
 func NewPacketConn(address netip.AddrPort, send func(caller netip.AddrPort, payload []byte) error) *PacketConn {
 	return &PacketConn{
 		local:      net.UDPAddrFromAddrPort(address),
 		send:       send,
-		deliveries: make(chan delivery, deliveryQueue),
+		deliveries: make(chan delivery, deliveryQueueLength),
 		buffers:    sync.Pool{New: func() any { return newBuffer() }},
 		closed:     make(chan struct{}),
 	}
 }
 
 func newBuffer() *[]byte {
-	buffer := make([]byte, 0, maximumQUICDatagram)
+	buffer := make([]byte, 0, deliveryBufferSize)
 	return &buffer
 }
 
-// Deliver hands over a datagram from a caller. It copies payload, and drops
-// the datagram when too many wait.
+// Deliver queues a datagram from a caller for ReadFrom. It copies payload, and drops the datagram
+// when the queue is full.
 func (connection *PacketConn) Deliver(source netip.AddrPort, payload []byte) {
 	buffer := connection.buffers.Get().(*[]byte)
 	*buffer = append((*buffer)[:0], payload...)
@@ -68,7 +67,7 @@
 	}
 }
 
-// Dropped returns how many datagrams found the queue full.
+// Dropped returns how many datagrams were dropped because the queue was full.
 func (connection *PacketConn) Dropped() uint64 { return connection.dropped.Load() }
 
 // ReadFrom implements net.PacketConn.
@@ -101,7 +100,7 @@
 	return len(payload), nil
 }
 
-// Close implements net.PacketConn.
+// Close implements net.PacketConn. It may be called more than once.
 func (connection *PacketConn) Close() error {
 	connection.closeOnce.Do(func() { close(connection.closed) })
 	return nil
@@ -110,7 +109,7 @@
 // LocalAddr implements net.PacketConn. It is the service's address.
 func (connection *PacketConn) LocalAddr() net.Addr { return connection.local }
 
-// SetDeadline implements net.PacketConn; writes do not wait.
+// SetDeadline implements net.PacketConn. It sets only the read deadline, because writes do not block.
 func (connection *PacketConn) SetDeadline(at time.Time) error { return connection.SetReadDeadline(at) }
 
 // SetReadDeadline implements net.PacketConn.
@@ -119,17 +118,18 @@
 	return nil
 }
 
-// SetWriteDeadline implements net.PacketConn; writes do not wait.
+// SetWriteDeadline implements net.PacketConn. It does nothing, because writes do not block.
 func (connection *PacketConn) SetWriteDeadline(time.Time) error { return nil }
 
-// SetReadBuffer tells the QUIC library that there is no buffer to enlarge.
+// SetReadBuffer does nothing, because there is no kernel buffer to enlarge. Without this method the
+// QUIC library logs a warning.
 func (connection *PacketConn) SetReadBuffer(int) error { return nil }
 
-// SetWriteBuffer tells the QUIC library that there is no buffer to enlarge.
+// SetWriteBuffer does nothing, like SetReadBuffer.
 func (connection *PacketConn) SetWriteBuffer(int) error { return nil }
 
-// readDeadline wakes readers at a time that may be changed meanwhile. The zero
-// value has no deadline.
+// readDeadline wakes readers at a deadline, which may be changed while they wait. The zero value has
+// no deadline.
 type readDeadline struct {
 	lock    sync.Mutex
 	timer   *time.Timer
@@ -137,8 +137,8 @@
 	changed chan struct{}
 }
 
-// wait returns a channel that is closed at the deadline, nil without one, and
-// a channel that is closed when the deadline is changed.
+// wait returns a channel that is closed at the deadline, or nil without a deadline, and a channel
+// that is closed when the deadline is changed.
 func (deadline *readDeadline) wait() (expired, changed <-chan struct{}) {
 	deadline.lock.Lock()
 	defer deadline.lock.Unlock()
@@ -148,6 +148,7 @@
 	return deadline.expired, deadline.changed
 }
 
+// set changes the deadline; the zero time removes it.
 func (deadline *readDeadline) set(at time.Time) {
 	deadline.lock.Lock()
 	defer deadline.lock.Unlock()
--- a/internal/agent/dataplane/packetconn_test.go
+++ b/internal/agent/dataplane/packetconn_test.go
@@ -11,15 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func newTestConnection(send func(netip.AddrPort, []byte) error) *PacketConn {
+// newTestPacketConn returns a connection whose datagrams go to send, or are discarded if send is nil.
+func newTestPacketConn(send func(netip.AddrPort, []byte) error) *PacketConn {
 	if send == nil {
 		send = func(netip.AddrPort, []byte) error { return nil }
 	}
 	return NewPacketConn(rigaAddress, send)
 }
 
-func TestPacketConnKeepsDatagramsWholeAndInOrder(t *testing.T) {
-	connection := newTestConnection(nil)
+func TestPacketConnPreservesDatagramsAndTheirOrder(t *testing.T) {
+	connection := newTestPacketConn(nil)
 	payload := []byte("first")
 	connection.Deliver(callerAddress, payload)
 	payload[0] = 'x'
@@ -38,16 +39,16 @@
 	require.Equal(t, net.UDPAddrFromAddrPort(rigaAddress), connection.LocalAddr())
 }
 
-func TestPacketConnDropsAndCountsWhatFindsItsQueueFull(t *testing.T) {
-	connection := newTestConnection(nil)
-	for range deliveryQueue + 3 {
+func TestPacketConnDropsAndCountsDatagramsWhenTheQueueIsFull(t *testing.T) {
+	connection := newTestPacketConn(nil)
+	for range deliveryQueueLength + 3 {
 		connection.Deliver(callerAddress, []byte("x"))
 	}
 	require.EqualValues(t, 3, connection.Dropped())
 }
 
 func TestPacketConnDeadlinesAndClose(t *testing.T) {
-	connection := newTestConnection(nil)
+	connection := newTestPacketConn(nil)
 	require.NoError(t, connection.SetDeadline(time.Unix(1, 0)))
 	_, _, err := connection.ReadFrom(nil)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -66,7 +67,7 @@
 func TestPacketConnWrites(t *testing.T) {
 	refused := errors.New("refused")
 	var sent netip.AddrPort
-	connection := newTestConnection(func(to netip.AddrPort, _ []byte) error {
+	connection := newTestPacketConn(func(to netip.AddrPort, _ []byte) error {
 		sent = to
 		if to != callerAddress {
 			return refused
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -19,7 +19,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout bounds waits for a condition; it is no measure of speed.
+// conditionTimeout bounds the wait for an expected packet. It is long enough for a busy machine, and
+// checks no latency.
 const conditionTimeout = 20 * time.Second
 
 const (
@@ -43,28 +44,28 @@
 
 func (fixed fixedConfiguration) Current() *model.Configuration { return fixed.running }
 
-// recorder is a Receiver that remembers what it got.
-type recorder struct {
+// recordingReceiver is a Receiver that records its calls.
+type recordingReceiver struct {
 	delivered, reset []model.FiveTuple
 	payloads         []string
 }
 
-func (recorder *recorder) Deliver(flow model.FiveTuple, payload []byte) {
-	recorder.delivered = append(recorder.delivered, flow)
-	recorder.payloads = append(recorder.payloads, string(payload))
+func (receiver *recordingReceiver) Deliver(flow model.FiveTuple, payload []byte) {
+	receiver.delivered = append(receiver.delivered, flow)
+	receiver.payloads = append(receiver.payloads, string(payload))
 }
-func (recorder *recorder) Reset(flow model.FiveTuple, _ []byte) {
-	recorder.reset = append(recorder.reset, flow)
+func (receiver *recordingReceiver) Reset(flow model.FiveTuple, _ []byte) {
+	receiver.reset = append(receiver.reset, flow)
 }
-func (recorder *recorder) Expired([]model.FiveTuple) {}
+func (receiver *recordingReceiver) Expired([]model.FiveTuple) {}
 
-// planeFixture is the plane of ownTarget, with sockets in place of the other
-// target's agent, the other tenant's agent, the balancer and the fabric.
+// planeFixture is the plane of ownTarget, with sockets that stand in for the agent of otherTarget, the
+// agent of the other tenant's target, the balancer and the fabric.
 type planeFixture struct {
 	plane                            *Plane
-	receiver                         *recorder
-	owners                           *flow.OwnedFlows
-	other, teranga, balancer, caller *net.UDPConn
+	receiver                         *recordingReceiver
+	ownedFlows                       *flow.OwnedFlows
+	other, teranga, balancer, fabric *net.UDPConn
 }
 
 func listenUDP(t *testing.T) *net.UDPConn {
@@ -80,8 +81,8 @@
 	return socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// tableOf returns a bucket table whose rows are all alike.
-func tableOf(service model.ServiceID, head, alternate model.TargetID) *model.BucketTable {
+// uniformTable returns a bucket table whose rows all have the same head and alternate.
+func uniformTable(service model.ServiceID, head, alternate model.TargetID) *model.BucketTable {
 	table := &model.BucketTable{Service: service, Heads: make([]model.TargetID, 64), Alternates: make([]model.TargetID, 64)}
 	for index := range table.Heads {
 		table.Set(model.Bucket{Index: model.BucketIndex(index), Head: head, Alternate: alternate})
@@ -89,18 +90,19 @@
 	return table
 }
 
+// newPlaneFixture returns a fixture in which otherTarget is the alternate of all of riga's buckets.
 func newPlaneFixture(t *testing.T, protocol model.Protocol) *planeFixture {
 	t.Helper()
 	return newPlaneFixtureWithAlternate(t, protocol, otherTarget)
 }
 
-// newPlaneFixtureWithAlternate chooses the alternate of all buckets; without
-// one the head decides about new flows alone.
+// newPlaneFixtureWithAlternate returns a fixture with the alternate of all of riga's buckets. With zero
+// there is none, and ownTarget, the head, decides alone about new flows.
 func newPlaneFixtureWithAlternate(t *testing.T, protocol model.Protocol, alternate model.TargetID) *planeFixture {
 	t.Helper()
 	fixture := &planeFixture{
-		receiver: &recorder{},
-		other:    listenUDP(t), teranga: listenUDP(t), balancer: listenUDP(t), caller: listenUDP(t),
+		receiver: &recordingReceiver{},
+		other:    listenUDP(t), teranga: listenUDP(t), balancer: listenUDP(t), fabric: listenUDP(t),
 	}
 	running := model.NewConfiguration()
 	running.Revision = runningRevision
@@ -108,8 +110,8 @@
 		running.Services[id] = model.Service{ID: id, Tenant: tenant, Protocol: protocol, Address: address, Limits: model.DefaultLimits()}
 		running.Buckets[id] = table
 	}
-	addService(rigaService, "riga", rigaAddress, tableOf(rigaService, ownTarget, alternate))
-	addService(terangaService, "teranga", terangaAddress, tableOf(terangaService, terangaTarget, terangaTarget))
+	addService(rigaService, "riga", rigaAddress, uniformTable(rigaService, ownTarget, alternate))
+	addService(terangaService, "teranga", terangaAddress, uniformTable(terangaService, terangaTarget, terangaTarget))
 	addTarget := func(id model.TargetID, service model.ServiceID, agent netip.AddrPort) {
 		running.Targets[id] = model.Target{ID: id, Service: service, Phase: model.PhaseServing, Agent: agent}
 	}
@@ -119,19 +121,19 @@
 	addTarget(ownTarget, rigaService, socket.Address())
 	addTarget(otherTarget, rigaService, addressOf(fixture.other))
 	addTarget(terangaTarget, terangaService, addressOf(fixture.teranga))
-	fixture.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: rigaService, Target: ownTarget})
+	fixture.ownedFlows = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: rigaService, Target: ownTarget})
 	decider := steering.New(steering.Options{
-		Target: ownTarget, Configurations: fixedConfiguration{running}, OwnedFlows: fixture.owners,
+		Target: ownTarget, Configurations: fixedConfiguration{running}, OwnedFlows: fixture.ownedFlows,
 	})
 	fixture.plane = NewPlane(Options{
 		Target: ownTarget, Service: rigaService, Configurations: fixedConfiguration{running},
-		Decider: decider, Owners: fixture.owners, Socket: socket, Fabric: addressOf(fixture.caller),
+		Decider: decider, OwnedFlows: fixture.ownedFlows, Socket: socket, Fabric: addressOf(fixture.fabric),
 	})
 	fixture.plane.SetReceiver(fixture.receiver)
 	return fixture
 }
 
-// receive returns the next packet that reached a socket.
+// receive returns the next packet that a socket receives.
 func receive(t *testing.T, socket *net.UDPConn) packet.Encapsulated {
 	t.Helper()
 	buffer := make([]byte, packet.MaximumDatagram)
@@ -142,9 +144,9 @@
 	return received
 }
 
-// opening returns the opening packet of a QUIC flow, as the balancer
-// sends it to the head, after changes.
-func opening(changes ...func(*packet.Encapsulated)) *packet.Encapsulated {
+// openingPacket returns the opening packet of a QUIC flow, as the balancer sends it to the head, with
+// changes applied.
+func openingPacket(changes ...func(*packet.Encapsulated)) *packet.Encapsulated {
 	tuple := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: callerAddress, Destination: rigaAddress}
 	built := &packet.Encapsulated{
 		Kind: packet.KindForward, Service: rigaService, Revision: runningRevision, Opening: true,
@@ -157,7 +159,7 @@
 	return built
 }
 
-func TestPlaneRefusesForeignAndFaultyPackets(t *testing.T) {
+func TestPlaneDropsForeignAndInvalidPackets(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*packet.Encapsulated)
@@ -173,7 +175,7 @@
 		{"ingress packet", func(p *packet.Encapsulated) { p.Kind = packet.KindIngress }, DropUnexpectedKind},
 		{"return packet", func(p *packet.Encapsulated) { p.Kind = packet.KindReturn }, DropUnexpectedKind},
 		{"hint", func(p *packet.Encapsulated) { p.Kind = packet.KindHint }, DropUnexpectedKind},
-		{"passed on too often", func(p *packet.Encapsulated) { p.Passes = steering.MaximumPasses }, DropTooManyPasses},
+		{"forwarded too often", func(p *packet.Encapsulated) { p.Passes = steering.MaximumPasses }, DropTooManyPasses},
 		{"newer chain to an unknown target", func(p *packet.Encapsulated) {
 			p.Revision, p.Chain = runningRevision+1, []model.TargetID{unlistedTarget, ownTarget}
 		}, DropUnknownTarget},
@@ -184,27 +186,27 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newPlaneFixture(t, model.ProtocolQUIC)
-			fixture.plane.Handle(opening(test.change))
+			fixture.plane.Handle(openingPacket(test.change))
 			require.EqualValues(t, 1, fixture.plane.Counters().DroppedFor(test.reason))
 			require.EqualValues(t, 1, fixture.plane.Counters().Dropped.Load())
 			require.Empty(t, fixture.receiver.delivered)
-			require.Zero(t, fixture.owners.Len())
+			require.Zero(t, fixture.ownedFlows.Len())
 		})
 	}
 }
 
-func TestPlaneDropsBeforeItHasAReceiver(t *testing.T) {
+func TestPlaneDropsPacketsWithoutAReceiver(t *testing.T) {
 	fixture := newPlaneFixture(t, model.ProtocolQUIC)
 	fixture.plane.receiver.Store(nil)
-	fixture.plane.Handle(opening())
+	fixture.plane.Handle(openingPacket())
 	require.EqualValues(t, 1, fixture.plane.Counters().DroppedFor(DropNoReceiver))
 }
 
-// Every datagram of a plain UDP flow may open it, so the alternate is asked
-// before the head opens the flow.
+// Every datagram of a plain UDP flow may be its first, so the packet is sent to the alternate, which
+// may own the flow, before the head opens it.
 func TestPlaneAsksTheAlternateAboutPlainUDP(t *testing.T) {
 	fixture := newPlaneFixture(t, model.ProtocolUDP)
-	fixture.plane.Handle(opening(func(p *packet.Encapsulated) { p.Flow.Protocol = model.ProtocolUDP }))
+	fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) { p.Flow.Protocol = model.ProtocolUDP }))
 	asked := receive(t, fixture.other)
 	require.Equal(t, model.StageSearch, asked.Stage)
 	require.Equal(t, []byte("tap"), asked.Payload)
@@ -212,30 +214,29 @@
 	require.Empty(t, fixture.receiver.delivered)
 }
 
-func TestPlaneOpensAFlowOnceForADoubledOpeningPacket(t *testing.T) {
+func TestPlaneOpensAFlowOnceForDuplicateOpeningPackets(t *testing.T) {
 	fixture := newPlaneFixtureWithAlternate(t, model.ProtocolQUIC, 0)
-	first, copied := opening(), opening()
+	first, copied := openingPacket(), openingPacket()
 	fixture.plane.Handle(first)
 	fixture.plane.Handle(copied)
-	older := opening(func(p *packet.Encapsulated) { p.Revision = runningRevision - 1 })
+	older := openingPacket(func(p *packet.Encapsulated) { p.Revision = runningRevision - 1 })
 	fixture.plane.Handle(older)
 	require.EqualValues(t, 1, fixture.plane.Counters().Opened.Load())
-	require.EqualValues(t, 3, fixture.plane.Counters().Delivered.Load(), "the service tells copies apart, not the path")
+	require.EqualValues(t, 3, fixture.plane.Counters().Delivered.Load(), "the service detects duplicates, not the packet path")
 	require.Equal(t, []string{"tap", "tap", "tap"}, fixture.receiver.payloads)
-	require.Equal(t, 1, fixture.owners.Len())
+	require.Equal(t, 1, fixture.ownedFlows.Len())
 }
 
-// An agent that a balancer with an older configuration took for the head
-// sends the packet on by its own, newer row; one with the older configuration
-// follows the packet's.
+// An agent whose configuration is newer than the packet uses its own row of the bucket; an agent whose
+// configuration is older uses the packet's chain.
 func TestPlaneFollowsTheNewerChain(t *testing.T) {
 	cases := []struct {
-		name     string
-		revision model.Revision
-		chain    []model.TargetID
-		position uint8
-		want     []model.TargetID
-		at       model.Revision
+		name         string
+		revision     model.Revision
+		chain        []model.TargetID
+		position     uint8
+		wantChain    []model.TargetID
+		wantRevision model.Revision
 	}{
 		{"packet is older", runningRevision - 1, []model.TargetID{otherTarget, ownTarget}, 1, nil, 0},
 		{"packet is newer", runningRevision + 5, []model.TargetID{otherTarget, ownTarget}, 1, []model.TargetID{otherTarget, ownTarget}, runningRevision + 5},
@@ -243,58 +244,58 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newPlaneFixtureWithAlternate(t, model.ProtocolQUIC, 0)
-			fixture.plane.Handle(opening(func(p *packet.Encapsulated) {
+			fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) {
 				p.Revision, p.Chain, p.Position = test.revision, test.chain, test.position
 			}))
-			if test.want == nil {
+			if test.wantChain == nil {
 				require.Len(t, fixture.receiver.delivered, 1, "the agent is the head of the newer row")
 				return
 			}
-			passed := receive(t, fixture.other)
-			require.Equal(t, test.want, passed.Chain)
-			require.Equal(t, test.at, passed.Revision)
-			require.EqualValues(t, 1, passed.Passes)
+			forwarded := receive(t, fixture.other)
+			require.Equal(t, test.wantChain, forwarded.Chain)
+			require.Equal(t, test.wantRevision, forwarded.Revision)
+			require.EqualValues(t, 1, forwarded.Passes)
 			require.Empty(t, fixture.receiver.delivered)
 		})
 	}
 }
 
-func TestPlaneHintsTheBalancerWhenAPacketTookADetour(t *testing.T) {
+func TestPlaneHintsTheBalancerAfterAForwardedPacket(t *testing.T) {
 	fixture := newPlaneFixtureWithAlternate(t, model.ProtocolQUIC, 0)
-	fixture.plane.Handle(opening())
+	fixture.plane.Handle(openingPacket())
 	require.Zero(t, fixture.plane.Counters().Hinted.Load(), "the balancer chose the owner")
-	fixture.plane.Handle(opening(func(p *packet.Encapsulated) {
+	fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) {
 		p.Passes, p.Balancer = 1, addressOf(fixture.balancer)
 	}))
 	hint := receive(t, fixture.balancer)
 	require.Equal(t, packet.KindHint, hint.Kind)
 	require.Equal(t, ownTarget, hint.Owner)
 	require.Equal(t, rigaService, hint.Service)
-	require.Equal(t, opening().Flow, hint.Flow)
-	require.True(t, hint.Opening, "a copy of an opening packet is one too")
+	require.Equal(t, openingPacket().Flow, hint.Flow)
+	require.True(t, hint.Opening, "a duplicate of an opening packet is an opening packet too")
 
-	fixture.plane.Handle(opening(func(p *packet.Encapsulated) {
+	fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) {
 		p.Passes, p.Balancer, p.Opening = 1, addressOf(fixture.balancer), false
 	}))
 	require.False(t, receive(t, fixture.balancer).Opening)
 }
 
-// Every datagram of plain UDP looks like an opening packet; only the one that
-// opened the flow is hinted as such.
+// Every datagram of plain UDP looks like an opening packet; only in the hint about the one that opened
+// the flow is Opening set.
 func TestPlaneHintsAboutPlainUDP(t *testing.T) {
 	fixture := newPlaneFixture(t, model.ProtocolUDP)
-	for _, isOpened := range []bool{true, false} {
-		fixture.plane.Handle(opening(func(p *packet.Encapsulated) {
+	for _, opened := range []bool{true, false} {
+		fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) {
 			p.Flow.Protocol, p.Balancer = model.ProtocolUDP, addressOf(fixture.balancer)
-			// The alternate was asked, does not own the flow and is busier.
+			// The search found no owner at the alternate, which has a higher load.
 			p.Stage, p.Passes, p.HeadLoad = model.StageSearch, 2, 1000
 			p.Chain, p.Position = []model.TargetID{otherTarget, ownTarget}, 1
 		}))
-		require.Equal(t, isOpened, receive(t, fixture.balancer).Opening)
+		require.Equal(t, opened, receive(t, fixture.balancer).Opening)
 	}
 }
 
-func TestPlaneResetsAFlowThatNobodyOwns(t *testing.T) {
+func TestPlaneResetsAFlowThatNoTargetOwns(t *testing.T) {
 	fixture := newPlaneFixture(t, model.ProtocolTCP)
 	tuple := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	fixture.plane.Handle(&packet.Encapsulated{
@@ -305,7 +306,7 @@
 	require.EqualValues(t, 1, fixture.plane.Counters().Reset.Load())
 }
 
-// segmentOf returns the bytes of a TCP segment of a flow.
+// segmentOf returns the bytes of a TCP segment of flow tuple.
 func segmentOf(t *testing.T, tuple model.FiveTuple, header layers.TCP, payload string) []byte {
 	t.Helper()
 	inner, err := packet.NewInnerBuilder().TCP(tuple, &header, []byte(payload))
@@ -323,8 +324,8 @@
 	ipv6HeaderLength = 40
 )
 
-// The resets are those of RFC 9293, section 3.10.7.1.
-func TestSegmentsAnswerUnknownFlowsWithAReset(t *testing.T) {
+// The expected resets are those of RFC 9293, section 3.10.7.1.
+func TestSegmentReceiverAnswersUnknownFlowsWithAReset(t *testing.T) {
 	flow4 := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	flow6 := model.FiveTuple{
 		Protocol: model.ProtocolTCP,
@@ -347,7 +348,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newPlaneFixture(t, model.ProtocolTCP)
 			NewSegmentReceiver(fixture.plane, nil).Reset(test.tuple, segmentOf(t, test.tuple, test.segment, test.payload))
-			returned := receive(t, fixture.caller)
+			returned := receive(t, fixture.fabric)
 			require.Equal(t, packet.KindReturn, returned.Kind)
 			require.Equal(t, rigaService, returned.Service)
 			require.Equal(t, test.tuple.Destination, returned.Flow.Source)
@@ -360,25 +361,25 @@
 	}
 }
 
-func TestSegmentsAnswerNothingToResetsAndGarbage(t *testing.T) {
+func TestSegmentReceiverIgnoresResetsAndGarbage(t *testing.T) {
 	tuple := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	fixture := newPlaneFixture(t, model.ProtocolTCP)
-	segments := NewSegmentReceiver(fixture.plane, nil)
-	segments.Reset(tuple, segmentOf(t, tuple, layers.TCP{RST: true, Seq: 1}, ""))
-	segments.Reset(tuple, []byte("garbage"))
-	segments.Reset(tuple, nil)
-	// The only answer is that to the last, ordinary segment.
-	segments.Reset(tuple, segmentOf(t, tuple, layers.TCP{ACK: true, Ack: 55}, ""))
+	receiver := NewSegmentReceiver(fixture.plane, nil)
+	receiver.Reset(tuple, segmentOf(t, tuple, layers.TCP{RST: true, Seq: 1}, ""))
+	receiver.Reset(tuple, []byte("garbage"))
+	receiver.Reset(tuple, nil)
+	// Only this ordinary segment is answered.
+	receiver.Reset(tuple, segmentOf(t, tuple, layers.TCP{ACK: true, Ack: 55}, ""))
 	var reset layers.TCP
-	require.NoError(t, reset.DecodeFromBytes(receive(t, fixture.caller).Payload, gopacket.NilDecodeFeedback))
+	require.NoError(t, reset.DecodeFromBytes(receive(t, fixture.fabric).Payload, gopacket.NilDecodeFeedback))
 	require.EqualValues(t, 55, reset.Seq)
 }
 
-func TestSegmentsReachTheSink(t *testing.T) {
+func TestSegmentReceiverDeliversToTheSink(t *testing.T) {
 	tuple := model.FiveTuple{Protocol: model.ProtocolTCP, Source: callerAddress, Destination: rigaAddress}
 	var got []byte
-	segments := NewSegmentReceiver(nil, func(_ model.FiveTuple, segment []byte) { got = append(got, segment...) })
+	receiver := NewSegmentReceiver(nil, func(_ model.FiveTuple, segment []byte) { got = append(got, segment...) })
 	want := segmentOf(t, tuple, layers.TCP{SYN: true}, "")
-	segments.Deliver(tuple, want)
+	receiver.Deliver(tuple, want)
 	require.Equal(t, want, got)
 }
--- a/internal/agent/dataplane/socket.go
+++ b/internal/agent/dataplane/socket.go
@@ -1,7 +1,6 @@
-// Package dataplane moves packets at a target's agent: it receives Geneve
-// packets from balancers and other agents, lets steering decide about each,
-// and delivers, passes on, or resets. Answers go to the fabric, which carries
-// them to the callers.
+// Package dataplane is the packet path of a target's agent. It receives Geneve packets from balancers
+// and other agents, asks package steering what to do with each of them, and delivers, forwards, resets
+// or drops it. Answers are sent to the fabric, which carries them to the callers.
 package dataplane
 
 import (
@@ -15,8 +14,8 @@
 	"merlinpaddle/internal/packet"
 )
 
-// receiveBuffer is the wanted size of the socket's receive buffer, in bytes.
-const receiveBuffer = 4 << 20
+// receiveBufferSize is the requested size of the socket's receive buffer, in bytes.
+const receiveBufferSize = 4 << 20
 
 // Socket is the agent's UDP socket for Geneve packets. Its Send may be called
 // concurrently.
@@ -36,8 +35,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("packet address %s: %w", address, err)
 	}
-	// A smaller buffer works too, with more loss in bursts.
-	_ = connection.SetReadBuffer(receiveBuffer)
+	// The error is ignored: with a smaller buffer only more packets are lost in bursts.
+	_ = connection.SetReadBuffer(receiveBufferSize)
 	return &Socket{
 		connection: connection,
 		encoders:   sync.Pool{New: func() any { return packet.NewEncoder() }},
@@ -68,9 +67,9 @@
 	return err
 }
 
-// Receive calls handle for each packet until ctx ends or the socket is
-// closed. The packet's memory is used again after handle returns. Datagrams
-// that cannot be decoded are counted by rejected.
+// Receive calls handle for each packet until ctx ends, which closes the socket, or the socket is closed
+// otherwise. The packet's memory is reused after handle returns. Receive calls rejected with the error
+// of each datagram that cannot be decoded.
 func (socket *Socket) Receive(ctx context.Context, handle func(*packet.Encapsulated), rejected func(error)) error {
 	stop := context.AfterFunc(ctx, func() { _ = socket.connection.Close() })
 	defer stop()
@@ -83,7 +82,7 @@
 			return nil
 		}
 		if err != nil {
-			// An ICMP answer to an earlier datagram; the socket still works.
+			// For example, an ICMP error about an earlier datagram. The socket still works.
 			continue
 		}
 		if err := decoder.Decode(buffer[:length], &received); err != nil {
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -71,7 +71,7 @@
 		Service:        service.ID,
 		Configurations: agent.store,
 		Decider:        created.steering,
-		Owners:         created.owners,
+		OwnedFlows:     created.owners,
 		Socket:         agent.socket,
 		Fabric:         fabric,
 	})
