--- a/internal/agent/upstream/connection.go
+++ b/internal/agent/upstream/connection.go
@@ -10,68 +10,72 @@
 )
 
 const (
-	// connectionBuffer is the size of a connection's read buffer, in bytes.
-	connectionBuffer = 16 << 10
-	// maximumAnswerHeader bounds what is read for an answer's header, in
-	// bytes; the part of the body that is read along counts too.
-	maximumAnswerHeader = 256 << 10
+	// readBufferSize is the size of a connection's read buffer, in bytes.
+	readBufferSize = 16 << 10
+	// maximumAnswerHeaderBytes bounds how much is read until the answer's header is complete, in
+	// bytes. It includes interim answers and the part of the body that is buffered meanwhile.
+	maximumAnswerHeaderBytes = 256 << 10
 )
 
-// connection is one TCP connection to the back end. It carries one request at
-// a time. While it is idle a goroutine watches it, so that a close or an
-// answer nobody asked for is seen before the connection is used again.
+// connection is one TCP connection to the back end. It carries one request at a time. While it is
+// idle, a goroutine reads from it, so that a close or an unsolicited answer is detected before the
+// connection is used again.
 type connection struct {
 	raw    net.Conn
 	reader *bufio.Reader
+	// reused reports whether the connection has carried a request before.
 	reused bool
 
-	// guard is called right before the first byte of a request is written.
-	guard   BeforeSend
+	// beforeSend is called right before the first byte of a request is written, once.
+	beforeSend BeforeSend
+	// written is the number of bytes written for the current request.
 	written atomic.Int64
-	// allowance is the number of bytes that may still be read for a header;
-	// negative means without bound.
-	allowance atomic.Int64
+	// headerBytesLeft is the number of bytes that may still be read for a header; negative means
+	// no bound.
+	headerBytesLeft atomic.Int64
 
 	idleSince time.Time
-	watched   chan error
+	// watchResult gets the error that ended the watch, once.
+	watchResult chan error
 }
 
-// errUnsolicited tells that the back end sent bytes that answer no request:
-// an answer that came late or twice.
-var errUnsolicited = errors.New("the back end sent an answer that nobody asked for")
+// errUnsolicited means that the back end sent bytes that belong to no open request, such as a
+// second or a late answer.
+var errUnsolicited = errors.New("the back end sent an unsolicited answer")
 
-// errHeaderTooLong tells that an answer's header is over its bound.
+// errHeaderTooLong means that an answer's header exceeds maximumAnswerHeaderBytes.
 var errHeaderTooLong = errors.New("the answer's header is too long")
 
+// newConnection returns a connection that has carried no request.
 func newConnection(raw net.Conn) *connection {
 	fresh := &connection{raw: raw}
-	fresh.allowance.Store(maximumAnswerHeader)
-	fresh.reader = bufio.NewReaderSize(fresh, connectionBuffer)
+	fresh.headerBytesLeft.Store(maximumAnswerHeaderBytes)
+	fresh.reader = bufio.NewReaderSize(fresh, readBufferSize)
 	return fresh
 }
 
-// Read implements io.Reader below the connection's buffer.
+// Read implements io.Reader for the connection's read buffer. It limits the size of headers.
 func (connection *connection) Read(buffer []byte) (int, error) {
-	allowance := connection.allowance.Load()
-	if allowance == 0 {
+	left := connection.headerBytesLeft.Load()
+	if left == 0 {
 		return 0, errHeaderTooLong
 	}
-	if allowance > 0 {
-		buffer = buffer[:min(int64(len(buffer)), allowance)]
+	if left > 0 {
+		buffer = buffer[:min(int64(len(buffer)), left)]
 	}
 	count, err := connection.raw.Read(buffer)
-	if allowance > 0 {
-		connection.allowance.Store(allowance - int64(count))
+	if left > 0 {
+		connection.headerBytesLeft.Store(left - int64(count))
 	}
 	return count, err
 }
 
-// Write implements io.Writer and counts what the kernel took: those bytes may
-// have reached the back end.
+// Write implements io.Writer. It counts the bytes that the kernel accepted, because these may have
+// reached the back end.
 func (connection *connection) Write(data []byte) (int, error) {
-	if guard := connection.guard; guard != nil {
-		connection.guard = nil
-		if err := guard(); err != nil {
+	if beforeSend := connection.beforeSend; beforeSend != nil {
+		connection.beforeSend = nil
+		if err := beforeSend(); err != nil {
 			return 0, err
 		}
 	}
@@ -80,42 +84,42 @@
 	return count, err
 }
 
-// watch begins to look for unexpected bytes or a close. onEnd is called when
-// either is seen before unwatch.
-func (connection *connection) watch(now time.Time, onEnd func()) {
+// watchIdle resets the connection for the next request and starts a goroutine that waits for
+// unsolicited bytes or a close. The goroutine calls onEnd if it sees either before stopWatching.
+func (connection *connection) watchIdle(now time.Time, onEnd func()) {
 	connection.idleSince = now
 	connection.reused = true
 	connection.written.Store(0)
-	connection.allowance.Store(maximumAnswerHeader)
-	watched := make(chan error, 1)
-	connection.watched = watched
+	connection.headerBytesLeft.Store(maximumAnswerHeaderBytes)
+	result := make(chan error, 1)
+	connection.watchResult = result
 	go func() {
 		_, err := connection.reader.Peek(1)
 		if err == nil {
 			err = errUnsolicited
 		}
-		watched <- err
+		result <- err
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			onEnd()
 		}
 	}()
 }
 
-// unwatch ends the watch and returns why the connection cannot be used, or
-// nil when it is clean.
-func (connection *connection) unwatch() error {
-	// A deadline in the past wakes the watcher up.
+// stopWatching ends the watch. It returns nil if the connection can be used again, and otherwise
+// the reason why it cannot.
+func (connection *connection) stopWatching() error {
+	// A deadline in the past ends the watcher's read.
 	if err := connection.raw.SetReadDeadline(time.Unix(1, 0)); err != nil {
 		return err
 	}
-	err := <-connection.watched
+	err := <-connection.watchResult
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
 	if connection.reader.Buffered() > 0 {
 		return errUnsolicited
 	}
-	if err := pendingInput(connection.raw); err != nil {
+	if err := checkPendingInput(connection.raw); err != nil {
 		return err
 	}
 	return connection.raw.SetReadDeadline(time.Time{})
--- a/internal/agent/upstream/pending.go
+++ b/internal/agent/upstream/pending.go
@@ -9,12 +9,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// pendingInput asks the kernel whether anything came on an idle connection:
-// errUnsolicited for bytes, io.EOF or the socket's error for a close, nil for
-// neither. A watcher that is woken by a deadline may not have read it yet,
-// because a passed deadline goes before input. A connection that is no socket
-// has nothing to ask and gives nil.
-func pendingInput(raw net.Conn) error {
+// checkPendingInput checks the kernel's receive buffer of an idle connection. It returns
+// errUnsolicited if there are bytes, io.EOF or the socket's error if the connection was closed, and
+// nil otherwise. The check is needed because a read whose deadline has passed returns the
+// deadline's error even if there is input, so the watcher may not have read it. For a connection
+// that is not a socket it returns nil.
+func checkPendingInput(raw net.Conn) error {
 	socket, ok := raw.(syscall.Conn)
 	if !ok {
 		return nil
@@ -28,7 +28,7 @@
 	return errors.Join(err, found)
 }
 
-// peek looks at the next byte of a socket's input without taking it or waiting.
+// peek checks a socket for input, without consuming it and without blocking.
 func peek(descriptor int) error {
 	var next [1]byte
 	count, _, err := unix.Recvfrom(descriptor, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
