--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -29,7 +29,7 @@
 		status: replica.Status{
 			Leading: true, Leader: "control-1", Term: 3, Committed: 9, Applied: 8, ConfirmedAt: now.Add(-2 * time.Second),
 			Members: []replica.Member{{ID: 1}, {ID: 2}, {ID: 3, Learner: true}},
-			Log:     wal.Work{Batches: 4, Entries: 9, Bytes: 1000},
+			Log:     wal.WriteStats{Batches: 4, Entries: 9, Bytes: 1000},
 		},
 		rollout: model.RolloutStatus{Committed: 9, InForce: 7, Nodes: []model.NodeStatus{
 			{Role: model.RoleBalancer, Leased: true}, {Role: model.RoleBalancer}, {Role: model.RoleAgent, Leased: true},
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -48,7 +48,7 @@
 	// Members is the committed membership.
 	Members []Member
 	// Log counts what this member wrote to its log since it started.
-	Log wal.Work
+	Log wal.WriteStats
 	// CurrentAt is the latest time at which the leader told this follower its
 	// commit index and the follower reached that index afterwards; zero on the
 	// leader and without one.
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -32,7 +32,7 @@
 			Applied:     model.Revision(core.Applied),
 			ConfirmedAt: core.ConfirmedAt,
 			Members:     core.Configuration.Members,
-			Log:         controller.storage.log.Work(),
+			Log:         controller.storage.log.WriteStats(),
 			CurrentAt:   core.CurrentAt,
 			LeaderSince: core.LeaderSince,
 			Peers:       core.Peers,
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -71,8 +71,8 @@
 	maxIndex uint64
 }
 
-// Work counts what a log wrote since it was opened.
-type Work struct {
+// WriteStats counts what a log wrote durably since it was opened.
+type WriteStats struct {
 	// Batches is the number of synced batches; Entries divided by it is how
 	// many entries shared a sync.
 	Batches uint64
@@ -91,7 +91,7 @@
 	frame     uint64
 	lastIndex uint64
 	hardState raft.HardState
-	work      Work
+	work      WriteStats
 	failure   error
 }
 
@@ -293,8 +293,8 @@
 	return log.failure
 }
 
-// Work returns what the log wrote since it was opened.
-func (log *Log) Work() Work { return log.work }
+// WriteStats returns what the log wrote durably since it was opened.
+func (log *Log) WriteStats() WriteStats { return log.work }
 
 // Close closes the log's file.
 func (log *Log) Close() error {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -97,10 +97,10 @@
 	appendEntries(t, log, entriesFrom(1, 3, 1))
 	appendEntries(t, log, entriesFrom(4, 4, 1))
 	written := uint64(len(readWhole(t, disk, "wal/"+segmentName(1))) - len(before))
-	require.Equal(t, Work{Batches: 2, Entries: 4, Bytes: written}, log.Work())
+	require.Equal(t, WriteStats{Batches: 2, Entries: 4, Bytes: written}, log.WriteStats())
 	disk.FailSyncs(1)
 	require.Error(t, log.Append(Batch{Entries: entriesFrom(5, 5, 1)}))
-	require.Equal(t, Work{Batches: 2, Entries: 4, Bytes: written}, log.Work(), "what is not durable does not count")
+	require.Equal(t, WriteStats{Batches: 2, Entries: 4, Bytes: written}, log.WriteStats(), "what is not durable does not count")
 }
 
 func TestResetEmptiesTheLog(t *testing.T) {
