--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -14,20 +14,26 @@
 	"merlinpaddle/internal/raft"
 )
 
-// logScan is what reading the segments in order found.
+// logScan is the state of a log, rebuilt by reading its segments in ascending order.
 type logScan struct {
-	identity  Identity
-	segments  []segment
-	frame     uint64
+	identity Identity
+	segments []segment
+	// lastFrame is the number of the last batch frame, or zero.
+	lastFrame uint64
 	hardState raft.HardState
-	base      uint64
-	entries   []raft.Entry
-	records   int
-	bytes     int64
-	// tailSize is the length of the sound part of the last segment.
-	tailSize  int64
+	// base is the index before the first entry.
+	base    uint64
+	entries []raft.Entry
+	// records counts the batch frames.
+	records int
+	// bytes is the size of all segment files, torn bytes included.
+	bytes int64
+	// tailSize is the length of the valid frames at the start of the last segment.
+	tailSize int64
+	// tornBytes is the length of the torn frame after them, or the size of tornSegment.
 	tornBytes int64
-	// tornSegment is a last segment whose header was torn, or zero.
+	// tornSegment is the number of a last segment whose header frame is torn, or zero. It is not
+	// in segments.
 	tornSegment uint64
 }
 
@@ -42,6 +48,7 @@
 	}
 }
 
+// checkIdentity returns a StorageForeign fault when the log belongs to another member or group.
 func (scan *logScan) checkIdentity(expected Identity) error {
 	if len(scan.segments) == 0 || scan.identity == expected {
 		return nil
@@ -51,7 +58,8 @@
 		scan.identity.Member, scan.identity.Group, expected.Member, expected.Group)
 }
 
-// listSegments returns the numbers of the segments in ascending order.
+// listSegments returns the numbers of the segments in ascending order, none when the folder does
+// not exist.
 func listSegments(files filesystem.FileSystem, folder string) ([]uint64, error) {
 	names, err := files.ReadDir(folder)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -72,7 +80,8 @@
 	return numbers, nil
 }
 
-// scanLog reads all segments and changes nothing.
+// scanLog reads and checks all segments without changing them. A torn frame at the end of the last
+// segment is reported in the scan; any other damage is an error.
 func scanLog(files filesystem.FileSystem, folder string) (*logScan, error) {
 	numbers, err := listSegments(files, folder)
 	if err != nil {
@@ -109,21 +118,22 @@
 	return data, nil
 }
 
-func (scan *logScan) readSegment(number uint64, data []byte, last bool) error {
+// readSegment adds the frames of the segment with the given number, whose file holds data.
+func (scan *logScan) readSegment(number uint64, data []byte, isLast bool) error {
 	scan.bytes += int64(len(data))
-	body, length, sound := readFrame(data)
-	if !sound {
-		return scan.unsoundHeader(number, data, last)
+	body, length, valid := readFrame(data)
+	if !valid {
+		return scan.acceptTornHeader(number, data, isLast)
 	}
-	if err := scan.readHeader(number, body); err != nil {
+	if err := scan.readSegmentHeader(number, body); err != nil {
 		return err
 	}
 	scan.segments = append(scan.segments, segment{number: number})
 	offset := length
 	for offset < len(data) {
-		body, length, sound = readFrame(data[offset:])
-		if !sound {
-			return scan.unsoundFrame(number, data, offset, last)
+		body, length, valid = readFrame(data[offset:])
+		if !valid {
+			return scan.acceptTornTail(number, data, offset, isLast)
 		}
 		if err := scan.readBatch(number, offset, body); err != nil {
 			return err
@@ -134,10 +144,11 @@
 	return nil
 }
 
-// unsoundHeader accepts a last segment that a crash tore while it was begun:
-// nothing is written after a header before the header is synced.
-func (scan *logScan) unsoundHeader(number uint64, data []byte, last bool) error {
-	if !last || soundFrameAfter(data, 0) {
+// acceptTornHeader records an invalid header frame as torn if a crash can explain it: it is in the
+// last segment and no valid frame follows it, as nothing is written after a header before the header
+// is synced. Otherwise it returns an error.
+func (scan *logScan) acceptTornHeader(number uint64, data []byte, isLast bool) error {
+	if !isLast || validFrameAfter(data, 0) {
 		return damaged(number, 0, "its header is damaged")
 	}
 	if number != 1 && len(scan.segments) == 0 {
@@ -148,9 +159,10 @@
 	return nil
 }
 
-// unsoundFrame accepts a torn tail only.
-func (scan *logScan) unsoundFrame(number uint64, data []byte, offset int, last bool) error {
-	if !last || soundFrameAfter(data, offset) {
+// acceptTornTail records an invalid frame as torn if it is in the last segment and no valid frame
+// follows it. Otherwise it returns an error.
+func (scan *logScan) acceptTornTail(number uint64, data []byte, offset int, isLast bool) error {
+	if !isLast || validFrameAfter(data, offset) {
 		return damaged(number, offset, "its checksum does not match and sound records follow")
 	}
 	scan.tailSize = int64(offset)
@@ -158,27 +170,31 @@
 	return nil
 }
 
-// soundFrameAfter looks for a sound frame anywhere behind offset.
-func soundFrameAfter(data []byte, offset int) bool {
+// validFrameAfter reports whether a valid frame starts at any byte after offset. The length of the
+// invalid frame at offset cannot be used to find the next one.
+func validFrameAfter(data []byte, offset int) bool {
 	for start := offset + 1; start+frameHeaderBytes <= len(data); start++ {
 		if data[start] != frameMagic[0] {
 			continue
 		}
-		if _, _, sound := readFrame(data[start:]); sound {
+		if _, _, valid := readFrame(data[start:]); valid {
 			return true
 		}
 	}
 	return false
 }
 
+// damaged returns the fault for an invalid byte range of a segment, which only a new member repairs.
 func damaged(number uint64, offset int, cause string) error {
 	return faults.New(faults.StorageDamaged,
 		"log segment %s is damaged at byte %d: %s; nothing was changed; replace this member: remove it from the group, empty the folder and add it again",
 		segmentName(number), offset, cause)
 }
 
-func (scan *logScan) readHeader(number uint64, body []byte) error {
-	header, err := decodeHeader(body)
+// readSegmentHeader checks a segment's header. The header of the oldest segment also sets the state
+// at the start of the log.
+func (scan *logScan) readSegmentHeader(number uint64, body []byte) error {
+	header, err := decodeSegmentHeader(body)
 	if err != nil {
 		return damaged(number, 0, err.Error())
 	}
@@ -202,15 +218,16 @@
 	return nil
 }
 
+// readBatch applies the batch frame at offset of a segment.
 func (scan *logScan) readBatch(number uint64, offset int, body []byte) error {
 	frame, state, batch, err := decodeBatch(body)
 	if err != nil {
 		return damaged(number, offset, err.Error())
 	}
-	if scan.frame != 0 && frame != scan.frame+1 {
+	if scan.lastFrame != 0 && frame != scan.lastFrame+1 {
 		return damaged(number, offset, "a record is missing before it")
 	}
-	scan.frame = frame
+	scan.lastFrame = frame
 	scan.hardState = state
 	scan.records++
 	if batch.Reset != nil {
@@ -225,8 +242,8 @@
 	return nil
 }
 
-// addEntry adds an entry, which replaces any from its index on. It returns
-// false when the entry leaves a gap.
+// addEntry appends an entry, which replaces all entries from its index on. It reports false, and
+// adds nothing, when the index is zero or would leave a gap.
 func (scan *logScan) addEntry(entry raft.Entry) bool {
 	switch {
 	case entry.Index > scan.lastIndex()+1 || entry.Index == 0:
@@ -243,19 +260,23 @@
 	return true
 }
 
-// Report is what Inspect found in a log.
+// Report is the result of Inspect.
 type Report struct {
-	Identity  Identity
-	Segments  int
-	Records   int
+	Identity Identity
+	// Segments does not count a last segment whose header is torn.
+	Segments int
+	// Records is the number of batches.
+	Records int
+	// Bytes is the size of all segment files.
 	Bytes     int64
 	HardState raft.HardState
-	// FirstIndex and LastIndex bound the entries; the log is empty when
-	// LastIndex is below FirstIndex.
+	// FirstIndex and LastIndex bound the entries; the log is empty when LastIndex is below
+	// FirstIndex.
 	FirstIndex uint64
 	LastIndex  uint64
-	// Terms lists the terms of the entries with their first index.
-	Terms     []TermStart
+	// Terms lists the terms of the entries with their first index, in log order.
+	Terms []TermStart
+	// TornBytes is the size of a torn write at the end, which Open would remove.
 	TornBytes int64
 }
 
@@ -265,7 +286,7 @@
 	Index uint64
 }
 
-// Inspect reads a log without changing it.
+// Inspect reads and checks the log in folder without changing it.
 func Inspect(files filesystem.FileSystem, folder string) (Report, error) {
 	scan, err := scanLog(files, folder)
 	if err != nil {
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -1,13 +1,12 @@
-// Package wal is the write-ahead log of a member of the control group: its
-// hard state and its entries, in segments of checksummed frames.
+// Package wal is the write-ahead log of a Raft member: its hard state and its entries, in segment
+// files of checksummed frames.
 //
-// Each Append writes one frame and syncs it before it returns. The next frame
-// is written only after that, so at most the last frame of the last segment
-// can be torn by a crash. An unsound frame with a sound one after it is
-// therefore damage, not a torn tail, and the log refuses to open.
+// Each Append writes one frame and syncs it before it returns. The next frame is written only after
+// that, so a crash can tear at most the last frame of the last segment. An invalid frame with a valid
+// one after it is therefore damage, not a torn tail, and Open refuses the log.
 //
-// After the first failed write or sync the log takes nothing more: which bytes
-// reached the disk is unknown, and a later sync could succeed without them.
+// After the first failed write or sync the log refuses all further writes: which bytes reached the
+// disk is unknown, and a later sync could succeed without them.
 package wal
 
 import (
@@ -25,85 +24,91 @@
 // formatVersion is the version of the segment format.
 const formatVersion = 1
 
-// DefaultSegmentBytes is the size at which a new segment begins.
+// DefaultSegmentBytes is the default of Options.SegmentBytes.
 const DefaultSegmentBytes = 16 << 20
 
-// Identity ties a log to one member of one group.
+// Identity names the member and the group that a log belongs to. Each segment header repeats it.
 type Identity struct {
 	Group  uint64
 	Member raft.MemberID
 }
 
-// Options place and size a log.
+// Options set the location, owner and segment size of a log.
 type Options struct {
 	// Folder is the log's folder in the file system.
 	Folder   string
 	Identity Identity
-	// SegmentBytes is the size at which a new segment begins.
+	// SegmentBytes is the size of a segment from which on the next batch starts a new one. Zero
+	// means DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
-// Batch is what one Append makes durable.
+// Batch holds the changes that one Append makes durable. Reset takes effect before Entries.
 type Batch struct {
 	// HardState, when set, replaces the hard state.
 	HardState *raft.HardState
-	// Reset, when set, empties the log: it goes on after this index, up to
-	// which a durable snapshot holds everything.
+	// Reset, when set, removes all entries. The log continues after this index, up to which a
+	// durable snapshot covers it.
 	Reset *uint64
-	// Entries replace everything from the first one's index on.
+	// Entries have consecutive indexes and replace all entries from the first one's index on.
 	Entries []raft.Entry
 }
 
-// Recovered is what a log held when it was opened.
+// Recovered is the content of a log when it was opened.
 type Recovered struct {
 	HardState raft.HardState
 	// Base is the index before the first entry.
 	Base    uint64
 	Entries []raft.Entry
-	// TornBytes were cut from the end; they were never acknowledged.
+	// TornBytes is the size of a torn write that was removed from the end. It was never
+	// acknowledged.
 	TornBytes int64
 }
 
 // segment is one file of the log.
 type segment struct {
 	number uint64
-	// maxIndex is the highest index of any entry in the segment.
+	// maxIndex is the highest index of any entry in the segment, replaced entries included.
 	maxIndex uint64
 }
 
 // WriteStats counts what a log wrote durably since it was opened.
 type WriteStats struct {
-	// Batches is the number of synced batches; Entries divided by it is how
-	// many entries shared a sync.
+	// Batches is the number of synced batches. Entries divided by Batches is the mean number of
+	// entries per sync.
 	Batches uint64
 	Entries uint64
-	// Bytes are those of the batches, with their frames.
+	// Bytes is the size of the batch frames. Segment headers don't count.
 	Bytes uint64
 }
 
 // Log is an open log. It is not safe for concurrent use.
 type Log struct {
-	files     filesystem.FileSystem
-	options   Options
-	file      filesystem.File
-	size      int64
-	segments  []segment
-	frame     uint64
-	lastIndex uint64
-	hardState raft.HardState
-	work      WriteStats
-	failure   error
+	files   filesystem.FileSystem
+	options Options
+	// file is the last segment, open for appending, and size its length.
+	file filesystem.File
+	size int64
+	// segments are in ascending order.
+	segments []segment
+	// lastFrame is the number of the last batch frame.
+	lastFrame  uint64
+	lastIndex  uint64
+	hardState  raft.HardState
+	writeStats WriteStats
+	// failure is the reason why the log refuses writes, or nil.
+	failure error
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("wal-%016d.log", number) }
 
-// Exists tells whether the folder holds a log.
+// Exists reports whether the folder holds a log.
 func Exists(files filesystem.FileSystem, folder string) (bool, error) {
 	numbers, err := listSegments(files, folder)
 	return len(numbers) > 0, err
 }
 
-// Create begins an empty log.
+// Create creates an empty log with its first segment. It fails when that segment exists.
 func Create(files filesystem.FileSystem, options Options) (*Log, error) {
 	log := newLog(files, options)
 	if err := files.MkdirAll(options.Folder); err != nil {
@@ -122,8 +127,8 @@
 	return &Log{files: files, options: options}
 }
 
-// Open reads an existing log, cuts a torn tail and makes the log ready to be
-// continued. It changes nothing when it fails.
+// Open reads an existing log, removes a torn tail and prepares the log for Append. A log that is
+// damaged, incomplete, of an unknown version or of another member is refused and left unchanged.
 func Open(files filesystem.FileSystem, options Options) (*Log, Recovered, error) {
 	scan, err := scanLog(files, options.Folder)
 	if err != nil {
@@ -134,7 +139,7 @@
 	}
 	log := newLog(files, options)
 	log.segments = scan.segments
-	log.frame = scan.frame
+	log.lastFrame = scan.lastFrame
 	log.hardState = scan.hardState
 	log.lastIndex = scan.lastIndex()
 	if err := log.reopenTail(scan); err != nil {
@@ -143,8 +148,8 @@
 	return log, scan.recovered(), nil
 }
 
-// reopenTail continues the last segment, or begins one when the last segment
-// was torn in its first frame.
+// reopenTail opens the last segment for appending. A last segment whose header is torn is removed
+// first; if no other is left, it starts segment 1 anew.
 func (log *Log) reopenTail(scan *logScan) error {
 	if scan.tornSegment != 0 {
 		if err := log.removeSegment(scan.tornSegment); err != nil {
@@ -161,13 +166,14 @@
 	}
 	log.file = file
 	log.size = scan.tailSize
-	if err := log.cutTail(scan.tornBytes); err != nil {
+	if err := log.truncateTail(scan.tornBytes); err != nil {
 		return log.fail(err)
 	}
 	return nil
 }
 
-func (log *Log) cutTail(tornBytes int64) error {
+// truncateTail removes a torn frame and moves to the end of the last segment.
+func (log *Log) truncateTail(tornBytes int64) error {
 	if tornBytes > 0 {
 		if err := log.file.Truncate(log.size); err != nil {
 			return err
@@ -194,14 +200,14 @@
 	return path.Join(log.options.Folder, segmentName(number))
 }
 
-// startSegment begins a segment whose header repeats the hard state, so that
-// the segments before it can be removed.
+// startSegment creates a segment and makes it the one that Append writes to. Its header repeats the
+// hard state, so that the segments before it can be removed.
 func (log *Log) startSegment(number uint64) error {
 	file, err := log.files.Create(log.path(number))
 	if err != nil {
 		return log.fail(err)
 	}
-	body := encodeHeader(segmentHeader{
+	body := encodeSegmentHeader(segmentHeader{
 		version:   formatVersion,
 		identity:  log.options.Identity,
 		segment:   number,
@@ -233,7 +239,7 @@
 	return file.Sync()
 }
 
-// Append makes batch durable in one sync. After an error the log is stopped.
+// Append makes batch durable in one sync. After an error the log is stopped and refuses writes.
 func (log *Log) Append(batch Batch) error {
 	if log.failure != nil {
 		return faults.New(faults.StorageStopped, "the log stopped earlier: %v", log.failure)
@@ -246,20 +252,21 @@
 	if batch.HardState != nil {
 		log.hardState = *batch.HardState
 	}
-	frame := appendFrame(nil, encodeBatch(log.frame+1, log.hardState, batch))
+	frame := appendFrame(nil, encodeBatch(log.lastFrame+1, log.hardState, batch))
 	if err := writeAndSync(log.file, frame); err != nil {
 		return log.fail(err)
 	}
-	log.frame++
+	log.lastFrame++
 	log.size += int64(len(frame))
-	log.work.Batches++
-	log.work.Entries += uint64(len(batch.Entries))
-	log.work.Bytes += uint64(len(frame))
-	log.noteEntries(batch)
+	log.writeStats.Batches++
+	log.writeStats.Entries += uint64(len(batch.Entries))
+	log.writeStats.Bytes += uint64(len(frame))
+	log.updateIndexes(batch)
 	return nil
 }
 
-func (log *Log) noteEntries(batch Batch) {
+// updateIndexes updates the last index and the last segment's highest index after a batch.
+func (log *Log) updateIndexes(batch Batch) {
 	if batch.Reset != nil {
 		log.lastIndex = *batch.Reset
 	}
@@ -271,9 +278,9 @@
 	tail.maxIndex = max(tail.maxIndex, log.lastIndex)
 }
 
-// Compact removes the oldest segments whose entries all lie at or below index.
-// The caller holds a durable snapshot at or above index. Each removal is synced
-// before the next, so a crash cannot leave a gap between segments.
+// Compact removes the oldest segments whose entries all lie at or below index. The last segment
+// always stays. The caller holds a durable snapshot at or above index. Each removal is synced before
+// the next, so a crash cannot leave a gap between segments.
 func (log *Log) Compact(index uint64) error {
 	if log.failure != nil {
 		return faults.New(faults.StorageStopped, "the log stopped earlier: %v", log.failure)
@@ -287,16 +294,16 @@
 	return nil
 }
 
-// fail stops the log for good.
+// fail stops the log for good and returns err as a fault.
 func (log *Log) fail(err error) error {
 	log.failure = writeFault(err)
 	return log.failure
 }
 
 // WriteStats returns what the log wrote durably since it was opened.
-func (log *Log) WriteStats() WriteStats { return log.work }
+func (log *Log) WriteStats() WriteStats { return log.writeStats }
 
-// Close closes the log's file.
+// Close closes the log's file. The log refuses writes afterwards.
 func (log *Log) Close() error {
 	if log.file == nil {
 		return nil
@@ -305,7 +312,8 @@
 	return log.file.Close()
 }
 
-// writeFault gives a failed write or sync its code.
+// writeFault returns err as a fault: StorageFull when the disk is full, otherwise
+// StorageWriteFailed.
 func writeFault(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return faults.New(faults.StorageFull, "the disk is full: %v", err)
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -25,6 +25,7 @@
 	SegmentBytes: 512,
 }
 
+// entriesFrom returns the entries with the indexes from first to last, all of one term.
 func entriesFrom(first, last, term uint64) []raft.Entry {
 	var entries []raft.Entry
 	for index := first; index <= last; index++ {
@@ -45,7 +46,8 @@
 	require.NoError(t, log.Append(Batch{Entries: entries}))
 }
 
-func readWhole(t *testing.T, files filesystem.FileSystem, name string) []byte {
+// readContent returns the content of a file.
+func readContent(t *testing.T, files filesystem.FileSystem, name string) []byte {
 	t.Helper()
 	file, err := files.Open(name)
 	require.NoError(t, err)
@@ -55,19 +57,19 @@
 	return data
 }
 
-// contentOf returns all files of the log.
-func contentOf(t *testing.T, files filesystem.FileSystem) map[string][]byte {
+// segmentContents returns the content of all files in the log's folder by name.
+func segmentContents(t *testing.T, files filesystem.FileSystem) map[string][]byte {
 	t.Helper()
 	content := make(map[string][]byte)
 	names, err := files.ReadDir("wal")
 	require.NoError(t, err)
 	for _, name := range names {
-		content[name] = readWhole(t, files, path.Join("wal", name))
+		content[name] = readContent(t, files, path.Join("wal", name))
 	}
 	return content
 }
 
-func TestReopenedLogHasEverything(t *testing.T) {
+func TestOpenRecoversHardStateAndEntries(t *testing.T) {
 	disk := memory.New(1)
 	log := createLog(t, disk)
 	state := raft.HardState{Term: 4, Vote: 2, Commit: 1}
@@ -90,17 +92,17 @@
 	require.Equal(t, append(entriesFrom(1, 5, 1), entriesFrom(6, 7, 2)...), recovered.Entries)
 }
 
-func TestWorkCountsWhatWasSynced(t *testing.T) {
+func TestWriteStatsCountSyncedBatches(t *testing.T) {
 	disk := memory.New(1)
 	log := createLog(t, disk)
-	before := readWhole(t, disk, "wal/"+segmentName(1))
+	before := readContent(t, disk, "wal/"+segmentName(1))
 	appendEntries(t, log, entriesFrom(1, 3, 1))
 	appendEntries(t, log, entriesFrom(4, 4, 1))
-	written := uint64(len(readWhole(t, disk, "wal/"+segmentName(1))) - len(before))
+	written := uint64(len(readContent(t, disk, "wal/"+segmentName(1))) - len(before))
 	require.Equal(t, WriteStats{Batches: 2, Entries: 4, Bytes: written}, log.WriteStats())
 	disk.FailSyncs(1)
 	require.Error(t, log.Append(Batch{Entries: entriesFrom(5, 5, 1)}))
-	require.Equal(t, WriteStats{Batches: 2, Entries: 4, Bytes: written}, log.WriteStats(), "what is not durable does not count")
+	require.Equal(t, WriteStats{Batches: 2, Entries: 4, Bytes: written}, log.WriteStats(), "a batch whose sync failed must not count")
 }
 
 func TestResetEmptiesTheLog(t *testing.T) {
@@ -115,7 +117,7 @@
 	require.Equal(t, Recovered{Base: 100, Entries: entriesFrom(101, 103, 2)}, recovered)
 }
 
-func TestCompactionKeepsWhatFollows(t *testing.T) {
+func TestCompactionKeepsEntriesAfterIndex(t *testing.T) {
 	disk := memory.New(1)
 	log := createLog(t, disk)
 	state := raft.HardState{Term: 9, Vote: 1}
@@ -123,9 +125,9 @@
 	for index := uint64(1); index <= 100; index++ {
 		appendEntries(t, log, entriesFrom(index, index, 9))
 	}
-	before := len(contentOf(t, disk))
+	before := len(segmentContents(t, disk))
 	require.NoError(t, log.Compact(70))
-	require.Less(t, len(contentOf(t, disk)), before)
+	require.Less(t, len(segmentContents(t, disk)), before)
 	disk.Crash()
 	_, recovered, err := Open(disk, testOptions)
 	require.NoError(t, err)
@@ -134,8 +136,8 @@
 	require.Equal(t, entriesFrom(recovered.Base+1, 100, 9), recovered.Entries)
 }
 
-// TestCompactionAfterOverwriteAcrossSegments removes a segment whose last
-// entries were replaced in the next one.
+// TestCompactionAfterOverwriteAcrossSegments removes a segment whose last entries are replaced by
+// entries in the next one.
 func TestCompactionAfterOverwriteAcrossSegments(t *testing.T) {
 	disk := memory.New(1)
 	log := createLog(t, disk)
@@ -149,31 +151,31 @@
 	require.Equal(t, entriesFrom(16, 42, 2), recovered.Entries)
 }
 
-// TestTornTailIsCut cuts the last record at every byte; the records before it
-// stay, and the log can be continued.
-func TestTornTailIsCut(t *testing.T) {
+// TestTornTailIsTruncated cuts the last record short at every byte. Open keeps the records before it,
+// and the log accepts new entries.
+func TestTornTailIsTruncated(t *testing.T) {
 	options := testOptions
 	options.SegmentBytes = 1 << 20
 	reference := memory.New(1)
 	log, err := Create(reference, options)
 	require.NoError(t, err)
 	appendEntries(t, log, entriesFrom(1, 3, 1))
-	sound, err := reference.Size("wal/" + segmentName(1))
+	intactSize, err := reference.Size("wal/" + segmentName(1))
 	require.NoError(t, err)
 	appendEntries(t, log, entriesFrom(4, 5, 1))
-	whole := readWhole(t, reference, "wal/"+segmentName(1))
+	complete := readContent(t, reference, "wal/"+segmentName(1))
 
-	for length := sound; length < int64(len(whole)); length++ {
+	for length := intactSize; length < int64(len(complete)); length++ {
 		disk := memory.New(1)
 		require.NoError(t, disk.MkdirAll("wal"))
 		file, err := disk.Create("wal/" + segmentName(1))
 		require.NoError(t, err)
-		_, err = file.Write(whole[:length])
+		_, err = file.Write(complete[:length])
 		require.NoError(t, err)
 		reopened, recovered, err := Open(disk, options)
 		require.NoError(t, err)
 		require.Equal(t, entriesFrom(1, 3, 1), recovered.Entries)
-		require.Equal(t, length-sound, recovered.TornBytes)
+		require.Equal(t, length-intactSize, recovered.TornBytes)
 		appendEntries(t, reopened, entriesFrom(4, 6, 2))
 		_, recovered, err = Open(disk, options)
 		require.NoError(t, err)
@@ -181,9 +183,9 @@
 	}
 }
 
-// TestDamageInTheMiddleIsRefused flips each byte before the last record and
-// demands a refusal that leaves the files as they were.
-func TestDamageInTheMiddleIsRefused(t *testing.T) {
+// TestDamageBeforeTheLastRecordIsRefused flips each byte before the last record. Open must refuse the
+// log and leave its files unchanged.
+func TestDamageBeforeTheLastRecordIsRefused(t *testing.T) {
 	options := testOptions
 	options.SegmentBytes = 1 << 20
 	disk := memory.New(1)
@@ -191,15 +193,15 @@
 	require.NoError(t, err)
 	appendEntries(t, log, entriesFrom(1, 3, 1))
 	appendEntries(t, log, entriesFrom(4, 5, 1))
-	middle, err := disk.Size("wal/" + segmentName(1))
+	lastRecordStart, err := disk.Size("wal/" + segmentName(1))
 	require.NoError(t, err)
 	appendEntries(t, log, entriesFrom(6, 6, 1))
-	for offset := range middle {
+	for offset := range lastRecordStart {
 		require.NoError(t, disk.Corrupt("wal/"+segmentName(1), offset))
-		before := contentOf(t, disk)
+		before := segmentContents(t, disk)
 		_, _, err := Open(disk, options)
 		require.Equal(t, faults.StorageDamaged, faults.CodeOf(err), "byte %d", offset)
-		require.Equal(t, before, contentOf(t, disk))
+		require.Equal(t, before, segmentContents(t, disk))
 		require.NoError(t, disk.Corrupt("wal/"+segmentName(1), offset))
 	}
 	_, _, err = Open(disk, options)
@@ -218,7 +220,7 @@
 	require.Equal(t, faults.StorageDamaged, faults.CodeOf(err))
 }
 
-func TestRefusedLogs(t *testing.T) {
+func TestForeignIncompleteAndReorderedLogsAreRefused(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*memory.Disk, *Options)
@@ -227,7 +229,7 @@
 		{"another group", func(_ *memory.Disk, options *Options) { options.Identity.Group++ }, faults.StorageForeign},
 		{"another member", func(_ *memory.Disk, options *Options) { options.Identity.Member++ }, faults.StorageForeign},
 		{"missing segment", func(disk *memory.Disk, _ *Options) { _ = disk.Remove("wal/" + segmentName(2)) }, faults.StorageIncomplete},
-		{"segments out of place", func(disk *memory.Disk, _ *Options) {
+		{"swapped segments", func(disk *memory.Disk, _ *Options) {
 			_ = disk.Rename("wal/"+segmentName(1), "wal/other")
 			_ = disk.Rename("wal/"+segmentName(2), "wal/"+segmentName(1))
 			_ = disk.Rename("wal/other", "wal/"+segmentName(2))
@@ -242,10 +244,10 @@
 			}
 			options := testOptions
 			refused.change(disk, &options)
-			before := contentOf(t, disk)
+			before := segmentContents(t, disk)
 			_, _, err := Open(disk, options)
 			require.Equal(t, refused.code, faults.CodeOf(err), "%v", err)
-			require.Equal(t, before, contentOf(t, disk))
+			require.Equal(t, before, segmentContents(t, disk))
 		})
 	}
 }
@@ -255,15 +257,15 @@
 	require.NoError(t, disk.MkdirAll("wal"))
 	file, err := disk.Create("wal/" + segmentName(1))
 	require.NoError(t, err)
-	header := encodeHeader(segmentHeader{version: formatVersion + 1, identity: testOptions.Identity, segment: 1})
+	header := encodeSegmentHeader(segmentHeader{version: formatVersion + 1, identity: testOptions.Identity, segment: 1})
 	_, err = file.Write(appendFrame(nil, header))
 	require.NoError(t, err)
 	_, _, err = Open(disk, testOptions)
 	require.Equal(t, faults.StorageVersion, faults.CodeOf(err))
 }
 
-// TestLogStopsAfterFailedSync shows the reason: the simulated disk, like real
-// ones, forgets the pages of a failed sync, and a later sync succeeds.
+// TestLogStopsAfterFailedSync guards against writing on after a failed sync: the simulated disk, like
+// real ones, discards the dirty pages of a failed sync, and a later sync succeeds without them.
 func TestLogStopsAfterFailedSync(t *testing.T) {
 	disk := memory.New(1)
 	log := createLog(t, disk)
@@ -304,18 +306,18 @@
 	require.NoError(t, err)
 	_, err = file.Write([]byte("torn"))
 	require.NoError(t, err)
-	before := contentOf(t, disk)
+	before := segmentContents(t, disk)
 	report, err := Inspect(disk, "wal")
 	require.NoError(t, err)
-	require.Equal(t, before, contentOf(t, disk))
+	require.Equal(t, before, segmentContents(t, disk))
 	require.Equal(t, int64(4), report.TornBytes)
 	require.Equal(t, uint64(6), report.LastIndex)
 	require.Equal(t, []TermStart{{Term: 1, Index: 1}, {Term: 3, Index: 5}}, report.Terms)
 }
 
-// TestAcknowledgedBatchesSurviveCrashes appends random batches, crashes at a
-// random moment with lost and torn writes, and demands every batch that was
-// acknowledged and none that was not asked for.
+// TestAcknowledgedBatchesSurviveCrashes appends batches of random size and crashes after some of them
+// and after a last frame that was not synced. Open must recover every acknowledged batch, and of the
+// unsynced frame either all entries or none.
 func TestAcknowledgedBatchesSurviveCrashes(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261202))
 	properties.Property("acknowledged batches survive", prop.ForAll(
@@ -340,10 +342,10 @@
 					}
 				}
 			}
-			writeWithoutSync(log, last)
+			writeUnsyncedFrame(log, last)
 			disk.Crash()
 			_, recovered, err := Open(disk, testOptions)
-			return err == nil && startsWith(recovered.Entries, entriesFrom(1, last, 1), last+30)
+			return err == nil && recoversAcknowledged(recovered.Entries, entriesFrom(1, last, 1), last+30)
 		},
 		gen.UInt64(),
 		gen.SliceOfN(12, gen.IntRange(1, 8)),
@@ -351,17 +353,19 @@
 	properties.TestingRun(t)
 }
 
-// writeWithoutSync writes a last frame that a crash may tear.
-func writeWithoutSync(log *Log, last uint64) {
-	frame := appendFrame(nil, encodeBatch(log.frame+1, log.hardState, Batch{Entries: entriesFrom(last+1, last+30, 1)}))
+// writeUnsyncedFrame writes a frame with the 30 entries after last, which a crash may lose or tear.
+func writeUnsyncedFrame(log *Log, last uint64) {
+	frame := appendFrame(nil, encodeBatch(log.lastFrame+1, log.hardState, Batch{Entries: entriesFrom(last+1, last+30, 1)}))
 	_, _ = log.file.Write(frame)
 }
 
-func startsWith(found, wanted []raft.Entry, longest uint64) bool {
-	if len(found) < len(wanted) || (len(found) > len(wanted) && uint64(len(found)) != longest) {
+// recoversAcknowledged reports whether found holds exactly the acknowledged entries, or those and
+// the entries of an unsynced frame up to index lastUnsynced.
+func recoversAcknowledged(found, acknowledged []raft.Entry, lastUnsynced uint64) bool {
+	if len(found) < len(acknowledged) || (len(found) > len(acknowledged) && uint64(len(found)) != lastUnsynced) {
 		return false
 	}
-	for position, entry := range wanted {
+	for position, entry := range acknowledged {
 		if found[position].Index != entry.Index || !bytes.Equal(found[position].Data, entry.Data) {
 			return false
 		}
@@ -369,7 +373,7 @@
 	return true
 }
 
-func TestBatchesSurviveEncoding(t *testing.T) {
+func TestBatchEncodingRoundTrip(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(20261203))
 	properties.Property("decode is the inverse of encode", prop.ForAll(
 		func(number, term, vote, reset uint64, at int64, data []byte) bool {
@@ -377,10 +381,10 @@
 			entry := raft.Entry{Index: number, Term: term, At: at, Kind: raft.EntryMembership, Data: data}
 			reset %= 1 << 60
 			body := encodeBatch(number, state, Batch{Reset: &reset, Entries: []raft.Entry{entry}})
-			frame, length, sound := readFrame(appendFrame(nil, body))
-			foundNumber, foundState, batch, err := decodeBatch(frame)
-			return sound && err == nil && length == len(body)+frameHeaderBytes &&
-				foundNumber == number && foundState == state && *batch.Reset == reset &&
+			decodedBody, length, valid := readFrame(appendFrame(nil, body))
+			decodedNumber, decodedState, batch, err := decodeBatch(decodedBody)
+			return valid && err == nil && length == len(body)+frameHeaderBytes &&
+				decodedNumber == number && decodedState == state && *batch.Reset == reset &&
 				batch.Entries[0].At == at && bytes.Equal(batch.Entries[0].Data, data)
 		},
 		gen.UInt64(), gen.UInt64(), gen.UInt64(), gen.UInt64(), gen.Int64(), gen.SliceOf(gen.UInt8()),
@@ -388,11 +392,11 @@
 	properties.TestingRun(t)
 }
 
-// TestShortBodiesAreRefused cuts a body at every length.
-func TestShortBodiesAreRefused(t *testing.T) {
+// TestTruncatedBodiesAreRefused cuts a body at every length.
+func TestTruncatedBodiesAreRefused(t *testing.T) {
 	body := encodeBatch(1, raft.HardState{Term: 300}, Batch{Entries: entriesFrom(1, 2, 300)})
 	for length := range body {
 		_, _, _, err := decodeBatch(body[:length])
-		require.True(t, errors.Is(err, errBody), "length %d", length)
+		require.True(t, errors.Is(err, errMalformedBody), "length %d", length)
 	}
 }
