--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot keeps a member's snapshots as checksummed files. A snapshot
-// is written under a temporary name, synced, renamed and made durable by a sync
-// of the folder, so a crash leaves either the whole file or none.
+// Package snapshot stores a Raft member's snapshots as checksummed files. A snapshot is written under
+// a temporary name, synced, renamed and made durable by a sync of the folder, so a crash leaves
+// either the complete file or none.
 package snapshot
 
 import (
@@ -24,43 +24,48 @@
 
 const (
 	formatVersion = 1
-	// keepCount is how many snapshots stay: the newest, and one to fall back
-	// to while the log reaches it.
-	keepCount    = 2
-	suffix       = ".snap"
-	temporary    = ".tmp"
-	checksumSize = 4
+	// keepCount is the number of snapshots to keep: the newest, and one to fall back to as long as
+	// the log still holds every entry after it.
+	keepCount  = 2
+	fileSuffix = ".snap"
+	// temporarySuffix follows fileSuffix until a snapshot is complete.
+	temporarySuffix = ".tmp"
+	// checksumBytes is the size of the checksum at the end of a file, a little-endian CRC-32C of
+	// all bytes before it.
+	checksumBytes = 4
 )
 
 var (
-	magic     = []byte("MPSN")
-	checksums = crc32.MakeTable(crc32.Castagnoli)
+	magic       = []byte("MPSN")
+	crc32cTable = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// content is a snapshot file between magic and checksum.
+// content is the part of a snapshot file between magic and checksum, encoded with gob.
 type content struct {
 	Version  uint32
 	Group    uint64
 	Snapshot raft.Snapshot
 }
 
-// Store is the folder of one member's snapshots.
+// Store saves and loads the snapshots of one member in a folder.
 type Store struct {
 	files  filesystem.FileSystem
 	folder string
 	group  uint64
 }
 
-// NewStore returns the store in folder of the member's group.
+// NewStore returns a store in folder for a member of group. The folder is created by the first Save.
+// With group zero, snapshots of any group can be loaded.
 func NewStore(files filesystem.FileSystem, folder string, group uint64) *Store {
 	return &Store{files: files, folder: folder, group: group}
 }
 
+// fileName returns the name of a snapshot's file. Names sort by index, then term.
 func fileName(index, term uint64) string {
-	return fmt.Sprintf("snapshot-%020d-%020d%s", index, term, suffix)
+	return fmt.Sprintf("snapshot-%020d-%020d%s", index, term, fileSuffix)
 }
 
-// Save makes snapshot durable and then removes the oldest ones.
+// Save makes snapshot durable and then removes all but the newest keepCount snapshots.
 func (store *Store) Save(snapshot raft.Snapshot) error {
 	data, err := encode(content{Version: formatVersion, Group: store.group, Snapshot: snapshot})
 	if err != nil {
@@ -76,28 +81,31 @@
 	return store.removeOld()
 }
 
+// encode returns the bytes of a snapshot file.
 func encode(value content) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Write(magic)
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
 		return nil, err
 	}
-	checksum := crc32.Checksum(buffer.Bytes(), checksums)
+	checksum := crc32.Checksum(buffer.Bytes(), crc32cTable)
 	return binary.LittleEndian.AppendUint32(buffer.Bytes(), checksum), nil
 }
 
+// writeFile writes a file durably. It replaces a temporary file left by an interrupted write of the
+// same name.
 func (store *Store) writeFile(name string, data []byte) error {
-	if err := store.files.Remove(name + temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := store.files.Remove(name + temporarySuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	file, err := store.files.Create(name + temporary)
+	file, err := store.files.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
 	if err := writeSyncClose(file, data); err != nil {
 		return err
 	}
-	if err := store.files.Rename(name+temporary, name); err != nil {
+	if err := store.files.Rename(name+temporarySuffix, name); err != nil {
 		return err
 	}
 	return store.files.SyncDir(store.folder)
@@ -115,10 +123,10 @@
 	return file.Close()
 }
 
-// removeOld removes all but the newest snapshots and what interrupted saves
-// left behind.
+// removeOld removes all but the newest keepCount snapshots. Temporary files of interrupted saves
+// stay.
 func (store *Store) removeOld() error {
-	names, err := store.names()
+	names, err := store.snapshotNames()
 	if err != nil {
 		return err
 	}
@@ -138,8 +146,9 @@
 	return nil
 }
 
-// names returns the snapshot files, newest first.
-func (store *Store) names() ([]string, error) {
+// snapshotNames returns the names of the complete snapshot files, highest index first. A missing
+// folder has none.
+func (store *Store) snapshotNames() ([]string, error) {
 	all, err := store.files.ReadDir(store.folder)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -149,7 +158,7 @@
 	}
 	var names []string
 	for _, name := range all {
-		if strings.HasSuffix(name, suffix) {
+		if strings.HasSuffix(name, fileSuffix) {
 			names = append(names, name)
 		}
 	}
@@ -158,19 +167,23 @@
 	return names, nil
 }
 
-// Loaded is one snapshot file as read.
+// Loaded is the result of reading one snapshot file.
 type Loaded struct {
-	Name     string
+	// Name is the file's name in the store's folder.
+	Name string
+	// Bytes is the file's size, zero when it cannot be read.
 	Bytes    int
 	Group    uint64
 	Snapshot raft.Snapshot
-	// Err is set when the file is damaged or foreign.
+	// Err is set when the file cannot be read, is damaged, has an unknown format version or belongs
+	// to another group.
 	Err error
 }
 
-// LoadAll reads all snapshot files, newest first, and changes nothing.
+// LoadAll reads all snapshot files, newest first, without changing them. A file that cannot be used
+// is returned with its Err.
 func (store *Store) LoadAll() ([]Loaded, error) {
-	names, err := store.names()
+	names, err := store.snapshotNames()
 	if err != nil {
 		return nil, err
 	}
@@ -196,11 +209,12 @@
 	}
 	loaded.Group = value.Group
 	loaded.Snapshot = value.Snapshot
-	loaded.Err = store.check(name, value)
+	loaded.Err = store.checkContent(name, value)
 	return loaded
 }
 
-func (store *Store) check(name string, value content) error {
+// checkContent checks the format version and the group of a decoded file.
+func (store *Store) checkContent(name string, value content) error {
 	switch {
 	case value.Version != formatVersion:
 		return faults.New(faults.StorageVersion, "snapshot %s has format version %d; this program knows version %d", name, value.Version, formatVersion)
@@ -222,23 +236,25 @@
 	return data, err
 }
 
+// decode checks and decodes the bytes of a snapshot file.
 func decode(data []byte) (content, error) {
 	var value content
-	if len(data) < len(magic)+checksumSize || !bytes.HasPrefix(data, magic) {
+	if len(data) < len(magic)+checksumBytes || !bytes.HasPrefix(data, magic) {
 		return value, errors.New("it is too short or does not begin as a snapshot does")
 	}
-	end := len(data) - checksumSize
-	if crc32.Checksum(data[:end], checksums) != binary.LittleEndian.Uint32(data[end:]) {
+	end := len(data) - checksumBytes
+	if crc32.Checksum(data[:end], crc32cTable) != binary.LittleEndian.Uint32(data[end:]) {
 		return value, errors.New("its checksum does not match")
 	}
 	err := gob.NewDecoder(bytes.NewReader(data[len(magic):end])).Decode(&value)
 	return value, err
 }
 
-// Load returns the newest sound snapshot; none is no error. When a newer one
-// is damaged, an older one (or none) is used only if the log still holds every
-// entry after it, of which logBase is the place before the first. Otherwise
-// acknowledged entries would be missing, and Load refuses.
+// Load returns the newest intact snapshot, or a zero snapshot without an error when there is none.
+// The log must hold every entry after the returned snapshot, otherwise acknowledged entries would
+// be missing, and Load fails with StorageSnapshotDamaged; logBase is the index before the log's first
+// entry. A damaged or unreadable snapshot is skipped on this condition. Load fails if one that it
+// reads belongs to another group or has an unknown format version.
 func (store *Store) Load(logBase uint64) (raft.Snapshot, error) {
 	all, err := store.LoadAll()
 	if err != nil {
@@ -247,7 +263,7 @@
 	var newestFault error
 	for _, loaded := range all {
 		if loaded.Err == nil {
-			return loaded.Snapshot, refuseFallback(newestFault, loaded.Snapshot.Index, logBase)
+			return loaded.Snapshot, checkNoGap(newestFault, loaded.Snapshot.Index, logBase)
 		}
 		if code := faults.CodeOf(loaded.Err); code == faults.StorageForeign || code == faults.StorageVersion {
 			return raft.Snapshot{}, loaded.Err
@@ -256,10 +272,13 @@
 			newestFault = loaded.Err
 		}
 	}
-	return raft.Snapshot{}, refuseFallback(newestFault, 0, logBase)
+	return raft.Snapshot{}, checkNoGap(newestFault, 0, logBase)
 }
 
-func refuseFallback(newestFault error, index, logBase uint64) error {
+// checkNoGap returns a fault when entries are missing between index, where the snapshot ends, and
+// the start of the log after logBase. newestFault is the error of the newest unusable snapshot, if
+// any.
+func checkNoGap(newestFault error, index, logBase uint64) error {
 	if logBase <= index {
 		return nil
 	}
@@ -272,6 +291,8 @@
 		logBase, index, cause)
 }
 
+// writeFault returns err as a fault: StorageFull when the disk is full, otherwise
+// StorageWriteFailed.
 func writeFault(err error) error {
 	if errors.Is(err, syscall.ENOSPC) {
 		return faults.New(faults.StorageFull, "the disk is full: %v", err)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,6 +13,7 @@
 
 const testGroup = 5
 
+// snapshotAt returns a snapshot of term 2 that ends at index.
 func snapshotAt(index uint64) raft.Snapshot {
 	return raft.Snapshot{
 		SnapshotMeta: raft.SnapshotMeta{
@@ -25,7 +26,8 @@
 	}
 }
 
-func saveAll(t *testing.T, disk *memory.Disk, indexes ...uint64) *Store {
+// storeWithSnapshots saves a snapshot at each index, in the given order.
+func storeWithSnapshots(t *testing.T, disk *memory.Disk, indexes ...uint64) *Store {
 	t.Helper()
 	store := NewStore(disk, "snapshots", testGroup)
 	for _, index := range indexes {
@@ -36,22 +38,24 @@
 
 func TestNewestSnapshotIsLoadedAndTwoAreKept(t *testing.T) {
 	disk := memory.New(1)
-	store := saveAll(t, disk, 10, 20, 30)
+	store := storeWithSnapshots(t, disk, 10, 20, 30)
 	disk.Crash()
 	loaded, err := store.Load(0)
 	require.NoError(t, err)
 	require.Equal(t, snapshotAt(30), loaded)
-	names, err := store.names()
+	names, err := store.snapshotNames()
 	require.NoError(t, err)
 	require.Equal(t, []string{fileName(30, 2), fileName(20, 2)}, names)
 }
 
-func TestNoSnapshotIsNoError(t *testing.T) {
+func TestLoadWithoutSnapshots(t *testing.T) {
 	loaded, err := NewStore(memory.New(1), "snapshots", testGroup).Load(0)
 	require.NoError(t, err)
 	require.Zero(t, loaded.Index)
 }
 
+// TestFallback loads from snapshots at 20 and 30, some of them damaged, with logs that start after
+// logBase. A code of zero means that the snapshot at index is loaded, or none if index is zero.
 func TestFallback(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -60,17 +64,17 @@
 		index   uint64
 		code    faults.Code
 	}{
-		{name: "sound", logBase: 20, index: 30},
-		{name: "the log reaches the older one", damaged: []uint64{30}, logBase: 20, index: 20},
-		{name: "the log begins too late", damaged: []uint64{30}, logBase: 21, code: faults.StorageSnapshotDamaged},
-		{name: "none sound and the log is whole", damaged: []uint64{20, 30}, logBase: 0},
-		{name: "none sound", damaged: []uint64{20, 30}, logBase: 1, code: faults.StorageSnapshotDamaged},
+		{name: "newest intact", logBase: 20, index: 30},
+		{name: "the log continues from the older one", damaged: []uint64{30}, logBase: 20, index: 20},
+		{name: "the log begins after the older one", damaged: []uint64{30}, logBase: 21, code: faults.StorageSnapshotDamaged},
+		{name: "none intact and the log is complete", damaged: []uint64{20, 30}, logBase: 0},
+		{name: "none intact and the log is compacted", damaged: []uint64{20, 30}, logBase: 1, code: faults.StorageSnapshotDamaged},
 		{name: "the log begins after the newest", logBase: 31, code: faults.StorageSnapshotDamaged},
 	}
 	for _, fallback := range cases {
 		t.Run(fallback.name, func(t *testing.T) {
 			disk := memory.New(1)
-			store := saveAll(t, disk, 20, 30)
+			store := storeWithSnapshots(t, disk, 20, 30)
 			for _, index := range fallback.damaged {
 				require.NoError(t, disk.Corrupt("snapshots/"+fileName(index, 2), 40))
 			}
@@ -83,10 +87,10 @@
 	}
 }
 
-// TestEveryDamagedByteIsNoticed flips each byte of a snapshot file.
-func TestEveryDamagedByteIsNoticed(t *testing.T) {
+// TestEveryDamagedByteIsDetected flips each byte of a snapshot file.
+func TestEveryDamagedByteIsDetected(t *testing.T) {
 	disk := memory.New(1)
-	store := saveAll(t, disk, 10)
+	store := storeWithSnapshots(t, disk, 10)
 	name := "snapshots/" + fileName(10, 2)
 	size, err := disk.Size(name)
 	require.NoError(t, err)
@@ -101,16 +105,17 @@
 
 func TestForeignSnapshotIsRefused(t *testing.T) {
 	disk := memory.New(1)
-	saveAll(t, disk, 10)
+	storeWithSnapshots(t, disk, 10)
 	_, err := NewStore(disk, "snapshots", testGroup+1).Load(0)
 	require.Equal(t, faults.StorageForeign, faults.CodeOf(err))
 }
 
-// TestInterruptedSaveLeavesTheFormerSnapshot crashes after a failed save.
-func TestInterruptedSaveLeavesTheFormerSnapshot(t *testing.T) {
+// TestInterruptedSaveKeepsThePreviousSnapshot crashes after a save whose sync failed. The previous
+// snapshot must load, and a second save of the same snapshot must succeed.
+func TestInterruptedSaveKeepsThePreviousSnapshot(t *testing.T) {
 	for seed := range uint64(50) {
 		disk := memory.New(seed)
-		store := saveAll(t, disk, 10)
+		store := storeWithSnapshots(t, disk, 10)
 		disk.FailSyncs(1)
 		require.Equal(t, faults.StorageWriteFailed, faults.CodeOf(store.Save(snapshotAt(20))))
 		disk.Crash()
@@ -127,7 +132,7 @@
 
 func TestFullDiskIsReported(t *testing.T) {
 	disk := memory.New(1)
-	store := saveAll(t, disk, 10)
+	store := storeWithSnapshots(t, disk, 10)
 	disk.SetCapacity(1)
 	require.Equal(t, faults.StorageFull, faults.CodeOf(store.Save(snapshotAt(20))))
 }
