--- a/internal/filesystem/disk/disk.go
+++ b/internal/filesystem/disk/disk.go
@@ -1,5 +1,4 @@
-// Package disk implements filesystem.FileSystem on a folder of the operating
-// system's file system.
+// Package disk implements filesystem.FileSystem on a folder of the operating system.
 package disk
 
 import (
@@ -13,7 +12,7 @@
 	"merlinpaddle/internal/filesystem"
 )
 
-// lockName is the file whose lock marks a folder as in use.
+// lockName is the file in a folder that a process locks while it uses the folder.
 const lockName = "LOCK"
 
 const (
@@ -21,17 +20,18 @@
 	fileMode   = 0o640
 )
 
-// Folder is one data folder.
+// Folder is an open data folder.
 type Folder struct {
 	root string
+	// lock is nil when the folder is open for reading only.
 	lock *flock.Flock
 }
 
-// Open creates the folder when it is missing and locks it. It fails with
-// faults.StorageLocked while another process holds the lock.
+// Open opens the folder at path root for reading and writing. It creates the folder when it is
+// missing and locks it. It fails with faults.StorageLocked while another process holds the lock.
 func Open(root string) (*Folder, error) {
 	if err := os.MkdirAll(root, folderMode); err != nil {
-		return nil, faults.New(faults.StorageUnusable, "folder %s cannot be made: %v", root, err)
+		return nil, faults.New(faults.StorageUnusable, "folder %s cannot be created: %v", root, err)
 	}
 	lock := flock.New(filepath.Join(root, lockName), flock.SetPermissions(fileMode))
 	locked, err := lock.TryLock()
@@ -44,20 +44,20 @@
 	return &Folder{root: root, lock: lock}, nil
 }
 
-// OpenReadOnly opens an existing folder without locking or changing it, for
-// offline inspection. Its writing methods fail.
+// OpenReadOnly opens an existing folder without locking or changing it, for offline inspection. All
+// methods of the result that would write fail.
 func OpenReadOnly(root string) (*Folder, error) {
-	information, err := os.Stat(root)
+	info, err := os.Stat(root)
 	if err != nil {
 		return nil, faults.New(faults.StorageUnusable, "folder %s cannot be read: %v", root, err)
 	}
-	if !information.IsDir() {
+	if !info.IsDir() {
 		return nil, faults.New(faults.StorageUnusable, "%s is not a folder", root)
 	}
 	return &Folder{root: root}, nil
 }
 
-// Close gives up the lock.
+// Close releases the lock.
 func (folder *Folder) Close() error {
 	if folder.lock == nil {
 		return nil
@@ -67,11 +67,12 @@
 
 var errReadOnly = errors.New("the folder is open for reading only")
 
+// path returns the path of name on the operating system.
 func (folder *Folder) path(name string) string {
 	return filepath.Join(folder.root, filepath.FromSlash(name))
 }
 
-func (folder *Folder) writable() error {
+func (folder *Folder) checkWritable() error {
 	if folder.lock == nil {
 		return errReadOnly
 	}
@@ -98,7 +99,7 @@
 }
 
 func (folder *Folder) openFile(name string, flags int) (filesystem.File, error) {
-	if err := folder.writable(); err != nil {
+	if err := folder.checkWritable(); err != nil {
 		return nil, err
 	}
 	file, err := os.OpenFile(folder.path(name), flags, fileMode)
@@ -123,7 +124,7 @@
 
 // MkdirAll implements filesystem.FileSystem.
 func (folder *Folder) MkdirAll(name string) error {
-	if err := folder.writable(); err != nil {
+	if err := folder.checkWritable(); err != nil {
 		return err
 	}
 	return os.MkdirAll(folder.path(name), folderMode)
@@ -131,7 +132,7 @@
 
 // Rename implements filesystem.FileSystem.
 func (folder *Folder) Rename(oldName, newName string) error {
-	if err := folder.writable(); err != nil {
+	if err := folder.checkWritable(); err != nil {
 		return err
 	}
 	return os.Rename(folder.path(oldName), folder.path(newName))
@@ -139,7 +140,7 @@
 
 // Remove implements filesystem.FileSystem.
 func (folder *Folder) Remove(name string) error {
-	if err := folder.writable(); err != nil {
+	if err := folder.checkWritable(); err != nil {
 		return err
 	}
 	return os.Remove(folder.path(name))
@@ -147,7 +148,7 @@
 
 // SyncDir implements filesystem.FileSystem.
 func (folder *Folder) SyncDir(name string) error {
-	if err := folder.writable(); err != nil {
+	if err := folder.checkWritable(); err != nil {
 		return err
 	}
 	directory, err := os.Open(folder.path(name))
--- a/internal/filesystem/faulty/faulty.go
+++ b/internal/filesystem/faulty/faulty.go
@@ -1,7 +1,7 @@
-// Package faulty wraps a data folder so that a test can make it misbehave while
-// a process runs: a control file outside of the folder names the fault.
+// Package faulty wraps a data folder so that a test can inject disk faults while a process runs: a
+// control file outside of the folder names the current fault.
 //
-// It is for programs of tests; no program of the product uses it.
+// Only programs built for tests use it.
 package faulty
 
 import (
@@ -13,31 +13,30 @@
 	"merlinpaddle/internal/filesystem"
 )
 
-// Fault is what a data folder suffers from. Its text is the content of the
-// control file.
+// Fault is a kind of disk fault. Its text is the content of the control file.
 type Fault string
 
 const (
-	// None lets everything pass.
+	// None is the absence of a fault.
 	None Fault = ""
-	// Full refuses writes and new files.
+	// Full makes writes and the creation of files fail with syscall.ENOSPC.
 	Full Fault = "full"
-	// Slow makes writes and syncs take slowFor longer.
+	// Slow delays writes, syncs, renames and the creation of files by slowDelay each.
 	Slow Fault = "slow"
-	// Stall lets writes and syncs wait until the fault ends.
+	// Stall blocks writes, syncs, renames and the creation of files until the fault ends.
 	Stall Fault = "stall"
 )
 
 const (
-	// slowFor is how much longer a write or sync takes with Slow.
-	slowFor = 80 * time.Millisecond
-	// stallStep is how often a stalled call looks whether the fault ended.
-	stallStep = 5 * time.Millisecond
+	// slowDelay is the delay of an operation under Slow.
+	slowDelay = 80 * time.Millisecond
+	// stallPollInterval is how often a stalled operation reads the control file again.
+	stallPollInterval = 5 * time.Millisecond
 )
 
-// Set makes folders with the control file suffer from a fault from now on.
+// Set sets the fault of all folders that have the control file.
 func Set(control string, fault Fault) error {
-	// The file is replaced in one step, so that no reader sees half of it.
+	// The file is replaced atomically, so that no reader sees a part of it.
 	next := control + ".next"
 	if err := os.WriteFile(next, []byte(fault), 0o600); err != nil {
 		return err
@@ -45,19 +44,19 @@
 	return os.Rename(next, control)
 }
 
-// Folder is a data folder with faults.
+// Folder is a data folder with injected faults.
 type Folder struct {
 	filesystem.FileSystem
 	control string
 }
 
-// New returns files with the faults that the control file names. A missing
-// control file means none.
+// New returns files with the fault that the control file names at the time of each operation. There
+// is none while the control file is missing.
 func New(files filesystem.FileSystem, control string) *Folder {
 	return &Folder{FileSystem: files, control: control}
 }
 
-func (folder *Folder) fault() Fault {
+func (folder *Folder) currentFault() Fault {
 	content, err := os.ReadFile(folder.control)
 	if err != nil {
 		return None
@@ -65,17 +64,17 @@
 	return Fault(strings.TrimSpace(string(content)))
 }
 
-// suffer takes the time of the present fault, and returns its error for a call
-// that needs room.
-func (folder *Folder) suffer(needsRoom bool) error {
-	fault := folder.fault()
+// applyFault waits as long as the current fault demands. It returns an error if the disk is full and
+// the operation needs space.
+func (folder *Folder) applyFault(needsSpace bool) error {
+	fault := folder.currentFault()
 	if fault == Slow {
-		time.Sleep(slowFor)
+		time.Sleep(slowDelay)
 	}
-	for ; fault == Stall; fault = folder.fault() {
-		time.Sleep(stallStep)
+	for ; fault == Stall; fault = folder.currentFault() {
+		time.Sleep(stallPollInterval)
 	}
-	if fault == Full && needsRoom {
+	if fault == Full && needsSpace {
 		return &os.PathError{Op: "write", Path: "data folder", Err: syscall.ENOSPC}
 	}
 	return nil
@@ -83,7 +82,7 @@
 
 // Create implements filesystem.FileSystem.
 func (folder *Folder) Create(name string) (filesystem.File, error) {
-	if err := folder.suffer(true); err != nil {
+	if err := folder.applyFault(true); err != nil {
 		return nil, err
 	}
 	return folder.wrap(folder.FileSystem.Create(name))
@@ -103,7 +102,7 @@
 
 // Rename implements filesystem.FileSystem.
 func (folder *Folder) Rename(oldName, newName string) error {
-	if err := folder.suffer(false); err != nil {
+	if err := folder.applyFault(false); err != nil {
 		return err
 	}
 	return folder.FileSystem.Rename(oldName, newName)
@@ -111,13 +110,13 @@
 
 // SyncDir implements filesystem.FileSystem.
 func (folder *Folder) SyncDir(name string) error {
-	if err := folder.suffer(false); err != nil {
+	if err := folder.applyFault(false); err != nil {
 		return err
 	}
 	return folder.FileSystem.SyncDir(name)
 }
 
-// file is an open file of a folder with faults.
+// file is a file opened for writing in a folder with injected faults.
 type file struct {
 	filesystem.File
 	folder *Folder
@@ -125,7 +124,7 @@
 
 // Write implements filesystem.File.
 func (file *file) Write(content []byte) (int, error) {
-	if err := file.folder.suffer(true); err != nil {
+	if err := file.folder.applyFault(true); err != nil {
 		return 0, err
 	}
 	return file.File.Write(content)
@@ -133,7 +132,7 @@
 
 // Sync implements filesystem.File.
 func (file *file) Sync() error {
-	if err := file.folder.suffer(false); err != nil {
+	if err := file.folder.applyFault(false); err != nil {
 		return err
 	}
 	return file.File.Sync()
--- a/internal/filesystem/faulty/faulty_test.go
+++ b/internal/filesystem/faulty/faulty_test.go
@@ -11,6 +11,7 @@
 	"merlinpaddle/internal/filesystem/disk"
 )
 
+// newFolder returns a folder with injected faults and the path of its control file.
 func newFolder(t *testing.T) (*Folder, string) {
 	t.Helper()
 	files, err := disk.Open(filepath.Join(t.TempDir(), "data"))
@@ -33,18 +34,18 @@
 	require.ErrorIs(t, write(), syscall.ENOSPC)
 	_, err = folder.Create("b")
 	require.ErrorIs(t, err, syscall.ENOSPC)
-	require.NoError(t, opened.Sync(), "a full disk syncs what it has")
+	require.NoError(t, opened.Sync(), "a full disk must sync what was written")
 	require.NoError(t, Set(control, Slow))
 	begin := time.Now()
 	require.NoError(t, opened.Sync())
-	require.GreaterOrEqual(t, time.Since(begin), slowFor)
+	require.GreaterOrEqual(t, time.Since(begin), slowDelay)
 	require.NoError(t, Set(control, Stall))
 	done := make(chan error, 1)
 	go func() { done <- write() }()
 	select {
 	case <-done:
-		require.Fail(t, "a stalled write ended")
-	case <-time.After(4 * stallStep):
+		require.Fail(t, "a stalled write returned")
+	case <-time.After(4 * stallPollInterval):
 	}
 	require.NoError(t, Set(control, None))
 	require.NoError(t, <-done)
--- a/internal/filesystem/filesystem_test.go
+++ b/internal/filesystem/filesystem_test.go
@@ -16,7 +16,7 @@
 	"merlinpaddle/internal/filesystem/memory"
 )
 
-// implementations returns an empty file system of each kind.
+// implementations returns an empty file system of each implementation by its name.
 func implementations(t *testing.T) map[string]filesystem.FileSystem {
 	t.Helper()
 	folder, err := disk.Open(t.TempDir())
@@ -25,6 +25,7 @@
 	return map[string]filesystem.FileSystem{"disk": folder, "memory": memory.New(1)}
 }
 
+// create creates a file with the given content and syncs it.
 func create(t *testing.T, files filesystem.FileSystem, name, content string) {
 	t.Helper()
 	file, err := files.Create(name)
@@ -35,6 +36,7 @@
 	require.NoError(t, file.Close())
 }
 
+// content returns the content of a file.
 func content(t *testing.T, files filesystem.FileSystem, name string) string {
 	t.Helper()
 	file, err := files.Open(name)
@@ -45,7 +47,7 @@
 	return string(data)
 }
 
-// TestContract runs the same cases on every implementation.
+// TestContract runs the same cases on every implementation of filesystem.FileSystem.
 func TestContract(t *testing.T) {
 	cases := []struct {
 		name string
@@ -61,7 +63,7 @@
 			require.ErrorIs(t, err, fs.ErrExist)
 			require.Equal(t, "first", content(t, files, "a"))
 		}},
-		{"missing files are told apart", func(t *testing.T, files filesystem.FileSystem) {
+		{"missing files and folders are reported as such", func(t *testing.T, files filesystem.FileSystem) {
 			_, err := files.Open("missing")
 			require.ErrorIs(t, err, fs.ErrNotExist)
 			_, err = files.OpenWrite("missing")
@@ -73,7 +75,7 @@
 			_, err = files.Create("missing/file")
 			require.ErrorIs(t, err, fs.ErrNotExist)
 		}},
-		{"rename replaces", func(t *testing.T, files filesystem.FileSystem) {
+		{"rename replaces an existing file", func(t *testing.T, files filesystem.FileSystem) {
 			create(t, files, "a", "old")
 			create(t, files, "b", "new")
 			require.NoError(t, files.Rename("b", "a"))
@@ -167,8 +169,9 @@
 	require.Equal(t, faults.StorageUnusable, faults.CodeOf(err))
 }
 
-// TestCrashLosesOnlyWhatWasNotSynced writes a synced and an unsynced part.
-func TestCrashLosesOnlyWhatWasNotSynced(t *testing.T) {
+// TestCrashLosesOnlyUnsyncedWrites crashes after a synced and an unsynced write to a file. The synced
+// bytes must remain, and the unsynced ones are torn on some seeds.
+func TestCrashLosesOnlyUnsyncedWrites(t *testing.T) {
 	torn := 0
 	for seed := range uint64(200) {
 		files := memory.New(seed)
@@ -189,10 +192,10 @@
 			torn++
 		}
 	}
-	require.Positive(t, torn, "some writes must be torn")
+	require.Positive(t, torn, "at least one seed must tear the unsynced write")
 }
 
-func TestCrashMayLoseNamesThatWereNotSynced(t *testing.T) {
+func TestCrashMayLoseUnsyncedNames(t *testing.T) {
 	lost := 0
 	for seed := range uint64(50) {
 		files := memory.New(seed)
@@ -206,7 +209,7 @@
 	require.Less(t, lost, 50)
 }
 
-func TestFailedSyncForgetsItsWrites(t *testing.T) {
+func TestFailedSyncDiscardsItsWrites(t *testing.T) {
 	files := memory.New(1)
 	create(t, files, "a", "synced")
 	require.NoError(t, files.SyncDir("."))
@@ -221,7 +224,7 @@
 	require.Equal(t, "synced", content(t, files, "a"))
 }
 
-func TestFullDiskTakesWhatFits(t *testing.T) {
+func TestFullDiskWritesOnlyWhatFits(t *testing.T) {
 	files := memory.New(1)
 	files.SetCapacity(4)
 	file, err := files.Create("a")
--- a/internal/filesystem/measured/measured.go
+++ b/internal/filesystem/measured/measured.go
@@ -1,4 +1,4 @@
-// Package measured wraps a data folder and tells how long its syncs take.
+// Package measured wraps a data folder and reports the duration of each sync.
 package measured
 
 import (
@@ -10,11 +10,12 @@
 // Folder is a data folder whose syncs are measured.
 type Folder struct {
 	filesystem.FileSystem
-	observe func(took time.Duration)
+	observe func(duration time.Duration)
 }
 
-// New returns files, with observe told of each sync; it must return at once.
-func New(files filesystem.FileSystem, observe func(took time.Duration)) *Folder {
+// New returns files with syncs measured. After each sync of a file or folder, also a failed one,
+// observe is called with its duration; it must not block.
+func New(files filesystem.FileSystem, observe func(duration time.Duration)) *Folder {
 	return &Folder{FileSystem: files, observe: observe}
 }
 
@@ -43,7 +44,7 @@
 	return err
 }
 
-// file is an open file whose syncs are measured.
+// file is a file opened for writing whose syncs are measured.
 type file struct {
 	filesystem.File
 	folder *Folder
--- a/internal/filesystem/measured/measured_test.go
+++ b/internal/filesystem/measured/measured_test.go
@@ -16,18 +16,18 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = files.Close() })
 	control := filepath.Join(t.TempDir(), "fault")
-	var took []time.Duration
-	folder := New(faulty.New(files, control), func(duration time.Duration) { took = append(took, duration) })
+	var durations []time.Duration
+	folder := New(faulty.New(files, control), func(duration time.Duration) { durations = append(durations, duration) })
 	opened, err := folder.Create("a")
 	require.NoError(t, err)
 	_, err = opened.Write([]byte("x"))
 	require.NoError(t, err)
-	require.Empty(t, took, "a write is no sync")
+	require.Empty(t, durations, "a write must not be reported as a sync")
 	require.NoError(t, faulty.Set(control, faulty.Slow))
 	require.NoError(t, opened.Sync())
 	require.NoError(t, folder.SyncDir("."))
-	require.Len(t, took, 2)
-	for _, duration := range took {
+	require.Len(t, durations, 2)
+	for _, duration := range durations {
 		require.GreaterOrEqual(t, duration, 50*time.Millisecond)
 	}
 	require.NoError(t, opened.Close())
--- a/internal/filesystem/memory/file.go
+++ b/internal/filesystem/memory/file.go
@@ -7,26 +7,28 @@
 	"syscall"
 )
 
-// sectorBytes is the size of the pieces in which a torn write reaches a disk.
+// sectorBytes is the size of the parts of a torn write that reach a disk or are lost as a whole.
 const sectorBytes = 512
 
-// inode is the content of a file.
+// inode is the content of a file, independent of its name.
 type inode struct {
-	// current is what processes read; synced is what a crash leaves.
+	// current is the content that processes read.
 	current []byte
-	synced  []byte
+	// synced is the content that survives a crash.
+	synced []byte
+	// pending holds the changes since the last sync, in order.
 	pending []pendingWrite
 }
 
-// pendingWrite is one change of content that is not synced.
+// pendingWrite is one unsynced write or truncation.
 type pendingWrite struct {
 	offset int64
 	data   []byte
-	// truncate tells that the file is cut to offset.
+	// truncate means that the file's length is set to offset; data is then empty.
 	truncate bool
 }
 
-// crash keeps, loses or tears each pending write.
+// crash keeps, loses or tears each pending write, as random chooses.
 func (file *inode) crash(random *rand.Rand) {
 	for _, write := range file.pending {
 		switch random.IntN(4) {
@@ -44,6 +46,7 @@
 	file.current = append([]byte(nil), file.synced...)
 }
 
+// applyWrite applies write to content, possibly in place, and returns the result.
 func applyWrite(content []byte, write pendingWrite) []byte {
 	if write.truncate {
 		return resize(content, write.offset)
@@ -56,7 +59,7 @@
 	return content
 }
 
-// applyPrefix keeps only the beginning of a write.
+// applyPrefix applies a random prefix of a write's data. A truncation is applied in full.
 func applyPrefix(content []byte, write pendingWrite, random *rand.Rand) []byte {
 	if write.truncate || len(write.data) == 0 {
 		return applyWrite(content, write)
@@ -65,8 +68,9 @@
 	return applyWrite(content, write)
 }
 
-// applySectors gives the file its new length but keeps only some sectors of
-// the data; the others read as they were, or as zeros.
+// applySectors gives the file its new length but applies only some sectors of the data, counted from
+// the start of the write. The others keep their old content, or are zeros beyond the old length. A
+// truncation is applied in full.
 func applySectors(content []byte, write pendingWrite, random *rand.Rand) []byte {
 	if write.truncate {
 		return applyWrite(content, write)
@@ -84,6 +88,7 @@
 	return content
 }
 
+// resize returns content cut to size, or extended to it with zeros.
 func resize(content []byte, size int64) []byte {
 	if size <= int64(len(content)) {
 		return content[:size:size]
@@ -93,16 +98,19 @@
 
 // handle is one open file.
 type handle struct {
-	disk     *Disk
-	file     *inode
-	name     string
+	disk *Disk
+	file *inode
+	name string
+	// epoch is the disk's epoch when the file was opened.
 	epoch    int
 	writable bool
 	closed   bool
 	offset   int64
 }
 
-func (handle *handle) check(write bool) error {
+// checkUsable returns an error when the handle is closed, or from an earlier epoch, or read-only
+// and write is set.
+func (handle *handle) checkUsable(write bool) error {
 	switch {
 	case handle.closed:
 		return fs.ErrClosed
@@ -118,7 +126,7 @@
 func (handle *handle) Read(buffer []byte) (int, error) {
 	handle.disk.lock.Lock()
 	defer handle.disk.lock.Unlock()
-	if err := handle.check(false); err != nil {
+	if err := handle.checkUsable(false); err != nil {
 		return 0, err
 	}
 	if handle.offset >= int64(len(handle.file.current)) {
@@ -133,10 +141,10 @@
 func (handle *handle) Write(data []byte) (int, error) {
 	handle.disk.lock.Lock()
 	defer handle.disk.lock.Unlock()
-	if err := handle.check(true); err != nil {
+	if err := handle.checkUsable(true); err != nil {
 		return 0, err
 	}
-	fits := handle.fitting(len(data))
+	fits := handle.writableBytes(len(data))
 	write := pendingWrite{offset: handle.offset, data: append([]byte(nil), data[:fits]...)}
 	handle.file.current = applyWrite(handle.file.current, write)
 	handle.file.pending = append(handle.file.pending, write)
@@ -148,12 +156,14 @@
 	return fits, nil
 }
 
-func (handle *handle) fitting(wanted int) int {
+// writableBytes returns how many of the wanted bytes fit on the disk when written at the current
+// offset.
+func (handle *handle) writableBytes(wanted int) int {
 	if handle.disk.capacity == 0 {
 		return wanted
 	}
 	growth := handle.offset + int64(wanted) - int64(len(handle.file.current))
-	missing := handle.disk.used() + growth - handle.disk.capacity
+	missing := handle.disk.usedBytes() + growth - handle.disk.capacity
 	return int(max(0, int64(wanted)-max(0, missing)))
 }
 
@@ -161,7 +171,7 @@
 func (handle *handle) Seek(offset int64, whence int) (int64, error) {
 	handle.disk.lock.Lock()
 	defer handle.disk.lock.Unlock()
-	if err := handle.check(false); err != nil {
+	if err := handle.checkUsable(false); err != nil {
 		return 0, err
 	}
 	switch whence {
@@ -181,7 +191,7 @@
 func (handle *handle) Truncate(size int64) error {
 	handle.disk.lock.Lock()
 	defer handle.disk.lock.Unlock()
-	if err := handle.check(true); err != nil {
+	if err := handle.checkUsable(true); err != nil {
 		return err
 	}
 	write := pendingWrite{offset: size, truncate: true}
@@ -190,16 +200,16 @@
 	return nil
 }
 
-// Sync implements filesystem.File. A failed sync forgets the pending writes
-// without making them durable.
+// Sync implements filesystem.File. A failed sync discards the pending writes without making them
+// durable, although processes still read them until a crash.
 func (handle *handle) Sync() error {
 	handle.disk.lock.Lock()
 	defer handle.disk.lock.Unlock()
-	if err := handle.check(true); err != nil {
+	if err := handle.checkUsable(true); err != nil {
 		return err
 	}
-	if handle.disk.failSync > 0 {
-		handle.disk.failSync--
+	if handle.disk.failingSyncs > 0 {
+		handle.disk.failingSyncs--
 		handle.file.pending = nil
 		return &fs.PathError{Op: "sync", Path: handle.name, Err: errSync}
 	}
--- a/internal/filesystem/memory/memory.go
+++ b/internal/filesystem/memory/memory.go
@@ -1,7 +1,7 @@
-// Package memory is a simulated disk. It implements filesystem.FileSystem and
-// fails as real disks do: a crash loses or tears what was not synced, the disk
-// may be full, a sync may fail, bytes may rot, and the whole disk may be lost.
-// A seed fixes which unsynced writes survive a crash.
+// Package memory simulates a disk in memory. It implements filesystem.FileSystem and fails as real
+// disks do: a crash loses or tears unsynced writes, the disk may be full, a sync may fail, bytes may
+// be corrupted, and the whole disk may be lost. The seed determines which unsynced writes survive a
+// crash.
 package memory
 
 import (
@@ -17,41 +17,46 @@
 	"merlinpaddle/internal/filesystem"
 )
 
-// ErrCrashed is what a file handle from before a crash returns.
+// ErrCrashed is the error of a file handle that was opened before the last Crash or Wipe.
 var ErrCrashed = errors.New("the simulated machine has crashed")
 
-// errSync is what a sync returns that was told to fail.
+// errSync is the error of a sync that FailSyncs makes fail.
 var errSync = syscall.EIO
 
-// Disk is one simulated disk.
+// Disk is one simulated disk. It is safe for concurrent use.
 type Disk struct {
-	lock    sync.Mutex
-	random  *rand.Rand
+	lock   sync.Mutex
+	random *rand.Rand
+	// epoch counts crashes and wipes; handles of an earlier epoch fail.
 	epoch   int
 	folders map[string]bool
-	// names is the directory as running processes see it; durable is what a
-	// crash leaves, and changes leads from durable to names.
-	names    map[string]*inode
-	durable  map[string]*inode
-	changes  []nameChange
+	// names maps file names to files as running processes see them.
+	names map[string]*inode
+	// durable maps the names that survive a crash.
+	durable map[string]*inode
+	// unsyncedChanges are the changes that lead from durable to names, in order.
+	unsyncedChanges []nameChange
+	// capacity limits the bytes in all files; zero means no limit.
 	capacity int64
-	failSync int
-	// Statistics for measurements.
+	// failingSyncs is how many of the next syncs of files fail.
+	failingSyncs int
+	// syncs and bytesWritten are statistics: the successful syncs of files, and the bytes written.
 	syncs        int
 	bytesWritten int64
 }
 
-// nameChange is one change of the directory that is not synced.
+// nameChange is the creation, removal or renaming of a file.
 type nameChange struct {
+	// folder is the folder of name, whose sync makes the change durable.
 	folder string
-	// set is the file that name now stands for; nil removes the name.
-	name string
-	set  *inode
+	name   string
+	// file is the file that gets the name; nil removes the name.
+	file *inode
 	// from is the old name of a rename, or empty.
 	from string
 }
 
-// New returns an empty disk of unlimited size.
+// New returns an empty disk of unlimited capacity.
 func New(seed uint64) *Disk {
 	return &Disk{
 		random:  rand.New(rand.NewPCG(seed, 0xD15C)),
@@ -68,30 +73,30 @@
 	disk.capacity = bytes
 }
 
-// FailSyncs makes the next count syncs of files fail. What they should have
-// made durable is lost at the next crash even if a later sync succeeds, as on
-// systems that drop dirty pages after an error.
+// FailSyncs makes the next count syncs of files fail. The writes that they should have made durable
+// are lost at the next crash even if a later sync succeeds, as on systems that drop dirty pages after
+// an error.
 func (disk *Disk) FailSyncs(count int) {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
-	disk.failSync = count
+	disk.failingSyncs = count
 }
 
-// Crash loses what was not synced: each unsynced write is kept, lost or torn,
-// and unsynced directory changes are kept up to some point. Open handles stop
-// working.
+// Crash simulates a crash of the machine: each unsynced write is kept, lost or torn, and of the
+// unsynced name changes a random number of the oldest is kept. Open handles fail with ErrCrashed
+// from then on.
 func (disk *Disk) Crash() {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
 	disk.epoch++
 	kept := 0
-	if len(disk.changes) > 0 {
-		kept = disk.random.IntN(len(disk.changes) + 1)
+	if len(disk.unsyncedChanges) > 0 {
+		kept = disk.random.IntN(len(disk.unsyncedChanges) + 1)
 	}
-	for _, change := range disk.changes[:kept] {
+	for _, change := range disk.unsyncedChanges[:kept] {
 		applyChange(disk.durable, change)
 	}
-	disk.changes = nil
+	disk.unsyncedChanges = nil
 	disk.names = make(map[string]*inode, len(disk.durable))
 	for _, name := range sortedNames(disk.durable) {
 		file := disk.durable[name]
@@ -100,18 +105,19 @@
 	}
 }
 
-// Wipe loses the whole disk.
+// Wipe removes all files and folders. Open handles fail with ErrCrashed from then on.
 func (disk *Disk) Wipe() {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
 	disk.epoch++
-	disk.changes = nil
+	disk.unsyncedChanges = nil
 	disk.folders = map[string]bool{".": true}
 	disk.names = make(map[string]*inode)
 	disk.durable = make(map[string]*inode)
 }
 
-// Corrupt flips the bits of one byte of a file.
+// Corrupt flips all bits of one byte of a file, in the synced content too. Corrupting the same byte
+// again restores it.
 func (disk *Disk) Corrupt(name string, offset int64) error {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -137,22 +143,22 @@
 	return int64(len(file.current)), nil
 }
 
-// Syncs returns how many syncs of files succeeded.
+// Syncs returns the number of successful syncs of files.
 func (disk *Disk) Syncs() int {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
 	return disk.syncs
 }
 
-// BytesWritten returns how many bytes were written to files.
+// BytesWritten returns the number of bytes written to files.
 func (disk *Disk) BytesWritten() int64 {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
 	return disk.bytesWritten
 }
 
-// used returns the bytes in all files.
-func (disk *Disk) used() int64 {
+// usedBytes returns the number of bytes in all files.
+func (disk *Disk) usedBytes() int64 {
 	total := int64(0)
 	for _, file := range disk.names {
 		total += int64(len(file.current))
@@ -169,21 +175,24 @@
 	return names
 }
 
+// applyChange applies change to a map of names.
 func applyChange(names map[string]*inode, change nameChange) {
 	if change.from != "" {
 		delete(names, change.from)
 	}
-	if change.set == nil {
+	if change.file == nil {
 		delete(names, change.name)
 		return
 	}
-	names[change.name] = change.set
+	names[change.name] = change.file
 }
 
-func (disk *Disk) change(change nameChange) {
+// recordChange applies change to the names that processes see and keeps it for the next SyncDir or
+// Crash.
+func (disk *Disk) recordChange(change nameChange) {
 	change.folder = path.Dir(change.name)
 	applyChange(disk.names, change)
-	disk.changes = append(disk.changes, change)
+	disk.unsyncedChanges = append(disk.unsyncedChanges, change)
 }
 
 // Create implements filesystem.FileSystem.
@@ -198,7 +207,7 @@
 		return nil, &fs.PathError{Op: "create", Path: name, Err: fs.ErrNotExist}
 	}
 	file := &inode{}
-	disk.change(nameChange{name: name, set: file})
+	disk.recordChange(nameChange{name: name, file: file})
 	return &handle{disk: disk, file: file, name: name, epoch: disk.epoch, writable: true}, nil
 }
 
@@ -242,7 +251,7 @@
 	return found, nil
 }
 
-// MkdirAll implements filesystem.FileSystem. Folders are durable at once.
+// MkdirAll implements filesystem.FileSystem. Folders are durable without SyncDir.
 func (disk *Disk) MkdirAll(name string) error {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -254,7 +263,7 @@
 	return nil
 }
 
-// Rename implements filesystem.FileSystem.
+// Rename implements filesystem.FileSystem. SyncDir of newName's folder makes it durable.
 func (disk *Disk) Rename(oldName, newName string) error {
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
@@ -263,7 +272,7 @@
 	if !exists {
 		return &fs.PathError{Op: "rename", Path: oldName, Err: fs.ErrNotExist}
 	}
-	disk.change(nameChange{name: newName, set: file, from: oldName})
+	disk.recordChange(nameChange{name: newName, file: file, from: oldName})
 	return nil
 }
 
@@ -275,7 +284,7 @@
 	if _, exists := disk.names[name]; !exists {
 		return &fs.PathError{Op: "remove", Path: name, Err: fs.ErrNotExist}
 	}
-	disk.change(nameChange{name: name})
+	disk.recordChange(nameChange{name: name})
 	return nil
 }
 
@@ -284,14 +293,14 @@
 	disk.lock.Lock()
 	defer disk.lock.Unlock()
 	name = path.Clean(name)
-	var later []nameChange
-	for _, change := range disk.changes {
+	var remaining []nameChange
+	for _, change := range disk.unsyncedChanges {
 		if change.folder == name {
 			applyChange(disk.durable, change)
 			continue
 		}
-		later = append(later, change)
+		remaining = append(remaining, change)
 	}
-	disk.changes = later
+	disk.unsyncedChanges = remaining
 	return nil
 }
