--- a/internal/gobstream/gobstream.go
+++ b/internal/gobstream/gobstream.go
@@ -1,10 +1,9 @@
-// Package gobstream reads and writes many short gob streams of the same types
-// quickly.
+// Package gobstream reads and writes many short gob streams of the same types quickly.
 //
-// Each stream is readable by itself, because it begins with descriptions of
-// its types. Reading and writing these costs far more than a value, so a decoder
-// that has read them is kept for the streams that begin with the same ones, and
-// an encoder for the values of the same type.
+// Each stream holds one value and is readable by itself, because it begins with descriptions of its
+// types. Reading and writing these costs far more than the value does. Therefore a decoder that has
+// read descriptions is cached for the streams that begin with the same ones, and an encoder for the
+// values of the same type.
 package gobstream
 
 import (
@@ -17,68 +16,70 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maximumStreams bounds the kept decoders: one for each type of value and each
-// numbering of types that the streams have.
-const maximumStreams = 256
+// maxDecoders limits the cached decoders. There is one for each type of value and each numbering of
+// types that streams use, which can differ between sending processes.
+const maxDecoders = 256
 
-// maximumKeptBytes is the largest value after which a decoder is kept, because
-// it keeps buffers of that size: a restored backup comes once.
-const maximumKeptBytes = 1 << 20
+// maxCachedBytes is the size of the largest value after which a decoder or encoder stays cached,
+// because it retains buffers of that size. Larger values, such as a restored backup, hardly recur.
+const maxCachedBytes = 1 << 20
 
-// Decoders keeps decoders. It may be used from many goroutines.
+// Decoders decodes gob streams with cached decoders. It is safe for concurrent use.
 type Decoders struct {
-	lock    sync.Mutex
-	streams map[uint64]*keptDecoder
+	lock sync.Mutex
+	// byHash holds the cached decoders by the xxHash of their descriptions.
+	byHash map[uint64]*cachedDecoder
 }
 
-// NewDecoders returns an empty set of decoders.
-func NewDecoders() *Decoders { return &Decoders{streams: make(map[uint64]*keptDecoder)} }
+// NewDecoders returns Decoders with an empty cache.
+func NewDecoders() *Decoders { return &Decoders{byHash: make(map[uint64]*cachedDecoder)} }
 
-// keptDecoder is a decoder that has read descriptions.
-type keptDecoder struct {
+// cachedDecoder is a decoder that has read type descriptions, or reads them before its first value.
+type cachedDecoder struct {
 	descriptions []byte
 	buffer       bytes.Buffer
 	decoder      *gob.Decoder
 }
 
-// Decode reads the one value of a whole gob stream into pointer, which points
-// to a new value of its type.
-func (decoders *Decoders) Decode(plain []byte, pointer reflect.Value) error {
-	descriptions, value, err := splitStream(plain)
+// Decode decodes a complete gob stream of one value into pointer, which points to a zero value of
+// its type.
+func (decoders *Decoders) Decode(stream []byte, pointer reflect.Value) error {
+	descriptions, value, err := splitStream(stream)
 	if err != nil {
 		return err
 	}
 	decoders.lock.Lock()
 	defer decoders.lock.Unlock()
 	key := xxhash.Sum64(descriptions)
-	stream := decoders.streams[key]
-	if stream == nil || !bytes.Equal(stream.descriptions, descriptions) {
-		stream = newKeptDecoder(descriptions)
-		if len(decoders.streams) >= maximumStreams {
-			clear(decoders.streams)
+	cached := decoders.byHash[key]
+	if cached == nil || !bytes.Equal(cached.descriptions, descriptions) {
+		cached = newCachedDecoder(descriptions)
+		if len(decoders.byHash) >= maxDecoders {
+			clear(decoders.byHash)
 		}
-		decoders.streams[key] = stream
+		decoders.byHash[key] = cached
 	}
-	stream.buffer.Write(value)
-	err = stream.decoder.DecodeValue(pointer)
-	// The decoder's state after an error is not known.
-	if err != nil || len(value) > maximumKeptBytes {
-		delete(decoders.streams, key)
+	cached.buffer.Write(value)
+	err = cached.decoder.DecodeValue(pointer)
+	// The state of a decoder after an error is undefined.
+	if err != nil || len(value) > maxCachedBytes {
+		delete(decoders.byHash, key)
 	}
 	return err
 }
 
-func newKeptDecoder(descriptions []byte) *keptDecoder {
-	stream := &keptDecoder{descriptions: bytes.Clone(descriptions)}
-	stream.decoder = gob.NewDecoder(&stream.buffer)
-	stream.buffer.Write(descriptions)
-	return stream
+// newCachedDecoder returns a decoder of streams that begin with descriptions.
+func newCachedDecoder(descriptions []byte) *cachedDecoder {
+	cached := &cachedDecoder{descriptions: bytes.Clone(descriptions)}
+	cached.decoder = gob.NewDecoder(&cached.buffer)
+	cached.buffer.Write(descriptions)
+	return cached
 }
 
-var errStreamCut = errors.New("the gob stream is cut")
+var errTruncated = errors.New("the gob stream is cut")
 
-// splitStream divides a gob stream that holds one value into the messages with
-// type descriptions and the message with the value, which is the last.
+// splitStream splits a gob stream of one value into the messages with type descriptions and the last
+// message, which holds the value.
 func splitStream(stream []byte) (descriptions, value []byte, err error) {
 	start := 0
 	for {
@@ -94,14 +95,17 @@
 	}
 }
 
-// gobLengthBytes is the largest number of bytes of a length in gob.
+// gobLengthBytes is the largest number of bytes that gob uses for a length of 128 or more, after the
+// byte that counts them.
 const gobLengthBytes = 8
 
-// messageLength reads the length that a gob message begins with: one byte
-// below 128, or the negated count of the bytes that follow, the highest first.
+// messageLength decodes the length prefix of a gob message: a single byte below 128, or a byte with
+// the negated number of bytes that follow with the length in big-endian order. It returns the length
+// of the message after the prefix, and that of the prefix. It fails unless message has that many
+// bytes.
 func messageLength(message []byte) (length, prefix int, err error) {
 	if len(message) == 0 {
-		return 0, 0, errStreamCut
+		return 0, 0, errTruncated
 	}
 	first := message[0]
 	if first < 128 {
@@ -109,7 +113,7 @@
 	} else {
 		count := -int(int8(first))
 		if count > gobLengthBytes || len(message) <= count {
-			return 0, 0, errStreamCut
+			return 0, 0, errTruncated
 		}
 		for _, digit := range message[1 : 1+count] {
 			length = length<<8 | int(digit)
@@ -117,7 +121,7 @@
 		prefix = 1 + count
 	}
 	if length <= 0 || length > len(message)-prefix {
-		return 0, 0, errStreamCut
+		return 0, 0, errTruncated
 	}
 	return length, prefix, nil
 }
--- a/internal/gobstream/gobstream_test.go
+++ b/internal/gobstream/gobstream_test.go
@@ -11,8 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// part and example are values with nested types and every kind of field that
-// the log's commands use.
+// part and example have nested types and the kinds of fields that encoded commands use.
 type part struct {
 	Name   string
 	Weight int
@@ -24,10 +23,11 @@
 	Body        []byte
 }
 
-func sound() example {
+func exampleValue() example {
 	return example{Correlation: 4711, Parts: []part{{"tipline", 90}, {"ledger", 10}}, Body: []byte(`{"seats":2}`)}
 }
 
+// encode returns the stream that a new encoder writes.
 func encode(t testing.TB, value any) []byte {
 	t.Helper()
 	var buffer bytes.Buffer
@@ -35,64 +35,67 @@
 	return buffer.Bytes()
 }
 
-// TestDecodersSurviveDamage reads a sound value after a damaged one with the
-// same type descriptions, from several goroutines.
-func TestDecodersSurviveDamage(t *testing.T) {
+// TestDecodeAfterDamagedValue decodes an intact value after a damaged one with the same type
+// descriptions, in several goroutines. The damaged value must not leave a broken decoder in the
+// cache.
+func TestDecodeAfterDamagedValue(t *testing.T) {
 	decoders := NewDecoders()
-	plain := encode(t, sound())
-	descriptions, value, err := splitStream(plain)
+	stream := encode(t, exampleValue())
+	descriptions, value, err := splitStream(stream)
 	require.NoError(t, err)
-	require.Equal(t, plain, append(bytes.Clone(descriptions), value...))
+	require.Equal(t, stream, append(bytes.Clone(descriptions), value...))
 	var readers sync.WaitGroup
 	for range 4 {
 		readers.Go(func() {
 			for offset := range value {
-				damaged := bytes.Clone(plain)
+				damaged := bytes.Clone(stream)
 				damaged[len(descriptions)+offset] ^= 0x55
 				_ = decoders.Decode(damaged, reflect.ValueOf(&example{}))
 				decoded := &example{}
-				assert.NoError(t, decoders.Decode(plain, reflect.ValueOf(decoded)))
-				assert.Equal(t, sound(), *decoded)
+				assert.NoError(t, decoders.Decode(stream, reflect.ValueOf(decoded)))
+				assert.Equal(t, exampleValue(), *decoded)
 			}
 		})
 	}
 	readers.Wait()
 }
 
-func TestDecodersOfLargeValuesAreNotKept(t *testing.T) {
-	kept := func(size int) bool {
+func TestDecodersOfLargeValuesAreNotCached(t *testing.T) {
+	isCached := func(size int) bool {
 		decoders := NewDecoders()
 		require.NoError(t, decoders.Decode(encode(t, example{Body: make([]byte, size)}), reflect.ValueOf(&example{})))
-		return len(decoders.streams) > 0
+		return len(decoders.byHash) > 0
 	}
-	require.True(t, kept(10))
-	require.False(t, kept(maximumKeptBytes+1))
+	require.True(t, isCached(10))
+	require.False(t, isCached(maxCachedBytes+1))
 }
 
-func TestCutStreamsAreRefused(t *testing.T) {
-	plain := encode(t, sound())
-	for length := range plain {
-		require.Error(t, NewDecoders().Decode(plain[:length], reflect.ValueOf(&example{})), "cut at %d", length)
+func TestTruncatedStreamsAreRefused(t *testing.T) {
+	stream := encode(t, exampleValue())
+	for length := range stream {
+		require.Error(t, NewDecoders().Decode(stream[:length], reflect.ValueOf(&example{})), "cut at %d", length)
 	}
 }
 
-// holder has a field whose type depends on its value.
+// holder has an interface field, so the type descriptions of its stream depend on its value.
 type holder struct {
 	Any any
 }
 
-func TestEncodersWriteWhatANewEncoderWrites(t *testing.T) {
+// TestCachedEncodersMatchNewEncoders encodes values of several types in turn, among them large ones,
+// interfaces and values that cannot be encoded. Each stream must equal that of a new encoder.
+func TestCachedEncodersMatchNewEncoders(t *testing.T) {
 	gob.Register(part{})
 	encoders := NewEncoders()
 	values := []any{
-		sound(), example{}, sound(), part{"a", 1}, example{Body: make([]byte, 2*maximumKeptBytes)}, sound(),
+		exampleValue(), example{}, exampleValue(), part{"a", 1}, example{Body: make([]byte, 2*maxCachedBytes)}, exampleValue(),
 		holder{}, holder{Any: part{"b", 2}}, holder{Any: 7}, holder{Any: part{"c", 3}},
 	}
 	for round := range 3 {
-		for place, value := range values {
+		for position, value := range values {
 			stream, err := encoders.Encode(value)
 			require.NoError(t, err)
-			require.Equal(t, encode(t, value), stream, "round %d, value %d", round, place)
+			require.Equal(t, encode(t, value), stream, "round %d, value %d", round, position)
 		}
 	}
 	_, err := encoders.Encode(func() {})
@@ -101,38 +104,38 @@
 	require.Error(t, err)
 	stream, err := encoders.Encode(holder{Any: part{"b", 2}})
 	require.NoError(t, err)
-	require.Equal(t, encode(t, holder{Any: part{"b", 2}}), stream, "an error leaves nothing behind")
+	require.Equal(t, encode(t, holder{Any: part{"b", 2}}), stream, "an earlier error must not change the stream")
 }
 
-// BenchmarkEncode compares a kept encoder with a new one for each stream.
+// BenchmarkEncode compares a cached encoder with a new one for each stream.
 func BenchmarkEncode(b *testing.B) {
-	b.Run("kept", func(b *testing.B) {
+	b.Run("cached", func(b *testing.B) {
 		encoders := NewEncoders()
 		for b.Loop() {
-			_, err := encoders.Encode(sound())
+			_, err := encoders.Encode(exampleValue())
 			require.NoError(b, err)
 		}
 	})
 	b.Run("new", func(b *testing.B) {
 		for b.Loop() {
-			_, err := encodeAnew(sound())
+			_, err := encodeUncached(exampleValue())
 			require.NoError(b, err)
 		}
 	})
 }
 
-// BenchmarkDecode compares a kept decoder with a new one for each stream.
+// BenchmarkDecode compares a cached decoder with a new one for each stream.
 func BenchmarkDecode(b *testing.B) {
-	plain := encode(b, sound())
-	b.Run("kept", func(b *testing.B) {
+	stream := encode(b, exampleValue())
+	b.Run("cached", func(b *testing.B) {
 		decoders := NewDecoders()
 		for b.Loop() {
-			require.NoError(b, decoders.Decode(plain, reflect.ValueOf(&example{})))
+			require.NoError(b, decoders.Decode(stream, reflect.ValueOf(&example{})))
 		}
 	})
 	b.Run("new", func(b *testing.B) {
 		for b.Loop() {
-			require.NoError(b, gob.NewDecoder(bytes.NewReader(plain)).Decode(&example{}))
+			require.NoError(b, gob.NewDecoder(bytes.NewReader(stream)).Decode(&example{}))
 		}
 	})
 }
