--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -184,7 +184,8 @@
 	return false
 }
 
-// damaged returns the fault for an invalid byte range of a segment, which only a new member repairs.
+// damaged returns a StorageDamaged fault that names the segment, the offset and the repair: to
+// replace the member.
 func damaged(number uint64, offset int, cause string) error {
 	return faults.New(faults.StorageDamaged,
 		"log segment %s is damaged at byte %d: %s; nothing was changed; replace this member: remove it from the group, empty the folder and add it again",
