--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -136,7 +136,7 @@
 				})
 			}
 		},
-		func(ctx context.Context) { node.HandOver(ctx, transferTimeout, logger) },
+		func(ctx context.Context) { node.HandOverLeadership(ctx, transferTimeout, logger) },
 	))
 }
 
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -222,6 +222,8 @@
 				})
 			}
 		},
-		func(ctx context.Context) { params.Node.HandOver(ctx, leadershipTransferTimeout, params.Logger) },
+		func(ctx context.Context) {
+			params.Node.HandOverLeadership(ctx, leadershipTransferTimeout, params.Logger)
+		},
 	))
 }
--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -16,7 +16,7 @@
 // in the configuration never do.
 func (raft *Raft) campaign(preVote, transfer bool) {
 	raft.resetElectionDeadline()
-	if !raft.configuration().Voter(raft.options.ID) {
+	if !raft.configuration().IsVoter(raft.options.ID) {
 		return
 	}
 	raft.leader = 0
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -235,7 +235,7 @@
 	}
 	raft.commitTo(index)
 	raft.releaseWaitingReads()
-	if !raft.configuration().Voter(raft.options.ID) && raft.committedConfiguration().Removed(raft.options.ID) {
+	if !raft.configuration().IsVoter(raft.options.ID) && raft.committedConfiguration().Removed(raft.options.ID) {
 		raft.becomeFollower(raft.term, 0)
 	}
 }
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -117,10 +117,10 @@
 // Peer is what the leader knows of one member of the configuration in force.
 type Peer struct {
 	Member
-	// AddedAt is when this leader began to send to the member.
-	AddedAt time.Time
-	// HeardAt is when the member last answered this leader; zero means never.
-	HeardAt time.Time
+	// TrackedSince is when this leader began to send to the member.
+	TrackedSince time.Time
+	// LastReplyAt is when this leader last received a reply from the member; zero means never.
+	LastReplyAt time.Time
 	// CaughtUp tells that the member holds every committed entry.
 	CaughtUp bool
 }
@@ -160,11 +160,11 @@
 	for _, member := range members {
 		peer := Peer{Member: member, CaughtUp: raft.caughtUp(member.ID)}
 		if progress := raft.progress[member.ID]; progress != nil {
-			peer.AddedAt = progress.addedAt
-			peer.HeardAt = progress.heardAt
+			peer.TrackedSince = progress.addedAt
+			peer.LastReplyAt = progress.heardAt
 		}
 		if member.ID == raft.options.ID {
-			peer.HeardAt = raft.now
+			peer.LastReplyAt = raft.now
 		}
 		peers = append(peers, peer)
 	}
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -113,8 +113,8 @@
 	raft.log.compact(min(keepAfter, snapshot.Index))
 }
 
-// AppliedMeta describes a snapshot of the applied state, whose log time is at.
-func (raft *Raft) AppliedMeta(at int64) SnapshotMeta {
+// AppliedSnapshotMeta describes a snapshot of the applied state, whose log time is at.
+func (raft *Raft) AppliedSnapshotMeta(at int64) SnapshotMeta {
 	applied := raft.log.applied
 	term, _ := raft.log.term(applied)
 	return SnapshotMeta{
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -64,8 +64,8 @@
 	return !present && id < configuration.NextID
 }
 
-// Voter tells whether id may vote and be elected.
-func (configuration Configuration) Voter(id MemberID) bool {
+// IsVoter reports whether id may vote and be elected.
+func (configuration Configuration) IsVoter(id MemberID) bool {
 	member, present := configuration.Find(id)
 	return present && !member.Learner
 }
--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -199,16 +199,16 @@
 // timeSinceAnswer returns how long ago the member last answered this leader, but at most how long
 // ago this leader began to send to it.
 func (plan *planner) timeSinceAnswer(peer raft.Peer) time.Duration {
-	latest := peer.HeardAt
-	if peer.AddedAt.After(latest) {
-		latest = peer.AddedAt
+	latest := peer.LastReplyAt
+	if peer.TrackedSince.After(latest) {
+		latest = peer.TrackedSince
 	}
 	return plan.now.Sub(latest)
 }
 
 // responsive reports whether the member answered within responsiveWithin.
 func (plan *planner) responsive(peer raft.Peer) bool {
-	return !peer.HeardAt.IsZero() && plan.now.Sub(peer.HeardAt) < responsiveWithin
+	return !peer.LastReplyAt.IsZero() && plan.now.Sub(peer.LastReplyAt) < responsiveWithin
 }
 
 // countVoters returns the number of voters, and the number of those that are responsive.
--- a/internal/reconfigure/reconfigure_test.go
+++ b/internal/reconfigure/reconfigure_test.go
@@ -20,10 +20,10 @@
 // The functions in change modify it.
 func peer(id replica.MemberID, name model.NodeName, change ...func(*raft.Peer)) raft.Peer {
 	made := raft.Peer{
-		Member:   raft.Member{ID: id, Name: name, Disk: uint64(id) * 100},
-		AddedAt:  leaderSince,
-		HeardAt:  now.Add(-50 * time.Millisecond),
-		CaughtUp: true,
+		Member:       raft.Member{ID: id, Name: name, Disk: uint64(id) * 100},
+		TrackedSince: leaderSince,
+		LastReplyAt:  now.Add(-50 * time.Millisecond),
+		CaughtUp:     true,
 	}
 	for _, apply := range change {
 		apply(&made)
@@ -37,14 +37,14 @@
 }
 func notCaughtUp(peer *raft.Peer) { peer.CaughtUp = false }
 func lastHeardAgo(duration time.Duration) func(*raft.Peer) {
-	return func(peer *raft.Peer) { peer.HeardAt = now.Add(-duration) }
+	return func(peer *raft.Peer) { peer.LastReplyAt = now.Add(-duration) }
 }
 
 // addedAndNeverHeard makes a member that was added the given duration ago and has never answered.
 func addedAndNeverHeard(duration time.Duration) func(*raft.Peer) {
 	return func(peer *raft.Peer) {
-		peer.AddedAt = now.Add(-duration)
-		peer.HeardAt = time.Time{}
+		peer.TrackedSince = now.Add(-duration)
+		peer.LastReplyAt = time.Time{}
 		peer.CaughtUp = false
 	}
 }
--- a/internal/replica/controller.go
+++ b/internal/replica/controller.go
@@ -298,7 +298,7 @@
 		controller.fail(err)
 		return
 	}
-	taken := raft.Snapshot{SnapshotMeta: controller.core.AppliedMeta(controller.appliedAt), Data: data}
+	taken := raft.Snapshot{SnapshotMeta: controller.core.AppliedSnapshotMeta(controller.appliedAt), Data: data}
 	keepAfter, err := controller.storage.saveSnapshot(taken)
 	if err != nil {
 		controller.fail(err)
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -51,9 +51,9 @@
 	return node.controller.Err()
 }
 
-// HandOver gives leadership to another member before a planned stop, so that no
+// HandOverLeadership gives leadership to another member before a planned stop, so that no
 // election has to wait for this member's silence. It takes limit at most.
-func (node *Node) HandOver(ctx context.Context, limit time.Duration, logger *zap.Logger) {
+func (node *Node) HandOverLeadership(ctx context.Context, limit time.Duration, logger *zap.Logger) {
 	status := node.Status()
 	if !status.Leading || len(status.Members) < 2 {
 		return
