--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// leaderIsAlive tells whether this member heard from a leader within the
-// shortest election timeout, or leads itself. Such a member grants no vote, so
-// a member that was cut off cannot depose a working leader.
+// leaderIsAlive reports whether this member is the leader or received a message
+// from the leader within the minimum election timeout. Such a member grants no
+// vote, so a member that was partitioned off cannot depose a working leader.
 func (raft *Raft) leaderIsAlive() bool {
 	if raft.role == Leader {
 		return true
 	}
-	return raft.leader != 0 && raft.now.Sub(raft.leaderHeardAt) < raft.options.ElectionTimeout
+	return raft.leader != 0 && raft.now.Sub(raft.leaderContactAt) < raft.options.ElectionTimeout
 }
 
-// campaign starts a pre-vote or an election. Learners and members that are not
-// in the configuration never do.
+// campaign starts a pre-vote or an election, unless this member is a learner or
+// not in the configuration. transfer marks an election that the leader asked
+// for.
 func (raft *Raft) campaign(preVote, transfer bool) {
 	raft.resetElectionDeadline()
 	if !raft.configuration().IsVoter(raft.options.ID) {
@@ -49,8 +50,9 @@
 	}
 }
 
-// countVotes moves on when a quorum granted or refused. It returns whether the
-// campaign ended or changed its stage.
+// countVotes starts the election, becomes leader or gives up once a quorum has
+// granted its votes or can no longer do so. It reports whether the campaign
+// ended or moved from pre-vote to election.
 func (raft *Raft) countVotes() bool {
 	granted, refused := 0, 0
 	configuration := raft.configuration()
@@ -82,7 +84,7 @@
 
 func (raft *Raft) handleVoteRequest(message Message) {
 	if message.Kind == MessagePreVote {
-		raft.answerPreVote(message)
+		raft.handlePreVote(message)
 		return
 	}
 	granted := (raft.vote == 0 || raft.vote == message.From) &&
@@ -96,8 +98,8 @@
 	raft.send(Message{Kind: MessageVoteReply, To: message.From, Reject: !granted})
 }
 
-// answerPreVote changes nothing on this member.
-func (raft *Raft) answerPreVote(message Message) {
+// handlePreVote replies to a pre-vote request without changing this member's state.
+func (raft *Raft) handlePreVote(message Message) {
 	granted := message.Term > raft.term &&
 		!raft.leaderIsAlive() &&
 		raft.log.upToDate(message.LogIndex, message.LogTerm)
@@ -125,8 +127,9 @@
 	raft.countVotes()
 }
 
-// becomeLeader starts the member's leadership with an empty entry of its term:
-// only an entry of the leader's own term is committed by counting.
+// becomeLeader makes the member leader. It appends an empty entry of its term,
+// since only entries of the leader's own term are committed by counting
+// replicas.
 func (raft *Raft) becomeLeader() {
 	raft.role = Leader
 	raft.leader = raft.options.ID
@@ -134,15 +137,15 @@
 	raft.confirmedAt = time.Time{}
 	raft.votes = nil
 	raft.progress = make(map[MemberID]*Progress)
-	raft.sentRounds = nil
+	raft.unconfirmedRounds = nil
 	raft.confirmedRound = raft.round
 	raft.transferTarget = 0
 	raft.syncProgress()
 	raft.appendEntry(EntryNoop, nil)
-	raft.roundWanted = true
+	raft.roundRequested = true
 }
 
-// handleTimeoutNow starts an election on the present leader's demand.
+// handleTimeoutNow starts an election at the request of the current leader.
 func (raft *Raft) handleTimeoutNow() {
 	if raft.role == Leader {
 		return
--- a/internal/raft/follower.go
+++ b/internal/raft/follower.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// followLeader records a sign of life from the term's leader.
+// followLeader records contact from the leader of the current term.
 func (raft *Raft) followLeader(message Message) {
 	if raft.role == Leader {
 		panic(fmt.Sprintf("raft: members %d and %d both lead term %d", raft.options.ID, message.From, raft.term))
@@ -13,12 +13,12 @@
 	if raft.role != Follower || raft.leader != message.From {
 		raft.becomeFollower(raft.term, message.From)
 	}
-	raft.leaderHeardAt = raft.now
+	raft.leaderContactAt = raft.now
 	raft.resetElectionDeadline()
 }
 
-// handleAppend merges the leader's entries. The reply leaves only after they
-// are durable, because Ready hands out messages after entries.
+// handleAppend merges the leader's entries. The reply is sent only after they
+// are durable: the caller of Ready persists entries before it sends messages.
 func (raft *Raft) handleAppend(message Message) {
 	if message.LogIndex < raft.log.committed {
 		raft.acknowledgeAppend(message.From, raft.log.committed)
@@ -29,10 +29,10 @@
 		return
 	}
 	if truncatedAt := raft.log.merge(message.Entries); truncatedAt != 0 {
-		raft.dropConfigurations(truncatedAt)
+		raft.truncateConfigurations(truncatedAt)
 	}
 	for _, entry := range message.Entries {
-		raft.noteConfiguration(entry)
+		raft.activateConfiguration(entry)
 	}
 	last := message.LogIndex + uint64(len(message.Entries))
 	raft.commitTo(min(message.Commit, last))
@@ -55,9 +55,10 @@
 	})
 }
 
-// takeCommit takes the commit index, which the leader limits to what this
-// member acknowledged, and tells whether the log reaches it.
-func (raft *Raft) takeCommit(message Message) bool {
+// updateCommit commits up to the message's commit index, which the leader
+// limits to what this member acknowledged. It reports whether the log reaches
+// that index; if not, acknowledged entries were lost and the member must stop.
+func (raft *Raft) updateCommit(message Message) bool {
 	if message.Commit > raft.log.lastIndex() {
 		raft.fault = ErrLostEntries
 		return false
@@ -66,41 +67,43 @@
 	return true
 }
 
-// handleHeartbeat takes the commit index and answers the round.
+// handleHeartbeat updates the commit index and acknowledges the round.
 func (raft *Raft) handleHeartbeat(message Message) {
-	if !raft.takeCommit(message) {
+	if !raft.updateCommit(message) {
 		return
 	}
-	raft.noteLeaderCommit(message.LeaderCommit)
+	raft.recordLeaderCommit(message.LeaderCommit)
 	if message.ConfirmedAt != 0 {
-		raft.toldConfirmedAt = time.Unix(0, message.ConfirmedAt)
+		raft.leaderConfirmedAt = time.Unix(0, message.ConfirmedAt)
 	}
 	raft.send(Message{Kind: MessageHeartbeatReply, To: message.From, Round: message.Round})
 }
 
-// noteLeaderCommit remembers how far the leader has committed. While the log
-// has not reached an earlier such index, a later one does not replace it: under
-// a stream of changes the follower is always a little behind the latest.
-func (raft *Raft) noteLeaderCommit(index uint64) {
-	if raft.toldCommit == 0 {
-		raft.toldCommit = index
-		raft.toldCommitAt = raft.now
+// recordLeaderCommit records the leader's commit index. A later index does not
+// replace an earlier one that this member has not reached yet: under constant
+// writes a follower is always slightly behind the latest index.
+func (raft *Raft) recordLeaderCommit(index uint64) {
+	if raft.pendingLeaderCommit == 0 {
+		raft.pendingLeaderCommit = index
+		raft.pendingLeaderCommitAt = raft.now
 	}
-	raft.noteReached()
+	raft.updateCurrentAt()
 }
 
-// noteReached notes that the log reached the commit index that the leader told.
-func (raft *Raft) noteReached() {
-	if raft.toldCommit != 0 && raft.log.committed >= raft.toldCommit {
-		raft.currentAt = raft.toldCommitAt
-		raft.toldCommit = 0
+// updateCurrentAt sets currentAt once this member has committed up to the
+// recorded leader commit index.
+func (raft *Raft) updateCurrentAt() {
+	if raft.pendingLeaderCommit != 0 && raft.log.committed >= raft.pendingLeaderCommit {
+		raft.currentAt = raft.pendingLeaderCommitAt
+		raft.pendingLeaderCommit = 0
 	}
 }
 
-// commitTo raises the commit index and settles the configurations below it.
+// commitTo raises the commit index and drops the configurations that a later
+// committed one replaces.
 func (raft *Raft) commitTo(index uint64) {
 	raft.log.commitTo(index)
-	raft.noteReached()
+	raft.updateCurrentAt()
 	for len(raft.configurations) > 1 && raft.configurations[1].index <= raft.log.committed {
 		raft.configurations = raft.configurations[1:]
 	}
--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// Propose appends a command to the leader's log and returns its place.
+// Propose appends a command to the leader's log and returns its index and term.
 func (raft *Raft) Propose(now time.Time, command []byte) (index, term uint64, err error) {
-	raft.observe(now)
-	if err := raft.mayPropose(); err != nil {
+	raft.advanceClock(now)
+	if err := raft.checkProposal(); err != nil {
 		return 0, 0, err
 	}
 	return raft.appendEntry(EntryCommand, command), raft.term, nil
 }
 
-func (raft *Raft) mayPropose() error {
+// checkProposal returns the reason why nothing can be proposed now, or nil.
+func (raft *Raft) checkProposal() error {
 	switch {
 	case raft.role != Leader:
 		return ErrNotLeader
@@ -26,8 +27,8 @@
 	return nil
 }
 
-// appendEntry adds one entry to the leader's log. The log's own time is the
-// leader's clock, but never behind the previous entry.
+// appendEntry adds one entry to the leader's log and returns its index. The log
+// time is the leader's clock, but never before the previous entry's time.
 func (raft *Raft) appendEntry(kind EntryKind, data []byte) uint64 {
 	entry := Entry{
 		Index: raft.log.lastIndex() + 1,
@@ -37,47 +38,48 @@
 		Data:  data,
 	}
 	raft.log.append(entry)
-	raft.noteConfiguration(entry)
-	raft.appendWanted = true
+	raft.activateConfiguration(entry)
+	raft.appendRequested = true
 	return entry.Index
 }
 
-// flush turns wanted rounds and appends into messages, once for everything
-// that came since the last Ready.
+// flush sends the requested heartbeat round, appends and commit notices, each
+// once for everything that arrived since the last Ready.
 func (raft *Raft) flush() {
 	if raft.role != Leader {
 		return
 	}
-	if raft.roundWanted {
-		raft.roundWanted = false
+	if raft.roundRequested {
+		raft.roundRequested = false
 		raft.startRound()
 	}
-	if raft.appendWanted {
-		raft.appendWanted = false
+	if raft.appendRequested {
+		raft.appendRequested = false
 		raft.appendToAll()
 	}
-	raft.tellCommit()
+	raft.sendCommitNotices()
 }
 
-// tellCommit sends the commit index to members that hold it and have not been
-// sent it, so that they apply without waiting for the next heartbeat. A whole
-// round for each commit would cost twice the messages.
-func (raft *Raft) tellCommit() {
+// sendCommitNotices sends the commit index to the members that hold that entry
+// and have not been sent the index, so that they apply it without waiting for
+// the next heartbeat. A heartbeat round for each commit would cost twice the
+// messages.
+func (raft *Raft) sendCommitNotices() {
 	for _, member := range raft.configuration().Members {
 		progress := raft.progress[member.ID]
 		commit := min(progress.Match, raft.log.committed)
-		if member.ID == raft.options.ID || commit <= progress.toldCommit {
+		if member.ID == raft.options.ID || commit <= progress.sentCommit {
 			continue
 		}
-		progress.toldCommit = commit
+		progress.sentCommit = commit
 		raft.send(Message{Kind: MessageCommit, To: member.ID, Commit: commit})
 	}
 }
 
-// startRound sends one heartbeat to every member.
+// startRound starts a heartbeat round: it sends a heartbeat to every other member.
 func (raft *Raft) startRound() {
 	raft.round++
-	raft.sentRounds = append(raft.sentRounds, sentRound{round: raft.round, at: raft.now})
+	raft.unconfirmedRounds = append(raft.unconfirmedRounds, heartbeatRound{round: raft.round, at: raft.now})
 	raft.heartbeatDue = raft.now.Add(raft.options.HeartbeatInterval)
 	for _, member := range raft.configuration().Members {
 		if member.ID == raft.options.ID {
@@ -85,7 +87,7 @@
 		}
 		progress := raft.progress[member.ID]
 		commit := min(progress.Match, raft.log.committed)
-		progress.toldCommit = max(progress.toldCommit, commit)
+		progress.sentCommit = max(progress.sentCommit, commit)
 		raft.send(Message{
 			Kind:   MessageHeartbeat,
 			To:     member.ID,
@@ -99,6 +101,7 @@
 	raft.confirmRounds()
 }
 
+// unixNano returns at in nanoseconds since 1970, or zero for the zero time.
 func unixNano(at time.Time) int64 {
 	if at.IsZero() {
 		return 0
@@ -114,35 +117,35 @@
 	}
 }
 
-// appendTo sends what the follower's progress allows.
+// appendTo sends as many appends as the follower's progress allows.
 func (raft *Raft) appendTo(id MemberID) {
 	progress := raft.progress[id]
 	if progress == nil {
 		return
 	}
-	for progress.mayAppend(raft.options.MaxInflight) && raft.hasNews(progress) {
+	for progress.mayAppend(raft.options.MaxInflight) && raft.needsAppend(progress) {
 		if !raft.sendAppend(id, progress) {
 			return
 		}
 	}
 }
 
-// hasNews tells whether there is something to send: new entries, or a probe
-// for a follower whose log is not known to match yet.
-func (raft *Raft) hasNews(progress *Progress) bool {
+// needsAppend reports whether there is something to send: new entries, or a
+// probe for a follower whose log is not known to match yet.
+func (raft *Raft) needsAppend(progress *Progress) bool {
 	if progress.Next <= raft.log.lastIndex() {
 		return true
 	}
 	return progress.state == progressProbe && progress.Match < raft.log.lastIndex()
 }
 
-// sendAppend sends one batch; when the log no longer reaches back far enough
-// it starts a snapshot transfer and returns false.
+// sendAppend sends one batch of entries. If the log was compacted beyond the
+// first entry to send, it starts a snapshot transfer and returns false.
 func (raft *Raft) sendAppend(id MemberID, progress *Progress) bool {
 	previous := progress.Next - 1
 	previousTerm, known := raft.log.term(previous)
 	if !known || (previousTerm == 0 && previous > 0) {
-		raft.startSnapshot(id, progress)
+		raft.startSnapshotTransfer(id, progress)
 		return false
 	}
 	entries := raft.log.batch(progress.Next, raft.options.MaxBatchEntries, raft.options.MaxBatchBytes)
@@ -155,8 +158,8 @@
 		Commit:   raft.log.committed,
 	})
 	last := previous + uint64(len(entries))
-	progress.toldCommit = max(progress.toldCommit, min(last, raft.log.committed))
-	progress.appended(last, raft.round)
+	progress.sentCommit = max(progress.sentCommit, min(last, raft.log.committed))
+	progress.recordAppend(last, raft.round)
 	return true
 }
 
@@ -165,7 +168,7 @@
 	if raft.role != Leader || progress == nil {
 		return
 	}
-	progress.heardAt = raft.now
+	progress.lastReplyAt = raft.now
 	switch message.Kind {
 	case MessageAppendReply:
 		raft.handleAppendReply(message, progress)
@@ -178,7 +181,7 @@
 
 func (raft *Raft) handleAppendReply(message Message, progress *Progress) {
 	if message.Reject {
-		raft.handleRejection(message, progress)
+		raft.handleAppendRejection(message, progress)
 		return
 	}
 	if message.LogIndex > raft.log.lastIndex() {
@@ -194,9 +197,9 @@
 	raft.continueTransfer()
 }
 
-// handleRejection moves the probe back, skipping places that the follower's
-// hint rules out.
-func (raft *Raft) handleRejection(message Message, progress *Progress) {
+// handleAppendRejection moves the probe back, skipping the indexes that the
+// follower's hint rules out.
+func (raft *Raft) handleAppendRejection(message Message, progress *Progress) {
 	if progress.state == progressSnapshot || message.LogIndex <= progress.Match {
 		return
 	}
@@ -218,13 +221,14 @@
 	}
 	progress.acknowledgedRound = max(progress.acknowledgedRound, message.Round)
 	raft.confirmRounds()
-	progress.checkLoss(message.Round)
+	progress.detectLoss(message.Round)
 	raft.resendSnapshotChunk(message.From, progress, message.Round)
 	raft.appendTo(message.From)
 }
 
-// advanceCommit commits what a quorum of voters holds durably. Entries of
-// earlier terms are committed only below one of the leader's own term.
+// advanceCommit commits the entries that a quorum of voters holds durably.
+// Entries of earlier terms are committed only together with a later one of the
+// leader's own term. A leader that committed its own removal steps down.
 func (raft *Raft) advanceCommit() {
 	index := raft.quorumValue(func(progress *Progress) uint64 { return progress.Match })
 	if index <= raft.log.committed {
@@ -234,13 +238,13 @@
 		return
 	}
 	raft.commitTo(index)
-	raft.releaseWaitingReads()
+	raft.startDeferredReads()
 	if !raft.configuration().IsVoter(raft.options.ID) && raft.committedConfiguration().Removed(raft.options.ID) {
 		raft.becomeFollower(raft.term, 0)
 	}
 }
 
-// quorumValue returns the highest value that a quorum of voters reached.
+// quorumValue returns the highest value that a quorum of voters has reached.
 func (raft *Raft) quorumValue(value func(*Progress) uint64) uint64 {
 	var values []uint64
 	for _, member := range raft.configuration().Members {
@@ -255,8 +259,9 @@
 	return values[len(values)-raft.configuration().Quorum()]
 }
 
-// confirmRounds finds the latest round that a quorum answered, and with it the
-// time at which leadership was last confirmed: when that round began.
+// confirmRounds finds the latest heartbeat round that a quorum answered. The
+// time at which that round was sent is the time of the latest confirmation of
+// leadership.
 func (raft *Raft) confirmRounds() {
 	if self := raft.progress[raft.options.ID]; self != nil {
 		self.acknowledgedRound = raft.round
@@ -266,14 +271,14 @@
 		return
 	}
 	raft.confirmedRound = round
-	for len(raft.sentRounds) > 0 && raft.sentRounds[0].round <= round {
-		raft.confirmedAt = raft.sentRounds[0].at
-		raft.sentRounds = raft.sentRounds[1:]
+	for len(raft.unconfirmedRounds) > 0 && raft.unconfirmedRounds[0].round <= round {
+		raft.confirmedAt = raft.unconfirmedRounds[0].at
+		raft.unconfirmedRounds = raft.unconfirmedRounds[1:]
 	}
-	raft.releaseConfirmedReads()
+	raft.answerConfirmedReads()
 }
 
-// syncProgress makes the progress table match the configuration.
+// syncProgress makes the progress table match the configuration in effect.
 func (raft *Raft) syncProgress() {
 	configuration := raft.configuration()
 	for id := range raft.progress {
@@ -285,7 +290,7 @@
 		if raft.progress[member.ID] != nil {
 			continue
 		}
-		progress := &Progress{Next: raft.log.lastIndex() + 1, addedAt: raft.now}
+		progress := &Progress{Next: raft.log.lastIndex() + 1, trackedSince: raft.now}
 		if member.ID == raft.options.ID {
 			progress.Match = raft.log.stable
 			progress.acknowledgedRound = raft.round
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -2,13 +2,15 @@
 
 import "fmt"
 
-// entryLog is the member's log in memory: the entries after base.
+// entryLog is the part of the member's log that is in memory: the entries after base.
 type entryLog struct {
-	// base is the place before entries[0]: the latest compacted entry.
-	base      uint64
-	baseTerm  uint64
-	baseAt    int64
-	entries   []Entry
+	// base is the index before entries[0]: the last compacted entry. baseTerm is
+	// zero when its term is unknown.
+	base     uint64
+	baseTerm uint64
+	baseAt   int64
+	entries  []Entry
+	// stable is the last index that is durable.
 	stable    uint64
 	committed uint64
 	applied   uint64
@@ -23,7 +25,7 @@
 	return log.entries[len(log.entries)-1].Term
 }
 
-// lastAt returns the log's own time at its end.
+// lastAt returns the log time of the last entry.
 func (log *entryLog) lastAt() int64 {
 	if len(log.entries) == 0 {
 		return log.baseAt
@@ -31,8 +33,8 @@
 	return log.entries[len(log.entries)-1].At
 }
 
-// term returns the term of the entry at index; false when the entry is
-// compacted away or does not exist.
+// term returns the term of the entry at index, and false when the entry was
+// compacted or does not exist.
 func (log *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == log.base:
@@ -49,8 +51,9 @@
 	return exists && found == term
 }
 
-// upToDate tells whether a log that ends at (index, term) contains every
-// entry that a quorum with this member may have committed.
+// upToDate reports whether a log that ends at (index, term) is at least as
+// up-to-date as this one, as Raft requires of a candidate: it then contains
+// every entry that a quorum with this member may have committed.
 func (log *entryLog) upToDate(index, term uint64) bool {
 	if term != log.lastTerm() {
 		return term > log.lastTerm()
@@ -58,7 +61,7 @@
 	return index >= log.lastIndex()
 }
 
-// slice returns the entries from first to last, both included.
+// slice returns the entries from first to last, inclusive.
 func (log *entryLog) slice(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -68,8 +71,8 @@
 	return log.entries[start:end:end]
 }
 
-// batch returns entries from first on, bounded by number and bytes; at least
-// one when there is one.
+// batch returns entries from index first on, limited to maxEntries and
+// maxBytes of data. It returns at least one if there is any.
 func (log *entryLog) batch(first uint64, maxEntries, maxBytes int) []Entry {
 	last := min(log.lastIndex(), first+uint64(maxEntries)-1)
 	entries := log.slice(first, last)
@@ -83,12 +86,12 @@
 	return entries
 }
 
-// append adds entries at the end.
+// append adds entries to the end of the log.
 func (log *entryLog) append(entries ...Entry) { log.entries = append(log.entries, entries...) }
 
-// merge adds entries that follow a matching place. Entries that are present
-// stay; from the first conflict on, the log is replaced. It returns the first
-// replaced index, or zero.
+// merge adds entries that follow an index at which the logs match. Entries
+// that are already present stay; from the first conflict on, the log is
+// replaced. It returns the first replaced index, or zero.
 func (log *entryLog) merge(entries []Entry) (truncatedAt uint64) {
 	for position, entry := range entries {
 		if entry.Index <= log.base {
@@ -107,8 +110,8 @@
 	return 0
 }
 
-// truncate removes the entries from index on. Committed entries are never
-// removed; that would break state machine safety.
+// truncate removes the entries from index on. It panics rather than remove
+// committed entries, which would violate state machine safety.
 func (log *entryLog) truncate(index uint64) {
 	if index <= log.committed {
 		panic(fmt.Sprintf("raft: truncation at %d would remove committed entries up to %d", index, log.committed))
@@ -118,7 +121,7 @@
 	log.stable = min(log.stable, index-1)
 }
 
-// commitTo raises the commit index; it never goes back.
+// commitTo raises the commit index to index; it never lowers it.
 func (log *entryLog) commitTo(index uint64) {
 	if index > log.lastIndex() {
 		panic(fmt.Sprintf("raft: commit index %d is beyond the last entry %d", index, log.lastIndex()))
@@ -126,7 +129,7 @@
 	log.committed = max(log.committed, index)
 }
 
-// compact forgets the entries up to index, which a durable snapshot contains.
+// compact removes the entries up to index, which a durable snapshot contains.
 func (log *entryLog) compact(index uint64) {
 	if index <= log.base || index > log.applied {
 		return
@@ -139,7 +142,7 @@
 	log.baseAt = at
 }
 
-// restore replaces the log by a snapshot.
+// restore replaces the log with a snapshot.
 func (log *entryLog) restore(meta SnapshotMeta) {
 	*log = entryLog{
 		base:      meta.Index,
@@ -151,8 +154,9 @@
 	}
 }
 
-// conflictHint returns the highest place at or below index whose term is not
-// above term. Every place above it is known not to match.
+// conflictHint returns the highest index at or below index whose term is at
+// most term, and its term, or base if there is none. The entries above it have
+// later terms, so they cannot match a log whose entry at index has that term.
 func (log *entryLog) conflictHint(index, term uint64) (hintIndex, hintTerm uint64) {
 	index = min(index, log.lastIndex())
 	for index > log.base {
--- a/internal/raft/log_test.go
+++ b/internal/raft/log_test.go
@@ -10,14 +10,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func logOf(terms ...uint64) *entryLog {
+func logWithTerms(terms ...uint64) *entryLog {
 	log := &entryLog{}
-	log.append(entriesOf(terms...)...)
+	log.append(entriesWithTerms(terms...)...)
 	return log
 }
 
-// ascending turns arbitrary steps into the terms of a log, which never fall.
-func ascending(steps []int) []uint64 {
+// nondecreasingTerms returns the terms of a log, starting from term 1 and
+// increased by each step.
+func nondecreasingTerms(steps []int) []uint64 {
 	terms := make([]uint64, 0, len(steps))
 	term := uint64(1)
 	for _, step := range steps {
@@ -30,18 +31,18 @@
 func stepsGenerator() gopter.Gen { return gen.SliceOfN(12, gen.IntRange(0, 1)) }
 
 // TestMergeMakesThePrefixEqual merges any part of a leader's log that follows
-// a matching place; afterwards both logs are equal up to the part's end.
+// a matching index. Afterwards both logs are equal up to the end of that part.
 func TestMergeMakesThePrefixEqual(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	properties.Property("merge equals the leader's log", prop.ForAll(
 		func(common, follower, leader []int, from, count int) bool {
-			shared := ascending(common)
-			followerTerms := append(slices.Clone(shared), raise(ascending(follower), 100)...)
-			leaderTerms := append(slices.Clone(shared), raise(ascending(leader), 200)...)
-			log := logOf(followerTerms...)
+			shared := nondecreasingTerms(common)
+			followerTerms := append(slices.Clone(shared), addToTerms(nondecreasingTerms(follower), 100)...)
+			leaderTerms := append(slices.Clone(shared), addToTerms(nondecreasingTerms(leader), 200)...)
+			log := logWithTerms(followerTerms...)
 			start := min(from, len(shared))
 			end := min(start+count, len(leaderTerms))
-			log.merge(entriesOf(leaderTerms...)[start:end])
+			log.merge(entriesWithTerms(leaderTerms...)[start:end])
 			for index := 1; index <= end; index++ {
 				if !log.matches(uint64(index), leaderTerms[index-1]) {
 					return false
@@ -54,59 +55,63 @@
 	properties.TestingRun(t)
 }
 
-func raise(terms []uint64, by uint64) []uint64 {
+// addToTerms adds by to each term.
+func addToTerms(terms []uint64, by uint64) []uint64 {
 	for position := range terms {
 		terms[position] += by
 	}
 	return terms
 }
 
-// spread doubles the terms and adds an offset.
-func spread(terms []uint64, offset uint64) []uint64 {
+// scaleTerms doubles each term and adds an offset.
+func scaleTerms(terms []uint64, offset uint64) []uint64 {
 	for position := range terms {
 		terms[position] = 2*terms[position] + offset
 	}
 	return terms
 }
 
-// TestHintsSkipNoMatchingPlace follows rejections until the logs match, and
-// demands that no matching place is skipped and that each try goes down.
-func TestHintsSkipNoMatchingPlace(t *testing.T) {
+// TestConflictHintsSkipNoMatchingIndex follows rejections until the logs match
+// and checks that the search ends at the last matching index without skipping
+// it.
+func TestConflictHintsSkipNoMatchingIndex(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(2))
 	properties.Property("the search ends at the longest common prefix", prop.ForAll(
 		func(common, follower, leader []int) bool {
-			shared := ascending(common)
+			shared := nondecreasingTerms(common)
 			base := shared[len(shared)-1]
-			// A term has one leader, so logs that part never share a term
-			// again: one gets even offsets, the other odd ones.
-			followerTerms := append(slices.Clone(shared), spread(ascending(follower), base)...)
-			leaderTerms := append(slices.Clone(shared), spread(ascending(leader), base+1)...)
-			return searchEndsAtCommonPrefix(followerTerms, leaderTerms)
+			// A term has one leader, so two logs share no term after the
+			// first difference: one gets even offsets, the other odd ones.
+			followerTerms := append(slices.Clone(shared), scaleTerms(nondecreasingTerms(follower), base)...)
+			leaderTerms := append(slices.Clone(shared), scaleTerms(nondecreasingTerms(leader), base+1)...)
+			return conflictSearchFindsCommonPrefix(followerTerms, leaderTerms)
 		},
 		stepsGenerator(), stepsGenerator(), stepsGenerator(),
 	))
 	properties.TestingRun(t)
 }
 
-func searchEndsAtCommonPrefix(followerTerms, leaderTerms []uint64) bool {
-	follower, leader := logOf(followerTerms...), logOf(leaderTerms...)
+// conflictSearchFindsCommonPrefix reports whether the leader's search for the
+// last matching index ends at the end of the longest common prefix.
+func conflictSearchFindsCommonPrefix(followerTerms, leaderTerms []uint64) bool {
+	follower, leader := logWithTerms(followerTerms...), logWithTerms(leaderTerms...)
 	longest := uint64(0)
 	for int(longest) < min(len(followerTerms), len(leaderTerms)) && followerTerms[longest] == leaderTerms[longest] {
 		longest++
 	}
-	place := leader.lastIndex()
-	for tries := 0; tries <= len(leaderTerms); tries++ {
-		term, _ := leader.term(place)
-		if follower.matches(place, term) {
-			return place == longest
+	position := leader.lastIndex()
+	for attempt := 0; attempt <= len(leaderTerms); attempt++ {
+		term, _ := leader.term(position)
+		if follower.matches(position, term) {
+			return position == longest
 		}
-		hint, hintTerm := follower.conflictHint(place, term)
+		hint, hintTerm := follower.conflictHint(position, term)
 		next, _ := leader.conflictHint(hint, hintTerm)
-		next = min(next, place-1)
+		next = min(next, position-1)
 		if next < longest {
 			return false
 		}
-		place = next
+		position = next
 	}
 	return false
 }
@@ -135,8 +140,8 @@
 	require.Empty(t, log.batch(11, 3, 1000))
 }
 
-func TestCompactKeepsTermsOfTheRest(t *testing.T) {
-	log := logOf(1, 1, 2, 3)
+func TestCompactKeepsTermsOfRemainingEntries(t *testing.T) {
+	log := logWithTerms(1, 1, 2, 3)
 	log.committed, log.applied = 3, 3
 	log.compact(2)
 	require.Equal(t, uint64(2), log.base)
@@ -148,10 +153,10 @@
 	_, known := log.term(1)
 	require.False(t, known)
 	log.compact(4)
-	require.Equal(t, uint64(2), log.base, "entries that are not applied stay")
+	require.Equal(t, uint64(2), log.base, "entries that are not applied are kept")
 }
 
-func TestQuorumValue(t *testing.T) {
+func TestQuorumValueIsHighestReachedByQuorum(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("a quorum reached the value and none reached more", prop.ForAll(
 		func(values []uint64) bool {
@@ -159,7 +164,7 @@
 			for position := range values {
 				ids = append(ids, MemberID(position+1))
 			}
-			raft := New(Options{ID: 1, ElectionTimeout: testTimeout}, State{Snapshot: Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationOf(ids...)}}})
+			raft := New(Options{ID: 1, ElectionTimeout: testElectionTimeout}, State{Snapshot: Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationWithVoters(ids...)}}})
 			raft.progress = make(map[MemberID]*Progress)
 			for position, id := range ids {
 				raft.progress[id] = &Progress{Match: values[position]}
@@ -182,7 +187,7 @@
 }
 
 func TestConfigurationSurvivesEncoding(t *testing.T) {
-	configuration := configurationOf(1, 2, 5)
+	configuration := configurationWithVoters(1, 2, 5)
 	configuration.Members[1].Learner = true
 	data, err := EncodeConfiguration(configuration)
 	require.NoError(t, err)
@@ -191,6 +196,6 @@
 	require.Equal(t, configuration, decoded)
 	require.True(t, decoded.Removed(3))
 	require.False(t, decoded.Removed(2))
-	require.False(t, decoded.Removed(6), "an ID that was not given out yet is not removed")
+	require.False(t, decoded.Removed(6), "an ID that was never assigned was not removed")
 	require.Equal(t, 2, decoded.Quorum())
 }
--- a/internal/raft/membership.go
+++ b/internal/raft/membership.go
@@ -8,10 +8,11 @@
 	"merlinpaddle/internal/model"
 )
 
-// noteConfiguration puts a membership entry's configuration in force as soon
-// as the entry is in the log. One change at a time keeps every old and every
-// new quorum overlapping.
-func (raft *Raft) noteConfiguration(entry Entry) {
+// activateConfiguration puts a membership entry's configuration into effect as
+// soon as the entry is in the log. Because only one change is in progress at a
+// time, every quorum of the old configuration overlaps every quorum of the new
+// one.
+func (raft *Raft) activateConfiguration(entry Entry) {
 	if entry.Kind != EntryMembership {
 		return
 	}
@@ -22,33 +23,37 @@
 	if err != nil {
 		panic(fmt.Sprintf("raft: membership entry %d cannot be read: %v", entry.Index, err))
 	}
-	raft.configurations = append(raft.configurations, configurationAt{index: entry.Index, configuration: configuration})
+	raft.configurations = append(raft.configurations, loggedConfiguration{index: entry.Index, configuration: configuration})
 	if raft.role == Leader {
 		raft.syncProgress()
 	}
 }
 
-// dropConfigurations forgets the configurations of removed log entries.
-func (raft *Raft) dropConfigurations(from uint64) {
+// truncateConfigurations removes the configurations of log entries that were
+// removed from index from on.
+func (raft *Raft) truncateConfigurations(from uint64) {
 	for len(raft.configurations) > 1 && raft.configurations[len(raft.configurations)-1].index >= from {
 		raft.configurations = raft.configurations[:len(raft.configurations)-1]
 	}
 }
 
-// mayChangeMembership demands that the previous change and an entry of this
-// leader's term are committed; without the latter two leaders' changes could
-// give quorums that do not overlap.
-func (raft *Raft) mayChangeMembership() error {
-	if err := raft.mayPropose(); err != nil {
+// checkMembershipChange returns the reason why membership cannot be changed
+// now, or nil. The previous change and an entry of this leader's term must be
+// committed; without the latter, the changes of two leaders could yield quorums
+// that do not overlap.
+func (raft *Raft) checkMembershipChange() error {
+	if err := raft.checkProposal(); err != nil {
 		return err
 	}
-	if len(raft.configurations) > 1 || !raft.committedInTerm() {
+	if len(raft.configurations) > 1 || !raft.hasCommittedInTerm() {
 		return ErrChangePending
 	}
 	return nil
 }
 
-func (raft *Raft) committedInTerm() bool {
+// hasCommittedInTerm reports whether the last committed entry is of the current
+// term. Only then does a new leader know the group's commit index.
+func (raft *Raft) hasCommittedInTerm() bool {
 	term, known := raft.log.term(raft.log.committed)
 	return known && term == raft.term
 }
@@ -61,22 +66,22 @@
 	return raft.appendEntry(EntryMembership, data), raft.term, nil
 }
 
-// NewLearner is a member to be added without a vote.
+// NewLearner describes a member to be added as a learner.
 type NewLearner struct {
 	Name model.NodeName
 	// Zone is the member's failure zone; it may be empty.
 	Zone model.ZoneName
-	// Disk ties the member to a disk; zero leaves it to the first disk of its name that
-	// asks.
+	// Disk binds the member to a disk; zero binds it later to the first disk that
+	// requests to join under its name.
 	Disk uint64
 }
 
-// AddLearners proposes new members without a vote, in one change: learners take no part in
-// quorums, so that any number of them may come at once. Their IDs were never used and
-// follow each other; the first one is returned.
+// AddLearners proposes to add learners in one membership change. Learners do not
+// count in quorums, so any number of them can be added at once. They get new
+// consecutive IDs, of which the first is returned.
 func (raft *Raft) AddLearners(now time.Time, added []NewLearner) (first MemberID, index, term uint64, err error) {
-	raft.observe(now)
-	if err := raft.mayChangeMembership(); err != nil {
+	raft.advanceClock(now)
+	if err := raft.checkMembershipChange(); err != nil {
 		return 0, 0, 0, err
 	}
 	next := raft.configuration().Clone()
@@ -89,7 +94,7 @@
 	return first, index, term, err
 }
 
-// BindDisk proposes to tie a learner that no disk has taken to a disk.
+// BindDisk proposes to bind a learner that has no disk yet to a disk.
 func (raft *Raft) BindDisk(now time.Time, id MemberID, disk uint64) (index, term uint64, err error) {
 	return raft.changeMember(now, id, func(member *Member) error {
 		if !member.Learner || member.Disk != 0 {
@@ -101,8 +106,8 @@
 }
 
 // Promote proposes to make a learner a voter. The learner must hold every
-// entry that is committed now: promoted earlier, it would widen the quorum
-// without holding the log, and one more loss could stop the group.
+// committed entry: promoted earlier, it would increase the quorum without
+// holding the log, and one more failure could stop the group.
 func (raft *Raft) Promote(now time.Time, id MemberID) (index, term uint64, err error) {
 	return raft.changeMember(now, id, func(member *Member) error {
 		if !raft.caughtUp(id) {
@@ -113,16 +118,19 @@
 	})
 }
 
+// caughtUp reports whether the member holds every committed entry and answered
+// a recent heartbeat round.
 func (raft *Raft) caughtUp(id MemberID) bool {
 	progress := raft.progress[id]
 	return progress != nil &&
 		progress.Match >= raft.log.committed &&
-		progress.acknowledgedRound+lossRounds >= raft.confirmedRound
+		progress.acknowledgedRound+lossTimeoutRounds >= raft.confirmedRound
 }
 
+// changeMember proposes the configuration in which one member is changed.
 func (raft *Raft) changeMember(now time.Time, id MemberID, change func(*Member) error) (index, term uint64, err error) {
-	raft.observe(now)
-	if err := raft.mayChangeMembership(); err != nil {
+	raft.advanceClock(now)
+	if err := raft.checkMembershipChange(); err != nil {
 		return 0, 0, err
 	}
 	next := raft.configuration().Clone()
@@ -136,10 +144,10 @@
 	return raft.proposeConfiguration(next)
 }
 
-// RemoveMember proposes to take a member out for ever.
+// RemoveMember proposes to remove a member. Its ID is never used again.
 func (raft *Raft) RemoveMember(now time.Time, id MemberID) (index, term uint64, err error) {
-	raft.observe(now)
-	if err := raft.mayChangeMembership(); err != nil {
+	raft.advanceClock(now)
+	if err := raft.checkMembershipChange(); err != nil {
 		return 0, 0, err
 	}
 	next := raft.configuration().Clone()
--- a/internal/raft/progress.go
+++ b/internal/raft/progress.go
@@ -2,19 +2,22 @@
 
 import "time"
 
-// progressState tells how the leader sends to a follower.
+// progressState is the mode in which the leader replicates to a follower.
 type progressState uint8
 
 const (
-	// progressProbe sends one append at a time to find the matching place.
+	// progressProbe sends one append at a time to find the last index at which
+	// the logs match.
 	progressProbe progressState = iota
-	// progressReplicate sends optimistically, bounded by in-flight messages.
+	// progressReplicate sends appends without waiting for replies, up to the
+	// limit of in-flight appends.
 	progressReplicate
-	// progressSnapshot sends a snapshot chunk by chunk.
+	// progressSnapshot sends a snapshot one chunk at a time.
 	progressSnapshot
 )
 
-// inflightAppend is one append that the follower has not acknowledged.
+// inflightAppend is an append that the follower has not acknowledged, with the
+// heartbeat round in which it was sent.
 type inflightAppend struct {
 	lastIndex uint64
 	round     uint64
@@ -26,22 +29,24 @@
 	Match uint64
 	// Next is the next index to send.
 	Next uint64
-	// toldCommit is the highest commit index that was sent to it.
-	toldCommit uint64
+	// sentCommit is the highest commit index sent to the follower.
+	sentCommit uint64
 	state      progressState
-	// probing tells that a probe is under way since probeRound.
+	// probing is set while a probe, sent in probeRound, is unanswered.
 	probing    bool
 	probeRound uint64
 	inflight   []inflightAppend
-	// acknowledgedRound is the latest heartbeat round that it answered.
+	// acknowledgedRound is the latest heartbeat round that the follower answered.
 	acknowledgedRound uint64
-	snapshot          *Snapshot
-	snapshotOffset    uint64
-	snapshotRound     uint64
-	// addedAt is when this leader began to send to the follower.
-	addedAt time.Time
-	// heardAt is when the follower last answered.
-	heardAt time.Time
+	// snapshot is being sent to the follower. snapshotOffset is the offset of the
+	// last sent chunk and snapshotRound the round in which it was sent.
+	snapshot       *Snapshot
+	snapshotOffset uint64
+	snapshotRound  uint64
+	// trackedSince is when this leader began to send to the follower.
+	trackedSince time.Time
+	// lastReplyAt is when the follower's latest reply was received.
+	lastReplyAt time.Time
 }
 
 func (progress *Progress) becomeProbe() {
@@ -69,9 +74,9 @@
 }
 
 // acknowledge records that the follower holds the log up to index durably.
-// It returns whether that is news.
+// It reports whether Match advanced.
 func (progress *Progress) acknowledge(index uint64) bool {
-	news := index > progress.Match
+	advanced := index > progress.Match
 	progress.Match = max(progress.Match, index)
 	progress.Next = max(progress.Next, progress.Match+1)
 	kept := progress.inflight[:0]
@@ -81,10 +86,10 @@
 		}
 	}
 	progress.inflight = kept
-	return news
+	return advanced
 }
 
-// mayAppend tells whether another append may be sent now.
+// mayAppend reports whether another append may be sent now.
 func (progress *Progress) mayAppend(maxInflight int) bool {
 	switch progress.state {
 	case progressProbe:
@@ -96,8 +101,8 @@
 	}
 }
 
-// appended records that entries up to lastIndex were sent in round.
-func (progress *Progress) appended(lastIndex, round uint64) {
+// recordAppend records that entries up to lastIndex were sent in round.
+func (progress *Progress) recordAppend(lastIndex, round uint64) {
 	if progress.state == progressProbe {
 		progress.probing = true
 		progress.probeRound = round
@@ -107,19 +112,21 @@
 	progress.Next = lastIndex + 1
 }
 
-// lossRounds is the number of heartbeat rounds after which an unanswered
-// message counts as lost.
-const lossRounds = 2
+// lossTimeoutRounds is the number of heartbeat rounds after which an
+// unanswered message is considered lost: the follower has answered that many
+// later rounds.
+const lossTimeoutRounds = 2
 
-// checkLoss makes messages that are unanswered for lossRounds count as lost.
-func (progress *Progress) checkLoss(answeredRound uint64) {
+// detectLoss makes appends that are unanswered after lossTimeoutRounds be sent
+// again. answeredRound is the heartbeat round that the follower just answered.
+func (progress *Progress) detectLoss(answeredRound uint64) {
 	switch progress.state {
 	case progressProbe:
-		if progress.probing && answeredRound >= progress.probeRound+lossRounds {
+		if progress.probing && answeredRound >= progress.probeRound+lossTimeoutRounds {
 			progress.probing = false
 		}
 	case progressReplicate:
-		if len(progress.inflight) > 0 && answeredRound >= progress.inflight[0].round+lossRounds {
+		if len(progress.inflight) > 0 && answeredRound >= progress.inflight[0].round+lossTimeoutRounds {
 			progress.becomeProbe()
 		}
 	}
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Role is the part that a member plays in its term.
+// Role is a member's role in the current term.
 type Role uint8
 
 // The roles.
@@ -22,7 +22,7 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[role]
 }
 
-// Errors of requests to the core. When one is returned nothing was proposed.
+// Errors of requests to the core. When one is returned, nothing was proposed.
 var (
 	ErrNotLeader          = errors.New("this member is not the leader")
 	ErrTransferring       = errors.New("leadership is being transferred")
@@ -34,31 +34,32 @@
 	ErrNoSuccessor        = errors.New("no voter can take over leadership")
 )
 
-// ErrLostEntries tells that this member once acknowledged entries that its log
-// no longer has. It must not go on under its ID.
+// ErrLostEntries means that the log has lost entries that this member
+// acknowledged. The member must not continue under its ID: the leader may have
+// counted its acknowledgement towards a commit.
 var ErrLostEntries = errors.New("the log has lost entries that this member acknowledged")
 
 // Options configure a member's core.
 type Options struct {
 	ID    MemberID
 	Group uint64
-	// ElectionTimeout is the shortest time without a leader before an
-	// election; each wait is drawn from [ElectionTimeout, 2*ElectionTimeout).
+	// ElectionTimeout is the minimum time without contact from a leader before
+	// an election; each wait is random in [ElectionTimeout, 2*ElectionTimeout).
 	ElectionTimeout time.Duration
 	// FirstElectionTimeout replaces ElectionTimeout for the first wait after a
-	// start; zero means that it does not.
+	// start; zero means that ElectionTimeout applies.
 	FirstElectionTimeout time.Duration
 	HeartbeatInterval    time.Duration
-	// MaxBatchEntries and MaxBatchBytes bound one append message.
+	// MaxBatchEntries and MaxBatchBytes limit the size of one append message.
 	MaxBatchEntries int
 	MaxBatchBytes   int
-	// MaxInflight bounds the unacknowledged appends to one follower.
+	// MaxInflight limits the number of unacknowledged appends to one follower.
 	MaxInflight int
-	// MaxUncommitted bounds the entries that wait for a quorum.
+	// MaxUncommitted limits the number of uncommitted entries.
 	MaxUncommitted int
-	// ChunkBytes is the size of one piece of a snapshot.
+	// ChunkBytes is the maximum size of one snapshot chunk.
 	ChunkBytes int
-	// Seed fixes the election waits.
+	// Seed seeds the random part of election timeouts.
 	Seed uint64
 }
 
@@ -71,42 +72,44 @@
 	return options
 }
 
-func setDefault(value *int, preset int) {
+func setDefault(value *int, defaultValue int) {
 	if *value == 0 {
-		*value = preset
+		*value = defaultValue
 	}
 }
 
-// State is what a member restores at its start.
+// State is the durable state from which a member starts.
 type State struct {
 	HardState HardState
-	// Snapshot is the latest durable snapshot; its index is zero for a new
-	// group, and its Configuration is then the first one.
+	// Snapshot is the latest durable snapshot. In a new group its index is zero
+	// and its Configuration is the initial one.
 	Snapshot Snapshot
-	// Entries follow the snapshot, or begin earlier and reach it.
+	// Entries follow the snapshot. They may begin earlier, but leave no gap
+	// after it.
 	Entries []Entry
 }
 
-// configurationAt is a configuration with the index of its entry.
-type configurationAt struct {
+// loggedConfiguration is a configuration and the index of its log entry.
+type loggedConfiguration struct {
 	index         uint64
 	configuration Configuration
 }
 
-// sentRound remembers when a heartbeat round began.
-type sentRound struct {
+// heartbeatRound is the number of a heartbeat round and the time it was sent.
+type heartbeatRound struct {
 	round uint64
 	at    time.Time
 }
 
-// pendingRead is a read that waits for a round to be acknowledged.
+// pendingRead is a read that waits until a quorum acknowledges a heartbeat round.
 type pendingRead struct {
 	id    uint64
 	index uint64
 	round uint64
 }
 
-// Raft is one member's core. It is not safe for concurrent use.
+// Raft is the consensus state machine of one member. It is not safe for
+// concurrent use.
 type Raft struct {
 	options Options
 	random  *rand.Rand
@@ -116,53 +119,59 @@
 	vote   MemberID
 	role   Role
 	leader MemberID
-	// configurations has the committed configuration first and then the
-	// later ones of the log; the last one is in force.
-	configurations []configurationAt
+	// configurations has the committed configuration first, then the
+	// uncommitted ones of the log in order. The last one is in effect.
+	configurations []loggedConfiguration
 	snapshot       Snapshot
 
+	// now is the latest time passed in; it never goes back.
 	now              time.Time
 	electionDeadline time.Time
-	leaderHeardAt    time.Time
-	// toldCommit is the leader's commit index as of toldCommitAt, which this
-	// follower's log has not reached yet; zero when it has.
-	toldCommit   uint64
-	toldCommitAt time.Time
-	// currentAt is when the leader last told a commit index that this follower
-	// has reached since.
+	leaderContactAt  time.Time
+	// pendingLeaderCommit is the leader's commit index received at
+	// pendingLeaderCommitAt that this follower has not reached yet; zero when
+	// there is none.
+	pendingLeaderCommit   uint64
+	pendingLeaderCommitAt time.Time
+	// currentAt is the receive time of the latest recorded leader commit index
+	// that this follower has reached.
 	currentAt time.Time
-	// toldConfirmedAt is the latest confirmation that a leader told.
-	toldConfirmedAt time.Time
-	votes           map[MemberID]bool
-
-	// The fields below are the leader's.
-	leaderSince     time.Time
-	progress        map[MemberID]*Progress
-	round           uint64
-	sentRounds      []sentRound
-	confirmedRound  uint64
-	confirmedAt     time.Time
-	heartbeatDue    time.Time
-	roundWanted     bool
-	appendWanted    bool
-	reads           []pendingRead
-	waitingReads    []uint64
+	// leaderConfirmedAt is the latest confirmation time received from a leader.
+	leaderConfirmedAt time.Time
+	votes             map[MemberID]bool
+
+	// The fields below are used by the leader only.
+	leaderSince       time.Time
+	progress          map[MemberID]*Progress
+	round             uint64
+	unconfirmedRounds []heartbeatRound
+	confirmedRound    uint64
+	confirmedAt       time.Time
+	heartbeatDue      time.Time
+	// roundRequested and appendRequested make the next Ready send a heartbeat
+	// round or new entries.
+	roundRequested  bool
+	appendRequested bool
+	pendingReads    []pendingRead
+	deferredReads   []uint64
 	transferTarget  MemberID
 	transferExpires time.Time
 
 	incoming incomingSnapshot
 	fault    error
 
-	// The fields below feed Ready.
-	messages      []Message
-	readStates    []ReadState
-	savedState    HardState
-	installed     *Snapshot
-	readyAppended uint64
-	readyApplied  uint64
+	// The fields below are the pending output for Ready. readyLastIndex and
+	// readyCommitted are the last log index and the commit index as of the
+	// latest Ready.
+	messages          []Message
+	readStates        []ReadState
+	savedHardState    HardState
+	installedSnapshot *Snapshot
+	readyLastIndex    uint64
+	readyCommitted    uint64
 }
 
-// New returns the core of a member with restored state.
+// New returns the core of a member that starts from the given durable state.
 func New(options Options, state State) *Raft {
 	raft := &Raft{
 		options:  options.withDefaults(),
@@ -172,19 +181,19 @@
 		snapshot: state.Snapshot,
 	}
 	raft.log.restore(state.Snapshot.SnapshotMeta)
-	raft.configurations = []configurationAt{{
+	raft.configurations = []loggedConfiguration{{
 		index:         state.Snapshot.Index,
 		configuration: state.Snapshot.Configuration.Clone(),
 	}}
 	raft.restoreEntries(state.Entries)
 	raft.log.stable = raft.log.lastIndex()
 	raft.commitTo(min(max(state.HardState.Commit, state.Snapshot.Index), raft.log.lastIndex()))
-	raft.savedState = raft.hardState()
+	raft.savedHardState = raft.hardState()
 	return raft
 }
 
-// restoreEntries rebuilds the log. Entries before the snapshot stay in memory
-// so that slow followers need no snapshot.
+// restoreEntries rebuilds the log in memory. It keeps entries from before the
+// snapshot, so that slow followers can catch up without a snapshot transfer.
 func (raft *Raft) restoreEntries(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -198,7 +207,7 @@
 	raft.log.append(entries...)
 	for _, entry := range entries {
 		if entry.Index > raft.snapshot.Index {
-			raft.noteConfiguration(entry)
+			raft.activateConfiguration(entry)
 		}
 	}
 }
@@ -207,7 +216,7 @@
 	return HardState{Term: raft.term, Vote: raft.vote, Commit: raft.log.committed}
 }
 
-// configuration returns the configuration in force: the latest in the log,
+// configuration returns the configuration in effect: the latest in the log,
 // committed or not.
 func (raft *Raft) configuration() Configuration {
 	return raft.configurations[len(raft.configurations)-1].configuration
@@ -217,8 +226,8 @@
 	return raft.configurations[0].configuration
 }
 
-// observe moves the core's time forward; it never goes back.
-func (raft *Raft) observe(now time.Time) {
+// advanceClock moves the core's time forward to now; it never goes back.
+func (raft *Raft) advanceClock(now time.Time) {
 	if now.After(raft.now) {
 		raft.now = now
 	}
@@ -227,27 +236,28 @@
 	}
 }
 
-// setFirstElectionDeadline may make the first wait after a start shorter than
-// later ones: after a loss of all members nobody leads, and where somebody
-// does, the pre-vote is refused and changes nothing.
+// setFirstElectionDeadline sets the election deadline after a start. The first
+// wait may be shorter than later ones, so that a group whose members all
+// stopped elects a leader sooner. If there is a leader, the pre-vote is refused
+// and has no effect.
 func (raft *Raft) setFirstElectionDeadline() {
 	if raft.options.FirstElectionTimeout == 0 {
 		raft.resetElectionDeadline()
 		return
 	}
-	spread := time.Duration(raft.random.Int64N(int64(raft.options.FirstElectionTimeout)))
-	raft.electionDeadline = raft.now.Add(raft.options.FirstElectionTimeout + spread)
+	jitter := time.Duration(raft.random.Int64N(int64(raft.options.FirstElectionTimeout)))
+	raft.electionDeadline = raft.now.Add(raft.options.FirstElectionTimeout + jitter)
 }
 
 func (raft *Raft) resetElectionDeadline() {
-	spread := time.Duration(raft.random.Int64N(int64(raft.options.ElectionTimeout)))
-	raft.electionDeadline = raft.now.Add(raft.options.ElectionTimeout + spread)
+	jitter := time.Duration(raft.random.Int64N(int64(raft.options.ElectionTimeout)))
+	raft.electionDeadline = raft.now.Add(raft.options.ElectionTimeout + jitter)
 }
 
-// Tick tells the core the time. Its owner calls it at least once a heartbeat
-// interval.
+// Tick advances the core's clock and runs its timers. The caller must call it
+// at least once per heartbeat interval.
 func (raft *Raft) Tick(now time.Time) {
-	raft.observe(now)
+	raft.advanceClock(now)
 	if raft.role == Leader {
 		raft.tickLeader()
 		return
@@ -258,7 +268,7 @@
 }
 
 func (raft *Raft) tickLeader() {
-	if raft.quorumSilent() {
+	if raft.quorumLost() {
 		raft.becomeFollower(raft.term, 0)
 		return
 	}
@@ -266,13 +276,13 @@
 		raft.transferTarget = 0
 	}
 	if !raft.now.Before(raft.heartbeatDue) {
-		raft.roundWanted = true
+		raft.roundRequested = true
 	}
 }
 
-// quorumSilent is the check-quorum rule: a leader that no quorum confirmed for
-// an election timeout steps down.
-func (raft *Raft) quorumSilent() bool {
+// quorumLost implements check-quorum: it reports whether no quorum has
+// confirmed this leader for an election timeout, so that it must step down.
+func (raft *Raft) quorumLost() bool {
 	latest := raft.leaderSince
 	if raft.confirmedAt.After(latest) {
 		latest = raft.confirmedAt
@@ -280,36 +290,40 @@
 	return raft.now.Sub(latest) > raft.options.ElectionTimeout
 }
 
-// Step takes one message in.
+// Step handles one received message.
 func (raft *Raft) Step(now time.Time, message Message) {
-	raft.observe(now)
+	raft.advanceClock(now)
 	if message.To != raft.options.ID || message.Group != raft.options.Group {
 		return
 	}
 	if raft.committedConfiguration().Removed(message.From) {
 		return
 	}
-	if !raft.admitTerm(message) {
+	if !raft.checkTerm(message) {
 		return
 	}
 	raft.dispatch(message)
 }
 
-// admitTerm compares the message's term with the member's and returns whether
-// the message is to be handled.
-func (raft *Raft) admitTerm(message Message) bool {
+// checkTerm compares the message's term with the member's own and reports
+// whether the message is to be handled.
+func (raft *Raft) checkTerm(message Message) bool {
 	switch {
 	case message.Term > raft.term:
-		return raft.admitHigherTerm(message)
+		return raft.handleHigherTerm(message)
 	case message.Term < raft.term:
-		raft.answerLowerTerm(message)
+		raft.replyToStaleTerm(message)
 		return false
 	default:
 		return true
 	}
 }
 
-func (raft *Raft) admitHigherTerm(message Message) bool {
+// handleHigherTerm handles a message of a later term and reports whether the
+// message itself is to be handled. The member becomes a follower in the later
+// term, unless the message is a pre-vote request, a granted pre-vote or a vote
+// request that is ignored because the leader is alive.
+func (raft *Raft) handleHigherTerm(message Message) bool {
 	switch message.Kind {
 	case MessagePreVote:
 		return true
@@ -326,8 +340,8 @@
 	return true
 }
 
-// answerLowerTerm tells a deposed leader or a late candidate the present term.
-func (raft *Raft) answerLowerTerm(message Message) {
+// replyToStaleTerm informs a deposed leader or a stale candidate of the current term.
+func (raft *Raft) replyToStaleTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		raft.send(Message{Kind: MessageAppendReply, To: message.From, Reject: true})
@@ -336,7 +350,7 @@
 	}
 }
 
-// Err returns why the member must stop, or nil.
+// Err returns the reason why the member must stop, or nil.
 func (raft *Raft) Err() error { return raft.fault }
 
 func (raft *Raft) dispatch(message Message) {
@@ -353,7 +367,7 @@
 		raft.handleHeartbeat(message)
 	case MessageCommit:
 		raft.followLeader(message)
-		raft.takeCommit(message)
+		raft.updateCommit(message)
 	case MessageSnapshot:
 		raft.followLeader(message)
 		raft.handleSnapshot(message)
@@ -373,7 +387,8 @@
 	raft.messages = append(raft.messages, message)
 }
 
-// becomeFollower leaves every other role. A new term clears the vote.
+// becomeFollower makes the member a follower of leader, which may be zero. A
+// later term clears the vote.
 func (raft *Raft) becomeFollower(term uint64, leader MemberID) {
 	if term > raft.term {
 		raft.term = term
@@ -381,25 +396,25 @@
 	}
 	raft.role = Follower
 	raft.leader = leader
-	raft.toldCommit = 0
+	raft.pendingLeaderCommit = 0
 	raft.votes = nil
 	raft.clearLeadership()
 	raft.resetElectionDeadline()
 }
 
-// clearLeadership forgets what only a leader knows. Reads that wait fail.
+// clearLeadership drops the leader's state. Waiting reads fail.
 func (raft *Raft) clearLeadership() {
-	for _, read := range raft.reads {
+	for _, read := range raft.pendingReads {
 		raft.readStates = append(raft.readStates, ReadState{ID: read.id, Failed: true})
 	}
-	for _, id := range raft.waitingReads {
+	for _, id := range raft.deferredReads {
 		raft.readStates = append(raft.readStates, ReadState{ID: id, Failed: true})
 	}
-	raft.reads = nil
-	raft.waitingReads = nil
+	raft.pendingReads = nil
+	raft.deferredReads = nil
 	raft.progress = nil
-	raft.sentRounds = nil
-	raft.roundWanted = false
-	raft.appendWanted = false
+	raft.unconfirmedRounds = nil
+	raft.roundRequested = false
+	raft.appendRequested = false
 	raft.transferTarget = 0
 }
--- a/internal/raft/raft_test.go
+++ b/internal/raft/raft_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	testGroup   = 9
-	testTimeout = 100 * time.Millisecond
-	testBeat    = 20 * time.Millisecond
+	testGroup             = 9
+	testElectionTimeout   = 100 * time.Millisecond
+	testHeartbeatInterval = 20 * time.Millisecond
 )
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func configurationOf(ids ...MemberID) Configuration {
+func configurationWithVoters(ids ...MemberID) Configuration {
 	var configuration Configuration
 	for _, id := range ids {
 		configuration.Members = append(configuration.Members, Member{ID: id, Name: model.NodeName(rune('a' + id)), Disk: uint64(id)})
@@ -26,7 +26,7 @@
 	return configuration
 }
 
-func entriesOf(terms ...uint64) []Entry {
+func entriesWithTerms(terms ...uint64) []Entry {
 	var entries []Entry
 	for position, term := range terms {
 		entries = append(entries, Entry{Index: uint64(position + 1), Term: term, At: int64(position)})
@@ -39,18 +39,18 @@
 	return New(Options{
 		ID:                1,
 		Group:             testGroup,
-		ElectionTimeout:   testTimeout,
-		HeartbeatInterval: testBeat,
+		ElectionTimeout:   testElectionTimeout,
+		HeartbeatInterval: testHeartbeatInterval,
 		Seed:              1,
 	}, State{
 		HardState: HardState{Term: term},
-		Snapshot:  Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationOf(1, 2, 3)}},
-		Entries:   entriesOf(terms...),
+		Snapshot:  Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationWithVoters(1, 2, 3)}},
+		Entries:   entriesWithTerms(terms...),
 	})
 }
 
-// settle does all work of the member and returns its messages.
-func settle(raft *Raft) []Message {
+// drainReady processes the member's work until there is none and returns its messages.
+func drainReady(raft *Raft) []Message {
 	var messages []Message
 	for {
 		ready := raft.Ready()
@@ -62,19 +62,20 @@
 	}
 }
 
+// step delivers a message to member 1 and returns the messages it sends.
 func step(raft *Raft, message Message) []Message {
 	message.To = 1
 	message.Group = testGroup
 	raft.Step(testStart, message)
-	return settle(raft)
+	return drainReady(raft)
 }
 
-// elect makes the member leader of the next term with member 2's votes.
-func elect(t *testing.T, raft *Raft) {
+// electLeader makes the member leader of the next term with member 2's votes.
+func electLeader(t *testing.T, raft *Raft) {
 	t.Helper()
 	raft.Tick(testStart)
-	raft.Tick(testStart.Add(2 * testTimeout))
-	settle(raft)
+	raft.Tick(testStart.Add(2 * testElectionTimeout))
+	drainReady(raft)
 	step(raft, Message{Kind: MessagePreVoteReply, From: 2, Term: raft.Term() + 1})
 	step(raft, Message{Kind: MessageVoteReply, From: 2, Term: raft.Term()})
 	require.Equal(t, Leader, raft.Role())
@@ -110,8 +111,9 @@
 	}
 }
 
-// TestVoteIsDurableBeforeItIsSent demands the vote in the hard state of the
-// same Ready as the reply.
+// TestVoteIsDurableBeforeItIsSent checks that the Ready that contains the vote
+// reply also contains the vote in its hard state. Without it, a member could
+// vote twice in one term after a crash.
 func TestVoteIsDurableBeforeItIsSent(t *testing.T) {
 	raft := newMember(2, 1, 1, 2)
 	raft.Step(testStart, Message{Kind: MessageVote, From: 2, To: 1, Group: testGroup, Term: 3, LogIndex: 3, LogTerm: 2})
@@ -121,7 +123,8 @@
 	require.Equal(t, HardState{Term: 3, Vote: 2}, *ready.HardState)
 }
 
-// TestPreVoteChangesNothing answers pre-votes without touching term and vote.
+// TestPreVoteChangesNothing checks that replying to pre-votes changes neither
+// term nor vote.
 func TestPreVoteChangesNothing(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -152,8 +155,8 @@
 	}
 }
 
-// TestVoteIsIgnoredWhileTheLeaderIsAlive keeps a member from deposing a
-// working leader; a planned transfer may.
+// TestVoteIsIgnoredWhileTheLeaderIsAlive checks that a vote request cannot
+// depose a working leader unless it belongs to a planned transfer.
 func TestVoteIsIgnoredWhileTheLeaderIsAlive(t *testing.T) {
 	raft := newMember(2, 1, 1, 2)
 	step(raft, Message{Kind: MessageHeartbeat, From: 3, Term: 2})
@@ -177,9 +180,9 @@
 		{"continues the log", Message{LogIndex: 4, LogTerm: 2, Entries: []Entry{{Index: 5, Term: 3}}, Commit: 5}, false, 5, 0, []uint64{1, 1, 2, 2, 3}, 5},
 		{"replaces a conflicting end", Message{LogIndex: 2, LogTerm: 1, Entries: []Entry{{Index: 3, Term: 3}}, Commit: 3}, false, 3, 0, []uint64{1, 1, 3}, 3},
 		{"keeps the end when entries are known", Message{LogIndex: 1, LogTerm: 1, Entries: []Entry{{Index: 2, Term: 1}}}, false, 2, 0, []uint64{1, 1, 2, 2}, 0},
-		{"commits only what the message proves", Message{LogIndex: 2, LogTerm: 1, Commit: 4}, false, 2, 0, []uint64{1, 1, 2, 2}, 2},
+		{"commits only up to the matched index", Message{LogIndex: 2, LogTerm: 1, Commit: 4}, false, 2, 0, []uint64{1, 1, 2, 2}, 2},
 		{"a gap", Message{LogIndex: 9, LogTerm: 3}, true, 9, 4, []uint64{1, 1, 2, 2}, 0},
-		{"another term at the place", Message{LogIndex: 4, LogTerm: 1}, true, 4, 2, []uint64{1, 1, 2, 2}, 0},
+		{"another term at the index", Message{LogIndex: 4, LogTerm: 1}, true, 4, 2, []uint64{1, 1, 2, 2}, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -203,7 +206,7 @@
 	}
 }
 
-// TestAcknowledgedEntriesAreInTheSameReady keeps an entry from being
+// TestAcknowledgedEntriesAreInTheSameReady guards against an entry being
 // acknowledged before it is durable.
 func TestAcknowledgedEntriesAreInTheSameReady(t *testing.T) {
 	raft := newMember(3, 1)
@@ -214,13 +217,14 @@
 	require.Equal(t, uint64(2), ready.Messages[0].LogIndex)
 }
 
-// TestLeaderCountsItselfOnlyOnceDurable proposes in a group of one.
+// TestLeaderCountsItselfOnlyOnceDurable checks in a group of one that a leader
+// commits its own entry only after Advance, when the entry is durable.
 func TestLeaderCountsItselfOnlyOnceDurable(t *testing.T) {
-	raft := New(Options{ID: 1, Group: testGroup, ElectionTimeout: testTimeout, HeartbeatInterval: testBeat},
-		State{Snapshot: Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationOf(1)}}})
+	raft := New(Options{ID: 1, Group: testGroup, ElectionTimeout: testElectionTimeout, HeartbeatInterval: testHeartbeatInterval},
+		State{Snapshot: Snapshot{SnapshotMeta: SnapshotMeta{Configuration: configurationWithVoters(1)}}})
 	raft.Tick(testStart)
-	raft.Tick(testStart.Add(2 * testTimeout))
-	settle(raft)
+	raft.Tick(testStart.Add(2 * testElectionTimeout))
+	drainReady(raft)
 	require.Equal(t, Leader, raft.Role())
 	index, _, err := raft.Propose(testStart, []byte("x"))
 	require.NoError(t, err)
@@ -231,23 +235,24 @@
 	require.Equal(t, index, raft.log.committed)
 }
 
-// TestEntriesOfEarlierTermsAreNotCommittedByCounting is figure 8 of the Raft
-// paper: an entry of an earlier term on a quorum may still be replaced.
+// TestEntriesOfEarlierTermsAreNotCommittedByCounting tests the case in figure 8
+// of the Raft paper: an entry of an earlier term that a quorum holds may still
+// be replaced.
 func TestEntriesOfEarlierTermsAreNotCommittedByCounting(t *testing.T) {
 	raft := newMember(3, 1, 2)
-	elect(t, raft)
+	electLeader(t, raft)
 	step(raft, Message{Kind: MessageAppendReply, From: 2, Term: 4, LogIndex: 2})
 	require.Zero(t, raft.log.committed)
 	step(raft, Message{Kind: MessageAppendReply, From: 2, Term: 4, LogIndex: 3})
 	require.Equal(t, uint64(3), raft.log.committed)
 }
 
-// TestLogTimeNeverGoesBack elects a leader whose clock is behind the log.
+// TestLogTimeNeverGoesBack elects a leader whose clock is behind the log time.
 func TestLogTimeNeverGoesBack(t *testing.T) {
 	raft := newMember(1, 1)
 	ahead := testStart.Add(time.Hour).UnixNano()
 	raft.log.entries[0].At = ahead
-	elect(t, raft)
+	electLeader(t, raft)
 	_, _, err := raft.Propose(testStart, []byte("x"))
 	require.NoError(t, err)
 	for _, entry := range raft.log.entries {
@@ -255,9 +260,9 @@
 	}
 }
 
-// TestMessagesThatAreIgnored come from other groups, for other members or from
-// members that were removed.
-func TestMessagesThatAreIgnored(t *testing.T) {
+// TestUnrelatedMessagesAreIgnored checks that messages from other groups, to
+// other members or from removed members have no effect.
+func TestUnrelatedMessagesAreIgnored(t *testing.T) {
 	vote := Message{Kind: MessageVote, From: 2, To: 1, Group: testGroup, Term: 3, LogIndex: 3, LogTerm: 2}
 	cases := []struct {
 		name   string
@@ -274,58 +279,60 @@
 			message := vote
 			ignored.change(&message)
 			raft.Step(testStart, message)
-			require.Empty(t, settle(raft))
+			require.Empty(t, drainReady(raft))
 			require.Equal(t, uint64(2), raft.Term())
 		})
 	}
 }
 
-// TestLostEntriesAreNoticed hears of a commit index that the log, which once
-// acknowledged it, does not reach.
-func TestLostEntriesAreNoticed(t *testing.T) {
+// TestLostEntriesAreDetected sends a commit index beyond the end of the log.
+// Since a leader sends no more than the member acknowledged, the log has lost
+// entries.
+func TestLostEntriesAreDetected(t *testing.T) {
 	raft := newMember(2, 1, 1, 2)
 	step(raft, Message{Kind: MessageHeartbeat, From: 2, Term: 2, Commit: 4})
 	require.ErrorIs(t, raft.Err(), ErrLostEntries)
 }
 
-// TestReadWaitsForALaterRound asks while a round is under way: its answers
-// must not confirm the read.
+// TestReadWaitsForALaterRound requests a read while a heartbeat round is
+// unanswered. Replies to that round must not confirm the read, since the round
+// started before it.
 func TestReadWaitsForALaterRound(t *testing.T) {
 	raft := newMember(1, 1)
-	elect(t, raft)
+	electLeader(t, raft)
 	step(raft, Message{Kind: MessageAppendReply, From: 2, Term: 2, LogIndex: 2})
-	under := raft.round
+	pendingRound := raft.round
 	require.NoError(t, raft.ReadIndex(testStart, 77))
-	raft.Step(testStart, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Group: testGroup, Term: 2, Round: under})
+	raft.Step(testStart, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Group: testGroup, Term: 2, Round: pendingRound})
 	ready := raft.Ready()
 	require.Empty(t, ready.ReadStates)
 	raft.Advance(ready)
-	settle(raft)
+	drainReady(raft)
 	raft.Step(testStart, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Group: testGroup, Term: 2, Round: raft.round})
 	require.Equal(t, []ReadState{{ID: 77, Index: 2}}, raft.Ready().ReadStates)
 }
 
-// TestReadWaitsForAnEntryOfTheTerm asks a leader that does not know yet what
-// is committed.
+// TestReadWaitsForAnEntryOfTheTerm requests a read from a leader that has not
+// committed an entry of its term and so does not know the commit index.
 func TestReadWaitsForAnEntryOfTheTerm(t *testing.T) {
 	raft := newMember(1, 1)
-	elect(t, raft)
+	electLeader(t, raft)
 	require.NoError(t, raft.ReadIndex(testStart, 77))
-	settle(raft)
+	drainReady(raft)
 	raft.Step(testStart, Message{Kind: MessageHeartbeatReply, From: 2, To: 1, Group: testGroup, Term: 2, Round: raft.round})
 	require.Empty(t, raft.Ready().ReadStates)
 }
 
-// TestLearnersDoNotCount keeps a learner's answers out of every quorum.
+// TestLearnersDoNotCount checks that learners' replies count in no quorum.
 func TestLearnersDoNotCount(t *testing.T) {
 	raft := newMember(1, 1)
 	raft.configurations[0].configuration.Members[2].Learner = true
 	raft.configurations[0].configuration.Members = append(raft.configurations[0].configuration.Members,
 		Member{ID: 4, Name: "d"}, Member{ID: 5, Name: "e", Learner: true})
-	elect2 := func() {
+	electWithLearners := func() {
 		raft.Tick(testStart)
-		raft.Tick(testStart.Add(2 * testTimeout))
-		settle(raft)
+		raft.Tick(testStart.Add(2 * testElectionTimeout))
+		drainReady(raft)
 		step(raft, Message{Kind: MessagePreVoteReply, From: 3, Term: 2})
 		step(raft, Message{Kind: MessagePreVoteReply, From: 5, Term: 2})
 		require.Equal(t, PreCandidate, raft.Role())
@@ -333,7 +340,7 @@
 		step(raft, Message{Kind: MessageVoteReply, From: 2, Term: 2})
 		require.Equal(t, Leader, raft.Role())
 	}
-	elect2()
+	electWithLearners()
 	step(raft, Message{Kind: MessageAppendReply, From: 3, Term: 2, LogIndex: 2})
 	step(raft, Message{Kind: MessageAppendReply, From: 5, Term: 2, LogIndex: 2})
 	require.Zero(t, raft.log.committed)
@@ -341,17 +348,18 @@
 	require.Equal(t, uint64(2), raft.log.committed)
 }
 
-// TestInflightAppendsAreBounded proposes more than may be under way.
+// TestInflightAppendsAreBounded proposes more entries than there may be
+// unacknowledged appends.
 func TestInflightAppendsAreBounded(t *testing.T) {
 	raft := newMember(1, 1)
 	raft.options.MaxInflight = 3
-	elect(t, raft)
+	electLeader(t, raft)
 	step(raft, Message{Kind: MessageAppendReply, From: 2, Term: 2, LogIndex: 2})
 	sent := 0
 	for range 10 {
 		_, _, err := raft.Propose(testStart, []byte("x"))
 		require.NoError(t, err)
-		for _, message := range settle(raft) {
+		for _, message := range drainReady(raft) {
 			if message.Kind == MessageAppend && message.To == 2 {
 				sent++
 			}
@@ -365,15 +373,15 @@
 			entries += len(message.Entries)
 		}
 	}
-	require.Equal(t, 7, entries, "what waited goes out as one batch")
+	require.Equal(t, 7, entries, "the waiting entries are sent as one batch")
 }
 
-// TestUncommittedEntriesAreBounded refuses proposals that a quorum does not
-// take off.
+// TestUncommittedEntriesAreBounded checks that proposals are refused while too
+// many entries are uncommitted.
 func TestUncommittedEntriesAreBounded(t *testing.T) {
 	raft := newMember(1, 1)
 	raft.options.MaxUncommitted = 5
-	elect(t, raft)
+	electLeader(t, raft)
 	var err error
 	for range 6 {
 		if _, _, err = raft.Propose(testStart, []byte("x")); err != nil {
@@ -383,24 +391,26 @@
 	require.ErrorIs(t, err, ErrTooManyUncommitted)
 }
 
-// TestCheckQuorumUsesItsOwnClockOnly has been told a confirmation in the
-// future by an earlier leader with a wrong clock.
+// TestCheckQuorumUsesItsOwnClockOnly elects a leader that received a confirmation
+// time in the future from an earlier leader with a wrong clock. It must still
+// step down without a quorum.
 func TestCheckQuorumUsesItsOwnClockOnly(t *testing.T) {
 	raft := newMember(1, 1)
 	step(raft, Message{Kind: MessageHeartbeat, From: 2, Term: 1, ConfirmedAt: testStart.Add(time.Hour).UnixNano()})
-	elect(t, raft)
-	raft.Tick(testStart.Add(2*testTimeout + testTimeout/2))
+	electLeader(t, raft)
+	raft.Tick(testStart.Add(2*testElectionTimeout + testElectionTimeout/2))
 	require.Equal(t, Leader, raft.Role())
-	raft.Tick(testStart.Add(2*testTimeout + testTimeout + 1))
+	raft.Tick(testStart.Add(2*testElectionTimeout + testElectionTimeout + 1))
 	require.Equal(t, Follower, raft.Role())
 }
 
-// TestSnapshotChunksInAnyOrder sends chunks late, twice and of two snapshots.
+// TestSnapshotChunksInAnyOrder sends chunks out of order, twice and from two
+// snapshots.
 func TestSnapshotChunksInAnyOrder(t *testing.T) {
 	raft := newMember(2, 1)
 	chunk := func(index, offset uint64, data string) Message {
 		return Message{Kind: MessageSnapshot, From: 2, Term: 2, Chunk: &SnapshotChunk{
-			Meta:   SnapshotMeta{Index: index, Term: 2, Configuration: configurationOf(1, 2, 3)},
+			Meta:   SnapshotMeta{Index: index, Term: 2, Configuration: configurationWithVoters(1, 2, 3)},
 			Offset: offset, Total: 6, Data: []byte(data),
 		}}
 	}
@@ -428,8 +438,8 @@
 	require.Equal(t, uint64(60), ready.Messages[0].LogIndex)
 }
 
-// TestSnapshotKeepsAMatchingLog receives a snapshot of what the log holds:
-// entries after it may have been counted by the leader and must stay.
+// TestSnapshotKeepsAMatchingLog sends a snapshot whose last entry the log holds.
+// The leader may have counted the entries after it, so they must be kept.
 func TestSnapshotKeepsAMatchingLog(t *testing.T) {
 	raft := newMember(2, 1, 2, 2, 2)
 	step(raft, Message{Kind: MessageSnapshot, From: 2, Term: 2, Chunk: &SnapshotChunk{Meta: SnapshotMeta{Index: 2, Term: 2}}})
@@ -437,15 +447,17 @@
 	require.Equal(t, uint64(2), raft.log.committed)
 }
 
-// TestTwoLeadersOfOneTermAreAnError cannot happen; if it does, the member must
-// not go on.
+// TestTwoLeadersOfOneTermAreAnError violates election safety, which cannot
+// happen in a correct group. The member must panic rather than continue.
 func TestTwoLeadersOfOneTermAreAnError(t *testing.T) {
 	raft := newMember(1, 1)
-	elect(t, raft)
+	electLeader(t, raft)
 	require.Panics(t, func() { step(raft, Message{Kind: MessageHeartbeat, From: 3, Term: 2}) })
 }
 
-// TestCommittedEntriesAreNeverReplaced cannot happen either.
+// TestCommittedEntriesAreNeverReplaced merges an entry that conflicts with a
+// committed one, which cannot happen in a correct group. The log must panic
+// rather than replace it.
 func TestCommittedEntriesAreNeverReplaced(t *testing.T) {
 	raft := newMember(2, 1, 1, 2)
 	step(raft, Message{Kind: MessageAppend, From: 2, Term: 2, LogIndex: 3, LogTerm: 2, Commit: 3})
@@ -463,12 +475,12 @@
 	return kinds
 }
 
-// TestCommitIsToldOnceToEachHolder commits an entry with one follower's reply
-// and counts what that costs: a notice to each follower once it holds the
-// entry, and no heartbeat round.
-func TestCommitIsToldOnceToEachHolder(t *testing.T) {
+// TestCommitNoticeIsSentOnceToEachHolder commits an entry with one follower's
+// reply and checks the messages that follow: one commit notice to each follower
+// once it holds the entry, and no heartbeat round.
+func TestCommitNoticeIsSentOnceToEachHolder(t *testing.T) {
 	raft := newMember(1, 1)
-	elect(t, raft)
+	electLeader(t, raft)
 	reply := func(from MemberID) []Message {
 		return step(raft, Message{Kind: MessageAppendReply, From: from, Term: raft.Term(), LogIndex: raft.log.lastIndex()})
 	}
@@ -476,20 +488,20 @@
 	reply(3)
 	_, _, err := raft.Propose(testStart, []byte("change"))
 	require.NoError(t, err)
-	settle(raft)
+	drainReady(raft)
 
 	first := reply(2)
 	require.Equal(t, []MessageKind{MessageCommit}, kindsTo(2, first))
-	require.Empty(t, kindsTo(3, first), "a member that is not known to hold the entry is not told")
+	require.Empty(t, kindsTo(3, first), "a member that is not known to hold the entry gets no notice")
 	second := reply(3)
 	require.Empty(t, kindsTo(2, second))
 	require.Equal(t, []MessageKind{MessageCommit}, kindsTo(3, second))
 	require.Equal(t, raft.log.lastIndex(), second[0].Commit)
-	require.Empty(t, reply(3), "an answer that comes again tells nothing new")
+	require.Empty(t, reply(3), "a duplicate reply causes no message")
 }
 
-// TestCommitNoticeIsNotAnswered raises a follower's commit index, and finds
-// lost entries as a heartbeat does.
+// TestCommitNoticeIsNotAnswered checks that a commit notice raises a follower's
+// commit index without a reply, and detects lost entries as a heartbeat does.
 func TestCommitNoticeIsNotAnswered(t *testing.T) {
 	follower := newMember(1, 1, 1, 1)
 	require.Empty(t, step(follower, Message{Kind: MessageCommit, From: 2, Term: 1, Commit: 2}))
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -5,56 +5,57 @@
 	"time"
 )
 
-// Ready is the work that the core wants done, in this order: make Snapshot,
+// Ready is the work that the caller must do, in this order: make Snapshot,
 // HardState and Entries durable in one sync; send Messages; apply Committed;
-// answer ReadStates; call Advance. No other method is called in between.
+// answer ReadStates; call Advance. It must not call other methods that change
+// the core in between.
 type Ready struct {
 	// Snapshot, when set, replaces the log and the state machine's state.
 	Snapshot *Snapshot
 	// HardState is set when it changed.
 	HardState *HardState
-	// Entries replace everything from the first one's index on.
+	// Entries replace the log from the first one's index on.
 	Entries []Entry
-	// Messages may leave only after the above is durable.
+	// Messages may be sent only after the above is durable.
 	Messages []Message
-	// Committed entries are to be applied, in order.
+	// Committed entries are to be applied in order.
 	Committed []Entry
 	// ReadStates may be answered once their index is applied.
 	ReadStates []ReadState
 }
 
-// Empty tells whether there is nothing to do.
+// Empty reports whether there is no work.
 func (ready *Ready) Empty() bool {
 	return ready.Snapshot == nil && ready.HardState == nil && len(ready.Entries) == 0 &&
 		len(ready.Messages) == 0 && len(ready.Committed) == 0 && len(ready.ReadStates) == 0
 }
 
-// MustSync tells whether anything has to be made durable.
+// MustSync reports whether there is anything to make durable.
 func (ready *Ready) MustSync() bool {
 	return ready.Snapshot != nil || ready.HardState != nil || len(ready.Entries) > 0
 }
 
-// Ready returns the work that has piled up.
+// Ready returns the accumulated work.
 func (raft *Raft) Ready() Ready {
 	raft.flush()
 	ready := Ready{
-		Snapshot:   raft.installed,
+		Snapshot:   raft.installedSnapshot,
 		Entries:    raft.unstableEntries(),
 		Messages:   raft.messages,
 		Committed:  raft.committedEntries(),
 		ReadStates: raft.readStates,
 	}
 	state := raft.hardState()
-	if state.Term != raft.savedState.Term || state.Vote != raft.savedState.Vote {
+	if state.Term != raft.savedHardState.Term || state.Vote != raft.savedHardState.Vote {
 		ready.HardState = &state
 	} else if len(ready.Entries) > 0 {
 		ready.HardState = &state
 	}
-	raft.readyAppended = raft.log.lastIndex()
-	raft.readyApplied = raft.log.committed
+	raft.readyLastIndex = raft.log.lastIndex()
+	raft.readyCommitted = raft.log.committed
 	raft.messages = nil
 	raft.readStates = nil
-	raft.installed = nil
+	raft.installedSnapshot = nil
 	return ready
 }
 
@@ -66,13 +67,13 @@
 	return slices.Clone(raft.log.slice(raft.log.applied+1, raft.log.committed))
 }
 
-// Advance tells the core that the work of ready is done.
+// Advance records that the work of ready is done.
 func (raft *Raft) Advance(ready Ready) {
 	if ready.HardState != nil {
-		raft.savedState = *ready.HardState
+		raft.savedHardState = *ready.HardState
 	}
-	raft.log.stable = raft.readyAppended
-	raft.log.applied = max(raft.log.applied, raft.readyApplied)
+	raft.log.stable = raft.readyLastIndex
+	raft.log.applied = max(raft.log.applied, raft.readyCommitted)
 	if raft.role != Leader {
 		return
 	}
@@ -82,7 +83,7 @@
 	raft.advanceCommit()
 }
 
-// Status is what the core knows.
+// Status describes the state of the core.
 type Status struct {
 	ID        MemberID
 	Term      uint64
@@ -91,41 +92,41 @@
 	Committed uint64
 	Applied   uint64
 	LastIndex uint64
-	// FirstIndex is the first entry that is still in memory.
+	// FirstIndex is the index of the first log entry in memory.
 	FirstIndex uint64
-	// Confirmed tells that a quorum confirmed this leader less than an
-	// election timeout before the time given to Status.
+	// Confirmed reports whether a quorum confirmed this leader less than an
+	// election timeout before the time passed to Status.
 	Confirmed bool
-	// ConfirmedAt is when the latest round that a quorum acknowledged began;
-	// on followers it is what the leader told.
+	// ConfirmedAt is when the leader sent the latest heartbeat round that a
+	// quorum acknowledged; on followers it is the time received from the leader.
 	ConfirmedAt time.Time
-	// Configuration is the committed one. It must not be modified.
+	// Configuration is the committed configuration. It must not be modified.
 	Configuration Configuration
 	// SnapshotIndex is the index of the latest snapshot.
 	SnapshotIndex uint64
-	// CurrentAt is the latest time at which the leader told this follower its
-	// commit index and the follower reached that index afterwards; zero on the
-	// leader itself and without one. It tells how old the follower's state can
-	// be.
+	// CurrentAt is the receive time of the latest leader commit index that this
+	// follower has reached; zero on the leader and without a leader. It bounds
+	// the staleness of the follower's state.
 	CurrentAt time.Time
 	// LeaderSince is when this member became leader; zero on others.
 	LeaderSince time.Time
-	// Peers is what the leader knows of every member; nil on others.
+	// Peers is the leader's view of every member, itself included; nil on others.
 	Peers []Peer
 }
 
-// Peer is what the leader knows of one member of the configuration in force.
+// Peer is the leader's view of one member of the configuration in effect.
 type Peer struct {
 	Member
 	// TrackedSince is when this leader began to send to the member.
 	TrackedSince time.Time
 	// LastReplyAt is when this leader last received a reply from the member; zero means never.
 	LastReplyAt time.Time
-	// CaughtUp tells that the member holds every committed entry.
+	// CaughtUp reports whether the member holds every committed entry and
+	// answered a recent heartbeat round.
 	CaughtUp bool
 }
 
-// Status returns the state as of now.
+// Status returns the core's status as of now.
 func (raft *Raft) Status(now time.Time) Status {
 	status := Status{
 		ID:            raft.options.ID,
@@ -136,7 +137,7 @@
 		Applied:       raft.log.applied,
 		LastIndex:     raft.log.lastIndex(),
 		FirstIndex:    raft.log.base + 1,
-		ConfirmedAt:   raft.toldConfirmedAt,
+		ConfirmedAt:   raft.leaderConfirmedAt,
 		Configuration: raft.committedConfiguration(),
 		SnapshotIndex: raft.snapshot.Index,
 	}
@@ -160,8 +161,8 @@
 	for _, member := range members {
 		peer := Peer{Member: member, CaughtUp: raft.caughtUp(member.ID)}
 		if progress := raft.progress[member.ID]; progress != nil {
-			peer.TrackedSince = progress.addedAt
-			peer.LastReplyAt = progress.heardAt
+			peer.TrackedSince = progress.trackedSince
+			peer.LastReplyAt = progress.lastReplyAt
 		}
 		if member.ID == raft.options.ID {
 			peer.LastReplyAt = raft.now
@@ -171,23 +172,24 @@
 	return peers
 }
 
-// Term returns the present term.
+// Term returns the current term.
 func (raft *Raft) Term() uint64 { return raft.term }
 
-// Role returns the present role.
+// Role returns the current role.
 func (raft *Raft) Role() Role { return raft.role }
 
-// TermAt returns the term of the entry at index, if it is in memory.
+// TermAt returns the term of the entry at index and whether the log in memory
+// covers that index.
 func (raft *Raft) TermAt(index uint64) (uint64, bool) { return raft.log.term(index) }
 
-// AppliedSinceSnapshot returns how many entries were applied after the latest
+// AppliedSinceSnapshot returns the number of entries applied since the latest
 // snapshot.
 func (raft *Raft) AppliedSinceSnapshot() uint64 { return raft.log.applied - raft.snapshot.Index }
 
-// Leader returns the member that this one follows, or zero.
+// Leader returns the current leader as this member knows it, or zero.
 func (raft *Raft) Leader() MemberID { return raft.leader }
 
-// Configuration returns the configuration in force.
+// Configuration returns the configuration in effect.
 func (raft *Raft) Configuration() Configuration { return raft.configuration() }
 
 // CommittedConfiguration returns the latest committed configuration.
--- a/internal/raft/snapshot.go
+++ b/internal/raft/snapshot.go
@@ -2,23 +2,23 @@
 
 import "bytes"
 
-// incomingSnapshot collects the chunks of a snapshot on a follower.
+// incomingSnapshot collects the chunks of a snapshot that a follower receives.
 type incomingSnapshot struct {
 	index uint64
 	term  uint64
 	data  bytes.Buffer
 }
 
-func (raft *Raft) startSnapshot(id MemberID, progress *Progress) {
+func (raft *Raft) startSnapshotTransfer(id MemberID, progress *Progress) {
 	if raft.snapshot.Index == 0 {
 		return
 	}
 	snapshot := raft.snapshot
 	progress.becomeSnapshot(&snapshot, raft.round)
-	raft.sendChunk(id, progress)
+	raft.sendSnapshotChunk(id, progress)
 }
 
-func (raft *Raft) sendChunk(id MemberID, progress *Progress) {
+func (raft *Raft) sendSnapshotChunk(id MemberID, progress *Progress) {
 	data := progress.snapshot.Data
 	start := min(progress.snapshotOffset, uint64(len(data)))
 	end := min(start+uint64(raft.options.ChunkBytes), uint64(len(data)))
@@ -35,10 +35,11 @@
 	})
 }
 
-// resendSnapshotChunk repeats a chunk that was not answered in time.
+// resendSnapshotChunk sends a chunk again that was not answered within
+// lossTimeoutRounds.
 func (raft *Raft) resendSnapshotChunk(id MemberID, progress *Progress, answeredRound uint64) {
-	if progress.state == progressSnapshot && answeredRound >= progress.snapshotRound+lossRounds {
-		raft.sendChunk(id, progress)
+	if progress.state == progressSnapshot && answeredRound >= progress.snapshotRound+lossTimeoutRounds {
+		raft.sendSnapshotChunk(id, progress)
 	}
 }
 
@@ -50,11 +51,13 @@
 		return
 	}
 	progress.snapshotOffset = message.Offset
-	raft.sendChunk(message.From, progress)
+	raft.sendSnapshotChunk(message.From, progress)
 }
 
-// handleSnapshot collects a chunk. Chunks that come out of order are answered
-// with the offset that is wanted.
+// handleSnapshot collects a chunk and installs the snapshot once it is complete.
+// Until then it replies with the next missing offset, whether or not the chunk
+// arrived in order. A snapshot that this member has already committed is
+// acknowledged without being installed.
 func (raft *Raft) handleSnapshot(message Message) {
 	chunk := message.Chunk
 	if chunk == nil {
@@ -81,30 +84,30 @@
 		})
 		return
 	}
-	raft.install(Snapshot{SnapshotMeta: meta, Data: incoming.data.Bytes()})
+	raft.installSnapshot(Snapshot{SnapshotMeta: meta, Data: incoming.data.Bytes()})
 	raft.incoming = incomingSnapshot{}
 	raft.acknowledgeAppend(message.From, raft.log.committed)
 }
 
-// install replaces the log by a snapshot, unless the log already holds the
-// snapshot's last entry: then that entry is committed and the log, of which
-// the leader may have counted more, stays.
-func (raft *Raft) install(snapshot Snapshot) {
+// installSnapshot replaces the log with a snapshot. If the log already holds the
+// snapshot's last entry, it only commits up to that entry and keeps the log,
+// since the leader may have counted later entries as acknowledged.
+func (raft *Raft) installSnapshot(snapshot Snapshot) {
 	if raft.log.matches(snapshot.Index, snapshot.Term) {
 		raft.commitTo(snapshot.Index)
 		return
 	}
 	raft.log.restore(snapshot.SnapshotMeta)
-	raft.configurations = []configurationAt{{
+	raft.configurations = []loggedConfiguration{{
 		index:         snapshot.Index,
 		configuration: snapshot.Configuration.Clone(),
 	}}
 	raft.snapshot = snapshot
-	raft.installed = &snapshot
+	raft.installedSnapshot = &snapshot
 }
 
-// Compact tells the core that a snapshot is durable. Entries up to keepAfter,
-// which is at most the snapshot's index, are forgotten.
+// Compact records that a snapshot is durable and removes the log entries up to
+// keepAfter, which is at most the snapshot's index, from memory.
 func (raft *Raft) Compact(snapshot Snapshot, keepAfter uint64) {
 	if snapshot.Index <= raft.snapshot.Index {
 		return
@@ -113,7 +116,8 @@
 	raft.log.compact(min(keepAfter, snapshot.Index))
 }
 
-// AppliedSnapshotMeta describes a snapshot of the applied state, whose log time is at.
+// AppliedSnapshotMeta returns the metadata of a snapshot of the applied state,
+// whose log time is at.
 func (raft *Raft) AppliedSnapshotMeta(at int64) SnapshotMeta {
 	applied := raft.log.applied
 	term, _ := raft.log.term(applied)
@@ -125,8 +129,9 @@
 	}
 }
 
-// configurationAsOf returns the latest configuration at or below index, which
-// must be applied and not older than the committed configuration.
+// configurationAsOf returns the latest configuration at or below index. The
+// index must be applied and at or after the entry of the committed
+// configuration.
 func (raft *Raft) configurationAsOf(index uint64) Configuration {
 	found := raft.configurations[0].configuration
 	for _, candidate := range raft.configurations {
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// TransferLeadership hands leadership to the voter that is best caught up. No
-// proposal is taken meanwhile; after an election timeout the leader goes on.
+// TransferLeadership hands leadership over to the voter whose log is most up to
+// date. Proposals are refused meanwhile. If the transfer has not succeeded after
+// an election timeout, it is abandoned and this leader accepts proposals again.
 func (raft *Raft) TransferLeadership(now time.Time) error {
-	raft.observe(now)
+	raft.advanceClock(now)
 	if raft.role != Leader {
 		return ErrNotLeader
 	}
@@ -20,14 +21,14 @@
 	return nil
 }
 
-// successor returns the voter with the longest acknowledged log among those
-// that answered a recent round.
+// successor returns the other voter with the longest acknowledged log among
+// those that answered a recent heartbeat round, or zero.
 func (raft *Raft) successor() MemberID {
 	var best MemberID
 	for _, member := range raft.configuration().Members {
 		progress := raft.progress[member.ID]
-		silent := progress.acknowledgedRound+lossRounds < raft.confirmedRound
-		if member.Learner || member.ID == raft.options.ID || silent {
+		unresponsive := progress.acknowledgedRound+lossTimeoutRounds < raft.confirmedRound
+		if member.Learner || member.ID == raft.options.ID || unresponsive {
 			continue
 		}
 		if best == 0 || progress.Match > raft.progress[best].Match {
@@ -37,6 +38,8 @@
 	return best
 }
 
+// continueTransfer makes the transfer's target start an election once it holds
+// the leader's whole log.
 func (raft *Raft) continueTransfer() {
 	progress := raft.progress[raft.transferTarget]
 	if raft.transferTarget == 0 || progress == nil || progress.Match < raft.log.lastIndex() {
--- a/internal/raft/types.go
+++ b/internal/raft/types.go
@@ -1,16 +1,18 @@
-// Package raft is the pure core of the control group's consensus, in the style
-// of Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", 2014, and Ongaro's dissertation).
+// Package raft implements the control group's consensus algorithm as a
+// deterministic state machine, in the style of Raft (Ongaro and Ousterhout, "In
+// Search of an Understandable Consensus Algorithm", 2014, and Ongaro's
+// dissertation).
 //
-// The core performs no input or output, reads no clock and uses no global
-// random source. Its owner feeds it the time, messages and proposals, and
-// takes work from Ready: first persist, then send, then apply, then Advance.
+// The state machine, called the core, performs no input or output, reads no
+// clock and uses no global random source. Its caller passes in the time,
+// messages and proposals, and processes the work that Ready returns: first
+// persist, then send, then apply, then call Advance.
 //
 // Invariants:
-//   - at most one leader a term (a vote is durable before it is sent);
+//   - there is at most one leader per term (a vote is durable before it is sent);
 //   - a leader never changes its own entries;
 //   - an entry is acknowledged only once it is durable;
-//   - only entries of the leader's own term are committed by counting;
+//   - only entries of the leader's own term are committed by counting replicas;
 //   - a membership change starts only when the previous one is committed;
 //   - a read is answered only after a heartbeat round that began after the
 //     read arrived has been acknowledged by a quorum.
@@ -24,7 +26,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// MemberID names one life of one member's disk. Zero means "no member".
+// MemberID identifies a member for as long as it keeps its disk: a member whose
+// disk was lost or replaced gets a new ID. Zero means "no member".
 type MemberID uint64
 
 // Member is one member of the group.
@@ -35,20 +38,20 @@
 	// Zone is the member's failure zone; empty when it is not known.
 	Zone model.ZoneName
 	// Disk is the random number that the member wrote to its empty disk
-	// before it joined. It ties the ID to that disk. Zero means that no disk
-	// has taken the ID yet.
+	// before it joined. It binds the ID to that disk. Zero means that the ID
+	// is not bound to a disk yet.
 	Disk uint64
 }
 
-// Configuration is the membership of the group. Identifiers are given out in
-// ascending order and never reused, so an ID below NextID that is not among
-// Members has been removed.
+// Configuration is the membership of the group. IDs are assigned in ascending
+// order and never reused, so an ID below NextID that is not in Members has been
+// removed.
 type Configuration struct {
 	Members []Member
 	NextID  MemberID
 }
 
-// Find returns the member with the identifier.
+// Find returns the member with the given ID and whether it exists.
 func (configuration Configuration) Find(id MemberID) (Member, bool) {
 	for _, member := range configuration.Members {
 		if member.ID == id {
@@ -58,7 +61,7 @@
 	return Member{}, false
 }
 
-// Removed tells whether id was a member once and is none now.
+// Removed reports whether id was assigned to a member that has been removed.
 func (configuration Configuration) Removed(id MemberID) bool {
 	_, present := configuration.Find(id)
 	return !present && id < configuration.NextID
@@ -84,13 +87,13 @@
 // Quorum returns the number of voters that make a majority.
 func (configuration Configuration) Quorum() int { return configuration.VoterCount()/2 + 1 }
 
-// Clone returns a copy that shares nothing with the original.
+// Clone returns a copy that shares no memory with the original.
 func (configuration Configuration) Clone() Configuration {
 	configuration.Members = slices.Clone(configuration.Members)
 	return configuration
 }
 
-// EncodeConfiguration returns configuration as the data of an entry.
+// EncodeConfiguration encodes configuration as the data of an EntryMembership.
 func EncodeConfiguration(configuration Configuration) ([]byte, error) {
 	var buffer bytes.Buffer
 	err := gob.NewEncoder(&buffer).Encode(configuration)
@@ -104,16 +107,16 @@
 	return configuration, err
 }
 
-// EntryKind tells what an entry's data means.
+// EntryKind is the type of an entry's data.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	// EntryCommand carries a command of the state machine.
+	// EntryCommand carries a command for the state machine.
 	EntryCommand EntryKind = iota
-	// EntryNoop is the empty entry with which each leader starts its term.
+	// EntryNoop is the empty entry that each leader appends at the start of its term.
 	EntryNoop
-	// EntryMembership carries a whole Configuration.
+	// EntryMembership carries a complete Configuration.
 	EntryMembership
 )
 
@@ -121,15 +124,15 @@
 type Entry struct {
 	Index uint64
 	Term  uint64
-	// At is the log's own time in nanoseconds since 1970, set by the leader.
-	// It never goes back along the log.
+	// At is the log time in nanoseconds since 1970. The leader sets it from its
+	// clock. It never decreases along the log.
 	At   int64
 	Kind EntryKind
 	Data []byte
 }
 
-// HardState is what a member must not forget, besides its log. Commit is only
-// a hint that saves work after a restart.
+// HardState is the state that a member must persist besides its log. Only Term
+// and Vote are needed for safety; Commit saves work after a restart.
 type HardState struct {
 	Term   uint64
 	Vote   MemberID
@@ -138,15 +141,15 @@
 
 // SnapshotMeta describes a snapshot.
 type SnapshotMeta struct {
-	// Index and Term name the last entry that the snapshot contains.
+	// Index and Term identify the last entry that the snapshot contains.
 	Index uint64
 	Term  uint64
-	// At is the log's own time at that entry.
+	// At is the log time of that entry.
 	At            int64
 	Configuration Configuration
 }
 
-// Snapshot is the whole state at one place of the log.
+// Snapshot is the complete state machine state at one log index.
 type Snapshot struct {
 	SnapshotMeta
 	Data []byte
