--- a/internal/replica/benchmark_test.go
+++ b/internal/replica/benchmark_test.go
@@ -17,8 +17,8 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// BenchmarkCommits compares group commit with one sync a commit: the same
-// callers, the same disk, the same group, in one run.
+// BenchmarkCommits compares group commit with one sync per commit, with the same
+// number of callers, on the same disk and with the same group size, in one run.
 func BenchmarkCommits(b *testing.B) {
 	for _, members := range []int{1, 3} {
 		for _, variant := range []struct {
@@ -32,8 +32,7 @@
 	}
 }
 
-// benchmarkCallers is the number of callers for each processor that propose at
-// once.
+// benchmarkCallers is the number of concurrent callers per processor.
 const benchmarkCallers = 64
 
 func benchmarkCommits(b *testing.B, members, limit int) {
@@ -55,7 +54,7 @@
 		return folder
 	}, names...)
 	defer group.stop()
-	_, leader := group.leading(b)
+	_, leader := group.awaitLeader(b)
 	command := bytes.Repeat([]byte("x"), 200)
 	var failures atomic.Int64
 	b.SetParallelism(benchmarkCallers)
@@ -72,18 +71,18 @@
 	require.Zero(b, failures.Load())
 }
 
-// BenchmarkReadBarrier measures a read that a heartbeat round confirms.
+// BenchmarkReadBarrier measures a read barrier, which a heartbeat round confirms.
 func BenchmarkReadBarrier(b *testing.B) {
 	group := startNodes(b, nodeOptions, memoryFiles, "a", "b", "c")
 	defer group.stop()
-	_, leader := group.leading(b)
+	_, leader := group.awaitLeader(b)
 	for b.Loop() {
 		require.NoError(b, leader.ReadBarrier(b.Context()))
 	}
 }
 
-// registers is a state machine of bounded size: command n sets register n
-// modulo their number.
+// registers is a state machine of bounded size: command n sets register
+// n modulo registerCount.
 type registers struct {
 	count  uint64
 	values map[uint64][]byte
@@ -168,8 +167,8 @@
 	require.NoError(b, files.Close())
 }
 
-// recoverOnce restarts the member until it leads again and has applied its
-// whole log.
+// recoverOnce starts the member, runs it until it leads and has applied its whole
+// log, and stops it.
 func recoverOnce(b *testing.B, root string, options Options) {
 	controller, files := openMember(b, root, options)
 	now := time.Date(2026, 1, 2, 0, 0, 0, 0, time.UTC)
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -13,40 +13,40 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// The clusters of these tests run on a virtual clock in steps of clockStep.
+// The test clusters run on a virtual clock that advances in steps of clockStep.
 const (
 	clockStep             = 5 * time.Millisecond
 	testElectionTimeout   = 200 * time.Millisecond
 	testHeartbeatInterval = 30 * time.Millisecond
 )
 
-// journal is a state machine that records every command it applied.
-type journal struct {
+// commandRecorder is a state machine that records every command it applied.
+type commandRecorder struct {
 	indexes  []uint64
 	commands []string
 	times    []int64
 }
 
-func (journal *journal) Apply(index model.Revision, at time.Time, command []byte) []byte {
-	journal.indexes = append(journal.indexes, uint64(index))
-	journal.commands = append(journal.commands, string(command))
-	journal.times = append(journal.times, at.UnixNano())
-	return binary.AppendUvarint(nil, uint64(len(journal.commands)))
+func (recorder *commandRecorder) Apply(index model.Revision, at time.Time, command []byte) []byte {
+	recorder.indexes = append(recorder.indexes, uint64(index))
+	recorder.commands = append(recorder.commands, string(command))
+	recorder.times = append(recorder.times, at.UnixNano())
+	return binary.AppendUvarint(nil, uint64(len(recorder.commands)))
 }
 
-func (journal *journal) Snapshot() ([]byte, error) {
-	data := binary.AppendUvarint(nil, uint64(len(journal.commands)))
-	for position, command := range journal.commands {
-		data = binary.AppendUvarint(data, journal.indexes[position])
-		data = binary.AppendVarint(data, journal.times[position])
+func (recorder *commandRecorder) Snapshot() ([]byte, error) {
+	data := binary.AppendUvarint(nil, uint64(len(recorder.commands)))
+	for position, command := range recorder.commands {
+		data = binary.AppendUvarint(data, recorder.indexes[position])
+		data = binary.AppendVarint(data, recorder.times[position])
 		data = binary.AppendUvarint(data, uint64(len(command)))
 		data = append(data, command...)
 	}
 	return data, nil
 }
 
-func (journal *journal) Restore(data []byte) error {
-	journal.indexes, journal.commands, journal.times = nil, nil, nil
+func (recorder *commandRecorder) Restore(data []byte) error {
+	recorder.indexes, recorder.commands, recorder.times = nil, nil, nil
 	count, length := binary.Uvarint(data)
 	data = data[length:]
 	for range count {
@@ -56,18 +56,18 @@
 		data = data[length:]
 		size, length := binary.Uvarint(data)
 		data = data[length:]
-		journal.indexes = append(journal.indexes, index)
-		journal.times = append(journal.times, at)
-		journal.commands = append(journal.commands, string(data[:size]))
+		recorder.indexes = append(recorder.indexes, index)
+		recorder.times = append(recorder.times, at)
+		recorder.commands = append(recorder.commands, string(data[:size]))
 		data = data[size:]
 	}
 	return nil
 }
 
-func (journal *journal) Digest() uint64 {
+func (recorder *commandRecorder) Digest() uint64 {
 	digest := uint64(14695981039346656037)
-	for position, command := range journal.commands {
-		for _, value := range fmt.Appendf(nil, "%d %s;", journal.indexes[position], command) {
+	for position, command := range recorder.commands {
+		for _, value := range fmt.Appendf(nil, "%d %s;", recorder.indexes[position], command) {
 			digest = (digest ^ uint64(value)) * 1099511628211
 		}
 	}
@@ -81,42 +81,44 @@
 	mailbox    *protocol.Mailbox
 	dispatcher *protocol.Dispatcher
 	controller *Controller
-	machine    *journal
-	// pausedUntil freezes the process.
+	machine    *commandRecorder
+	// pausedUntil is the time until which the process is paused.
 	pausedUntil time.Time
 	// skew is added to the member's clock.
-	skew  time.Duration
-	joins bool
-	// startFault is why the latest start failed.
-	startFault error
+	skew              time.Duration
+	joinsRunningGroup bool
+	// startErr is the error of the latest start, or nil.
+	startErr error
 }
 
-// delivery is an envelope on its way.
+// delivery is an envelope in transit. order breaks ties between equal times.
 type delivery struct {
 	at       time.Time
 	order    int
 	envelope protocol.Envelope
 }
 
-// network decides what happens to envelopes.
+// network describes the faults of the simulated network: the probabilities of
+// loss and duplication, the maximum delay, and the blocked pairs of sender and
+// receiver.
 type network struct {
 	drop, duplicate float64
 	maxDelay        time.Duration
-	cut             map[[2]model.NodeName]bool
+	blocked         map[[2]model.NodeName]bool
 }
 
-// cluster runs members on one virtual clock.
+// cluster runs members on a shared virtual clock and a simulated network.
 type cluster struct {
-	test    testing.TB
-	random  *rand.Rand
-	now     time.Time
-	names   []model.NodeName
-	members map[model.NodeName]*member
-	network network
-	flight  []delivery
-	sent    int
-	starts  uint64
-	options func(*Options)
+	test          testing.TB
+	random        *rand.Rand
+	now           time.Time
+	names         []model.NodeName
+	members       map[model.NodeName]*member
+	network       network
+	inFlight      []delivery
+	sentCount     int
+	startCount    uint64
+	adjustOptions func(*Options)
 }
 
 func newCluster(test testing.TB, seed uint64, names ...model.NodeName) *cluster {
@@ -126,7 +128,7 @@
 		now:     time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC),
 		names:   names,
 		members: make(map[model.NodeName]*member),
-		network: network{maxDelay: 2 * clockStep, cut: make(map[[2]model.NodeName]bool)},
+		network: network{maxDelay: 2 * clockStep, blocked: make(map[[2]model.NodeName]bool)},
 	}
 	for position, name := range names {
 		cluster.members[name] = &member{name: name, disk: memory.New(seed*31 + uint64(position))}
@@ -142,31 +144,31 @@
 
 func (cluster *cluster) start(name model.NodeName) {
 	process := cluster.members[name]
-	cluster.starts++
+	cluster.startCount++
 	options := Options{
 		Self:              name,
 		Members:           slices.Clone(cluster.names),
-		Join:              process.joins,
+		Join:              process.joinsRunningGroup,
 		ElectionTimeout:   testElectionTimeout,
 		HeartbeatInterval: testHeartbeatInterval,
 		SnapshotEvery:     50,
 		SegmentBytes:      4 << 10,
 		ChunkBytes:        256,
-		Seed:              cluster.random.Uint64() + cluster.starts,
+		Seed:              cluster.random.Uint64() + cluster.startCount,
 	}
-	if cluster.options != nil {
-		cluster.options(&options)
+	if cluster.adjustOptions != nil {
+		cluster.adjustOptions(&options)
 	}
 	process.mailbox = protocol.NewMailbox(name)
 	process.dispatcher = protocol.NewDispatcher(process.mailbox)
-	process.machine = &journal{}
-	process.controller, process.startFault = NewController(options, process.disk, process.mailbox, process.dispatcher, process.machine)
-	if process.startFault != nil {
+	process.machine = &commandRecorder{}
+	process.controller, process.startErr = NewController(options, process.disk, process.mailbox, process.dispatcher, process.machine)
+	if process.startErr != nil {
 		process.controller = nil
 	}
 }
 
-// stop ends a process as SIGKILL does; crash also loses unsynced writes.
+// stop ends a process without loss of its writes, as SIGKILL does.
 func (cluster *cluster) stop(name model.NodeName) {
 	process := cluster.members[name]
 	if process.controller != nil {
@@ -175,12 +177,15 @@
 	process.controller = nil
 }
 
+// crash stops a process and loses its unsynced writes, as a crash of the machine
+// does.
 func (cluster *cluster) crash(name model.NodeName) {
 	cluster.stop(name)
 	cluster.members[name].disk.Crash()
 }
 
-// step moves the clock on and runs every process once.
+// step advances the clock by clockStep, delivers due messages and runs every
+// process once.
 func (cluster *cluster) step() {
 	cluster.now = cluster.now.Add(clockStep)
 	cluster.deliver()
@@ -195,6 +200,7 @@
 	}
 }
 
+// collect puts the messages that a process sent onto the network.
 func (cluster *cluster) collect(process *member) {
 	for _, envelope := range process.mailbox.Outbox.Drain() {
 		copies := 1
@@ -205,46 +211,49 @@
 		}
 		for range copies {
 			delay := time.Duration(cluster.random.Int64N(int64(cluster.network.maxDelay) + 1))
-			cluster.sent++
-			cluster.flight = append(cluster.flight, delivery{at: cluster.now.Add(delay), order: cluster.sent, envelope: envelope})
+			cluster.sentCount++
+			cluster.inFlight = append(cluster.inFlight, delivery{at: cluster.now.Add(delay), order: cluster.sentCount, envelope: envelope})
 		}
 	}
 }
 
+// deliver passes due messages to running processes and drops those to stopped
+// ones and on blocked links.
 func (cluster *cluster) deliver() {
-	slices.SortFunc(cluster.flight, func(left, right delivery) int {
+	slices.SortFunc(cluster.inFlight, func(left, right delivery) int {
 		if order := left.at.Compare(right.at); order != 0 {
 			return order
 		}
 		return left.order - right.order
 	})
 	var later []delivery
-	for _, message := range cluster.flight {
+	for _, message := range cluster.inFlight {
 		if message.at.After(cluster.now) {
 			later = append(later, message)
 			continue
 		}
 		from, to := message.envelope.From, message.envelope.To
 		process := cluster.members[to]
-		if cluster.network.cut[[2]model.NodeName{from, to}] || process == nil || process.controller == nil {
+		if cluster.network.blocked[[2]model.NodeName{from, to}] || process == nil || process.controller == nil {
 			continue
 		}
 		process.mailbox.Inbox.Put(message.envelope)
 	}
-	cluster.flight = later
+	cluster.inFlight = later
 }
 
-// isolate cuts a member off from all others, in both directions.
+// isolate partitions a member from all others, in both directions.
 func (cluster *cluster) isolate(name model.NodeName) {
 	for _, other := range cluster.names {
 		if other != name {
-			cluster.network.cut[[2]model.NodeName{name, other}] = true
-			cluster.network.cut[[2]model.NodeName{other, name}] = true
+			cluster.network.blocked[[2]model.NodeName{name, other}] = true
+			cluster.network.blocked[[2]model.NodeName{other, name}] = true
 		}
 	}
 }
 
-func (cluster *cluster) heal() { clear(cluster.network.cut) }
+// heal ends all partitions.
+func (cluster *cluster) heal() { clear(cluster.network.blocked) }
 
 func (cluster *cluster) run(duration time.Duration) {
 	for end := cluster.now.Add(duration); cluster.now.Before(end); {
@@ -252,8 +261,8 @@
 	}
 }
 
-// until steps until condition holds, and fails the test after limit.
-func (cluster *cluster) until(limit time.Duration, what string, condition func() bool) {
+// runUntil steps until condition holds, and fails the test after limit.
+func (cluster *cluster) runUntil(limit time.Duration, goal string, condition func() bool) {
 	cluster.test.Helper()
 	for end := cluster.now.Add(limit); cluster.now.Before(end); {
 		if condition() {
@@ -262,7 +271,7 @@
 		cluster.step()
 	}
 	if !condition() {
-		cluster.test.Fatalf("not within %v of virtual time: %s\n%s", limit, what, cluster.describe())
+		cluster.test.Fatalf("not within %v of virtual time: %s\n%s", limit, goal, cluster.describe())
 	}
 }
 
@@ -271,7 +280,7 @@
 	for _, name := range cluster.names {
 		process := cluster.members[name]
 		if process.controller == nil {
-			text += fmt.Sprintf("%s down (%v)\n", name, process.startFault)
+			text += fmt.Sprintf("%s down (%v)\n", name, process.startErr)
 			continue
 		}
 		status := process.controller.StatusAt(cluster.now.Add(process.skew))
@@ -280,7 +289,7 @@
 	return text
 }
 
-// leader returns the member that leads with a confirmed quorum, or nil.
+// leader returns the running member that leads with a confirmed quorum, or nil.
 func (cluster *cluster) leader() *member {
 	for _, name := range cluster.names {
 		process := cluster.members[name]
@@ -296,11 +305,12 @@
 
 func (cluster *cluster) awaitLeader() *member {
 	cluster.test.Helper()
-	cluster.until(10*time.Second, "a leader", func() bool { return cluster.leader() != nil })
+	cluster.runUntil(10*time.Second, "a leader", func() bool { return cluster.leader() != nil })
 	return cluster.leader()
 }
 
-// propose commits a command and returns its result.
+// propose commits a command at the current leader, with up to 20 attempts, and
+// returns its result.
 func (cluster *cluster) propose(command string) []byte {
 	cluster.test.Helper()
 	for range 20 {
@@ -311,16 +321,16 @@
 		leader.controller.Submit([]byte(command), func(answer []byte, err error) {
 			answered, result, fault = true, answer, err
 		})
-		cluster.until(10*time.Second, "an answer to "+command, func() bool { return answered })
+		cluster.runUntil(10*time.Second, "an answer to "+command, func() bool { return answered })
 		if fault == nil {
 			return result
 		}
 	}
-	cluster.test.Fatalf("%s was not committed in 20 tries", command)
+	cluster.test.Fatalf("%s was not committed in 20 attempts", command)
 	return nil
 }
 
-// converged tells whether all running members applied the same.
+// converged reports whether all running members have the same state.
 func (cluster *cluster) converged() bool {
 	var digests []uint64
 	for _, name := range cluster.names {
--- a/internal/replica/controller.go
+++ b/internal/replica/controller.go
@@ -13,46 +13,51 @@
 	"merlinpaddle/internal/raft"
 )
 
-// Controller is one member of the control group as a board.Controller. Each
-// Reconcile takes in all waiting messages and requests and makes what follows
-// durable with one sync: the group commit.
+// Controller runs one member of the control group as a board.Controller. Each
+// Reconcile handles all queued messages and requests and makes the resulting
+// log entries durable with one sync (group commit).
 type Controller struct {
-	options  Options
-	files    filesystem.FileSystem
-	mailbox  *protocol.Mailbox
-	machine  StateMachine
-	messages *board.Queue[protocol.Envelope]
-	joining  []*board.Queue[protocol.Envelope]
-	requests *board.Queue[request]
-	changes  board.Notifier
+	options    Options
+	files      filesystem.FileSystem
+	mailbox    *protocol.Mailbox
+	machine    StateMachine
+	messages   *board.Queue[protocol.Envelope]
+	joinQueues []*board.Queue[protocol.Envelope]
+	requests   *board.Queue[request]
+	changes    board.Notifier
 
-	// joiner is set until the member has its place in a group.
+	// joiner is set until the member has a place in the group.
 	joiner  *joiner
 	storage *storage
 	core    *raft.Raft
-	// names has the node names of members, also of those that this member's
-	// configuration does not list yet.
-	names     map[raft.MemberID]model.NodeName
+	// memberNames maps the senders of received messages to their node names,
+	// including members that this member's configuration does not list yet.
+	memberNames map[raft.MemberID]model.NodeName
+	// appliedAt is the log time of the last applied entry.
 	appliedAt int64
-	backlog   []request
-	proposals map[uint64]pendingProposal
-	reads     map[uint64]func(outcome)
-	lastRead  uint64
-	transfer  *pendingTransfer
-	// candidates are the empty disks that asked for a place, by name.
+	// backlog has the requests that were taken from the queue and not yet passed
+	// to the core.
+	backlog    []request
+	proposals  map[uint64]pendingProposal
+	reads      map[uint64]func(outcome)
+	lastReadID uint64
+	transfer   *pendingTransfer
+	// candidates are the members with an empty disk that requested a place, by
+	// name.
 	candidates map[model.NodeName]Candidate
-	// empty is the state machine's snapshot before it applied anything.
-	empty []byte
-	// contacts are the members to ask for a place, when the settings changed.
-	contacts atomic.Pointer[[]model.NodeName]
-	// resumeAt is when a member whose disk was full tries again; zero while it
-	// runs.
+	// initialSnapshot is the state machine's snapshot before it applied anything.
+	initialSnapshot []byte
+	// newContacts are the members to request a place from, set when the settings
+	// changed and until the next Reconcile.
+	newContacts atomic.Pointer[[]model.NodeName]
+	// resumeAt is when a member that was suspended by a full disk resumes; zero
+	// while it is not suspended.
 	resumeAt time.Time
-	// now is the time of the present Reconcile.
+	// now is the time of the current Reconcile.
 	now time.Time
-	// nextPlaceCheck is when a member without a leader asks whether it still
+	// nextMembershipCheck is when a member without a leader asks whether it still
 	// has its place.
-	nextPlaceCheck time.Time
+	nextMembershipCheck time.Time
 
 	stopped    atomic.Bool
 	done       chan struct{}
@@ -61,44 +66,44 @@
 	status     publishedStatus
 }
 
-// NewController restores a member from its data folder. It changes nothing
-// when it fails. The dispatcher gets the routes of the member's messages.
+// NewController restores a member from its data folder. If it fails, the folder is
+// unchanged. It registers the member's message types with the dispatcher.
 func NewController(options Options, files filesystem.FileSystem, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, machine StateMachine) (*Controller, error) {
 	controller := &Controller{
-		options:   options.withDefaults(),
-		files:     files,
-		mailbox:   mailbox,
-		machine:   machine,
-		messages:  dispatcher.Handle(raft.Message{}),
-		requests:  board.NewQueue[request]("consensus requests", requestCapacity),
-		names:     make(map[raft.MemberID]model.NodeName),
-		proposals: make(map[uint64]pendingProposal),
-		reads:     make(map[uint64]func(outcome)),
-		done:      make(chan struct{}),
+		options:     options.withDefaults(),
+		files:       files,
+		mailbox:     mailbox,
+		machine:     machine,
+		messages:    dispatcher.Handle(raft.Message{}),
+		requests:    board.NewQueue[request]("consensus requests", requestCapacity),
+		memberNames: make(map[raft.MemberID]model.NodeName),
+		proposals:   make(map[uint64]pendingProposal),
+		reads:       make(map[uint64]func(outcome)),
+		done:        make(chan struct{}),
 
 		candidates: make(map[model.NodeName]Candidate),
 	}
 	for _, example := range []any{FoundRequest{}, FoundReply{}, JoinRequest{}, JoinReply{}, PlaceRequest{}, PlaceReply{}} {
-		controller.joining = append(controller.joining, dispatcher.Handle(example))
+		controller.joinQueues = append(controller.joinQueues, dispatcher.Handle(example))
 	}
 	identity, found, err := checkIdentity(files, options.Self)
 	if err != nil {
 		return nil, err
 	}
-	if controller.empty, err = machine.Snapshot(); err != nil {
+	if controller.initialSnapshot, err = machine.Snapshot(); err != nil {
 		return nil, err
 	}
 	if !found {
 		identity = Identity{Version: identityVersion, Name: options.Self}
 	}
-	if !identity.formed() {
+	if !identity.joined() {
 		controller.joiner = newJoiner(controller.options, mailbox, identity)
 		return controller, nil
 	}
 	return controller, controller.restore(identity)
 }
 
-// restore reads the member's durable state and starts its core.
+// restore opens the member's durable state and starts its core.
 func (controller *Controller) restore(identity Identity) error {
 	opened, state, err := openStorage(controller.files, identity, controller.options.SegmentBytes)
 	if err != nil {
@@ -107,6 +112,7 @@
 	return controller.start(opened, state)
 }
 
+// start restores the state machine from the snapshot and creates the core.
 func (controller *Controller) start(opened *storage, state raft.State) error {
 	if state.Snapshot.Index > 0 {
 		if err := controller.machine.Restore(state.Snapshot.Data); err != nil {
@@ -139,61 +145,62 @@
 		return
 	}
 	controller.now = now
-	controller.takeContacts()
+	controller.applyContacts()
 	switch {
 	case !controller.resumeAt.IsZero():
 		controller.resume(now)
 	case controller.core == nil:
-		controller.join(now)
+		controller.reconcileJoining(now)
 	}
 	if controller.core != nil {
-		controller.advance(now)
+		controller.reconcileMember(now)
 	}
 	controller.publishStatus(now)
 }
 
-// advance is one step of a formed member. Messages come before the timer, so
-// a member that was paused first takes in what waited for it.
-func (controller *Controller) advance(now time.Time) {
-	controller.takeMessages(now)
+// reconcileMember is one Reconcile of a member that has a place in the group.
+// Messages are handled before the timers run, so that a member that was paused
+// handles the messages queued meanwhile before it would start an election.
+func (controller *Controller) reconcileMember(now time.Time) {
+	controller.handleMessages(now)
 	controller.core.Tick(now)
-	controller.answerJoiners(now)
+	controller.handleMembershipMessages(now)
 	if controller.core == nil {
 		return
 	}
-	controller.checkPlace(now)
-	controller.takeRequests(now)
-	controller.work()
+	controller.checkMembership(now)
+	controller.handleRequests(now)
+	controller.processReady()
 	for len(controller.backlog) > 0 && controller.running() {
-		controller.takeRequests(now)
-		controller.work()
+		controller.handleRequests(now)
+		controller.processReady()
 	}
 	if !controller.running() {
 		return
 	}
-	controller.takeSnapshot()
+	controller.saveSnapshotIfDue()
 	if controller.running() {
-		controller.expire(now)
+		controller.expirePending(now)
 	}
 }
 
-// running tells whether the member has a core and may use it.
+// running reports whether the member has a core and has not stopped.
 func (controller *Controller) running() bool {
 	return !controller.stopped.Load() && controller.core != nil
 }
 
-func (controller *Controller) takeMessages(now time.Time) {
+func (controller *Controller) handleMessages(now time.Time) {
 	for _, received := range protocol.Receive[raft.Message](controller.messages) {
 		message := received.Message
 		if message.Group == controller.storage.identity.Group {
-			controller.names[message.From] = received.From
+			controller.memberNames[message.From] = received.From
 		}
 		controller.core.Step(now, message)
 	}
 }
 
-// work does what the core wants until it wants nothing more.
-func (controller *Controller) work() {
+// processReady processes the core's work until there is none left.
+func (controller *Controller) processReady() {
 	for controller.running() {
 		if err := controller.core.Err(); err != nil {
 			controller.fail(faults.New(faults.StorageLostEntries, "%v; replace this member: remove it from the group, empty the folder and add it again", err))
@@ -211,8 +218,8 @@
 	}
 }
 
-// handleReady keeps the order that the core demands: durable first, then sent,
-// then applied.
+// handleReady does the work in the order that raft.Ready requires: persist, send,
+// then apply.
 func (controller *Controller) handleReady(ready raft.Ready) error {
 	if ready.MustSync() {
 		if err := controller.storage.persist(ready); err != nil {
@@ -223,7 +230,7 @@
 		controller.send(message)
 	}
 	if ready.Snapshot != nil {
-		if err := controller.install(*ready.Snapshot); err != nil {
+		if err := controller.installSnapshot(*ready.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -246,7 +253,7 @@
 	if member, present := controller.core.Configuration().Find(id); present {
 		return member.Name
 	}
-	return controller.names[id]
+	return controller.memberNames[id]
 }
 
 func (controller *Controller) leaderName() model.NodeName {
@@ -256,16 +263,16 @@
 	return controller.nameOf(controller.core.Leader())
 }
 
-// install replaces the state by a received snapshot. Proposals that it covers
-// were decided without this member seeing how.
-func (controller *Controller) install(snapshot raft.Snapshot) error {
+// installSnapshot replaces the state with a received snapshot. The outcome of
+// pending proposals that the snapshot covers is unknown to this member.
+func (controller *Controller) installSnapshot(snapshot raft.Snapshot) error {
 	if err := controller.machine.Restore(snapshot.Data); err != nil {
 		return faults.New(faults.StorageSnapshotDamaged, "the received snapshot at %d cannot be restored: %v", snapshot.Index, err)
 	}
 	controller.appliedAt = snapshot.At
 	for _, index := range controller.proposalIndexes() {
 		if index <= snapshot.Index {
-			controller.settleProposal(index, outcome{err: unknownOutcome("a snapshot replaced the log")})
+			controller.completeProposal(index, outcome{err: unknownOutcomeError("a snapshot replaced the log")})
 		}
 	}
 	return nil
@@ -281,15 +288,16 @@
 	switch {
 	case !pending:
 	case proposal.term == entry.Term:
-		controller.settleProposal(entry.Index, outcome{result: result, member: proposal.member})
+		controller.completeProposal(entry.Index, outcome{result: result, member: proposal.member})
 	default:
-		controller.settleProposal(entry.Index, outcome{err: replaced()})
+		controller.completeProposal(entry.Index, outcome{err: replacedError()})
 	}
 	controller.changes.Notify()
 }
 
-// takeSnapshot saves the state once enough entries were applied.
-func (controller *Controller) takeSnapshot() {
+// saveSnapshotIfDue saves a snapshot once SnapshotEvery entries were applied since
+// the last one.
+func (controller *Controller) saveSnapshotIfDue() {
 	if controller.core.AppliedSinceSnapshot() < uint64(controller.options.SnapshotEvery) {
 		return
 	}
@@ -307,8 +315,8 @@
 	controller.core.Compact(taken, keepAfter)
 }
 
-// fail stops the member for good: it sends, promises and applies nothing more.
-// A full disk only suspends it.
+// fail stops the member permanently: it sends, acknowledges and applies nothing
+// more. A full disk only suspends it.
 func (controller *Controller) fail(err error) {
 	if faults.CodeOf(err) == faults.StorageFull {
 		controller.suspend()
@@ -322,7 +330,7 @@
 	controller.stop()
 }
 
-// Stop ends the member. Outcomes that are still open become unknown.
+// Stop stops the member. Pending proposals are answered with an unknown outcome.
 func (controller *Controller) Stop() { controller.stop() }
 
 func (controller *Controller) stop() {
@@ -330,7 +338,7 @@
 		return
 	}
 	for _, index := range controller.proposalIndexes() {
-		controller.settleProposal(index, outcome{err: unknownOutcome("this member stopped")})
+		controller.completeProposal(index, outcome{err: unknownOutcomeError("this member stopped")})
 	}
 	for _, id := range sortedKeys(controller.reads) {
 		controller.answerRead(raft.ReadState{ID: id, Failed: true})
@@ -363,13 +371,13 @@
 	return faults.New(faults.MemberStopped, "this member has stopped")
 }
 
-// Watch registers a channel that gets a notice after entries were applied.
+// Watch registers and returns a channel that is notified after entries were applied.
 func (controller *Controller) Watch() <-chan struct{} { return controller.changes.Watch() }
 
-// Sources returns the channels whose notices call for a Reconcile.
+// Sources returns the channels whose notifications require a Reconcile.
 func (controller *Controller) Sources() []<-chan struct{} {
 	sources := []<-chan struct{}{controller.messages.Watch(), controller.requests.Watch()}
-	for _, queue := range controller.joining {
+	for _, queue := range controller.joinQueues {
 		sources = append(sources, queue.Watch())
 	}
 	return sources
--- a/internal/replica/faults_test.go
+++ b/internal/replica/faults_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// faultTime is how long each simulation is disturbed, in virtual time.
-const faultTime = 4 * time.Second
+// faultDuration is the virtual time for which each simulation runs with faults.
+const faultDuration = 4 * time.Second
 
-// faultScenario disturbs a group at random.
+// faultScenario injects random faults into a group.
 type faultScenario struct {
 	name    string
 	members int
 	prepare func(*simulation)
-	// disturb is called before each step.
-	disturb func(*simulation)
+	// injectFaults is called before each step.
+	injectFaults func(*simulation)
 }
 
 var faultScenarios = []faultScenario{
@@ -26,55 +26,56 @@
 		simulation.network.duplicate = 0.1
 		simulation.network.maxDelay = 12 * clockStep
 	}},
-	{name: "partitions", members: 5, disturb: func(simulation *simulation) {
-		simulation.sometimes(0.02, simulation.partition)
-		simulation.sometimes(0.02, simulation.heal)
+	{name: "partitions", members: 5, injectFaults: func(simulation *simulation) {
+		simulation.withProbability(0.02, simulation.partition)
+		simulation.withProbability(0.02, simulation.heal)
 	}},
-	{name: "crashes", members: 3, disturb: func(simulation *simulation) {
-		simulation.sometimes(0.02, func() { simulation.crash(simulation.pick().name) })
-		simulation.sometimes(0.05, simulation.restartOne)
+	{name: "crashes", members: 3, injectFaults: func(simulation *simulation) {
+		simulation.withProbability(0.02, func() { simulation.crash(simulation.randomMember().name) })
+		simulation.withProbability(0.05, simulation.restartRandomMember)
 	}},
 	{name: "pauses_and_skew", members: 3, prepare: func(simulation *simulation) {
 		for _, name := range simulation.names {
 			simulation.members[name].skew = time.Duration(simulation.random.Int64N(int64(10*time.Second))) - 5*time.Second
 		}
-	}, disturb: func(simulation *simulation) {
-		simulation.sometimes(0.015, func() {
+	}, injectFaults: func(simulation *simulation) {
+		simulation.withProbability(0.015, func() {
 			length := time.Duration(simulation.random.Int64N(int64(4 * testElectionTimeout)))
-			simulation.pick().pausedUntil = simulation.now.Add(length)
+			simulation.randomMember().pausedUntil = simulation.now.Add(length)
 		})
 	}},
-	{name: "disk_faults", members: 3, disturb: func(simulation *simulation) {
-		simulation.sometimes(0.005, func() { simulation.pick().disk.FailSyncs(1) })
-		simulation.sometimes(0.005, func() { simulation.pick().disk.SetCapacity(20 << 10) })
-		simulation.sometimes(0.01, func() { simulation.pick().disk.SetCapacity(0) })
+	{name: "disk_faults", members: 3, injectFaults: func(simulation *simulation) {
+		simulation.withProbability(0.005, func() { simulation.randomMember().disk.FailSyncs(1) })
+		simulation.withProbability(0.005, func() { simulation.randomMember().disk.SetCapacity(20 << 10) })
+		simulation.withProbability(0.01, func() { simulation.randomMember().disk.SetCapacity(0) })
 		simulation.restartFailed()
 	}},
 	{name: "everything", members: 3, prepare: func(simulation *simulation) {
 		simulation.network.drop = 0.03
 		simulation.network.duplicate = 0.03
 		simulation.network.maxDelay = 6 * clockStep
-	}, disturb: func(simulation *simulation) {
-		simulation.sometimes(0.01, simulation.partition)
-		simulation.sometimes(0.02, simulation.heal)
-		simulation.sometimes(0.01, func() { simulation.crash(simulation.pick().name) })
-		simulation.sometimes(0.05, simulation.restartOne)
-		simulation.sometimes(0.003, func() { simulation.pick().disk.FailSyncs(1) })
-		simulation.sometimes(0.01, func() {
-			simulation.pick().pausedUntil = simulation.now.Add(2 * testElectionTimeout)
+	}, injectFaults: func(simulation *simulation) {
+		simulation.withProbability(0.01, simulation.partition)
+		simulation.withProbability(0.02, simulation.heal)
+		simulation.withProbability(0.01, func() { simulation.crash(simulation.randomMember().name) })
+		simulation.withProbability(0.05, simulation.restartRandomMember)
+		simulation.withProbability(0.003, func() { simulation.randomMember().disk.FailSyncs(1) })
+		simulation.withProbability(0.01, func() {
+			simulation.randomMember().pausedUntil = simulation.now.Add(2 * testElectionTimeout)
 		})
-		simulation.sometimes(0.01, simulation.transferLeadership)
+		simulation.withProbability(0.01, simulation.transferLeadership)
 		simulation.restartFailed()
 	}},
 }
 
-func (simulation *simulation) sometimes(probability float64, act func()) {
+// withProbability calls act with the given probability.
+func (simulation *simulation) withProbability(probability float64, act func()) {
 	if simulation.random.Float64() < probability {
 		act()
 	}
 }
 
-// partition cuts the group into two parts at random.
+// partition splits the group into two random parts.
 func (simulation *simulation) partition() {
 	simulation.heal()
 	side := make(map[string]bool)
@@ -84,25 +85,26 @@
 	for _, from := range simulation.names {
 		for _, to := range simulation.names {
 			if side[string(from)] != side[string(to)] {
-				simulation.network.cut[[2]nodeName{from, to}] = true
+				simulation.network.blocked[[2]nodeName{from, to}] = true
 			}
 		}
 	}
 }
 
-func (simulation *simulation) restartOne() {
-	process := simulation.pick()
+// restartRandomMember picks a member and starts it if it is down.
+func (simulation *simulation) restartRandomMember() {
+	process := simulation.randomMember()
 	if process.controller != nil {
 		return
 	}
 	simulation.start(process.name)
-	if process.startFault != nil {
-		simulation.test.Fatalf("%s does not start again: %v", process.name, process.startFault)
+	if process.startErr != nil {
+		simulation.test.Fatalf("%s does not start again: %v", process.name, process.startErr)
 	}
 }
 
-// restartFailed restarts members whose storage failed, after a crash of the
-// machine.
+// restartFailed repairs the disks of members whose storage failed and restarts
+// them after a machine crash.
 func (simulation *simulation) restartFailed() {
 	for _, name := range simulation.names {
 		process := simulation.members[name]
@@ -113,8 +115,8 @@
 		process.disk.FailSyncs(0)
 		simulation.crash(name)
 		simulation.start(name)
-		if process.startFault != nil {
-			simulation.test.Fatalf("%s does not start again: %v", name, process.startFault)
+		if process.startErr != nil {
+			simulation.test.Fatalf("%s does not start again: %v", name, process.startErr)
 		}
 	}
 }
@@ -125,6 +127,8 @@
 	}
 }
 
+// TestInvariantsHoldUnderFaults runs each fault scenario with many seeds and
+// checks the invariants of consensus after every step.
 func TestInvariantsHoldUnderFaults(t *testing.T) {
 	for _, scenario := range faultScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
@@ -133,7 +137,7 @@
 			for seed := range simulationSeeds {
 				simulation := runScenario(t, scenario, uint64(seed))
 				acknowledged += len(simulation.acknowledged)
-				reads += simulation.reads
+				reads += simulation.servedReads
 			}
 			require.Positive(t, acknowledged, "the workload must commit changes")
 			require.Positive(t, reads, "the workload must serve reads")
@@ -141,7 +145,7 @@
 	}
 }
 
-// simulationSeeds is the number of seeds of each scenario.
+// simulationSeeds is the number of seeds with which each scenario runs.
 const simulationSeeds = 200
 
 func runScenario(t *testing.T, scenario faultScenario, seed uint64) *simulation {
@@ -157,13 +161,13 @@
 	}
 	simulation := newSimulation(t, seed, names...)
 	simulation.startAll()
-	simulation.await(5*time.Second, "the first leader", func() bool { return simulation.leader() != nil })
+	simulation.runWorkloadUntil(5*time.Second, "the first leader", func() bool { return simulation.leader() != nil })
 	if scenario.prepare != nil {
 		scenario.prepare(simulation)
 	}
-	simulation.advance(faultTime, func() {
-		if scenario.disturb != nil {
-			scenario.disturb(simulation)
+	simulation.runWorkload(faultDuration, func() {
+		if scenario.injectFaults != nil {
+			scenario.injectFaults(simulation)
 		}
 	})
 	simulation.finish()
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -1,5 +1,10 @@
-// Package replica runs one member of the control group: it joins the pure
-// consensus core, durable storage and the replicated state machine.
+// Package replica runs one member of the control group: it combines the
+// consensus core (package raft), durable storage and the replicated state
+// machine.
+//
+// A member's place in the group is the member ID that the group's configuration
+// assigns to the member's disk. A member without a place takes no part in
+// consensus.
 package replica
 
 import (
@@ -11,88 +16,95 @@
 	"merlinpaddle/internal/wal"
 )
 
-// StateMachine is the replicated state. Apply is a pure function of the state
-// and its arguments, so that all members that applied the same log agree.
+// StateMachine is the replicated state. Apply must be a deterministic function
+// of the state and its arguments, so that all members that applied the same log
+// have the same state.
 type StateMachine interface {
-	// Apply runs one committed command. index is its place in the log and at
-	// is the log's own time, which never goes back. The result goes to the
-	// proposer; the state keeps whatever a resent command needs.
+	// Apply executes one committed command. index is its log index and at is the
+	// log time, which never goes back. The result is returned to the proposer.
+	// The state must keep what it needs to recognize a command that is sent
+	// again.
 	Apply(index model.Revision, at time.Time, command []byte) (result []byte)
-	// Snapshot returns the whole state.
+	// Snapshot returns the encoded complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state.
+	// Restore replaces the complete state with a snapshot.
 	Restore(snapshot []byte) error
-	// Digest returns a checksum of the whole state.
+	// Digest returns a checksum of the complete state.
 	Digest() uint64
 }
 
-// MemberID names one life of one member's disk. A member that lost its disk
-// returns under a new MemberID and never votes by its old one.
+// MemberID identifies a member for as long as it keeps its disk. A member that
+// lost its disk returns under a new MemberID and never votes under its old one.
 type MemberID = raft.MemberID
 
 // Member is one member of the control group.
 type Member = raft.Member
 
-// Status is what a member knows of the group.
+// Status is a member's view of the group.
 type Status struct {
 	Self   MemberID
 	Term   uint64
 	Leader model.NodeName
-	// Leading tells that this member is the leader and holds its lease.
+	// Leading reports whether this member is the leader and a quorum confirmed it
+	// less than an election timeout ago.
 	Leading   bool
 	Committed model.Revision
 	Applied   model.Revision
-	// ConfirmedAt is when a quorum last confirmed this leader; on followers
-	// it is the leader's latest such time that they were told.
+	// ConfirmedAt is when a quorum last confirmed this leader; on followers it is
+	// the latest such time received from a leader.
 	ConfirmedAt time.Time
 	// Members is the committed membership.
 	Members []Member
-	// Log counts what this member wrote to its log since it started.
+	// Log counts this member's log writes since its log was opened.
 	Log wal.Work
-	// CurrentAt is the latest time at which the leader told this follower its
-	// commit index and the follower reached that index afterwards; zero on the
-	// leader and without one.
+	// CurrentAt is the receive time of the latest leader commit index that this
+	// follower has reached, which bounds the staleness of its state; zero on the
+	// leader and without a leader.
 	CurrentAt time.Time
 	// LeaderSince is when this member became leader; zero on others.
 	LeaderSince time.Time
-	// Peers is what a leader knows of every member; nil on others.
+	// Peers is the leader's view of every member, itself included; nil on others.
 	Peers []raft.Peer
-	// Candidates are empty disks that asked for a place lately.
+	// Candidates are the members with an empty disk that recently requested a place.
 	Candidates []Candidate
-	// Refused tells that the group exists and has no place for this member's
-	// empty disk: it waits until a learner with its name is added.
+	// Refused reports whether the group exists and has no place for this member's
+	// empty disk. The member waits until a learner with its name is added.
 	Refused bool
 }
 
-// Candidate is a process with an empty disk that asks for a place.
+// Candidate is a process with an empty disk that requests a place in the group.
 type Candidate struct {
 	Name model.NodeName
 	// Zone is the candidate's failure zone; it may be empty.
 	Zone model.ZoneName
 	// Disk is the random number of the candidate's disk.
 	Disk uint64
-	// At is when it last asked.
+	// At is when its latest request was received.
 	At time.Time
 }
 
 // Group is the control group as the administration API, the claim broker and
 // the rollout publisher use it.
 type Group interface {
-	// Propose commits command and returns the state machine's result. An
-	// error with code 3001 says that this member is not the leader and that
-	// nothing was proposed; 3002 says that the outcome is unknown.
+	// Propose commits command and returns the state machine's result. An error
+	// with code 3001 means that this member is not the leader and nothing was
+	// proposed; 3002 means that the outcome is unknown.
 	Propose(ctx context.Context, command []byte) (result []byte, err error)
-	// ReadBarrier returns once this member's state has every change that was
-	// committed before the call; it fails when leadership is not confirmed.
+	// ReadBarrier returns once this member's state includes every change that was
+	// committed before the call. It fails when this member is not the leader or
+	// no quorum confirms its leadership.
 	ReadBarrier(ctx context.Context) error
-	// Status returns the present status.
+	// Status returns the current status.
 	Status() Status
-	// AddLearner, Promote and RemoveMember change membership one at a time.
+	// AddLearner adds a member without a vote and returns its ID. AddLearner,
+	// Promote and RemoveMember change membership; only one change can be in
+	// progress at a time.
 	AddLearner(ctx context.Context, name model.NodeName) (MemberID, error)
 	// Promote makes a learner that has caught up a voter.
 	Promote(ctx context.Context, id MemberID) error
-	// RemoveMember takes a member out of the group.
+	// RemoveMember removes a member from the group.
 	RemoveMember(ctx context.Context, id MemberID) error
-	// TransferLeadership hands leadership over before a planned stop.
+	// TransferLeadership hands leadership over to another voter, as before a
+	// planned stop.
 	TransferLeadership(ctx context.Context) error
 }
--- a/internal/replica/identity.go
+++ b/internal/replica/identity.go
@@ -16,7 +16,7 @@
 	"merlinpaddle/internal/raft"
 )
 
-// The places of a member's files in its data folder.
+// The paths of a member's files, relative to its data folder.
 const (
 	stateFolder    = "consensus"
 	walFolder      = stateFolder + "/wal"
@@ -27,12 +27,13 @@
 
 const identityVersion = 1
 
-// Identity ties a data folder to one member of one group. It is written once
-// with Disk only, and once more when the member has its place.
+// Identity binds a data folder to one member of one group. It is written with
+// only the name and disk number first, and again when the member gets its place
+// in the group.
 type Identity struct {
 	Version int
 	Name    model.NodeName
-	// Disk is this disk's random number.
+	// Disk is the random number of this disk.
 	Disk uint64
 	// Group and Member are zero until the member has its place.
 	Group  uint64
@@ -41,12 +42,12 @@
 	Initial raft.Configuration
 }
 
-// formed tells whether the member has its place in a group.
-func (identity Identity) formed() bool { return identity.Member != 0 }
+// joined reports whether the member has a place in a group.
+func (identity Identity) joined() bool { return identity.Member != 0 }
 
 var identityChecksums = crc32.MakeTable(crc32.Castagnoli)
 
-// readIdentity returns false when the folder has no identity.
+// readIdentity returns the identity of the data folder, or false when it has none.
 func readIdentity(files filesystem.FileSystem) (Identity, bool, error) {
 	file, err := files.Open(identityFile)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,6 +67,8 @@
 	return identity, err == nil, err
 }
 
+// decodeIdentity checks and decodes an identity file: a gob followed by its
+// CRC-32C checksum.
 func decodeIdentity(data []byte) (Identity, error) {
 	var identity Identity
 	end := len(data) - crc32.Size
@@ -81,7 +84,7 @@
 	return identity, nil
 }
 
-// writeIdentity replaces the identity in one durable step.
+// writeIdentity replaces the identity file atomically and durably.
 func writeIdentity(files filesystem.FileSystem, identity Identity) error {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(identity); err != nil {
@@ -98,6 +101,7 @@
 	return nil
 }
 
+// replaceIdentity writes data to a temporary file and renames it.
 func replaceIdentity(files filesystem.FileSystem, data []byte) error {
 	if err := files.MkdirAll(stateFolder); err != nil {
 		return err
--- a/internal/replica/inspect.go
+++ b/internal/replica/inspect.go
@@ -7,72 +7,73 @@
 	"merlinpaddle/internal/wal"
 )
 
-// Inspection is what an offline look at a member's data folder found.
+// Inspection is the result of an offline inspection of a member's data folder.
 type Inspection struct {
 	Identity  Identity
 	Log       wal.Report
 	Snapshots []snapshot.Loaded
-	// Problems would make a start fail or lose safety; each has a code.
+	// Problems are the errors that would make a start fail or violate safety. Each
+	// has a fault code.
 	Problems []error
 }
 
-// Inspect reads a member's data folder and changes nothing.
+// Inspect reads a member's data folder without changing it.
 func Inspect(files filesystem.FileSystem) Inspection {
 	inspection := Inspection{}
 	identity, found, err := readIdentity(files)
 	switch {
 	case err != nil:
-		inspection.note(err)
+		inspection.addProblem(err)
 	case !found:
-		inspection.note(faults.New(faults.StorageIncomplete, "the folder has no file %s, so it is not a control member's data folder", identityFile))
+		inspection.addProblem(faults.New(faults.StorageIncomplete, "the folder has no file %s, so it is not a control member's data folder", identityFile))
 	}
 	inspection.Identity = identity
-	if found && !identity.formed() {
+	if found && !identity.joined() {
 		return inspection
 	}
-	logSound := inspection.inspectLog(files)
-	inspection.inspectSnapshots(files, logSound)
+	logReadable := inspection.inspectLog(files)
+	inspection.inspectSnapshots(files, logReadable)
 	return inspection
 }
 
-func (inspection *Inspection) note(err error) {
+func (inspection *Inspection) addProblem(err error) {
 	if err != nil {
 		inspection.Problems = append(inspection.Problems, err)
 	}
 }
 
-// inspectLog returns whether the log can be read.
+// inspectLog reports whether the log can be read.
 func (inspection *Inspection) inspectLog(files filesystem.FileSystem) bool {
 	report, err := wal.Inspect(files, walFolder)
 	if err != nil {
-		inspection.note(err)
+		inspection.addProblem(err)
 		return false
 	}
 	inspection.Log = report
 	if report.Segments == 0 {
-		inspection.note(faults.New(faults.StorageIncomplete, "the folder has no log"))
+		inspection.addProblem(faults.New(faults.StorageIncomplete, "the folder has no log"))
 		return false
 	}
 	expected := wal.Identity{Group: inspection.Identity.Group, Member: inspection.Identity.Member}
-	if inspection.Identity.formed() && report.Identity != expected {
-		inspection.note(faults.New(faults.StorageForeign, "the log belongs to member %d of group %x, the folder to member %d of group %x",
+	if inspection.Identity.joined() && report.Identity != expected {
+		inspection.addProblem(faults.New(faults.StorageForeign, "the log belongs to member %d of group %x, the folder to member %d of group %x",
 			report.Identity.Member, report.Identity.Group, expected.Member, expected.Group))
 	}
 	return true
 }
 
-func (inspection *Inspection) inspectSnapshots(files filesystem.FileSystem, logSound bool) {
+func (inspection *Inspection) inspectSnapshots(files filesystem.FileSystem, logReadable bool) {
 	store := snapshot.NewStore(files, snapshotFolder, inspection.Identity.Group)
 	loaded, err := store.LoadAll()
-	inspection.note(err)
+	inspection.addProblem(err)
 	inspection.Snapshots = loaded
-	for _, one := range loaded {
-		inspection.note(one.Err)
+	for _, loadedSnapshot := range loaded {
+		inspection.addProblem(loadedSnapshot.Err)
 	}
-	if !logSound {
+	if !logReadable {
 		return
 	}
 	if _, err := store.Load(inspection.Log.FirstIndex - 1); err != nil {
-		inspection.note(err)
+		inspection.addProblem(err)
 	}
 }
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -12,27 +12,31 @@
 	"merlinpaddle/internal/raft"
 )
 
-// joiner gives a member with an empty disk its place in a group.
+// joiner obtains a place in the group for a member with an empty disk.
 //
-// An empty disk is either new or was lost, and the member itself cannot tell.
-// So no member takes an ID on its own account. It writes a random number to
-// its disk. The founder, the first of the listed names, collects the numbers
-// of all listed members; only while all of them are unformed does it write the
-// first configuration, which ties each ID to a disk's number. Every other
-// member takes the ID that a formed member has for its number. A member that
-// lost its disk has a new number, gets no place, and cannot vote twice.
+// An empty disk is either new or replaces a lost one, and the member cannot
+// distinguish the two. Therefore no member assigns itself an ID. Instead it
+// writes a random disk number to its disk. The founder, which is the first
+// member by name, collects the disk numbers of all listed members. Only if none
+// of them has a place does it create the initial configuration, which binds
+// each ID to a disk number. Every other member gets the ID that a member with a
+// place finds in its configuration for that disk number. A member that lost its
+// disk has a new disk number, gets no place and so cannot vote twice in a term.
 type joiner struct {
 	options  Options
 	mailbox  *protocol.Mailbox
 	identity Identity
-	// founding tells that this member may still found the group.
-	founding bool
-	disks    map[model.NodeName]uint64
-	zones    map[model.NodeName]model.ZoneName
-	nextAsk  time.Time
-	// refused tells that the group exists and has no place for this disk.
+	// mayFound is set while this member may found the group: it is the founder
+	// and has not learned that the group exists.
+	mayFound bool
+	// disks and zones are the disk numbers and zones that the founder has collected.
+	disks         map[model.NodeName]uint64
+	zones         map[model.NodeName]model.ZoneName
+	nextRequestAt time.Time
+	// refused is set when the group exists and has no place for this disk.
 	refused bool
-	// leader is the group's leader as a member told; it need not be listed.
+	// leader is the group's leader as reported by a member. It may be missing from
+	// the listed members.
 	leader model.NodeName
 }
 
@@ -41,31 +45,33 @@
 		options:  options,
 		mailbox:  mailbox,
 		identity: identity,
-		founding: options.founder() == options.Self,
+		mayFound: options.founder() == options.Self,
 		disks:    make(map[model.NodeName]uint64),
 		zones:    make(map[model.NodeName]model.ZoneName),
 	}
 }
 
-// newDiskNumber draws the number of an empty disk. The time takes part, so a
-// restart on a lost disk draws another number even from the same seed.
+// newDiskNumber returns a random, nonzero number for an empty disk. The current
+// time is part of the seed, so that a restart after the loss of the disk yields
+// another number even with the same configured seed.
 func newDiskNumber(options Options, now time.Time) uint64 {
 	name := xxhash.Sum64String(string(options.Self))
 	random := rand.New(rand.NewPCG(options.Seed^name, uint64(now.UnixNano())))
 	return random.Uint64() | 1
 }
 
-// ask repeats the present question to the other members at an interval.
-func (joiner *joiner) ask(now time.Time) {
-	if now.Before(joiner.nextAsk) {
+// sendRequests sends a FoundRequest, or a JoinRequest if this member cannot
+// found the group, to the other members once per heartbeat interval.
+func (joiner *joiner) sendRequests(now time.Time) {
+	if now.Before(joiner.nextRequestAt) {
 		return
 	}
-	joiner.nextAsk = now.Add(joiner.options.HeartbeatInterval)
+	joiner.nextRequestAt = now.Add(joiner.options.HeartbeatInterval)
 	for _, name := range joiner.options.Members {
 		if name == joiner.options.Self {
 			continue
 		}
-		if joiner.founding {
+		if joiner.mayFound {
 			joiner.mailbox.Send(name, FoundRequest{Founder: joiner.identity.Disk})
 			continue
 		}
@@ -76,26 +82,27 @@
 	}
 }
 
-// answerFounder tells the founder this member's disk number.
-func (joiner *joiner) answerFounder(from model.NodeName, request FoundRequest) {
-	if joiner.founding || from != joiner.options.founder() {
+// handleFoundRequest sends this member's disk number to the founder.
+func (joiner *joiner) handleFoundRequest(from model.NodeName, request FoundRequest) {
+	if joiner.mayFound || from != joiner.options.founder() {
 		return
 	}
 	joiner.mailbox.Send(from, FoundReply{Founder: request.Founder, Disk: joiner.identity.Disk, Zone: joiner.options.Zone})
 }
 
-// takeFoundReply collects a disk number. It returns the founder's identity
-// once all members have answered this life of the founder.
-func (joiner *joiner) takeFoundReply(from model.NodeName, reply FoundReply) {
-	if joiner.founding && reply.Founder == joiner.identity.Disk {
+// handleFoundReply records a member's disk number and zone, if the reply is to a
+// request from this founder's current disk.
+func (joiner *joiner) handleFoundReply(from model.NodeName, reply FoundReply) {
+	if joiner.mayFound && reply.Founder == joiner.identity.Disk {
 		joiner.disks[from] = reply.Disk
 		joiner.zones[from] = reply.Zone
 	}
 }
 
-// found returns the identity of the founder, once it may found the group.
-func (joiner *joiner) found() (Identity, bool) {
-	if !joiner.founding {
+// foundingIdentity returns the founder's identity, with the group's initial
+// configuration, once all listed members have sent their disk numbers.
+func (joiner *joiner) foundingIdentity() (Identity, bool) {
+	if !joiner.mayFound {
 		return Identity{}, false
 	}
 	joiner.disks[joiner.options.Self] = joiner.identity.Disk
@@ -117,13 +124,14 @@
 	return identity, true
 }
 
-// takeJoinReply returns the identity that a formed member gave. A refusal
-// tells that the group exists, so this member must not found it.
-func (joiner *joiner) takeJoinReply(reply JoinReply) (Identity, bool) {
+// handleJoinReply returns the identity that a member with a place assigned to
+// this one, and false if it refused. Either reply shows that the group exists,
+// so this member must not found it.
+func (joiner *joiner) handleJoinReply(reply JoinReply) (Identity, bool) {
 	if reply.Disk != joiner.identity.Disk {
 		return Identity{}, false
 	}
-	joiner.founding = false
+	joiner.mayFound = false
 	joiner.refused = !reply.Accepted
 	joiner.leader = reply.Leader
 	if !reply.Accepted {
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -9,12 +9,12 @@
 	"merlinpaddle/internal/faults"
 )
 
-// freezeLeader pauses the leader for longer than every time-out and lets the
-// others commit a change.
+// freezeLeader pauses the leader for longer than every timeout while the other
+// members commit a change. It returns the paused member when it resumes.
 func freezeLeader(cluster *cluster) *member {
 	frozen := cluster.awaitLeader()
 	frozen.pausedUntil = cluster.now.Add(20 * testElectionTimeout)
-	cluster.until(10*time.Second, "another leader", func() bool {
+	cluster.runUntil(10*time.Second, "another leader", func() bool {
 		leader := cluster.leader()
 		return leader != nil && leader != frozen
 	})
@@ -25,16 +25,16 @@
 	return frozen
 }
 
-// TestFrozenLeaderServesNoStaleRead asks the leader for a read at the moment
-// it wakes, before it has heard of its successor, and lets it see no messages
-// at first, as if they were still on their way.
+// TestFrozenLeaderServesNoStaleRead requests a read from a paused leader when it
+// resumes. It has received no message from its successor yet, as if they were
+// still in transit, and would serve stale state if it trusted its lease.
 func TestFrozenLeaderServesNoStaleRead(t *testing.T) {
 	cluster := newCluster(t, 11, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("before")
 	frozen := freezeLeader(cluster)
 	require.Equal(t, []string{"before"}, frozen.machine.commands)
-	require.False(t, frozen.controller.StatusAt(cluster.now).Leading, "a frozen leader must not look like one when it wakes")
+	require.False(t, frozen.controller.StatusAt(cluster.now).Leading, "a paused leader must not report that it leads when it resumes")
 
 	answered := false
 	frozen.controller.ReadBarrier(func(err error) {
@@ -45,12 +45,13 @@
 		}
 		require.Contains(t, []faults.Code{faults.NotLeader, faults.LeadershipUnconfirmed}, faults.CodeOf(err))
 	})
-	// The time that the process took before it was frozen is still in use.
+	// The process uses a time that it read before it was paused.
 	frozen.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
-	cluster.until(5*time.Second, "an answer to the read", func() bool { return answered })
+	cluster.runUntil(5*time.Second, "an answer to the read", func() bool { return answered })
 }
 
-// TestFrozenLeaderCommitsNoWrite proposes to the leader at the moment it wakes.
+// TestFrozenLeaderCommitsNoWrite proposes a command to a paused leader when it
+// resumes and its successor has committed another one.
 func TestFrozenLeaderCommitsNoWrite(t *testing.T) {
 	cluster := newCluster(t, 12, "a", "b", "c")
 	cluster.startAll()
@@ -60,31 +61,31 @@
 	answered := false
 	frozen.controller.Submit([]byte("late"), func(_ []byte, err error) { answered, fault = true, err })
 	frozen.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
-	cluster.until(5*time.Second, "an answer to the write", func() bool { return answered })
+	cluster.runUntil(5*time.Second, "an answer to the write", func() bool { return answered })
 	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.OutcomeUnknown}, faults.CodeOf(fault))
 	cluster.propose("after")
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	require.Equal(t, []string{"before", "while the leader is frozen", "after"}, frozen.machine.commands)
 }
 
-// TestCutOffLeaderStepsDown shows check-quorum: without a quorum's answers a
-// leader gives up, and calls that wait on it are answered.
-func TestCutOffLeaderStepsDown(t *testing.T) {
+// TestPartitionedLeaderStepsDown tests check-quorum: a leader without replies from
+// a quorum steps down, and its pending calls are answered.
+func TestPartitionedLeaderStepsDown(t *testing.T) {
 	cluster := newCluster(t, 13, "a", "b", "c")
 	cluster.startAll()
-	former := cluster.awaitLeader()
-	cluster.isolate(former.name)
+	previousLeader := cluster.awaitLeader()
+	cluster.isolate(previousLeader.name)
 	var codes []faults.Code
-	former.controller.Submit([]byte("cut off"), func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) })
-	former.controller.ReadBarrier(func(err error) { codes = append(codes, faults.CodeOf(err)) })
+	previousLeader.controller.Submit([]byte("cut off"), func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) })
+	previousLeader.controller.ReadBarrier(func(err error) { codes = append(codes, faults.CodeOf(err)) })
 	cluster.run(2 * testElectionTimeout)
-	require.NotEqual(t, former.name, former.controller.StatusAt(cluster.now).Leader)
-	cluster.until(5*time.Second, "answers to both calls", func() bool { return len(codes) == 2 })
+	require.NotEqual(t, previousLeader.name, previousLeader.controller.StatusAt(cluster.now).Leader)
+	cluster.runUntil(5*time.Second, "answers to both calls", func() bool { return len(codes) == 2 })
 	require.Equal(t, []faults.Code{faults.LeadershipUnconfirmed, faults.OutcomeUnknown}, codes)
 }
 
-// TestReturningMemberDoesNotDeposeLeader shows pre-vote: a member that was cut
-// off for long raises no term.
+// TestReturningMemberDoesNotDeposeLeader tests pre-vote: a member that was
+// partitioned for a long time does not raise the term.
 func TestReturningMemberDoesNotDeposeLeader(t *testing.T) {
 	cluster := newCluster(t, 14, "a", "b", "c")
 	cluster.startAll()
@@ -103,21 +104,21 @@
 	require.Equal(t, term, leader.controller.StatusAt(cluster.now).Term)
 }
 
-// TestTransferOfLeadership hands leadership over faster than an election
-// timeout, and refuses proposals meanwhile as not proposed.
+// TestTransferOfLeadership checks that a transfer takes less than an election
+// timeout and that proposals are refused as not proposed during the transfer.
 func TestTransferOfLeadership(t *testing.T) {
 	cluster := newCluster(t, 15, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("before")
-	former := cluster.awaitLeader()
+	previousLeader := cluster.awaitLeader()
 	var transferFault, proposalFault error
 	answers := 0
-	former.controller.TransferLeadership(func(err error) { answers, transferFault = answers+1, err })
-	former.controller.Submit([]byte("meanwhile"), func(_ []byte, err error) { answers, proposalFault = answers+1, err })
+	previousLeader.controller.TransferLeadership(func(err error) { answers, transferFault = answers+1, err })
+	previousLeader.controller.Submit([]byte("meanwhile"), func(_ []byte, err error) { answers, proposalFault = answers+1, err })
 	started := cluster.now
-	cluster.until(testElectionTimeout, "another leader", func() bool {
+	cluster.runUntil(testElectionTimeout, "another leader", func() bool {
 		leader := cluster.leader()
-		return leader != nil && leader != former
+		return leader != nil && leader != previousLeader
 	})
 	require.Less(t, cluster.now.Sub(started), testElectionTimeout)
 	require.Equal(t, 2, answers)
@@ -125,7 +126,8 @@
 	require.Equal(t, faults.NotLeader, faults.CodeOf(proposalFault))
 }
 
-// TestTransferWithoutSuccessorFails leaves the leader in office.
+// TestTransferWithoutSuccessorFails checks that the only member cannot transfer
+// leadership and continues to lead.
 func TestTransferWithoutSuccessorFails(t *testing.T) {
 	cluster := newCluster(t, 16, "a")
 	cluster.startAll()
@@ -137,9 +139,10 @@
 	cluster.propose("still leading")
 }
 
-// TestConfirmedAtIsToldToFollowers shows that followers learn when a quorum
-// last confirmed the leader, and that it stops when the leader is cut off.
-func TestConfirmedAtIsToldToFollowers(t *testing.T) {
+// TestConfirmedAtIsSentToFollowers checks that followers receive the time at which
+// a quorum last confirmed the leader, and that the leader's time does not advance
+// while it is partitioned.
+func TestConfirmedAtIsSentToFollowers(t *testing.T) {
 	cluster := newCluster(t, 17, "a", "b", "c")
 	cluster.startAll()
 	leader := cluster.awaitLeader()
@@ -155,18 +158,19 @@
 	require.False(t, leader.controller.StatusAt(cluster.now).ConfirmedAt.After(cutAt))
 }
 
-// TestUnansweredCallsEndWhenTheMemberStops answers every call exactly once.
-func TestUnansweredCallsEndWhenTheMemberStops(t *testing.T) {
+// TestEveryCallIsAnsweredWhenTheMemberStops checks that proposed, queued and later
+// calls are each answered exactly once.
+func TestEveryCallIsAnsweredWhenTheMemberStops(t *testing.T) {
 	cluster := newCluster(t, 18, "a", "b", "c")
 	cluster.startAll()
 	leader := cluster.awaitLeader()
 	cluster.isolate(leader.name)
 	var codes []faults.Code
-	note := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
-	leader.controller.Submit([]byte("proposed"), note)
+	record := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
+	leader.controller.Submit([]byte("proposed"), record)
 	cluster.step()
-	leader.controller.Submit([]byte("not taken"), note)
+	leader.controller.Submit([]byte("queued"), record)
 	leader.controller.Stop()
-	leader.controller.Submit([]byte("too late"), note)
+	leader.controller.Submit([]byte("too late"), record)
 	require.Equal(t, []faults.Code{faults.OutcomeUnknown, faults.MemberStopped, faults.MemberStopped}, codes)
 }
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -9,26 +9,26 @@
 	"merlinpaddle/internal/raft"
 )
 
-// join runs a member that has no place in a group yet.
-func (controller *Controller) join(now time.Time) {
+// reconcileJoining runs a member that has no place in a group yet.
+func (controller *Controller) reconcileJoining(now time.Time) {
 	controller.messages.Drain()
 	if err := controller.ensureDiskNumber(now); err != nil {
 		controller.fail(err)
 		return
 	}
-	controller.takeJoinMessages()
+	controller.handleJoinMessages()
 	if controller.core == nil {
-		if identity, complete := controller.joiner.found(); complete {
-			controller.form(identity)
+		if identity, complete := controller.joiner.foundingIdentity(); complete {
+			controller.enterGroup(identity)
 		}
 	}
 	if controller.core == nil && !controller.stopped.Load() {
-		controller.joiner.ask(now)
-		controller.refuseUnformed()
+		controller.joiner.sendRequests(now)
+		controller.refuseWithoutCore()
 	}
 }
 
-// ensureDiskNumber makes the disk's number durable before it is told.
+// ensureDiskNumber makes the disk number durable before it is sent to others.
 func (controller *Controller) ensureDiskNumber(now time.Time) error {
 	if controller.joiner.identity.Disk != 0 {
 		return nil
@@ -42,32 +42,32 @@
 	return nil
 }
 
-func (controller *Controller) takeJoinMessages() {
-	for _, queue := range controller.joining {
+func (controller *Controller) handleJoinMessages() {
+	for _, queue := range controller.joinQueues {
 		for _, envelope := range queue.Drain() {
 			if controller.core == nil {
-				controller.takeJoinMessage(envelope)
+				controller.handleJoinMessage(envelope)
 			}
 		}
 	}
 }
 
-func (controller *Controller) takeJoinMessage(envelope protocol.Envelope) {
+func (controller *Controller) handleJoinMessage(envelope protocol.Envelope) {
 	switch message := envelope.Message.(type) {
 	case FoundRequest:
-		controller.joiner.answerFounder(envelope.From, message)
+		controller.joiner.handleFoundRequest(envelope.From, message)
 	case FoundReply:
-		controller.joiner.takeFoundReply(envelope.From, message)
+		controller.joiner.handleFoundReply(envelope.From, message)
 	case JoinReply:
-		if identity, accepted := controller.joiner.takeJoinReply(message); accepted {
-			controller.form(identity)
+		if identity, accepted := controller.joiner.handleJoinReply(message); accepted {
+			controller.enterGroup(identity)
 		}
 	}
 }
 
-// form makes the member's place durable and starts its core.
-func (controller *Controller) form(identity Identity) {
-	formed, err := form(controller.files, identity, controller.options.SegmentBytes)
+// enterGroup makes the member's place in the group durable and starts its core.
+func (controller *Controller) enterGroup(identity Identity) {
+	formed, err := createStorage(controller.files, identity, controller.options.SegmentBytes)
 	if err != nil {
 		controller.fail(err)
 		return
@@ -78,27 +78,27 @@
 	}
 }
 
-// refuseUnformed answers requests at a member without a place.
-func (controller *Controller) refuseUnformed() {
+// refuseWithoutCore refuses all requests at a member whose core is not running.
+func (controller *Controller) refuseWithoutCore() {
 	for _, request := range controller.requests.Drain() {
 		request.done(outcome{err: faults.New(faults.NotLeader, "this member has no place in the group yet; nothing was proposed")})
 	}
 }
 
-// answerJoiners tells members with empty disks their place. A learner that no
-// disk has taken yet is tied to the first disk of its name that asks.
-func (controller *Controller) answerJoiners(now time.Time) {
-	for _, queue := range controller.joining {
+// handleMembershipMessages handles requests for a place and the messages that
+// check an existing one, at a member that has a place.
+func (controller *Controller) handleMembershipMessages(now time.Time) {
+	for _, queue := range controller.joinQueues {
 		for _, envelope := range queue.Drain() {
 			switch message := envelope.Message.(type) {
 			case JoinRequest:
-				controller.answerJoiner(now, envelope.From, message)
+				controller.handleJoinRequest(now, envelope.From, message)
 			case FoundRequest:
-				controller.answerJoiner(now, envelope.From, JoinRequest{Disk: message.Founder})
+				controller.handleJoinRequest(now, envelope.From, JoinRequest{Disk: message.Founder})
 			case PlaceRequest:
-				controller.answerPlace(now, envelope.From, message)
+				controller.handlePlaceRequest(now, envelope.From, message)
 			case PlaceReply:
-				controller.takePlaceReply(now, message)
+				controller.handlePlaceReply(now, message)
 			}
 			if controller.core == nil {
 				return
@@ -107,7 +107,10 @@
 	}
 }
 
-func (controller *Controller) answerJoiner(now time.Time, from model.NodeName, asked JoinRequest) {
+// handleJoinRequest replies to a member with an empty disk with its place, or
+// refuses it and records it as a candidate. A learner without a disk is bound to
+// the first disk that requests a place under its name.
+func (controller *Controller) handleJoinRequest(now time.Time, from model.NodeName, asked JoinRequest) {
 	disk := asked.Disk
 	configuration := controller.core.CommittedConfiguration()
 	reply := JoinReply{
@@ -123,7 +126,7 @@
 			reply.Member = member.ID
 			reply.Configuration = configuration.Clone()
 		case member.Disk == 0 && controller.core.Role() == raft.Leader:
-			// A refusal here is retried: the joiner asks again.
+			// An error needs no handling: the joiner repeats its request.
 			_, _, _ = controller.core.BindDisk(now, member.ID, disk)
 		}
 	}
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -6,49 +6,50 @@
 	"merlinpaddle/internal/raft"
 )
 
-// FoundRequest asks an unformed member for its disk's number, so that the
-// founder can write the first configuration.
+// FoundRequest requests the disk number of a member without a place, so that the
+// founder can create the initial configuration.
 type FoundRequest struct {
-	// Founder is the number of the founder's disk.
+	// Founder is the founder's disk number.
 	Founder uint64
 }
 
-// FoundReply answers a FoundRequest while the sender is not formed. It repeats
-// the founder's number, so an answer to an earlier life of the founder is told
-// apart.
+// FoundReply answers a FoundRequest while the sender has no place. It repeats the
+// founder's disk number, so that the founder ignores replies to requests that it
+// sent before it lost its disk.
 type FoundReply struct {
 	Founder uint64
 	Disk    uint64
 	Zone    model.ZoneName
 }
 
-// JoinRequest asks a formed member for the sender's place in the group.
+// JoinRequest requests the sender's place from a member that has one.
 type JoinRequest struct {
 	Disk uint64
 	Zone model.ZoneName
 }
 
-// JoinReply answers a JoinRequest or FoundRequest of a formed group.
+// JoinReply answers a JoinRequest or FoundRequest. Its sender has a place in the group.
 type JoinReply struct {
 	Disk     uint64
 	Accepted bool
-	// Leader is the leader that the sender follows; empty when it knows none.
+	// Leader is the leader that the sender follows; empty when it has none.
 	Leader model.NodeName
 	Group  uint64
-	// The fields below are set when the sender has a place.
+	// The fields below are set when Accepted is true.
 	Member        raft.MemberID
 	Configuration raft.Configuration
 }
 
-// PlaceRequest asks the leader whether a formed member still has its place.
+// PlaceRequest asks the leader whether a member still has its place.
 type PlaceRequest struct {
 	Group  uint64
 	Member raft.MemberID
 	Disk   uint64
 }
 
-// PlaceReply answers a PlaceRequest. Only a leader answers, after a quorum
-// confirmed it and once it has applied everything that was committed before.
+// PlaceReply answers a PlaceRequest. Only a leader sends it, after a quorum has
+// confirmed its leadership and it has applied everything that was committed
+// before the request arrived.
 type PlaceReply struct {
 	Group   uint64
 	Member  raft.MemberID
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -12,8 +12,8 @@
 	"merlinpaddle/internal/raft"
 )
 
-// Node is the concurrent Group on top of a Controller. Run must be running for
-// its calls to be answered.
+// Node implements Group for concurrent callers on top of a Controller. Its calls
+// are answered only while Run is running.
 type Node struct {
 	controller *Controller
 	runner     *board.Runner
@@ -21,8 +21,8 @@
 
 var _ Group = (*Node)(nil)
 
-// reconcilesPerHeartbeat is how often the timer runs the controller within one
-// heartbeat interval, besides notices.
+// reconcilesPerHeartbeat is the number of timer-driven Reconcile calls per
+// heartbeat interval. Notifications cause additional calls.
 const reconcilesPerHeartbeat = 3
 
 // NewNode returns a node that runs controller.
@@ -34,8 +34,8 @@
 	}
 }
 
-// Run runs the member until ctx ends or its storage fails; then it returns the
-// failure.
+// Run runs the member until ctx ends or the member stops because of a failure,
+// such as one of its storage. It returns that failure, or nil.
 func (node *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -51,8 +51,9 @@
 	return node.controller.Err()
 }
 
-// HandOverLeadership gives leadership to another member before a planned stop, so that no
-// election has to wait for this member's silence. It takes limit at most.
+// HandOverLeadership transfers leadership to another member before a planned
+// stop, so that the group does not have to wait for an election timeout. It
+// takes at most limit.
 func (node *Node) HandOverLeadership(ctx context.Context, limit time.Duration, logger *zap.Logger) {
 	status := node.Status()
 	if !status.Leading || len(status.Members) < 2 {
@@ -65,18 +66,18 @@
 	}
 }
 
-// Watch registers a channel that gets a notice after entries were applied.
+// Watch registers and returns a channel that is notified after entries were applied.
 func (node *Node) Watch() <-chan struct{} { return node.controller.Watch() }
 
-// Refused tells that the group has no place for this member's empty disk.
+// Refused reports whether the group has no place for this member's empty disk.
 func (node *Node) Refused() bool { return node.controller.Refused() }
 
 // Status implements Group.
 func (node *Node) Status() Status { return node.controller.StatusAt(time.Now()) }
 
-// await returns the outcome of start, or the error for a call whose context
-// ended first.
-func await(ctx context.Context, ended error, start func(done func(outcome))) outcome {
+// awaitOutcome calls start and returns the outcome that it passes to done, or an
+// outcome with the error ended if ctx ends first.
+func awaitOutcome(ctx context.Context, ended error, start func(done func(outcome))) outcome {
 	answers := make(chan outcome, 1)
 	start(func(answer outcome) { answers <- answer })
 	select {
@@ -87,13 +88,13 @@
 	}
 }
 
-func contextUnknown() error {
-	return unknownOutcome("the caller's time ended before the answer came")
+func contextEndedError() error {
+	return unknownOutcomeError("the caller's context ended before the outcome was known")
 }
 
 // Propose implements Group.
 func (node *Node) Propose(ctx context.Context, command []byte) ([]byte, error) {
-	answer := await(ctx, contextUnknown(), func(done func(outcome)) {
+	answer := awaitOutcome(ctx, contextEndedError(), func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestPropose, command: command, done: done})
 	})
 	return answer.result, answer.err
@@ -101,15 +102,15 @@
 
 // ReadBarrier implements Group.
 func (node *Node) ReadBarrier(ctx context.Context) error {
-	ended := faults.New(faults.LeadershipUnconfirmed, "leadership was not confirmed before the caller's time ended")
-	return await(ctx, ended, func(done func(outcome)) {
+	ended := faults.New(faults.LeadershipUnconfirmed, "leadership was not confirmed before the caller's context ended")
+	return awaitOutcome(ctx, ended, func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestRead, done: done})
 	}).err
 }
 
 // AddLearner implements Group.
 func (node *Node) AddLearner(ctx context.Context, name model.NodeName) (MemberID, error) {
-	answer := await(ctx, contextUnknown(), func(done func(outcome)) {
+	answer := awaitOutcome(ctx, contextEndedError(), func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestAddLearner, learners: []raft.NewLearner{{Name: name}}, done: done})
 	})
 	return answer.member, answer.err
@@ -117,22 +118,22 @@
 
 // Promote implements Group.
 func (node *Node) Promote(ctx context.Context, id MemberID) error {
-	return await(ctx, contextUnknown(), func(done func(outcome)) {
+	return awaitOutcome(ctx, contextEndedError(), func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestPromote, member: id, done: done})
 	}).err
 }
 
 // RemoveMember implements Group.
 func (node *Node) RemoveMember(ctx context.Context, id MemberID) error {
-	return await(ctx, contextUnknown(), func(done func(outcome)) {
+	return awaitOutcome(ctx, contextEndedError(), func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestRemove, member: id, done: done})
 	}).err
 }
 
 // TransferLeadership implements Group.
 func (node *Node) TransferLeadership(ctx context.Context) error {
-	ended := faults.New(faults.NoSuccessor, "leadership was not handed over before the caller's time ended")
-	return await(ctx, ended, func(done func(outcome)) {
+	ended := faults.New(faults.NoSuccessor, "leadership was not handed over before the caller's context ended")
+	return awaitOutcome(ctx, ended, func(done func(outcome)) {
 		node.controller.enqueue(request{kind: requestTransfer, done: done})
 	}).err
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -19,22 +19,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// lockedJournal lets tests read the state while the node applies.
-type lockedJournal struct {
-	journal
+// lockedRecorder lets tests read the state while a node applies commands.
+type lockedRecorder struct {
+	commandRecorder
 	lock sync.Mutex
 }
 
-func (locked *lockedJournal) count() int {
+func (locked *lockedRecorder) count() int {
 	locked.lock.Lock()
 	defer locked.lock.Unlock()
 	return len(locked.commands)
 }
 
-// nodeGroup runs nodes with goroutines, joined by an in-memory network.
+// nodeGroup runs nodes in goroutines, connected by an in-memory network.
 type nodeGroup struct {
 	nodes    map[nodeName]*Node
-	machines map[nodeName]*lockedJournal
+	machines map[nodeName]*lockedRecorder
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
 }
@@ -42,7 +42,7 @@
 func startNodes(t testing.TB, options Options, files func(nodeName) filesystem.FileSystem, names ...nodeName) *nodeGroup {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	group := &nodeGroup{nodes: make(map[nodeName]*Node), machines: make(map[nodeName]*lockedJournal), cancel: cancel}
+	group := &nodeGroup{nodes: make(map[nodeName]*Node), machines: make(map[nodeName]*lockedRecorder), cancel: cancel}
 	mailboxes := make(map[nodeName]*protocol.Mailbox)
 	for _, name := range names {
 		mailboxes[name] = protocol.NewMailbox(name)
@@ -52,14 +52,14 @@
 		options.Members = names
 		options.Seed = uint64(position)
 		dispatcher := protocol.NewDispatcher(mailboxes[name])
-		machine := &lockedJournal{}
+		machine := &lockedRecorder{}
 		controller, err := NewController(options, files(name), mailboxes[name], dispatcher, lockedMachine{machine})
 		require.NoError(t, err)
 		node := NewNode(controller)
 		group.nodes[name] = node
 		group.machines[name] = machine
 		group.goRun(func() { _ = node.Run(ctx) })
-		group.goRun(func() { pump(ctx, mailboxes[name], dispatcher, mailboxes) })
+		group.goRun(func() { deliverMessages(ctx, mailboxes[name], dispatcher, mailboxes) })
 	}
 	return group
 }
@@ -77,8 +77,8 @@
 	group.running.Wait()
 }
 
-// pump is the network and dispatcher of one node.
-func pump(ctx context.Context, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, mailboxes map[nodeName]*protocol.Mailbox) {
+// deliverMessages runs one node's dispatcher and delivers the messages it sends.
+func deliverMessages(ctx context.Context, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, mailboxes map[nodeName]*protocol.Mailbox) {
 	incoming, outgoing := mailbox.Inbox.Watch(), mailbox.Outbox.Watch()
 	for {
 		select {
@@ -94,8 +94,9 @@
 	}
 }
 
-// lockedMachine guards a journal that tests read.
-type lockedMachine struct{ locked *lockedJournal }
+// lockedMachine is the state machine that applies commands to a lockedRecorder
+// under its lock.
+type lockedMachine struct{ locked *lockedRecorder }
 
 func (machine lockedMachine) Apply(index revision, at time.Time, command []byte) []byte {
 	machine.locked.lock.Lock()
@@ -117,8 +118,8 @@
 	SnapshotEvery:     100,
 }
 
-// leading waits for a leader.
-func (group *nodeGroup) leading(t testing.TB) (nodeName, *Node) {
+// awaitLeader waits for a leader and returns its name and node.
+func (group *nodeGroup) awaitLeader(t testing.TB) (nodeName, *Node) {
 	t.Helper()
 	for {
 		for name, node := range group.nodes {
@@ -134,11 +135,11 @@
 	}
 }
 
-// TestNodesServeConcurrentCallers proposes and reads from many goroutines.
+// TestNodesServeConcurrentCallers proposes and reads from several goroutines.
 func TestNodesServeConcurrentCallers(t *testing.T) {
 	group := startNodes(t, nodeOptions, memoryFiles, "a", "b", "c")
 	defer group.stop()
-	name, leader := group.leading(t)
+	name, leader := group.awaitLeader(t)
 	var callers sync.WaitGroup
 	for caller := range 8 {
 		callers.Add(1)
@@ -160,10 +161,11 @@
 	require.Equal(t, 200, group.machines[name].count())
 }
 
-// TestNodeFollowsItsCallersContext gives up when the caller does.
-func TestNodeFollowsItsCallersContext(t *testing.T) {
+// TestStoppedNodeRefusesCalls checks that calls to a stopped node return an error
+// instead of waiting for the caller's context.
+func TestStoppedNodeRefusesCalls(t *testing.T) {
 	group := startNodes(t, nodeOptions, memoryFiles, "a", "b", "c")
-	group.leading(t)
+	group.awaitLeader(t)
 	group.stop()
 	node := group.nodes["a"]
 	_, err := node.Propose(t.Context(), []byte("late"))
@@ -172,25 +174,27 @@
 	require.False(t, node.Status().Leading)
 }
 
-// TestCallWhoseContextEndsIsUnknown has no quorum to answer it.
-func TestCallWhoseContextEndsIsUnknown(t *testing.T) {
+// TestOutcomeIsUnknownWhenTheContextEnds makes calls with a canceled context to a
+// node that does not run and so never answers.
+func TestOutcomeIsUnknownWhenTheContextEnds(t *testing.T) {
 	controller, err := NewController(Options{Self: "a", Members: []nodeName{"a"}, ElectionTimeout: time.Second, HeartbeatInterval: time.Second},
-		memory.New(1), protocol.NewMailbox("a"), protocol.NewDispatcher(protocol.NewMailbox("a")), &journal{})
+		memory.New(1), protocol.NewMailbox("a"), protocol.NewDispatcher(protocol.NewMailbox("a")), &commandRecorder{})
 	require.NoError(t, err)
 	node := NewNode(controller)
 	ctx, cancel := context.WithCancelCause(t.Context())
-	cancel(errors.New("the caller left"))
+	cancel(errors.New("the caller canceled"))
 	_, err = node.Propose(ctx, []byte("x"))
 	require.Equal(t, faults.OutcomeUnknown, faults.CodeOf(err))
 	require.Equal(t, faults.LeadershipUnconfirmed, faults.CodeOf(node.ReadBarrier(ctx)))
 }
 
-// TestRunReturnsTheStorageFailure ends the node when its disk fails.
+// TestRunReturnsTheStorageFailure checks that Run ends with the error of a failed
+// disk.
 func TestRunReturnsTheStorageFailure(t *testing.T) {
 	disk := memory.New(1)
 	mailbox := protocol.NewMailbox("a")
 	controller, err := NewController(Options{Self: "a", Members: []nodeName{"a"}, ElectionTimeout: 20 * time.Millisecond, HeartbeatInterval: 5 * time.Millisecond},
-		disk, mailbox, protocol.NewDispatcher(mailbox), &journal{})
+		disk, mailbox, protocol.NewDispatcher(mailbox), &commandRecorder{})
 	require.NoError(t, err)
 	disk.FailSyncs(1)
 	require.Equal(t, faults.StorageWriteFailed, faults.CodeOf(NewNode(controller).Run(t.Context())))
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -13,37 +13,37 @@
 	Self model.NodeName
 	// Zone is the failure zone of this member; it may be empty.
 	Zone model.ZoneName
-	// Members are the first members of the group, this one among them, or,
-	// with Join, the members to ask for a place.
+	// Members are the initial members of the group, including this one, or, with
+	// Join, the members to request a place from.
 	Members []model.NodeName
-	// Join tells that this member joins a running group as a learner and
-	// never founds one.
+	// Join makes this member join a running group as a learner. It never founds
+	// one.
 	Join            bool
 	ElectionTimeout time.Duration
 	// FirstElectionTimeout replaces ElectionTimeout for the first wait after a
-	// start; zero means that it does not.
+	// start; zero means that ElectionTimeout applies.
 	FirstElectionTimeout time.Duration
 	HeartbeatInterval    time.Duration
 	// SnapshotEvery is the number of log entries between snapshots.
 	SnapshotEvery int
-	// Seed fixes the election waits and the number of a new disk.
+	// Seed seeds the random election timeouts and the number of a new disk.
 	Seed uint64
 	// SegmentBytes is the size of a log segment; zero means the default.
 	SegmentBytes int64
-	// ChunkBytes is the size of one piece of a sent snapshot; zero means the
-	// default.
+	// ChunkBytes is the maximum size of one chunk of a sent snapshot; zero means
+	// the default.
 	ChunkBytes int
-	// MaxCommandBytes bounds one command; zero means the default.
+	// MaxCommandBytes is the maximum size of one command; zero means the default.
 	MaxCommandBytes int
-	// MaxProposalsPerSync bounds the proposals that share one sync; zero means
-	// no bound.
+	// MaxProposalsPerSync limits the number of proposals that share one sync; zero
+	// means no limit.
 	MaxProposalsPerSync int
 }
 
 const (
 	defaultSnapshotEvery   = 10_000
 	defaultMaxCommandBytes = 4 << 20
-	// requestCapacity bounds the requests that wait for the controller.
+	// requestCapacity is the maximum number of requests queued for the controller.
 	requestCapacity = 1 << 16
 )
 
@@ -59,7 +59,8 @@
 	return options
 }
 
-// founder returns the only member that may found the group.
+// founder returns the only member that may found the group: the first of the
+// sorted names. It is empty with Join.
 func (options Options) founder() model.NodeName {
 	if options.Join || len(options.Members) == 0 {
 		return ""
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// candidateFor is how long an empty disk counts as asking after its last
-	// question.
-	candidateFor = 2 * time.Second
-	// placeCheckTimeouts is the number of election timeouts without a leader
+	// candidateExpiry is how long a member remains a candidate after its latest
+	// request for a place.
+	candidateExpiry = 2 * time.Second
+	// membershipCheckTimeouts is the number of election timeouts without a leader
 	// after which a member asks whether it still has its place.
-	placeCheckTimeouts = 3
+	membershipCheckTimeouts = 3
 )
 
-// recentCandidates returns the empty disks that asked lately, by name.
+// recentCandidates returns the candidates that have not expired, sorted by name.
 func (controller *Controller) recentCandidates(now time.Time) []Candidate {
 	if len(controller.candidates) == 0 {
 		return nil
@@ -25,7 +25,7 @@
 	var recent []Candidate
 	for _, name := range sortedKeys(controller.candidates) {
 		candidate := controller.candidates[name]
-		if now.Sub(candidate.At) > candidateFor {
+		if now.Sub(candidate.At) > candidateExpiry {
 			delete(controller.candidates, name)
 			continue
 		}
@@ -34,28 +34,30 @@
 	return recent
 }
 
-// checkPlace asks the other members for this member's place when it has had
-// no leader for long. A member that was removed while it was away hears
-// nothing more from the group; the answer tells it.
-func (controller *Controller) checkPlace(now time.Time) {
+// checkMembership sends PlaceRequests to the other members when this member has
+// had no leader for membershipCheckTimeouts election timeouts. The group no
+// longer sends messages to a removed member, so a member that was removed while
+// it was down or unreachable learns of the removal only from the reply.
+func (controller *Controller) checkMembership(now time.Time) {
 	core := controller.core
-	wait := placeCheckTimeouts * controller.options.ElectionTimeout
-	if core.Role() == raft.Leader || core.Leader() != 0 || controller.nextPlaceCheck.IsZero() {
-		controller.nextPlaceCheck = now.Add(wait)
+	wait := membershipCheckTimeouts * controller.options.ElectionTimeout
+	if core.Role() == raft.Leader || core.Leader() != 0 || controller.nextMembershipCheck.IsZero() {
+		controller.nextMembershipCheck = now.Add(wait)
 		return
 	}
-	if now.Before(controller.nextPlaceCheck) {
+	if now.Before(controller.nextMembershipCheck) {
 		return
 	}
-	controller.nextPlaceCheck = now.Add(wait)
+	controller.nextMembershipCheck = now.Add(wait)
 	identity := controller.storage.identity
-	for _, name := range controller.placeKeepers() {
+	for _, name := range controller.knownMembers() {
 		controller.mailbox.Send(name, PlaceRequest{Group: identity.Group, Member: identity.Member, Disk: identity.Disk})
 	}
 }
 
-// placeKeepers returns all other nodes that may know the group's membership.
-func (controller *Controller) placeKeepers() []model.NodeName {
+// knownMembers returns the names of all other nodes that may know the group's
+// membership, sorted.
+func (controller *Controller) knownMembers() []model.NodeName {
 	names := slices.Clone(controller.options.Members)
 	for _, member := range controller.core.Configuration().Members {
 		names = append(names, member.Name)
@@ -65,9 +67,9 @@
 	return slices.DeleteFunc(names, func(name model.NodeName) bool { return name == controller.options.Self })
 }
 
-// answerPlace tells a member whether it was removed, once a quorum confirmed
-// this leader; others stay silent.
-func (controller *Controller) answerPlace(now time.Time, from model.NodeName, asked PlaceRequest) {
+// handlePlaceRequest replies whether the member was removed, once a quorum has
+// confirmed that this member is the leader. Other members do not reply.
+func (controller *Controller) handlePlaceRequest(now time.Time, from model.NodeName, asked PlaceRequest) {
 	if asked.Group != controller.storage.identity.Group || controller.core.Role() != raft.Leader {
 		return
 	}
@@ -84,22 +86,23 @@
 	}})
 }
 
-// takePlaceReply handles the answer to checkPlace.
-func (controller *Controller) takePlaceReply(now time.Time, reply PlaceReply) {
+// handlePlaceReply handles the reply to a request from checkMembership.
+func (controller *Controller) handlePlaceReply(now time.Time, reply PlaceReply) {
 	identity := controller.storage.identity
-	mine := reply.Group == identity.Group && reply.Member == identity.Member && reply.Disk == identity.Disk
-	if !mine || !reply.Removed {
+	addressed := reply.Group == identity.Group && reply.Member == identity.Member && reply.Disk == identity.Disk
+	if !addressed || !reply.Removed {
 		return
 	}
-	if err := controller.startOver(now); err != nil {
+	if err := controller.rejoinWithNewIdentity(now); err != nil {
 		controller.fail(err)
 	}
 }
 
-// startOver gives up the member's identity for good: it gets a new disk number
-// and asks for a place as an empty disk does. Its old log is not used again.
-func (controller *Controller) startOver(now time.Time) error {
-	controller.abandon("this member was removed from the group")
+// rejoinWithNewIdentity discards the identity of a removed member. The member
+// gets a new disk number and requests a place like one with an empty disk. Its
+// old log is not used again.
+func (controller *Controller) rejoinWithNewIdentity(now time.Time) error {
+	controller.failPending("this member was removed from the group")
 	if err := controller.storage.log.Close(); err != nil {
 		return err
 	}
@@ -107,7 +110,7 @@
 	if err := writeIdentity(controller.files, identity); err != nil {
 		return err
 	}
-	if err := controller.machine.Restore(controller.empty); err != nil {
+	if err := controller.machine.Restore(controller.initialSnapshot); err != nil {
 		return err
 	}
 	controller.core = nil
--- a/internal/replica/proposals.go
+++ b/internal/replica/proposals.go
@@ -14,9 +14,9 @@
 	return slices.Sorted(maps.Keys(values))
 }
 
-// takeRequests hands waiting requests to the core. Proposals above the bound
-// of one sync stay in the backlog.
-func (controller *Controller) takeRequests(now time.Time) {
+// handleRequests passes queued requests to the core. Proposals beyond
+// MaxProposalsPerSync stay in the backlog.
+func (controller *Controller) handleRequests(now time.Time) {
 	controller.backlog = append(controller.backlog, controller.requests.Drain()...)
 	proposed := 0
 	for len(controller.backlog) > 0 {
@@ -41,13 +41,13 @@
 		controller.read(now, request)
 	case requestAddLearner:
 		id, index, term, err := controller.core.AddLearners(now, request.learners)
-		controller.await(request, index, term, id, err)
+		controller.trackProposal(request, index, term, id, err)
 	case requestPromote:
 		index, term, err := controller.core.Promote(now, request.member)
-		controller.await(request, index, term, request.member, err)
+		controller.trackProposal(request, index, term, request.member, err)
 	case requestRemove:
 		index, term, err := controller.core.RemoveMember(now, request.member)
-		controller.await(request, index, term, request.member, err)
+		controller.trackProposal(request, index, term, request.member, err)
 	case requestTransfer:
 		controller.beginTransfer(now, request)
 	}
@@ -55,32 +55,32 @@
 
 func (controller *Controller) propose(now time.Time, request request) {
 	if len(request.command) > controller.options.MaxCommandBytes {
-		request.done(outcome{err: faults.New(faults.CommandTooLarge, "the change has %d bytes; the log takes %d", len(request.command), controller.options.MaxCommandBytes)})
+		request.done(outcome{err: faults.New(faults.CommandTooLarge, "the change has %d bytes; the log accepts at most %d", len(request.command), controller.options.MaxCommandBytes)})
 		return
 	}
 	index, term, err := controller.core.Propose(now, request.command)
-	controller.await(request, index, term, 0, err)
+	controller.trackProposal(request, index, term, 0, err)
 }
 
-// await keeps the request until its entry is applied or replaced. A leader's
-// log holds every committed entry, so an older proposal at the same index was
-// replaced for good.
-func (controller *Controller) await(request request, index, term uint64, member MemberID, err error) {
+// trackProposal keeps the request until its entry is applied or replaced. The
+// leader has just appended the entry, and its log holds every committed entry,
+// so an older proposal at the same index was not committed and never will be.
+func (controller *Controller) trackProposal(request request, index, term uint64, member MemberID, err error) {
 	if err != nil {
 		request.done(outcome{err: controller.coreFault(err)})
 		return
 	}
 	if _, pending := controller.proposals[index]; pending {
-		controller.settleProposal(index, outcome{err: replaced()})
+		controller.completeProposal(index, outcome{err: replacedError()})
 	}
 	controller.proposals[index] = pendingProposal{term: term, member: member, done: request.done}
 }
 
-func replaced() error {
-	return faults.New(faults.ProposalReplaced, "another leader's entry took the change's place; it was not and will not be applied")
+func replacedError() error {
+	return faults.New(faults.ProposalReplaced, "another leader's entry replaced the change; it was not and will not be applied")
 }
 
-func (controller *Controller) settleProposal(index uint64, result outcome) {
+func (controller *Controller) completeProposal(index uint64, result outcome) {
 	proposal := controller.proposals[index]
 	delete(controller.proposals, index)
 	proposal.done(result)
@@ -89,16 +89,17 @@
 func (controller *Controller) proposalIndexes() []uint64 { return sortedKeys(controller.proposals) }
 
 func (controller *Controller) read(now time.Time, request request) {
-	controller.lastRead++
-	if err := controller.core.ReadIndex(now, controller.lastRead); err != nil {
+	controller.lastReadID++
+	if err := controller.core.ReadIndex(now, controller.lastReadID); err != nil {
 		request.done(outcome{err: controller.coreFault(err)})
 		return
 	}
-	controller.reads[controller.lastRead] = request.done
+	controller.reads[controller.lastReadID] = request.done
 }
 
-// answerRead answers a read. Everything committed when the read came has been
-// applied, because Ready hands out committed entries before read states.
+// answerRead answers a read. Everything that was committed when the read arrived
+// has been applied, because handleReady applies committed entries before it
+// answers reads.
 func (controller *Controller) answerRead(state raft.ReadState) {
 	done, waiting := controller.reads[state.ID]
 	if !waiting {
@@ -123,8 +124,9 @@
 	controller.transfer = &pendingTransfer{done: request.done, expires: now.Add(controller.options.ElectionTimeout)}
 }
 
-// expire gives up on what may never be known here.
-func (controller *Controller) expire(now time.Time) {
+// expirePending ends a transfer that took too long and, on a member that no
+// longer leads, proposals whose outcome may never become known there.
+func (controller *Controller) expirePending(now time.Time) {
 	leading := controller.core.Role() == raft.Leader
 	controller.expireTransfer(now, leading)
 	if leading {
@@ -137,11 +139,13 @@
 			proposal.expires = now.Add(2 * controller.options.ElectionTimeout)
 			controller.proposals[index] = proposal
 		case !now.Before(proposal.expires):
-			controller.settleProposal(index, outcome{err: unknownOutcome("this member no longer leads")})
+			controller.completeProposal(index, outcome{err: unknownOutcomeError("this member no longer leads")})
 		}
 	}
 }
 
+// expireTransfer ends the transfer when this member no longer leads, which is a
+// success, or when its time is over.
 func (controller *Controller) expireTransfer(now time.Time, leading bool) {
 	transfer := controller.transfer
 	switch {
@@ -155,7 +159,7 @@
 	}
 }
 
-// refuseRequests answers requests that were never proposed.
+// refuseRequests refuses the requests that were not passed to the core.
 func (controller *Controller) refuseRequests() {
 	for _, request := range controller.backlog {
 		request.done(outcome{err: controller.stoppedFault()})
@@ -164,8 +168,8 @@
 	controller.refuseQueued()
 }
 
-// refuseQueued answers requests that the controller has not taken. Unlike
-// refuseRequests it may run beside Reconcile.
+// refuseQueued refuses the requests that are still in the queue. Unlike
+// refuseRequests, it may run concurrently with Reconcile.
 func (controller *Controller) refuseQueued() {
 	for _, request := range controller.requests.Drain() {
 		request.done(outcome{err: controller.stoppedFault()})
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -14,7 +14,7 @@
 	for number := range 20 {
 		cluster.propose(fmt.Sprintf("change-%d", number))
 	}
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	require.Len(t, cluster.members["a"].machine.commands, 20)
 }
 
@@ -27,9 +27,9 @@
 	for _, name := range cluster.names {
 		cluster.crash(name)
 		cluster.start(name)
-		require.NoError(t, cluster.members[name].startFault)
+		require.NoError(t, cluster.members[name].startErr)
 	}
 	cluster.propose("after restart")
-	cluster.until(10*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(10*time.Second, "equal state", cluster.converged)
 	require.Len(t, cluster.members["a"].machine.commands, 501)
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -9,7 +9,7 @@
 	"merlinpaddle/internal/raft"
 )
 
-// requestKind tells what a request asks of the controller.
+// requestKind is the type of a request.
 type requestKind uint8
 
 const (
@@ -21,7 +21,7 @@
 	requestTransfer
 )
 
-// request is one call that waits for the controller.
+// request is one call that is queued for the controller.
 type request struct {
 	kind    requestKind
 	command []byte
@@ -38,24 +38,25 @@
 	err    error
 }
 
-// pendingProposal is a proposed entry whose fate is not known yet.
+// pendingProposal is a proposed entry whose outcome is not known yet.
 type pendingProposal struct {
 	term   uint64
 	member MemberID
 	done   func(outcome)
-	// expires is set when this member no longer leads: the fate may never
-	// become known here.
+	// expires is set when this member no longer leads, since the outcome may
+	// never become known here.
 	expires time.Time
 }
 
-// pendingTransfer is a transfer of leadership under way.
+// pendingTransfer is a leadership transfer in progress.
 type pendingTransfer struct {
 	done    func(outcome)
 	expires time.Time
 }
 
-// Submit proposes command. done is called once, from Reconcile or, when the
-// request cannot be queued, at once. See Group.Propose for the errors.
+// Submit proposes command. done is called exactly once: from Reconcile, from
+// Stop or, when the request cannot be queued or the member has stopped, from
+// Submit. See Group.Propose for the errors.
 func (controller *Controller) Submit(command []byte, done func(result []byte, err error)) {
 	controller.enqueue(request{
 		kind:    requestPropose,
@@ -64,8 +65,8 @@
 	})
 }
 
-// ReadBarrier calls done once this member's state has every change that was
-// committed before the call.
+// ReadBarrier calls done once this member's state includes every change that was
+// committed before the call, or with an error. See Group.ReadBarrier.
 func (controller *Controller) ReadBarrier(done func(err error)) {
 	controller.enqueue(request{kind: requestRead, done: errorOnly(done)})
 }
@@ -79,8 +80,8 @@
 	})
 }
 
-// Admit proposes to give all candidates a place without a vote, each tied to the disk with
-// which it asked, in one change.
+// Admit proposes to add all candidates as learners in one membership change, each
+// bound to the disk in its request.
 func (controller *Controller) Admit(candidates []Candidate, done func(err error)) {
 	learners := make([]raft.NewLearner, 0, len(candidates))
 	for _, candidate := range candidates {
@@ -94,12 +95,12 @@
 	controller.enqueue(request{kind: requestPromote, member: id, done: errorOnly(done)})
 }
 
-// RemoveMember proposes to take a member out of the group.
+// RemoveMember proposes to remove a member from the group.
 func (controller *Controller) RemoveMember(id MemberID, done func(err error)) {
 	controller.enqueue(request{kind: requestRemove, member: id, done: errorOnly(done)})
 }
 
-// TransferLeadership hands leadership to another voter.
+// TransferLeadership hands leadership over to another voter.
 func (controller *Controller) TransferLeadership(done func(err error)) {
 	controller.enqueue(request{kind: requestTransfer, done: errorOnly(done)})
 }
@@ -122,7 +123,8 @@
 	}
 }
 
-// coreFault gives an error of the core its code. Nothing was proposed.
+// coreFault returns an error of the core with its fault code. When the core
+// returns an error, nothing was proposed.
 func (controller *Controller) coreFault(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrTransferring):
@@ -144,6 +146,6 @@
 	}
 }
 
-func unknownOutcome(cause string) error {
+func unknownOutcomeError(cause string) error {
 	return faults.New(faults.OutcomeUnknown, "the change was proposed and its outcome is unknown: %s", cause)
 }
--- a/internal/replica/simulation_test.go
+++ b/internal/replica/simulation_test.go
@@ -16,76 +16,80 @@
 	revision = model.Revision
 )
 
-// simulation runs a workload on a cluster and checks the invariants of
-// consensus after every step.
+// simulation runs a workload of changes and reads on a cluster and checks the
+// invariants of consensus after every step.
 type simulation struct {
 	*cluster
-	// leaders has the leader of each term: election safety.
+	// leaders has the leader of each term, to check election safety.
 	leaders map[uint64]raft.MemberID
-	// terms and commands have the committed entries: log matching and state
-	// machine safety.
-	terms    map[uint64]uint64
-	commands map[uint64]string
-	checked  map[*Controller]int
-	logged   map[*Controller]uint64
-	led      map[*Controller]uint64
-	// The fates of the submitted commands.
+	// terms and commands have the terms and commands of committed entries by
+	// index, to check log matching and state machine safety.
+	terms            map[uint64]uint64
+	commands         map[uint64]string
+	checkedCommands  map[*Controller]int
+	termsCheckedUpTo map[*Controller]uint64
+	lastLedTerm      map[*Controller]uint64
+	// The fields below count the submitted commands and record their outcomes.
 	submitted    int
 	acknowledged map[string]bool
 	refused      map[string]bool
-	open         int
-	reads        int
-	// acknowledgedPlace is the highest place of an acknowledged change.
-	acknowledgedPlace uint64
-	submitRate        float64
+	unanswered   int
+	servedReads  int
+	// acknowledgedPosition is the highest position of an acknowledged change in
+	// the list of applied commands.
+	acknowledgedPosition uint64
+	submitRate           float64
 }
 
 func newSimulation(test testing.TB, seed uint64, names ...model.NodeName) *simulation {
 	return &simulation{
-		cluster:      newCluster(test, seed, names...),
-		leaders:      make(map[uint64]raft.MemberID),
-		terms:        make(map[uint64]uint64),
-		commands:     make(map[uint64]string),
-		checked:      make(map[*Controller]int),
-		logged:       make(map[*Controller]uint64),
-		led:          make(map[*Controller]uint64),
-		acknowledged: make(map[string]bool),
-		refused:      make(map[string]bool),
-		submitRate:   0.3,
+		cluster:          newCluster(test, seed, names...),
+		leaders:          make(map[uint64]raft.MemberID),
+		terms:            make(map[uint64]uint64),
+		commands:         make(map[uint64]string),
+		checkedCommands:  make(map[*Controller]int),
+		termsCheckedUpTo: make(map[*Controller]uint64),
+		lastLedTerm:      make(map[*Controller]uint64),
+		acknowledged:     make(map[string]bool),
+		refused:          make(map[string]bool),
+		submitRate:       0.3,
 	}
 }
 
-// advance runs the workload and checks for the given time.
-func (simulation *simulation) advance(duration time.Duration, disturb func()) {
+// runWorkload runs the workload and the checks for the given virtual time, with
+// injectFaults before each step.
+func (simulation *simulation) runWorkload(duration time.Duration, injectFaults func()) {
 	for end := simulation.now.Add(duration); simulation.now.Before(end); {
-		if disturb != nil {
-			disturb()
+		if injectFaults != nil {
+			injectFaults()
 		}
-		simulation.work()
+		simulation.submitRandomRequests()
 		simulation.step()
 		simulation.check()
 	}
 }
 
-// await runs the workload until condition holds.
-func (simulation *simulation) await(limit time.Duration, what string, condition func() bool) {
+// runWorkloadUntil runs the workload until condition holds, and fails the test
+// after limit.
+func (simulation *simulation) runWorkloadUntil(limit time.Duration, goal string, condition func() bool) {
 	simulation.test.Helper()
 	for end := simulation.now.Add(limit); simulation.now.Before(end); {
 		if condition() {
 			return
 		}
-		simulation.advance(clockStep, nil)
+		simulation.runWorkload(clockStep, nil)
 	}
-	simulation.test.Fatalf("not within %v of virtual time: %s\n%s", limit, what, simulation.describe())
+	simulation.test.Fatalf("not within %v of virtual time: %s\n%s", limit, goal, simulation.describe())
 }
 
-func (simulation *simulation) pick() *member {
+func (simulation *simulation) randomMember() *member {
 	return simulation.members[simulation.names[simulation.random.IntN(len(simulation.names))]]
 }
 
-// work submits changes and reads to members that need not lead.
-func (simulation *simulation) work() {
-	process := simulation.pick()
+// submitRandomRequests submits a change and a read, each with some probability, to
+// a random member, which need not be the leader.
+func (simulation *simulation) submitRandomRequests() {
+	process := simulation.randomMember()
 	if process.controller == nil {
 		return
 	}
@@ -100,23 +104,23 @@
 func (simulation *simulation) submit(process *member) {
 	simulation.submitted++
 	command := fmt.Sprintf("change-%d", simulation.submitted)
-	simulation.open++
+	simulation.unanswered++
 	answers := 0
 	process.controller.Submit([]byte(command), func(result []byte, err error) {
 		answers++
 		if answers > 1 {
 			simulation.test.Fatalf("%s was answered %d times", command, answers)
 		}
-		simulation.open--
-		simulation.note(command, result, err)
+		simulation.unanswered--
+		simulation.recordOutcome(command, result, err)
 	})
 }
 
-func (simulation *simulation) note(command string, result []byte, err error) {
+func (simulation *simulation) recordOutcome(command string, result []byte, err error) {
 	if err == nil {
-		place, _ := binary.Uvarint(result)
+		position, _ := binary.Uvarint(result)
 		simulation.acknowledged[command] = true
-		simulation.acknowledgedPlace = max(simulation.acknowledgedPlace, place)
+		simulation.acknowledgedPosition = max(simulation.acknowledgedPosition, position)
 		return
 	}
 	ran, known := ranByCode[faults.CodeOf(err)]
@@ -128,7 +132,7 @@
 	}
 }
 
-// ranByCode tells for each code whether the request ran.
+// ranByCode returns for each fault code whether the request was executed.
 var ranByCode = func() map[faults.Code]faults.Ran {
 	ran := make(map[faults.Code]faults.Ran)
 	for _, definition := range faults.Catalogue() {
@@ -137,22 +141,22 @@
 	return ran
 }()
 
-// read checks that a barrier that succeeds shows every change that was
-// acknowledged before it was asked for, whoever acknowledged it. A change's
-// result is its place in the list of commands, which is the same at all
-// members, so a state of that length has the change.
+// read requests a read barrier and checks that, if it succeeds, the state includes
+// every change that any member acknowledged before the request. The result of a
+// change is its position in the list of commands, which is the same on all
+// members, so a state with at least that many commands includes the change.
 func (simulation *simulation) read(process *member) {
-	wanted := simulation.acknowledgedPlace
+	minimum := simulation.acknowledgedPosition
 	machine := process.machine
 	name := process.name
-	asked := simulation.now
+	requestedAt := simulation.now
 	process.controller.ReadBarrier(func(err error) {
 		if err != nil {
 			return
 		}
-		simulation.reads++
-		if present := uint64(len(machine.commands)); present < wanted {
-			simulation.test.Fatalf("a read at %s, asked at %v, shows %d changes; %d were acknowledged before", name, asked, present, wanted)
+		simulation.servedReads++
+		if present := uint64(len(machine.commands)); present < minimum {
+			simulation.test.Fatalf("a read at %s, requested at %v, shows %d changes; %d were acknowledged before", name, requestedAt, present, minimum)
 		}
 	})
 }
@@ -169,7 +173,7 @@
 	}
 }
 
-// checkLeader checks election safety, and leader completeness of a new leader.
+// checkLeader checks election safety and, for a new leader, leader completeness.
 func (simulation *simulation) checkLeader(process *member) {
 	core := process.controller.core
 	status := core.Status(simulation.now)
@@ -181,10 +185,10 @@
 		simulation.test.Fatalf("members %d and %d both led term %d", leader, status.ID, status.Term)
 	}
 	simulation.leaders[status.Term] = status.ID
-	if simulation.led[process.controller] == status.Term {
+	if simulation.lastLedTerm[process.controller] == status.Term {
 		return
 	}
-	simulation.led[process.controller] = status.Term
+	simulation.lastLedTerm[process.controller] = status.Term
 	for index, term := range simulation.terms {
 		if index < status.FirstIndex {
 			continue
@@ -195,11 +199,11 @@
 	}
 }
 
-// checkTerms checks that all members commit entries of the same terms.
+// checkTerms checks that all members commit entries with the same terms.
 func (simulation *simulation) checkTerms(process *member) {
 	core := process.controller.core
 	status := core.Status(simulation.now)
-	for index := max(simulation.logged[process.controller]+1, status.FirstIndex); index <= status.Applied; index++ {
+	for index := max(simulation.termsCheckedUpTo[process.controller]+1, status.FirstIndex); index <= status.Applied; index++ {
 		term, exists := core.TermAt(index)
 		if !exists || term == 0 {
 			continue
@@ -209,14 +213,14 @@
 		}
 		simulation.terms[index] = term
 	}
-	simulation.logged[process.controller] = status.Applied
+	simulation.termsCheckedUpTo[process.controller] = status.Applied
 }
 
-// checkState checks that all members apply the same commands and that the
-// log's own time never goes back.
+// checkState checks that all members apply the same commands in order and that
+// the log time never goes back.
 func (simulation *simulation) checkState(process *member) {
 	machine := process.machine
-	start := simulation.checked[process.controller]
+	start := simulation.checkedCommands[process.controller]
 	if start > len(machine.commands) {
 		start = 0
 	}
@@ -227,17 +231,17 @@
 		}
 		simulation.commands[index] = command
 		if position > 0 && machine.times[position] < machine.times[position-1] {
-			simulation.test.Fatalf("the log's own time goes back at entry %d", index)
+			simulation.test.Fatalf("the log time goes back at entry %d", index)
 		}
 		if position > 0 && index <= machine.indexes[position-1] {
 			simulation.test.Fatalf("entry %d was applied after entry %d", index, machine.indexes[position-1])
 		}
 	}
-	simulation.checked[process.controller] = len(machine.commands)
+	simulation.checkedCommands[process.controller] = len(machine.commands)
 }
 
-// calm ends all faults and restarts what is down.
-func (simulation *simulation) calm() {
+// endFaults ends all faults and restarts all members that are down or failed.
+func (simulation *simulation) endFaults() {
 	simulation.heal()
 	simulation.network.drop = 0
 	simulation.network.duplicate = 0
@@ -251,26 +255,29 @@
 			simulation.stop(name)
 			simulation.start(name)
 		}
-		if process.startFault != nil {
-			simulation.test.Fatalf("%s does not start again: %v", name, process.startFault)
+		if process.startErr != nil {
+			simulation.test.Fatalf("%s does not start again: %v", name, process.startErr)
 		}
 	}
 }
 
-// finish lets the cluster settle and checks the fate of every command.
+// finish ends all faults, waits until the members agree and every call is answered,
+// and checks the outcome of every command.
 func (simulation *simulation) finish() {
 	simulation.test.Helper()
-	simulation.calm()
+	simulation.endFaults()
 	simulation.submitRate = 0
-	simulation.await(10*time.Second, "a leader after the faults", func() bool { return simulation.leader() != nil })
+	simulation.runWorkloadUntil(10*time.Second, "a leader after the faults", func() bool { return simulation.leader() != nil })
 	simulation.propose("last")
-	simulation.await(10*time.Second, "equal state and no open call", func() bool {
-		return simulation.converged() && simulation.open == 0
+	simulation.runWorkloadUntil(10*time.Second, "equal state and no open call", func() bool {
+		return simulation.converged() && simulation.unanswered == 0
 	})
-	simulation.checkFates()
+	simulation.checkOutcomes()
 }
 
-func (simulation *simulation) checkFates() {
+// checkOutcomes checks that acknowledged commands were applied once, refused ones
+// not at all and others at most once.
+func (simulation *simulation) checkOutcomes() {
 	simulation.test.Helper()
 	applied := make(map[string]int)
 	for _, command := range simulation.members[simulation.names[0]].machine.commands {
@@ -286,7 +293,7 @@
 	}
 	for command := range simulation.refused {
 		if applied[command] != 0 {
-			simulation.test.Fatalf("%s was refused as not run, but was applied", command)
+			simulation.test.Fatalf("%s was refused as not executed, but was applied", command)
 		}
 	}
 }
--- a/internal/replica/status.go
+++ b/internal/replica/status.go
@@ -8,11 +8,11 @@
 	"merlinpaddle/internal/raft"
 )
 
-// publishedStatus is what the latest Reconcile left for readers.
+// publishedStatus is the status as of the latest Reconcile, for concurrent readers.
 type publishedStatus struct {
 	status  Status
 	leading bool
-	// refused tells that the group has no place for this disk.
+	// refused reports whether the group has no place for this disk.
 	refused bool
 }
 
@@ -44,9 +44,9 @@
 	controller.statusLock.Unlock()
 }
 
-// StatusAt returns the status as of now. Leading tells that a quorum confirmed
-// this leader less than an election timeout ago, so a member that was frozen
-// does not look like a leader when it wakes.
+// StatusAt returns the status as of now. Leading is true only if a quorum
+// confirmed this leader less than an election timeout before now, so that a
+// member that was paused does not appear as the leader when it resumes.
 func (controller *Controller) StatusAt(now time.Time) Status {
 	controller.statusLock.Lock()
 	published := controller.status
@@ -61,8 +61,8 @@
 	return status
 }
 
-// Refused tells that the group exists and has no place for this member's empty
-// disk: it waits until a learner with its name is added.
+// Refused reports whether the group exists and has no place for this member's
+// empty disk. The member waits until a learner with its name is added.
 func (controller *Controller) Refused() bool {
 	controller.statusLock.Lock()
 	defer controller.statusLock.Unlock()
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -11,15 +11,16 @@
 	"merlinpaddle/internal/wal"
 )
 
-// storage is a formed member's durable state.
+// storage is the durable state of a member that has a place in the group.
 type storage struct {
 	identity  Identity
 	log       *wal.Log
 	snapshots *snapshot.Store
-	// previousSnapshot is the index of the snapshot before the latest. The log
-	// is kept from there on, so that a damaged latest snapshot can be survived.
-	previousSnapshot uint64
-	latestSnapshot   uint64
+	// previousSnapshotIndex is the index of the snapshot before the latest. The
+	// log is kept from there on, so that the member can recover from the previous
+	// snapshot if the latest is damaged.
+	previousSnapshotIndex uint64
+	latestSnapshotIndex   uint64
 }
 
 func walOptions(identity Identity, segmentBytes int64) wal.Options {
@@ -30,8 +31,10 @@
 	}
 }
 
-// checkIdentity refuses a folder that is another node's, and one whose log has
-// no identity.
+// checkIdentity returns the identity of the data folder and whether it has one.
+// It returns an error for a folder that belongs to another node, for a log
+// without an identity and for the identity of a member that has a place but no
+// log.
 func checkIdentity(files filesystem.FileSystem, self model.NodeName) (Identity, bool, error) {
 	identity, found, err := readIdentity(files)
 	if err != nil {
@@ -46,15 +49,16 @@
 		return Identity{}, false, faults.New(faults.StorageForeign, "the data folder belongs to node %s, not to node %s; correct data_folder or node", identity.Name, self)
 	case !found && logExists:
 		return Identity{}, false, faults.New(faults.StorageIncomplete, "the data folder has a log but no file %s; replace this member", identityFile)
-	case found && identity.formed() && !logExists:
+	case found && identity.joined() && !logExists:
 		return Identity{}, false, faults.New(faults.StorageIncomplete, "the data folder of member %d has no log; replace this member", identity.Member)
 	}
 	return identity, found, nil
 }
 
-// form gives a member its place: the log first, the identity last, so that a
-// crash in between leaves a member that asks for its place again.
-func form(files filesystem.FileSystem, identity Identity, segmentBytes int64) (*storage, error) {
+// createStorage creates the durable state of a member that got its place. It
+// creates the log first and writes the identity last, so that after a crash in
+// between the member requests its place again.
+func createStorage(files filesystem.FileSystem, identity Identity, segmentBytes int64) (*storage, error) {
 	if err := removeUnusedLog(files); err != nil {
 		return nil, err
 	}
@@ -72,7 +76,8 @@
 	}, nil
 }
 
-// removeUnusedLog removes the log of an interrupted form. No member ran on it.
+// removeUnusedLog removes the log that an interrupted createStorage left. It has
+// never been used.
 func removeUnusedLog(files filesystem.FileSystem) error {
 	exists, err := wal.Exists(files, walFolder)
 	if err != nil || !exists {
@@ -90,7 +95,7 @@
 	return files.SyncDir(walFolder)
 }
 
-// openStorage reads a formed member's state.
+// openStorage opens the durable state of a member that has a place.
 func openStorage(files filesystem.FileSystem, identity Identity, segmentBytes int64) (*storage, raft.State, error) {
 	log, recovered, err := wal.Open(files, walOptions(identity, segmentBytes))
 	if err != nil {
@@ -109,8 +114,8 @@
 	if latest.Index == 0 {
 		latest.Configuration = identity.Initial
 	}
-	opened.latestSnapshot = latest.Index
-	opened.previousSnapshot = latest.Index
+	opened.latestSnapshotIndex = latest.Index
+	opened.previousSnapshotIndex = latest.Index
 	entries, err := opened.reconcileLog(latest, recovered)
 	if err != nil {
 		_ = log.Close()
@@ -119,9 +124,9 @@
 	return opened, raft.State{HardState: recovered.HardState, Snapshot: latest, Entries: entries}, nil
 }
 
-// reconcileLog returns the entries that go with the snapshot. A crash between
+// reconcileLog returns the log entries to use with the snapshot. A crash between
 // saving a received snapshot and resetting the log leaves a log that does not
-// hold the snapshot's last entry; the snapshot then replaces it.
+// hold the snapshot's last entry; the log is then reset to the snapshot.
 func (storage *storage) reconcileLog(latest raft.Snapshot, recovered wal.Recovered) ([]raft.Entry, error) {
 	if latest.Index == recovered.Base {
 		return recovered.Entries, nil
@@ -133,7 +138,8 @@
 	return nil, storage.log.Append(wal.Batch{Reset: &latest.Index})
 }
 
-// persist makes a Ready's work durable in one sync of the log.
+// persist makes the hard state, entries and snapshot of ready durable, with one
+// sync of the log.
 func (storage *storage) persist(ready raft.Ready) error {
 	batch := wal.Batch{HardState: ready.HardState, Entries: ready.Entries}
 	if ready.Snapshot != nil {
@@ -141,19 +147,19 @@
 			return err
 		}
 		batch.Reset = &ready.Snapshot.Index
-		storage.previousSnapshot = ready.Snapshot.Index
-		storage.latestSnapshot = ready.Snapshot.Index
+		storage.previousSnapshotIndex = ready.Snapshot.Index
+		storage.latestSnapshotIndex = ready.Snapshot.Index
 	}
 	return storage.log.Append(batch)
 }
 
-// saveSnapshot makes a snapshot durable and compacts the log up to the one
-// before it. It returns the index after which the log is kept.
+// saveSnapshot makes a snapshot durable and compacts the log up to the previous
+// snapshot. It returns the index after which the log is kept.
 func (storage *storage) saveSnapshot(taken raft.Snapshot) (keepAfter uint64, err error) {
 	if err := storage.snapshots.Save(taken); err != nil {
 		return 0, err
 	}
-	storage.previousSnapshot = storage.latestSnapshot
-	storage.latestSnapshot = taken.Index
-	return storage.previousSnapshot, storage.log.Compact(storage.previousSnapshot)
+	storage.previousSnapshotIndex = storage.latestSnapshotIndex
+	storage.latestSnapshotIndex = taken.Index
+	return storage.previousSnapshotIndex, storage.log.Compact(storage.previousSnapshotIndex)
 }
--- a/internal/replica/storage_test.go
+++ b/internal/replica/storage_test.go
@@ -12,8 +12,8 @@
 	"merlinpaddle/internal/filesystem/memory"
 )
 
-// filesOf returns the content of every file under folder.
-func filesOf(t *testing.T, disk *memory.Disk, folder string) map[string]string {
+// folderContent returns the content of every file under folder, by path.
+func folderContent(t *testing.T, disk *memory.Disk, folder string) map[string]string {
 	t.Helper()
 	content := make(map[string]string)
 	names, err := disk.ReadDir(folder)
@@ -22,7 +22,7 @@
 		full := path.Join(folder, name)
 		file, err := disk.Open(full)
 		if err != nil {
-			for inner, data := range filesOf(t, disk, full) {
+			for inner, data := range folderContent(t, disk, full) {
 				content[inner] = data
 			}
 			continue
@@ -34,23 +34,23 @@
 	return content
 }
 
-func firstOf(t *testing.T, disk *memory.Disk, folder string) string {
+func firstFile(t *testing.T, disk *memory.Disk, folder string) string {
 	t.Helper()
 	names, err := disk.ReadDir(folder)
 	require.NoError(t, err)
 	return path.Join(folder, names[0])
 }
 
-func lastOf(t *testing.T, disk *memory.Disk, folder string) string {
+func lastFile(t *testing.T, disk *memory.Disk, folder string) string {
 	t.Helper()
 	names, err := disk.ReadDir(folder)
 	require.NoError(t, err)
 	return path.Join(folder, names[len(names)-1])
 }
 
-// TestRefusedStarts damages a member's folder in each way and demands a
-// numbered refusal that leaves every file as it was.
-func TestRefusedStarts(t *testing.T) {
+// TestStartIsRefusedOnDamagedFolder damages a member's data folder in several ways
+// and checks that the start fails with the right fault code and changes no file.
+func TestStartIsRefusedOnDamagedFolder(t *testing.T) {
 	cases := []struct {
 		name   string
 		damage func(*testing.T, *cluster)
@@ -58,7 +58,7 @@
 	}{
 		{"log damaged in the middle", func(t *testing.T, cluster *cluster) {
 			disk := cluster.members["a"].disk
-			require.NoError(t, disk.Corrupt(firstOf(t, disk, walFolder), 100))
+			require.NoError(t, disk.Corrupt(firstFile(t, disk, walFolder), 100))
 		}, faults.StorageDamaged},
 		{"identity damaged", func(t *testing.T, cluster *cluster) {
 			require.NoError(t, cluster.members["a"].disk.Corrupt(identityFile, 5))
@@ -93,14 +93,14 @@
 			for range 300 {
 				cluster.propose("change")
 			}
-			cluster.until(5*time.Second, "equal state", cluster.converged)
+			cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 			cluster.stop("a")
 			refused.damage(t, cluster)
 			disk := cluster.members["a"].disk
-			before := filesOf(t, disk, ".")
+			before := folderContent(t, disk, ".")
 			cluster.start("a")
-			require.Equal(t, refused.code, faults.CodeOf(cluster.members["a"].startFault), "%v", cluster.members["a"].startFault)
-			require.Equal(t, before, filesOf(t, disk, "."))
+			require.Equal(t, refused.code, faults.CodeOf(cluster.members["a"].startErr), "%v", cluster.members["a"].startErr)
+			require.Equal(t, before, folderContent(t, disk, "."))
 		})
 	}
 }
@@ -117,7 +117,7 @@
 func copyFolder(t *testing.T, from, to *memory.Disk, folder string) {
 	t.Helper()
 	removeAll(t, to, folder)
-	for name, content := range filesOf(t, from, folder) {
+	for name, content := range folderContent(t, from, folder) {
 		file, err := to.Create(name)
 		require.NoError(t, err)
 		_, err = file.Write([]byte(content))
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestDamagedNewestSnapshotIsSurvived falls back to the older snapshot while
-// the log reaches it.
-func TestDamagedNewestSnapshotIsSurvived(t *testing.T) {
+// TestDamagedLatestSnapshotFallsBackToPrevious checks that a member whose latest
+// snapshot is damaged restores the previous one and replays the log kept after it.
+func TestDamagedLatestSnapshotFallsBackToPrevious(t *testing.T) {
 	cluster := newCluster(t, 22, "a")
 	cluster.startAll()
 	for range 180 {
@@ -135,45 +135,45 @@
 	}
 	cluster.stop("a")
 	disk := cluster.members["a"].disk
-	require.NoError(t, disk.Corrupt(lastOf(t, disk, snapshotFolder), 50))
+	require.NoError(t, disk.Corrupt(lastFile(t, disk, snapshotFolder), 50))
 	cluster.start("a")
-	require.NoError(t, cluster.members["a"].startFault)
+	require.NoError(t, cluster.members["a"].startErr)
 	cluster.propose("last")
 	require.Len(t, cluster.members["a"].machine.commands, 181)
 }
 
-// TestFullDiskSuspendsTheMember fills the leader's disk: it acknowledges
-// nothing and sends nothing, the others go on, and once there is room again the
-// same process takes part without a restart.
+// TestFullDiskSuspendsTheMember fills the leader's disk. The leader must
+// acknowledge and send nothing while the others elect a new leader and continue.
+// Once there is space again, the same process rejoins without a restart.
 func TestFullDiskSuspendsTheMember(t *testing.T) {
 	cluster := newCluster(t, 23, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("before")
-	former := cluster.awaitLeader()
-	former.disk.SetCapacity(1)
+	previousLeader := cluster.awaitLeader()
+	previousLeader.disk.SetCapacity(1)
 	var codes []faults.Code
-	note := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
-	former.controller.Submit([]byte("not durable"), note)
+	record := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
+	previousLeader.controller.Submit([]byte("not durable"), record)
 	cluster.step()
-	former.controller.Submit([]byte("while the disk is full"), note)
+	previousLeader.controller.Submit([]byte("while the disk is full"), record)
 	cluster.step()
 	require.Equal(t, []faults.Code{faults.OutcomeUnknown, faults.NotLeader}, codes)
-	require.NoError(t, former.controller.Err())
-	require.False(t, former.controller.StatusAt(cluster.now).Leading)
-	require.Empty(t, former.mailbox.Outbox.Drain(), "a suspended member sends nothing")
+	require.NoError(t, previousLeader.controller.Err())
+	require.False(t, previousLeader.controller.StatusAt(cluster.now).Leading)
+	require.Empty(t, previousLeader.mailbox.Outbox.Drain(), "a suspended member sends nothing")
 
-	cluster.until(5*time.Second, "another leader", func() bool {
+	cluster.runUntil(5*time.Second, "another leader", func() bool {
 		leader := cluster.leader()
-		return leader != nil && leader != former
+		return leader != nil && leader != previousLeader
 	})
 	cluster.propose("without the former leader")
-	former.disk.SetCapacity(0)
-	cluster.until(5*time.Second, "equal state", cluster.converged)
-	require.Contains(t, former.machine.commands, "without the former leader")
+	previousLeader.disk.SetCapacity(0)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
+	require.Contains(t, previousLeader.machine.commands, "without the former leader")
 }
 
-// TestStorageFailureStopsTheMember fails the leader's disk: it acknowledges
-// nothing more, and the others go on.
+// TestStorageFailureStopsTheMember makes the leader's disk fail. The leader must
+// stop and acknowledge nothing more while the others continue.
 func TestStorageFailureStopsTheMember(t *testing.T) {
 	cases := []struct {
 		name string
@@ -187,40 +187,40 @@
 			cluster := newCluster(t, 23, "a", "b", "c")
 			cluster.startAll()
 			cluster.propose("before")
-			former := cluster.awaitLeader()
-			failure.fail(former.disk)
+			previousLeader := cluster.awaitLeader()
+			failure.fail(previousLeader.disk)
 			var codes []faults.Code
-			note := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
-			former.controller.Submit([]byte("not durable"), note)
+			record := func(_ []byte, err error) { codes = append(codes, faults.CodeOf(err)) }
+			previousLeader.controller.Submit([]byte("not durable"), record)
 			cluster.step()
-			former.disk.SetCapacity(0)
-			former.controller.Submit([]byte("after the failure"), note)
+			previousLeader.disk.SetCapacity(0)
+			previousLeader.controller.Submit([]byte("after the failure"), record)
 			cluster.step()
 			require.Equal(t, []faults.Code{faults.OutcomeUnknown, faults.MemberStopped}, codes)
-			require.Equal(t, failure.code, faults.CodeOf(former.controller.Err()))
-			require.False(t, former.controller.StatusAt(cluster.now).Leading)
-			require.Empty(t, former.mailbox.Outbox.Drain(), "a stopped member sends nothing")
+			require.Equal(t, failure.code, faults.CodeOf(previousLeader.controller.Err()))
+			require.False(t, previousLeader.controller.StatusAt(cluster.now).Leading)
+			require.Empty(t, previousLeader.mailbox.Outbox.Drain(), "a stopped member sends nothing")
 
-			cluster.until(5*time.Second, "another leader", func() bool {
+			cluster.runUntil(5*time.Second, "another leader", func() bool {
 				leader := cluster.leader()
-				return leader != nil && leader != former
+				return leader != nil && leader != previousLeader
 			})
 			cluster.propose("without the former leader")
-			cluster.crash(former.name)
-			cluster.start(former.name)
-			require.NoError(t, former.startFault)
-			cluster.until(5*time.Second, "equal state", cluster.converged)
+			cluster.crash(previousLeader.name)
+			cluster.start(previousLeader.name)
+			require.NoError(t, previousLeader.startErr)
+			cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 		})
 	}
 }
 
-// TestLongDownMemberCatchesUpBySnapshot stops a member until the others' logs
-// no longer reach back to it.
+// TestLongDownMemberCatchesUpBySnapshot keeps a member down until the other
+// members' logs no longer have the entries it needs.
 func TestLongDownMemberCatchesUpBySnapshot(t *testing.T) {
 	cluster := newCluster(t, 24, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("first")
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	down := cluster.names[0]
 	if down == cluster.awaitLeader().name {
 		down = cluster.names[1]
@@ -232,27 +232,28 @@
 	require.Greater(t, cluster.awaitLeader().controller.core.Status(cluster.now).FirstIndex, uint64(100))
 	cluster.network.drop = 0.1
 	cluster.start(down)
-	cluster.until(20*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(20*time.Second, "equal state", cluster.converged)
 	cluster.network.drop = 0
 	// The installed snapshot and the log after it survive another crash.
 	cluster.propose("after the snapshot")
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	cluster.crash(down)
 	cluster.start(down)
-	require.NoError(t, cluster.members[down].startFault)
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	require.NoError(t, cluster.members[down].startErr)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	require.Len(t, cluster.members[down].machine.commands, 302)
 }
 
-// TestLostTailIsNoticed damages the last record, which a member cannot tell
-// from a torn one, after it was acknowledged.
-func TestLostTailIsNoticed(t *testing.T) {
+// TestLostTailIsDetected damages the last log record after its entry was
+// acknowledged. The member cannot distinguish it from a torn write and starts, so
+// it must detect the loss when the leader sends its commit index.
+func TestLostTailIsDetected(t *testing.T) {
 	cluster := newCluster(t, 25, "a", "b", "c")
 	cluster.startAll()
 	for range 5 {
 		cluster.propose("change")
 	}
-	cluster.until(5*time.Second, "equal state", cluster.converged)
+	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	cluster.run(time.Second)
 	damaged := cluster.names[0]
 	if damaged == cluster.awaitLeader().name {
@@ -260,19 +261,20 @@
 	}
 	cluster.stop(damaged)
 	disk := cluster.members[damaged].disk
-	name := lastOf(t, disk, walFolder)
+	name := lastFile(t, disk, walFolder)
 	size, err := disk.Size(name)
 	require.NoError(t, err)
 	require.NoError(t, disk.Corrupt(name, size-1))
 	cluster.start(damaged)
-	require.NoError(t, cluster.members[damaged].startFault)
-	cluster.until(5*time.Second, "the member to notice", func() bool {
+	require.NoError(t, cluster.members[damaged].startErr)
+	cluster.runUntil(5*time.Second, "the member to notice", func() bool {
 		return faults.CodeOf(cluster.members[damaged].controller.Err()) == faults.StorageLostEntries
 	})
 }
 
-// TestOneSyncCarriesManyProposals is the group commit.
-func TestOneSyncCarriesManyProposals(t *testing.T) {
+// TestProposalsShareOneSync tests group commit: proposals that wait together are
+// made durable with one sync.
+func TestProposalsShareOneSync(t *testing.T) {
 	cluster := newCluster(t, 26, "a")
 	cluster.startAll()
 	leader := cluster.awaitLeader()
@@ -290,10 +292,11 @@
 	require.Equal(t, 1, leader.disk.Syncs()-before)
 }
 
-// TestTooLargeCommandIsRefused bounds one command.
+// TestTooLargeCommandIsRefused checks that a command larger than MaxCommandBytes is
+// refused.
 func TestTooLargeCommandIsRefused(t *testing.T) {
 	cluster := newCluster(t, 27, "a")
-	cluster.options = func(options *Options) { options.MaxCommandBytes = 10 }
+	cluster.adjustOptions = func(options *Options) { options.MaxCommandBytes = 10 }
 	cluster.startAll()
 	var fault error
 	cluster.awaitLeader().controller.Submit(make([]byte, 11), func(_ []byte, err error) { fault = err })
--- a/internal/replica/suspend.go
+++ b/internal/replica/suspend.go
@@ -8,30 +8,33 @@
 	"merlinpaddle/internal/raft"
 )
 
-// resumePause is the time between two tries to go on after a full disk.
-const resumePause = 300 * time.Millisecond
+// resumeRetryInterval is the time between attempts to resume after a full disk.
+const resumeRetryInterval = 300 * time.Millisecond
 
-// SetContacts replaces the members that a process without a place asks for
+// SetContacts replaces the members from which a process without a place requests
 // one. It may be called from any goroutine.
-func (controller *Controller) SetContacts(names []model.NodeName) { controller.contacts.Store(&names) }
+func (controller *Controller) SetContacts(names []model.NodeName) {
+	controller.newContacts.Store(&names)
+}
 
-func (controller *Controller) takeContacts() {
-	replaced := controller.contacts.Swap(nil)
+func (controller *Controller) applyContacts() {
+	replaced := controller.newContacts.Swap(nil)
 	if replaced == nil {
 		return
 	}
 	controller.options.Members = *replaced
 	if controller.joiner != nil {
 		controller.joiner.options.Members = *replaced
-		controller.joiner.founding = false
+		controller.joiner.mayFound = false
 	}
 }
 
-// suspend gives up what the member has in memory, as a crash does, and lets it
-// start again from its disk. Nothing that was not durable was promised.
+// suspend drops the member's state in memory, as a crash does, so that resume
+// restarts it from its disk. This is safe because nothing was acknowledged that
+// was not durable.
 func (controller *Controller) suspend() {
-	controller.resumeAt = controller.now.Add(resumePause)
-	controller.abandon("the disk is full")
+	controller.resumeAt = controller.now.Add(resumeRetryInterval)
+	controller.failPending("the disk is full")
 	if controller.storage != nil {
 		_ = controller.storage.log.Close()
 	}
@@ -39,10 +42,11 @@
 	controller.storage = nil
 }
 
-// abandon answers everything that waits with an unknown outcome.
-func (controller *Controller) abandon(cause string) {
+// failPending answers all pending proposals with an unknown outcome and all
+// pending reads and the transfer with an error.
+func (controller *Controller) failPending(cause string) {
 	for _, index := range controller.proposalIndexes() {
-		controller.settleProposal(index, outcome{err: unknownOutcome(cause)})
+		controller.completeProposal(index, outcome{err: unknownOutcomeError(cause)})
 	}
 	for _, id := range sortedKeys(controller.reads) {
 		controller.answerRead(raft.ReadState{ID: id, Failed: true})
@@ -53,10 +57,11 @@
 	}
 }
 
-// resume starts the member again from its disk once that takes writes.
+// resume restarts a suspended member from its disk once resumeAt has passed. If
+// the disk is still full, the next write suspends the member again.
 func (controller *Controller) resume(now time.Time) {
 	controller.messages.Drain()
-	controller.refuseUnformed()
+	controller.refuseWithoutCore()
 	if now.Before(controller.resumeAt) {
 		return
 	}
@@ -66,7 +71,7 @@
 	}
 	identity, _, err := checkIdentity(controller.files, controller.options.Self)
 	if err == nil {
-		err = controller.machine.Restore(controller.empty)
+		err = controller.machine.Restore(controller.initialSnapshot)
 	}
 	if err == nil {
 		err = controller.restore(identity)
