--- a/internal/raft/election.go
+++ b/internal/raft/election.go
@@ -82,6 +82,9 @@
 	return false
 }
 
+// handleVoteRequest grants this member's vote in the current term to a candidate
+// whose log is up to date, unless this member voted for another one, leads, or
+// follows another leader and the request is not part of a transfer.
 func (raft *Raft) handleVoteRequest(message Message) {
 	if message.Kind == MessagePreVote {
 		raft.handlePreVote(message)
@@ -110,6 +113,8 @@
 	raft.send(reply)
 }
 
+// handleVoteReply counts a reply that belongs to the current campaign. Of several
+// replies from one member only the first counts.
 func (raft *Raft) handleVoteReply(message Message) {
 	switch {
 	case message.Kind == MessagePreVoteReply && raft.role == PreCandidate:
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -85,7 +85,8 @@
 	// pausedUntil is the time until which the process is paused.
 	pausedUntil time.Time
 	// skew is added to the member's clock.
-	skew              time.Duration
+	skew time.Duration
+	// joinsRunningGroup is the value of Options.Join.
 	joinsRunningGroup bool
 	// startErr is the error of the latest start, or nil.
 	startErr error
--- a/internal/replica/controller.go
+++ b/internal/replica/controller.go
@@ -306,13 +306,13 @@
 		controller.fail(err)
 		return
 	}
-	taken := raft.Snapshot{SnapshotMeta: controller.core.AppliedSnapshotMeta(controller.appliedAt), Data: data}
-	keepAfter, err := controller.storage.saveSnapshot(taken)
+	latest := raft.Snapshot{SnapshotMeta: controller.core.AppliedSnapshotMeta(controller.appliedAt), Data: data}
+	keepAfter, err := controller.storage.saveSnapshot(latest)
 	if err != nil {
 		controller.fail(err)
 		return
 	}
-	controller.core.Compact(taken, keepAfter)
+	controller.core.Compact(latest, keepAfter)
 }
 
 // fail stops the member permanently: it sends, acknowledges and applies nothing
--- a/internal/replica/membership.go
+++ b/internal/replica/membership.go
@@ -67,13 +67,13 @@
 
 // enterGroup makes the member's place in the group durable and starts its core.
 func (controller *Controller) enterGroup(identity Identity) {
-	formed, err := createStorage(controller.files, identity, controller.options.SegmentBytes)
+	created, err := createStorage(controller.files, identity, controller.options.SegmentBytes)
 	if err != nil {
 		controller.fail(err)
 		return
 	}
 	initial := raft.Snapshot{SnapshotMeta: raft.SnapshotMeta{Configuration: identity.Initial}}
-	if err := controller.start(formed, raft.State{Snapshot: initial}); err != nil {
+	if err := controller.start(created, raft.State{Snapshot: initial}); err != nil {
 		controller.fail(err)
 	}
 }
@@ -110,8 +110,8 @@
 // handleJoinRequest replies to a member with an empty disk with its place, or
 // refuses it and records it as a candidate. A learner without a disk is bound to
 // the first disk that requests a place under its name.
-func (controller *Controller) handleJoinRequest(now time.Time, from model.NodeName, asked JoinRequest) {
-	disk := asked.Disk
+func (controller *Controller) handleJoinRequest(now time.Time, from model.NodeName, joinRequest JoinRequest) {
+	disk := joinRequest.Disk
 	configuration := controller.core.CommittedConfiguration()
 	reply := JoinReply{
 		Disk:   disk,
@@ -131,7 +131,7 @@
 		}
 	}
 	if !reply.Accepted {
-		controller.candidates[from] = Candidate{Name: from, Zone: asked.Zone, Disk: disk, At: now}
+		controller.candidates[from] = Candidate{Name: from, Zone: joinRequest.Zone, Disk: disk, At: now}
 	}
 	controller.mailbox.Send(from, reply)
 }
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -69,8 +69,8 @@
 
 // handlePlaceRequest replies whether the member was removed, once a quorum has
 // confirmed that this member is the leader. Other members do not reply.
-func (controller *Controller) handlePlaceRequest(now time.Time, from model.NodeName, asked PlaceRequest) {
-	if asked.Group != controller.storage.identity.Group || controller.core.Role() != raft.Leader {
+func (controller *Controller) handlePlaceRequest(now time.Time, from model.NodeName, placeRequest PlaceRequest) {
+	if placeRequest.Group != controller.storage.identity.Group || controller.core.Role() != raft.Leader {
 		return
 	}
 	controller.read(now, request{kind: requestRead, done: func(answer outcome) {
@@ -78,10 +78,10 @@
 			return
 		}
 		controller.mailbox.Send(from, PlaceReply{
-			Group:   asked.Group,
-			Member:  asked.Member,
-			Disk:    asked.Disk,
-			Removed: controller.core.CommittedConfiguration().Removed(asked.Member),
+			Group:   placeRequest.Group,
+			Member:  placeRequest.Member,
+			Disk:    placeRequest.Disk,
+			Removed: controller.core.CommittedConfiguration().Removed(placeRequest.Member),
 		})
 	}})
 }
--- a/internal/replica/replacement_test.go
+++ b/internal/replica/replacement_test.go
@@ -244,7 +244,7 @@
 		leader := cluster.leader()
 		return leader != nil && leader != previousLeader
 	})
-	cluster.propose("without the former leader")
+	cluster.propose("without the previous leader")
 	require.Zero(t, simulation.idOf(previousLeader.name))
 }
 
--- a/internal/replica/storage.go
+++ b/internal/replica/storage.go
@@ -155,11 +155,11 @@
 
 // saveSnapshot makes a snapshot durable and compacts the log up to the previous
 // snapshot. It returns the index after which the log is kept.
-func (storage *storage) saveSnapshot(taken raft.Snapshot) (keepAfter uint64, err error) {
-	if err := storage.snapshots.Save(taken); err != nil {
+func (storage *storage) saveSnapshot(latest raft.Snapshot) (keepAfter uint64, err error) {
+	if err := storage.snapshots.Save(latest); err != nil {
 		return 0, err
 	}
 	storage.previousSnapshotIndex = storage.latestSnapshotIndex
-	storage.latestSnapshotIndex = taken.Index
+	storage.latestSnapshotIndex = latest.Index
 	return storage.previousSnapshotIndex, storage.log.Compact(storage.previousSnapshotIndex)
 }
--- a/internal/replica/storage_test.go
+++ b/internal/replica/storage_test.go
@@ -166,10 +166,10 @@
 		leader := cluster.leader()
 		return leader != nil && leader != previousLeader
 	})
-	cluster.propose("without the former leader")
+	cluster.propose("without the previous leader")
 	previousLeader.disk.SetCapacity(0)
 	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
-	require.Contains(t, previousLeader.machine.commands, "without the former leader")
+	require.Contains(t, previousLeader.machine.commands, "without the previous leader")
 }
 
 // TestStorageFailureStopsTheMember makes the leader's disk fail. The leader must
@@ -205,7 +205,7 @@
 				leader := cluster.leader()
 				return leader != nil && leader != previousLeader
 			})
-			cluster.propose("without the former leader")
+			cluster.propose("without the previous leader")
 			cluster.crash(previousLeader.name)
 			cluster.start(previousLeader.name)
 			require.NoError(t, previousLeader.startErr)
@@ -267,7 +267,7 @@
 	require.NoError(t, disk.Corrupt(name, size-1))
 	cluster.start(damaged)
 	require.NoError(t, cluster.members[damaged].startErr)
-	cluster.runUntil(5*time.Second, "the member to notice", func() bool {
+	cluster.runUntil(5*time.Second, "the member to detect the loss", func() bool {
 		return faults.CodeOf(cluster.members[damaged].controller.Err()) == faults.StorageLostEntries
 	})
 }
