--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -60,10 +60,10 @@
 	raft.sendCommitNotices()
 }
 
-// sendCommitNotices sends the commit index to the members that hold that entry
-// and have not been sent the index, so that they apply it without waiting for
-// the next heartbeat. A heartbeat round for each commit would cost twice the
-// messages.
+// sendCommitNotices sends each member the commit index, limited to the entries it
+// holds, unless it was sent that index before. The member can then apply entries
+// without waiting for the next heartbeat. A heartbeat round for each commit would
+// cost twice the messages.
 func (raft *Raft) sendCommitNotices() {
 	for _, member := range raft.configuration().Members {
 		progress := raft.progress[member.ID]
@@ -139,8 +139,9 @@
 	return progress.state == progressProbe && progress.Match < raft.log.lastIndex()
 }
 
-// sendAppend sends one batch of entries. If the log was compacted beyond the
-// first entry to send, it starts a snapshot transfer and returns false.
+// sendAppend sends one batch of entries. If the term of the entry before them is
+// no longer known because the log was compacted, it starts a snapshot transfer
+// and returns false.
 func (raft *Raft) sendAppend(id MemberID, progress *Progress) bool {
 	previous := progress.Next - 1
 	previousTerm, known := raft.log.term(previous)
--- a/internal/raft/log.go
+++ b/internal/raft/log.go
@@ -5,7 +5,7 @@
 // entryLog is the part of the member's log that is in memory: the entries after base.
 type entryLog struct {
 	// base is the index before entries[0]: the last compacted entry. baseTerm is
-	// zero when its term is unknown.
+	// zero when base is zero or its term is unknown.
 	base     uint64
 	baseTerm uint64
 	baseAt   int64
--- a/internal/replica/controller.go
+++ b/internal/replica/controller.go
@@ -14,8 +14,9 @@
 )
 
 // Controller runs one member of the control group as a board.Controller. Each
-// Reconcile handles all queued messages and requests and makes the resulting
-// log entries durable with one sync (group commit).
+// Reconcile handles all queued messages and requests. The entries proposed in one
+// Reconcile become durable with one sync (group commit), unless
+// Options.MaxProposalsPerSync limits their number.
 type Controller struct {
 	options    Options
 	files      filesystem.FileSystem
