--- a/internal/admission/health_test.go
+++ b/internal/admission/health_test.go
@@ -21,7 +21,7 @@
 		after         time.Duration
 		breakerClosed bool
 		probeDue      bool
-		good          bool
+		healthy       bool
 	}{
 		{"no reports and no results", func(*Health) {}, 0, true, true, true},
 		{"bad reports, recent good answers", func(health *Health) {
@@ -54,7 +54,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			health := &Health{}
 			test.prepare(health)
-			require.Equal(t, test.good, health.IsHealthy(start.Add(test.after), test.breakerClosed, test.probeDue))
+			require.Equal(t, test.healthy, health.IsHealthy(start.Add(test.after), test.breakerClosed, test.probeDue))
 		})
 	}
 }
--- a/internal/balancer/eviction_test.go
+++ b/internal/balancer/eviction_test.go
@@ -119,7 +119,7 @@
 	tuple := model.FiveTuple{Protocol: model.ProtocolQUIC, Source: source, Destination: quicAddress}
 	table := run.service.stores[owner].Current().Buckets[quicService]
 	bucket := routing.BucketOf(routing.FlowHash(tuple), table.Count())
-	require.True(t, run.service.owners[owner].Close(bucket, tuple))
+	require.True(t, run.service.ownedFlows[owner].Close(bucket, tuple))
 }
 
 // sendEstablished sends count packets of random established flows, each after
--- a/internal/balancer/forward_bench_test.go
+++ b/internal/balancer/forward_bench_test.go
@@ -24,16 +24,16 @@
 // of each relay. "elapsed-ratio" is the balancer's elapsed time divided by that of
 // "relay"; it includes the senders and the sink.
 func BenchmarkForwarding(b *testing.B) {
-	arrivals := startSink(b, 1)
-	next := arrivals.addresses[0]
+	sink := startSink(b, 1)
+	next := sink.addresses[0]
 	relay := startRelay(b, next)
 	batchRelay := startBatchRelay(b, next)
-	balancer := startBenchmarkBalancer(b, 1, arrivals.addresses)
+	balancer := startBenchmarkBalancer(b, 1, sink.addresses)
 	senders := startSenders(b, senderCount, ingressDatagrams(b))
 	packets := 0
 	for b.Loop() {
 		for _, forwarder := range []*measuredForwarder{relay, batchRelay, balancer} {
-			forwarder.elapsed += sendAndAwait(b, senders, socketAddress(forwarder.socket), arrivals, packetsPerTurn)
+			forwarder.elapsed += sendAndAwait(b, senders, socketAddress(forwarder.socket), sink, packetsPerTurn)
 		}
 		packets += packetsPerTurn
 	}
@@ -53,19 +53,19 @@
 // with the number of workers is the cost of contention. "packets/s" is measured with as
 // many senders as workers; on a machine with too few processors the senders limit it.
 func BenchmarkForwardingWorkers(b *testing.B) {
-	arrivals := startSink(b, 4)
+	sink := startSink(b, 4)
 	datagrams := ingressDatagrams(b)
 	workerCounts := []int{1, 4, 8}
 	balancers := make([]*measuredForwarder, len(workerCounts))
 	senders := make([][]*sender, len(workerCounts))
 	for position, workers := range workerCounts {
-		balancers[position] = startBenchmarkBalancer(b, workers, arrivals.addresses)
+		balancers[position] = startBenchmarkBalancer(b, workers, sink.addresses)
 		senders[position] = startSenders(b, workers, datagrams)
 	}
 	packets := 0
 	for b.Loop() {
 		for position, balancer := range balancers {
-			balancer.elapsed += sendAndAwait(b, senders[position], socketAddress(balancer.socket), arrivals, packetsPerTurn)
+			balancer.elapsed += sendAndAwait(b, senders[position], socketAddress(balancer.socket), sink, packetsPerTurn)
 		}
 		packets += packetsPerTurn
 	}
--- a/internal/balancer/steering_test.go
+++ b/internal/balancer/steering_test.go
@@ -19,29 +19,29 @@
 // simulatedService is the QUIC service of the test configuration. Its agents make their
 // decisions with the real steering code and are connected in memory.
 type simulatedService struct {
-	now    time.Time
-	stores map[model.TargetID]*rollout.Store
-	owners map[model.TargetID]*flow.OwnedFlows
-	agents map[model.TargetID]*steering.Steering
+	now        time.Time
+	stores     map[model.TargetID]*rollout.Store
+	ownedFlows map[model.TargetID]*flow.OwnedFlows
+	agents     map[model.TargetID]*steering.Steering
 }
 
 func newSimulatedService(configuration *model.Configuration) *simulatedService {
 	created := &simulatedService{
-		now:    startTime.Add(time.Hour),
-		stores: make(map[model.TargetID]*rollout.Store),
-		owners: make(map[model.TargetID]*flow.OwnedFlows),
-		agents: make(map[model.TargetID]*steering.Steering),
+		now:        startTime.Add(time.Hour),
+		stores:     make(map[model.TargetID]*rollout.Store),
+		ownedFlows: make(map[model.TargetID]*flow.OwnedFlows),
+		agents:     make(map[model.TargetID]*steering.Steering),
 	}
 	for _, target := range configuration.ServiceTargets(quicService) {
 		store := rollout.NewStore()
 		store.Advance(configuration)
 		created.stores[target.ID] = store
-		owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: quicService, Target: target.ID, MaximumFlows: 1 << 20})
-		created.owners[target.ID] = owners
+		owned := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: quicService, Target: target.ID, MaximumFlows: 1 << 20})
+		created.ownedFlows[target.ID] = owned
 		created.agents[target.ID] = steering.New(steering.Options{
 			Target:         target.ID,
 			Configurations: store,
-			OwnedFlows:     owners,
+			OwnedFlows:     owned,
 			Load: func() model.TargetLoad {
 				return model.TargetLoad{Target: target.ID, Slots: 2, Healthy: true}
 			},
@@ -58,8 +58,8 @@
 	}
 }
 
-// deliver follows a forwarded packet from agent to agent, and returns the target
-// that delivers it, or zero.
+// deliver follows a forwarded packet from agent to agent, and returns the target that
+// delivers it, or zero, and the last decision.
 func (service *simulatedService) deliver(encapsulated *packet.Encapsulated) (model.TargetID, steering.Decision) {
 	owner, decision, _ := service.deliverCountingPasses(encapsulated)
 	return owner, decision
--- a/internal/balancer/traffic_bench_test.go
+++ b/internal/balancer/traffic_bench_test.go
@@ -59,7 +59,7 @@
 	return created
 }
 
-func (arrivals *sink) receive(connection *ipv4.PacketConn) {
+func (sink *sink) receive(connection *ipv4.PacketConn) {
 	messages := make([]ipv4.Message, sendBatchSize)
 	for position := range messages {
 		messages[position].Buffers = [][]byte{make([]byte, receiveBufferBytes)}
@@ -69,23 +69,23 @@
 		if err != nil {
 			return
 		}
-		arrivals.received.Add(int64(count))
+		sink.received.Add(int64(count))
 	}
 }
 
 // sendAndAwait sends count datagrams to destination from all senders together, and
 // returns the time until all of them have arrived at the sink.
-func sendAndAwait(b *testing.B, senders []*sender, destination netip.AddrPort, arrivals *sink, count int) time.Duration {
+func sendAndAwait(b *testing.B, senders []*sender, destination netip.AddrPort, sink *sink, count int) time.Duration {
 	b.Helper()
 	var assigned atomic.Int64
 	var group sync.WaitGroup
-	before := arrivals.received.Load()
+	before := sink.received.Load()
 	began := time.Now()
-	for _, from := range senders {
-		group.Go(func() { from.send(b, destination, arrivals, before, &assigned, int64(count)) })
+	for _, sender := range senders {
+		group.Go(func() { sender.send(b, destination, sink, before, &assigned, int64(count)) })
 	}
 	group.Wait()
-	awaitArrivals(b, arrivals, before+int64(count))
+	awaitArrivals(b, sink, before+int64(count))
 	return time.Since(began)
 }
 
@@ -111,20 +111,20 @@
 // send sends batches of datagrams until all senders together have sent count. Each batch
 // is reserved by adding it to assigned, which the senders share. before is the sink's
 // count at the start.
-func (from *sender) send(b *testing.B, destination netip.AddrPort, arrivals *sink, before int64, assigned *atomic.Int64, count int64) {
+func (sender *sender) send(b *testing.B, destination netip.AddrPort, sink *sink, before int64, assigned *atomic.Int64, count int64) {
 	address := net.UDPAddrFromAddrPort(destination)
 	for {
 		last := assigned.Add(sendBatchSize)
 		if last > count {
 			return
 		}
-		awaitArrivals(b, arrivals, before+last-maximumInFlight)
-		for position := range from.messages {
-			from.messages[position].Buffers = [][]byte{from.datagrams[(int(last)+position)%len(from.datagrams)]}
-			from.messages[position].Addr = address
+		awaitArrivals(b, sink, before+last-maximumInFlight)
+		for position := range sender.messages {
+			sender.messages[position].Buffers = [][]byte{sender.datagrams[(int(last)+position)%len(sender.datagrams)]}
+			sender.messages[position].Addr = address
 		}
-		for waiting := from.messages; len(waiting) > 0; {
-			written, err := from.connection.WriteBatch(waiting, 0)
+		for waiting := sender.messages; len(waiting) > 0; {
+			written, err := sender.connection.WriteBatch(waiting, 0)
 			if err != nil {
 				b.Error(err)
 				return
@@ -135,16 +135,16 @@
 }
 
 // awaitArrivals waits until the sink has received wanted datagrams since its start.
-func awaitArrivals(b *testing.B, arrivals *sink, wanted int64) {
+func awaitArrivals(b *testing.B, sink *sink, wanted int64) {
 	b.Helper()
 	var stalled time.Time
-	for arrivals.received.Load() < wanted {
+	for sink.received.Load() < wanted {
 		runtime.Gosched()
 		if stalled.IsZero() {
 			stalled = time.Now().Add(stallTimeout)
 		}
 		if time.Now().After(stalled) {
-			b.Errorf("%d packets arrived, want %d", arrivals.received.Load(), wanted)
+			b.Errorf("%d packets arrived, want %d", sink.received.Load(), wanted)
 			return
 		}
 	}
