--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -5,7 +5,7 @@
 // unless there is only one. Feeds hold no slot and have a limit of their own.
 // Requests that find no free slot wait in a bounded queue, ordered by weighted
 // deadlines. A request is refused as soon as it is expected to miss its deadline.
-// Each refusal says after which time a retry is worthwhile.
+// Each refusal has a Retry-After time, after which a retry is worthwhile.
 //
 // The package is deterministic and performs no I/O: callers pass the time, the
 // random number generator is seeded, and no call blocks.
@@ -254,7 +254,7 @@
 }
 
 // Forecast returns the refusal that a request would get if it were offered now, and
-// false if it would run or be queued. It changes no state of requests.
+// false if it would run or be queued. It does not change the queue or the running requests.
 func (controller *Controller) Forecast(now time.Time, request Request) (Decision, bool) {
 	controller.lock.Lock()
 	defer controller.lock.Unlock()
--- a/internal/admission/request.go
+++ b/internal/admission/request.go
@@ -54,7 +54,7 @@
 	// ResultShed means that the back end refused the request for lack of capacity.
 	ResultShed
 	// ResultFailed means that the back end could not be reached, or that its answer
-	// was late, truncated, or that to another request.
+	// was late, was truncated, or belonged to another request.
 	ResultFailed
 	// ResultNeutral means that the request ended for a reason on the caller's side.
 	ResultNeutral
--- a/internal/balancer/decision.go
+++ b/internal/balancer/decision.go
@@ -138,8 +138,8 @@
 
 // Hint caches the owner that an agent reports for a flow. It accepts a hint only if
 // the hint's service has the flow's destination address, the owner is a target of
-// that service, and the sender is that target's agent. A hint that is stale when it
-// is used costs extra hops between agents but breaks no flow.
+// that service, and the sender has the IP address of that target's agent. A hint that
+// is stale when it is used costs extra hops between agents but breaks no flow.
 //
 // A hint about an opening packet only fills a free cache entry, so that a flood of
 // opening packets evicts no established flow.
--- a/internal/balancer/index_bench_test.go
+++ b/internal/balancer/index_bench_test.go
@@ -32,8 +32,8 @@
 }
 
 // BenchmarkIndex measures the time and the heap that building the index takes, which a
-// configuration change costs a balancer in addition to applying it. Its results over the
-// sizes give the slope in docs/CAPACITY.md.
+// configuration change costs a balancer in addition to applying it. docs/CAPACITY.md
+// derives its growth rates from these figures.
 func BenchmarkIndex(b *testing.B) {
 	for _, size := range []struct{ services, targets int }{{600, 5125}, {1200, 10250}, {2400, 20500}, {4800, 41000}} {
 		b.Run(fmt.Sprintf("services=%d,targets=%d", size.services, size.targets), func(b *testing.B) {
--- a/internal/flow/owners.go
+++ b/internal/flow/owners.go
@@ -76,14 +76,14 @@
 
 type ownedFlow struct {
 	bucket model.BucketIndex
-	// lastSeen is the time of the latest packet since epoch.
+	// lastSeen is the time of the latest packet, as a duration since epoch.
 	lastSeen time.Duration
 }
 
 type assignment struct {
 	bucket model.BucketIndex
 	target model.TargetID
-	// lastSeen is the time of the latest lookup since epoch.
+	// lastSeen is the time of the latest lookup, or of the assignment, as a duration since epoch.
 	lastSeen time.Duration
 }
 
--- a/internal/model/flow.go
+++ b/internal/model/flow.go
@@ -9,7 +9,7 @@
 	Destination netip.AddrPort
 }
 
-// Stage is how far the decision about a packet has come on its way along a chain of targets.
+// Stage is the step that the decision about a packet has reached on its way along a chain of targets.
 type Stage uint8
 
 // The stages of a packet.
@@ -39,11 +39,12 @@
 	Waiting uint32
 	// Feeds is the number of open feeds.
 	Feeds uint32
-	// Slots is the number of slots.
+	// Slots is the number of slots that are usable now.
 	Slots uint32
 	// Cold reports whether the target is in slow start.
 	Cold bool
-	// Healthy reports whether the back end works, judged by the agent's own results.
+	// Healthy reports whether new work should be sent to the back end. The agent decides it by the
+	// results of its own requests first, and by the back end's health reports.
 	Healthy bool
 }
 
--- a/internal/model/rollout.go
+++ b/internal/model/rollout.go
@@ -25,8 +25,8 @@
 type RolloutStatus struct {
 	// Committed is the latest revision of the configuration.
 	Committed Revision
-	// InForce is the highest revision that every leased balancer runs at least, or zero while that is
-	// not known.
+	// InForce is the highest revision such that every leased balancer runs it or a later one, or zero
+	// while that is not known.
 	InForce Revision
 	// Nodes has all known nodes, in order of name.
 	Nodes []NodeStatus
--- a/internal/routing/empty.go
+++ b/internal/routing/empty.go
@@ -45,8 +45,8 @@
 	return sorted
 }
 
-// BucketsMovedFrom returns, in order, the buckets that list target as an earlier target that was
-// moved at revision at or before.
+// BucketsMovedFrom returns, in order of their index, the buckets that have target as an earlier
+// target whose MovedAt is not later than revision at.
 func BucketsMovedFrom(table *model.BucketTable, target model.TargetID, at model.Revision) []model.BucketIndex {
 	var left []model.BucketIndex
 	for bucket, earlier := range table.Earlier {
--- a/internal/routing/level.go
+++ b/internal/routing/level.go
@@ -81,7 +81,7 @@
 }
 
 // moveOneRow moves one row from a target with a high count to one with a low count, and reports
-// whether it did. Move updates the counts.
+// whether it did. The function move updates the counts.
 func (plan *plan) moveOneRow(counts map[model.TargetID]int, rowsOf rowSets, move moveFunc) bool {
 	ascending := plan.servingByCount(counts)
 	for _, donor := range slices.Backward(ascending) {
--- a/internal/routing/rebalance.go
+++ b/internal/routing/rebalance.go
@@ -18,7 +18,9 @@
 //   - A row has at most model.MaximumEarlierTargets earlier targets. A change
 //     that would need more is not made; a later call makes it once an entry
 //     has been removed.
-//   - Only serving targets become head or alternate.
+//   - Only serving targets become head or alternate. The exception is the
+//     alternate of a dead head, which becomes the head, serving or not, when no
+//     serving target can.
 package routing
 
 import (
--- a/internal/steering/opening.go
+++ b/internal/steering/opening.go
@@ -213,7 +213,8 @@
 	return steering.forward(packet, newest, newest.chain, 0, model.StageReturn, steering.localScore(packet))
 }
 
-// openReturned opens a flow at the head after the alternate refused it.
+// openReturned opens a flow at the head after the alternate refused it. If this target is not the
+// head of the newest row, it starts the decision again.
 func (steering *Steering) openReturned(packet *packetState, newest row) (Decision, bool) {
 	if newest.head() != steering.options.Target {
 		return steering.startOpening(packet, newest)
--- a/internal/steering/steering.go
+++ b/internal/steering/steering.go
@@ -9,9 +9,10 @@
 //
 //  1. An opening packet goes to the head. An agent that knows a newer row than
 //     the packet replaces the packet's chain by it.
-//  2. While the row has earlier targets, the head first sends the packet
-//     through every other target of the chain (StageSearch). The owner, if
-//     there is one, delivers the packet. Each other target raises its fence:
+//  2. While the row has earlier targets, and in a few other cases (see
+//     needsSearch), the head first sends the packet through every other target
+//     of the chain (StageSearch). The owner, if there is one, delivers the
+//     packet. Each other target raises its fence:
 //     from then on it opens no flow of the bucket by an older row, and forwards
 //     such packets along the newer chain. So of two heads of different
 //     revisions, the newer one either finds the flow at the older one, or the
