--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -142,7 +142,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		packed = encoder.Describe(packed)
+		packed = encoder.WithDescriptions(packed)
 		b.Run("encode", func(b *testing.B) {
 			for b.Loop() {
 				if _, err := encoder.Encode(update); err != nil {
--- a/internal/board/queue.go
+++ b/internal/board/queue.go
@@ -60,8 +60,8 @@
 	return queue.dropped
 }
 
-// Refuse counts a value that its reader could not take.
-func (queue *Queue[Value]) Refuse() {
+// CountRefused counts a value that its reader could not take.
+func (queue *Queue[Value]) CountRefused() {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	queue.refused++
--- a/internal/control/distributor.go
+++ b/internal/control/distributor.go
@@ -43,7 +43,7 @@
 
 func newDistributor(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, source rollout.Source,
 	registry *membership.Registry, leadership *leadershipTracker) *Distributor {
-	dispatcher.AcceptPassed()
+	dispatcher.AcceptForwarded()
 	return &Distributor{
 		mailbox:    mailbox,
 		source:     source,
@@ -108,7 +108,7 @@
 // confirm tells the publisher what a relay holds. A far relay gets its updates
 // from the relay that it is connected to.
 func (distributor *Distributor) confirm(now time.Time, relay model.NodeName, report protocol.Report) {
-	if !distributor.mailbox.Far(relay) {
+	if !distributor.mailbox.ReachedViaRelay(relay) {
 		distributor.publisher.Confirm(now, relay, report.Applied, report.Digest)
 	}
 }
--- a/internal/control/module.go
+++ b/internal/control/module.go
@@ -43,7 +43,7 @@
 		transport.Module(),
 		fx.Provide(
 			state.NewMachine,
-			process.ProvideFolder,
+			process.ProvideDataFolder,
 			provideReplica,
 			replica.NewNode,
 			func(node *replica.Node) replica.Group { return node },
--- a/internal/direct/admin/server.go
+++ b/internal/direct/admin/server.go
@@ -109,7 +109,7 @@
 }
 
 func (server *server) putConfiguration(writer http.ResponseWriter, request *http.Request) {
-	bodyRead, err := process.BoundBody(writer)
+	bodyRead, err := process.SetBodyDeadline(writer)
 	if err != nil {
 		server.writeError(writer, faults.New(faults.CodeOutcomeUnknown, "%v", err))
 		return
--- a/internal/direct/balancernode/connector.go
+++ b/internal/direct/balancernode/connector.go
@@ -45,7 +45,7 @@
 	case 0:
 	case 1:
 		delete(connections.references, node)
-		connections.links.Hangup(node)
+		connections.links.Disconnect(node)
 	default:
 		connections.references[node]--
 	}
--- a/internal/direct/member/connections.go
+++ b/internal/direct/member/connections.go
@@ -66,7 +66,7 @@
 	for name := range connections.dialled {
 		if !slices.Contains(wanted, name) {
 			delete(connections.dialled, name)
-			connections.links.Hangup(name)
+			connections.links.Disconnect(name)
 		}
 	}
 	connections.readiness.Set(readinessComponent, status.Leader != "")
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -74,7 +74,7 @@
 		fx.Provide(
 			directory.New,
 			newHistograms,
-			process.ProvideFolder,
+			process.ProvideDataFolder,
 			provideReplica,
 			replica.NewNode,
 			registrar.NewRenewalTable,
--- a/internal/process/body.go
+++ b/internal/process/body.go
@@ -12,10 +12,10 @@
 // answer, and send 16 MB in two on a link of 100 Mbit/s.
 const bodyWithin = 5 * time.Second
 
-// BoundBody makes reads of a request's body fail once bodyWithin has passed. The returned
+// SetBodyDeadline makes reads of a request's body fail once bodyWithin has passed. The returned
 // function ends the bound; it is called once the body was read whole. Without that call
 // the bound stays, because a server reads what is left of a body before it answers.
-func BoundBody(writer http.ResponseWriter) (done func(), err error) {
+func SetBodyDeadline(writer http.ResponseWriter) (done func(), err error) {
 	controller := http.NewResponseController(writer)
 	err = controller.SetReadDeadline(time.Now().Add(bodyWithin))
 	if errors.Is(err, http.ErrNotSupported) {
--- a/internal/process/body_test.go
+++ b/internal/process/body_test.go
@@ -17,7 +17,7 @@
 func TestCallWhoseConnectionFallsSilentEnds(t *testing.T) {
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		done, err := BoundBody(writer)
+		done, err := SetBodyDeadline(writer)
 		if err == nil {
 			_, err = io.ReadAll(request.Body)
 			done()
@@ -41,7 +41,7 @@
 // TestBoundEndsWithTheBody: a call may take longer than its body.
 func TestBoundEndsWithTheBody(t *testing.T) {
 	writer := httptest.NewRecorder()
-	done, err := BoundBody(writer)
+	done, err := SetBodyDeadline(writer)
 	require.NoError(t, err, "a writer without a connection")
 	done()
 }
--- a/internal/process/folder.go
+++ b/internal/process/folder.go
@@ -8,9 +8,9 @@
 	"merlinpaddle/internal/settings"
 )
 
-// ProvideFolder opens and locks the data folder of the settings and gives it
+// ProvideDataFolder opens and locks the data folder of the settings and gives it
 // up when the process stops.
-func ProvideFolder(lifecycle fx.Lifecycle, chosen settings.Settings) (filesystem.FileSystem, error) {
+func ProvideDataFolder(lifecycle fx.Lifecycle, chosen settings.Settings) (filesystem.FileSystem, error) {
 	folder, err := disk.Open(chosen.DataFolder)
 	if err != nil {
 		return nil, err
--- a/internal/protocol/dispatcher.go
+++ b/internal/protocol/dispatcher.go
@@ -37,9 +37,9 @@
 	return queue
 }
 
-// AcceptPassed makes messages that relays passed on count as those of the far
+// AcceptForwarded makes messages that relays passed on count as those of the far
 // relay. Control members call it before the first Reconcile.
-func (dispatcher *Dispatcher) AcceptPassed() { dispatcher.acceptsPassed = true }
+func (dispatcher *Dispatcher) AcceptForwarded() { dispatcher.acceptsPassed = true }
 
 // Name implements board.Controller.
 func (dispatcher *Dispatcher) Name() string { return "dispatcher" }
--- a/internal/protocol/envelope.go
+++ b/internal/protocol/envelope.go
@@ -63,8 +63,8 @@
 // goes with every message in place of the type's name. Codes are unique.
 func RegisterAs(code string, message any) { gob.RegisterName(code, message) }
 
-// Far tells whether the process named name was last heard through a relay.
-func (mailbox *Mailbox) Far(name model.NodeName) bool {
+// ReachedViaRelay reports whether the process named name was last heard through a relay.
+func (mailbox *Mailbox) ReachedViaRelay(name model.NodeName) bool {
 	_, far := mailbox.routes.find(name)
 	return far
 }
--- a/internal/protocol/loss.go
+++ b/internal/protocol/loss.go
@@ -7,8 +7,8 @@
 const (
 	// LossFull: the queue was full.
 	LossFull LossReason = "queue full"
-	// LossOtherType: the queue is for messages of another type.
-	LossOtherType LossReason = "other type"
+	// LossWrongType: the queue is for messages of another type.
+	LossWrongType LossReason = "other type"
 	// LossNoHandler: no controller handles the type.
 	LossNoHandler LossReason = "no handler"
 )
@@ -31,6 +31,6 @@
 	visit(Loss{Queue: inboxName, Reason: LossFull}, dispatcher.mailbox.Inbox.Dropped())
 	for _, queue := range dispatcher.queues {
 		visit(Loss{Queue: queue.Name(), Reason: LossFull}, queue.Dropped())
-		visit(Loss{Queue: queue.Name(), Reason: LossOtherType}, queue.Refused())
+		visit(Loss{Queue: queue.Name(), Reason: LossWrongType}, queue.Refused())
 	}
 }
--- a/internal/protocol/pack.go
+++ b/internal/protocol/pack.go
@@ -69,8 +69,8 @@
 	return encoder
 }
 
-// Types identifies the type descriptions of the encoder's updates.
-func (encoder *UpdateEncoder) Types() uint64 { return encoder.types }
+// TypesID identifies the type descriptions of the encoder's updates.
+func (encoder *UpdateEncoder) TypesID() uint64 { return encoder.types }
 
 // Encode returns the update without type descriptions.
 func (encoder *UpdateEncoder) Encode(update Update) (PackedUpdate, error) {
@@ -101,8 +101,8 @@
 	return compressed.Bytes(), nil
 }
 
-// Describe returns packed with its type descriptions.
-func (encoder *UpdateEncoder) Describe(packed PackedUpdate) PackedUpdate {
+// WithDescriptions returns packed with its type descriptions.
+func (encoder *UpdateEncoder) WithDescriptions(packed PackedUpdate) PackedUpdate {
 	packed.Descriptions = encoder.descriptions
 	return packed
 }
@@ -129,9 +129,9 @@
 	return &UpdateDecoder{streams: make(map[uint64]*updateStream)}
 }
 
-// Types identifies the type descriptions that the latest update needed, or is
+// TypesID identifies the type descriptions that the latest update needed, or is
 // zero when the decoder does not have them.
-func (decoder *UpdateDecoder) Types() uint64 {
+func (decoder *UpdateDecoder) TypesID() uint64 {
 	if _, known := decoder.streams[decoder.latest]; !known {
 		return 0
 	}
--- a/internal/protocol/pack_test.go
+++ b/internal/protocol/pack_test.go
@@ -46,10 +46,10 @@
 		want    []model.Revision
 		unknown []bool
 	}{
-		{name: "in order", packed: []PackedUpdate{encoder.Describe(first), second}, want: []model.Revision{8, 9}, unknown: []bool{false, false}},
-		{name: "first lost", packed: []PackedUpdate{second, encoder.Describe(first), second}, want: []model.Revision{0, 8, 9}, unknown: []bool{true, false, false}},
-		{name: "reordered", packed: []PackedUpdate{encoder.Describe(second), first}, want: []model.Revision{9, 8}, unknown: []bool{false, false}},
-		{name: "doubled", packed: []PackedUpdate{encoder.Describe(first), first, encoder.Describe(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
+		{name: "in order", packed: []PackedUpdate{encoder.WithDescriptions(first), second}, want: []model.Revision{8, 9}, unknown: []bool{false, false}},
+		{name: "first lost", packed: []PackedUpdate{second, encoder.WithDescriptions(first), second}, want: []model.Revision{0, 8, 9}, unknown: []bool{true, false, false}},
+		{name: "reordered", packed: []PackedUpdate{encoder.WithDescriptions(second), first}, want: []model.Revision{9, 8}, unknown: []bool{false, false}},
+		{name: "doubled", packed: []PackedUpdate{encoder.WithDescriptions(first), first, encoder.WithDescriptions(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
-	update, err := NewUpdateDecoder().Decode(encoder.Describe(packed))
+	update, err := NewUpdateDecoder().Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, fullUpdate(), update)
 }
@@ -81,7 +81,7 @@
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
 	decoder := NewUpdateDecoder()
-	_, err = decoder.Decode(encoder.Describe(packed))
+	_, err = decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 
 	damaged := packed
@@ -90,7 +90,7 @@
 	require.Error(t, err)
 	_, err = decoder.Decode(packed)
 	require.ErrorIs(t, err, ErrUnknownTypes)
-	update, err := decoder.Decode(encoder.Describe(packed))
+	update, err := decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, fullUpdate(), update)
 }
@@ -113,7 +113,7 @@
 	require.NoError(t, err)
 	require.True(t, packed.Compressed)
 	decoder := NewUpdateDecoder()
-	update, err := decoder.Decode(encoder.Describe(packed))
+	update, err := decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, large, update)
 
@@ -124,7 +124,7 @@
 	small, err := encoder.Encode(Update{Committed: 9})
 	require.NoError(t, err)
 	require.False(t, small.Compressed)
-	update, err = decoder.Decode(encoder.Describe(small))
+	update, err = decoder.Decode(encoder.WithDescriptions(small))
 	require.NoError(t, err, "a damaged update hinders no later one")
 	require.Equal(t, model.Revision(9), update.Committed)
 }
--- a/internal/protocol/receive.go
+++ b/internal/protocol/receive.go
@@ -23,7 +23,7 @@
 	for _, envelope := range envelopes {
 		message, matches := envelope.Message.(Message)
 		if !matches {
-			queue.Refuse()
+			queue.CountRefused()
 			continue
 		}
 		received = append(received, Received[Message]{From: envelope.From, Message: message})
--- a/internal/protocol/receive_test.go
+++ b/internal/protocol/receive_test.go
@@ -43,7 +43,7 @@
 		}
 	})
 	require.Equal(t, map[Loss]uint64{
-		{Queue: "protocol.greeting", Reason: LossOtherType}: 1,
+		{Queue: "protocol.greeting", Reason: LossWrongType}: 1,
 		{Queue: "inbox", Reason: LossNoHandler}:             1,
 	}, losses)
 }
--- a/internal/relay/controller.go
+++ b/internal/relay/controller.go
@@ -174,7 +174,7 @@
 		Incarnation: controller.options.Incarnation,
 		Have:        configuration.Revision,
 		Digest:      configuration.Digest(),
-		Types:       controller.decoder.Types(),
+		Types:       controller.decoder.TypesID(),
 	})
 }
 
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -108,7 +108,7 @@
 func (publisher *Publisher) Resync(now time.Time, subscriber model.NodeName, request protocol.Subscribe) {
 	publisher.Confirm(now, subscriber, request.Have, request.Digest)
 	publisher.subscribers[subscriber].sent = request.Have
-	publisher.subscribers[subscriber].hasDescriptions = request.Types == publisher.encoder.Types()
+	publisher.subscribers[subscriber].hasDescriptions = request.Types == publisher.encoder.TypesID()
 	publisher.outdated[subscriber] = struct{}{}
 }
 
@@ -249,7 +249,7 @@
 	entry.sentAt = now
 	if !entry.hasDescriptions {
 		entry.hasDescriptions = true
-		packed = publisher.encoder.Describe(packed)
+		packed = publisher.encoder.WithDescriptions(packed)
 	}
 	publisher.mailbox.Send(name, packed)
 }
--- a/internal/rollout/publisher_test.go
+++ b/internal/rollout/publisher_test.go
@@ -146,7 +146,7 @@
 	subscribe := func() protocol.PackedUpdate {
 		mailbox := protocol.NewMailbox("relay")
 		publisher := NewPublisher(mailbox, source)
-		publisher.Resync(now, "balancer-1", protocol.Subscribe{Types: decoder.Types()})
+		publisher.Resync(now, "balancer-1", protocol.Subscribe{Types: decoder.TypesID()})
 		publisher.Publish(now, Confirmation{})
 		return receive(mailbox)
 	}
--- a/internal/rollout/subscriber.go
+++ b/internal/rollout/subscriber.go
@@ -273,7 +273,7 @@
 		Incarnation: subscriber.options.Incarnation,
 		Have:        received.Revision,
 		Digest:      received.Digest(),
-		Types:       subscriber.decoder.Types(),
+		Types:       subscriber.decoder.TypesID(),
 	})
 	subscriber.nextHeartbeat = now
 }
--- a/internal/sim/mutant/rollout.go
+++ b/internal/sim/mutant/rollout.go
@@ -163,7 +163,7 @@
 			update.Deltas[place].Services = nil
 		}
 		if changed, err := encoder.Encode(update); err == nil {
-			envelope.Message = encoder.Describe(changed)
+			envelope.Message = encoder.WithDescriptions(changed)
 		}
 		return []protocol.Envelope{envelope}
 	}
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -30,9 +30,9 @@
 	ReadTimeout time.Duration
 	// WriteTimeout bounds the writing of one piece.
 	WriteTimeout time.Duration
-	// BackoffLeast and BackoffMost bound the wait between two attempts.
-	BackoffLeast time.Duration
-	BackoffMost  time.Duration
+	// MinBackoff and MaxBackoff bound the wait between two attempts.
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 }
 
 func (timing Timing) firstConnectTimeout() time.Duration {
@@ -49,8 +49,8 @@
 		Keepalive:      2 * time.Second,
 		ReadTimeout:    6 * time.Second,
 		WriteTimeout:   5 * time.Second,
-		BackoffLeast:   50 * time.Millisecond,
-		BackoffMost:    2 * time.Second,
+		MinBackoff:     50 * time.Millisecond,
+		MaxBackoff:     2 * time.Second,
 	}
 }
 
@@ -63,8 +63,8 @@
 		Keepalive:           250 * time.Millisecond,
 		ReadTimeout:         900 * time.Millisecond,
 		WriteTimeout:        900 * time.Millisecond,
-		BackoffLeast:        20 * time.Millisecond,
-		BackoffMost:         40 * time.Millisecond,
+		MinBackoff:          20 * time.Millisecond,
+		MaxBackoff:          40 * time.Millisecond,
 	}
 }
 
@@ -174,9 +174,9 @@
 	}
 }
 
-// Hangup closes the connection to peer and makes it no more. Messages that
+// Disconnect closes the connection to peer and makes it no more. Messages that
 // wait for it are dropped.
-func (links *Links) Hangup(peer model.NodeName) {
+func (links *Links) Disconnect(peer model.NodeName) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
 	link, exists := links.outgoing[peer]
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -70,8 +70,8 @@
 func startStoppable(t *testing.T, options endpointOptions) (*endpoint, func()) {
 	t.Helper()
 	timing := DefaultTiming()
-	timing.BackoffLeast = 5 * time.Millisecond
-	timing.BackoffMost = 50 * time.Millisecond
+	timing.MinBackoff = 5 * time.Millisecond
+	timing.MaxBackoff = 50 * time.Millisecond
 	if options.timing != nil {
 		options.timing(&timing)
 	}
--- a/internal/transport/outgoing.go
+++ b/internal/transport/outgoing.go
@@ -66,7 +66,7 @@
 		}
 	}()
 	timing := link.links.options.Timing
-	delay := timing.BackoffLeast
+	delay := timing.MinBackoff
 	connectTimeout := timing.firstConnectTimeout()
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		established, err := link.connectAndServe(ctx, connectTimeout)
@@ -79,13 +79,13 @@
 		}
 		connectTimeout = min(2*connectTimeout, timing.ConnectTimeout)
 		if established {
-			delay = timing.BackoffLeast
+			delay = timing.MinBackoff
 			connectTimeout = timing.firstConnectTimeout()
 		}
 		if !sleep(ctx, jitter(delay)) {
 			return
 		}
-		delay = min(2*delay, timing.BackoffMost)
+		delay = min(2*delay, timing.MaxBackoff)
 	}
 }
 
