--- a/internal/protocol/claim.go
+++ b/internal/protocol/claim.go
@@ -6,35 +6,36 @@
 	"merlinpaddle/internal/model"
 )
 
-// ClaimKey identifies one request that may run at most once.
+// ClaimKey identifies a request that may run at most once.
 type ClaimKey struct {
 	Tenant  model.TenantName
 	Service string
 	Key     string
 }
 
-// ClaimState is what the control group knows of a claimed request.
+// ClaimState is the control group's answer to a claim.
 type ClaimState uint8
 
 // The states of a claim.
 const (
-	// ClaimGranted: this agent, and no other, may run the request once.
+	// ClaimGranted means that only this agent may run the request, once.
 	ClaimGranted ClaimState = iota + 1
-	// ClaimInProgress: another holder has the key and its outcome is not
-	// known; the request is never run again.
+	// ClaimInProgress means that the key is held by another claim whose outcome is unknown. The
+	// request is not run again.
 	ClaimInProgress
-	// ClaimCompleted: the recorded outcome answers the request.
+	// ClaimCompleted means that the request is answered with the recorded outcome.
 	ClaimCompleted
-	// ClaimMismatch: the key was used with another body.
+	// ClaimMismatch means that the key was used by a request with another fingerprint.
 	ClaimMismatch
-	// ClaimUnavailable: no quorum confirmed the claim; nothing ran.
+	// ClaimUnavailable means that the claim was not granted and the request did not run: no quorum
+	// confirmed the claim, its claimant may not claim it, or a limit on claims was reached.
 	ClaimUnavailable
 )
 
-// ClaimRequest asks for the right to run a request. Requests are sent to the
-// agent's relay, which passes them to the control leader.
+// ClaimRequest asks for the right to run a request. An agent sends it to its relay, which forwards
+// it to the control leader.
 type ClaimRequest struct {
-	// Correlation pairs the reply with the request.
+	// Correlation identifies the request in its reply.
 	Correlation uint64
 	Key         ClaimKey
 	// Fingerprint is a checksum of method, path and body.
@@ -49,16 +50,15 @@
 	Key         ClaimKey
 	Agent       model.NodeName
 	Incarnation model.Incarnation
-	// NotRun tells that the back end never got the request: the key becomes
-	// free again.
+	// NotRun means that the back end never received the request. The key may be claimed again.
 	NotRun bool
-	// Status and Body are the answer, replayed to a resent request.
+	// Status and Body are the back end's answer, which is replayed to a resent request.
 	Status int
 	Body   []byte
 	// ContentType is the answer's content type.
 	ContentType string
-	// BodyOmitted tells that the body was too large to keep: a resent request
-	// learns that it ran, and with which status.
+	// BodyOmitted means that the body was too large to keep. A resent request is answered with the
+	// status only.
 	BodyOmitted bool
 }
 
@@ -69,7 +69,8 @@
 	State       ClaimState
 	// Outcome is set with ClaimCompleted.
 	Outcome *ClaimOutcome
-	// GrantedFor bounds the time in which the grant may start the run.
+	// GrantedFor is the time within which the agent must start the request, counted by the agent
+	// from when it first sent the ClaimRequest.
 	GrantedFor time.Duration
 }
 
--- a/internal/protocol/envelope.go
+++ b/internal/protocol/envelope.go
@@ -1,9 +1,8 @@
-// Package protocol defines the control messages between the system's own
-// processes. Messages travel as encoding/gob values inside an Envelope; the
-// transport package carries them, and simulation carries them in memory.
+// Package protocol defines the control messages between the processes of the system. A message is
+// sent as an encoding/gob value inside an Envelope. Package transport carries envelopes over the
+// network; the simulation delivers them in memory.
 //
-// A message's concrete type must be registered with Register or RegisterAs by
-// the package that defines it.
+// The package that defines a message must register its concrete type with Register or RegisterAs.
 package protocol
 
 import (
@@ -14,17 +13,17 @@
 	"merlinpaddle/internal/model"
 )
 
-// Envelope is one control message on its way. Delivery is not assured: every
-// sender repeats or resynchronizes.
+// Envelope is a control message with its sender and receiver. Delivery is not guaranteed: senders
+// repeat messages or resynchronize.
 type Envelope struct {
 	From    model.NodeName
 	To      model.NodeName
 	Message any
 }
 
-// Mailbox is how controllers send and receive: rows on the blackboard. The
-// transport, or the simulated network, moves the outbox of one process to the
-// inbox of another. A role's dispatcher sorts the inbox into typed queues.
+// Mailbox has the queues through which the controllers of a process send and receive messages. The
+// transport, or the simulated network, moves envelopes from the outbox of one process to the inbox
+// of another. The Dispatcher moves them from the inbox to the queues for their types.
 type Mailbox struct {
 	Self   model.NodeName
 	Inbox  *board.Queue[Envelope]
@@ -33,10 +32,11 @@
 	routes routes
 }
 
-// mailboxCapacity bounds each direction, in messages.
+// mailboxCapacity bounds each queue of a process: inbox, outbox, and the queue of each message type,
+// in messages.
 const mailboxCapacity = 1 << 16
 
-// NewMailbox returns an empty mailbox of the process named self.
+// NewMailbox returns an empty mailbox for the process named self.
 func NewMailbox(self model.NodeName) *Mailbox {
 	return &Mailbox{
 		Self:   self,
@@ -45,26 +45,27 @@
 	}
 }
 
-// Send posts message for the process named to. One that was heard through
-// another relay is answered the same way.
+// Send queues message for the process named to. If the latest message from that process came
+// through another relay, the message is sent back through that relay.
 func (mailbox *Mailbox) Send(to model.NodeName, message any) {
-	if neighbour, far := mailbox.routes.find(to); far {
+	if nextHop, found := mailbox.routes.find(to); found {
 		message = Passed{Relay: to, Message: message}
-		to = neighbour
+		to = nextHop
 	}
 	mailbox.Outbox.Put(Envelope{From: mailbox.Self, To: to, Message: message})
 }
 
-// Register makes the concrete type of message known to the codec. The type's
-// name goes with every message.
+// Register registers the concrete type of message with encoding/gob under the type's name, which is
+// sent with every message.
 func Register(message any) { gob.RegisterName(reflect.TypeOf(message).String(), message) }
 
-// RegisterAs registers a message that is sent often under a short code, which
-// goes with every message in place of the type's name. Codes are unique.
+// RegisterAs registers the concrete type of message under a short code, which is sent in place of
+// the type's name. It is meant for messages that are sent often. Each code must be unique.
 func RegisterAs(code string, message any) { gob.RegisterName(code, message) }
 
-// ReachedViaRelay reports whether the process named name was last heard through a relay.
+// ReachedViaRelay reports whether the latest message from the process named name was forwarded by a
+// relay. Only a process whose dispatcher accepts forwarded messages knows of such processes.
 func (mailbox *Mailbox) ReachedViaRelay(name model.NodeName) bool {
-	_, far := mailbox.routes.find(name)
-	return far
+	_, found := mailbox.routes.find(name)
+	return found
 }
--- a/internal/protocol/pack_test.go
+++ b/internal/protocol/pack_test.go
@@ -10,6 +10,7 @@
 	"merlinpaddle/internal/model"
 )
 
+// fullUpdate returns an update with a snapshot, a delta and the other fields set.
 func fullUpdate() Update {
 	configuration := model.NewConfiguration()
 	configuration.Revision = 7
@@ -33,7 +34,9 @@
 	}
 }
 
-func TestPackedUpdatesAreIndependentOfEachOther(t *testing.T) {
+// TestPackedUpdatesDecodeIndependently checks that lost, reordered and duplicated updates do not
+// prevent the decoding of others, as soon as the type descriptions have arrived.
+func TestPackedUpdatesDecodeIndependently(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	first, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
@@ -49,7 +52,7 @@
 		{name: "in order", packed: []PackedUpdate{encoder.WithDescriptions(first), second}, want: []model.Revision{8, 9}, unknown: []bool{false, false}},
 		{name: "first lost", packed: []PackedUpdate{second, encoder.WithDescriptions(first), second}, want: []model.Revision{0, 8, 9}, unknown: []bool{true, false, false}},
 		{name: "reordered", packed: []PackedUpdate{encoder.WithDescriptions(second), first}, want: []model.Revision{9, 8}, unknown: []bool{false, false}},
-		{name: "doubled", packed: []PackedUpdate{encoder.WithDescriptions(first), first, encoder.WithDescriptions(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
+		{name: "duplicated", packed: []PackedUpdate{encoder.WithDescriptions(first), first, encoder.WithDescriptions(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,7 +70,8 @@
 	}
 }
 
-func TestPackedUpdateKeepsEveryField(t *testing.T) {
+// TestPackedUpdateRoundTrip checks that every field of an update is encoded and decoded.
+func TestPackedUpdateRoundTrip(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
@@ -76,7 +80,9 @@
 	require.Equal(t, fullUpdate(), update)
 }
 
-func TestDamagedPayloadIsRefusedAndTypesAreAskedForAgain(t *testing.T) {
+// TestDamagedPayloadDiscardsTypeDescriptions checks that the decoder needs the type descriptions
+// again after a payload that gob cannot decode, because the state of the gob stream is then unknown.
+func TestDamagedPayloadDiscardsTypeDescriptions(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
@@ -95,7 +101,7 @@
 	require.Equal(t, fullUpdate(), update)
 }
 
-func TestDescriptionsAreLeftOut(t *testing.T) {
+func TestPayloadOmitsTypeDescriptions(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(Update{Deltas: []model.Delta{{From: 7, To: 8}}})
 	require.NoError(t, err)
@@ -125,6 +131,6 @@
 	require.NoError(t, err)
 	require.False(t, small.Compressed)
 	update, err = decoder.Decode(encoder.WithDescriptions(small))
-	require.NoError(t, err, "a damaged update hinders no later one")
+	require.NoError(t, err, "a damaged update does not prevent the decoding of a later one")
 	require.Equal(t, model.Revision(9), update.Committed)
 }
--- a/internal/protocol/receive.go
+++ b/internal/protocol/receive.go
@@ -5,15 +5,15 @@
 	"merlinpaddle/internal/model"
 )
 
-// Received is a message of a known type, and its sender.
+// Received is a message of a known type with its sender.
 type Received[Message any] struct {
 	From    model.NodeName
 	Message Message
 }
 
-// Receive removes and returns the messages of a queue that is for one type of
-// message. A message of another type is refused and counted by the queue
-// (board.Queue.Refused); taking it for an empty one would change state.
+// Receive removes and returns the messages of a queue that is for one message type. A message of
+// another type is discarded and counted (board.Queue.Refused). If it were handled as a zero value
+// of the expected type, it would change the receiver's state.
 func Receive[Message any](queue *board.Queue[Envelope]) []Received[Message] {
 	envelopes := queue.Drain()
 	if len(envelopes) == 0 {
--- a/internal/protocol/receive_test.go
+++ b/internal/protocol/receive_test.go
@@ -13,7 +13,7 @@
 
 type farewell struct{}
 
-func TestMessagesOfAnotherTypeAreRefused(t *testing.T) {
+func TestReceiveRefusesOtherTypes(t *testing.T) {
 	queue := board.NewQueue[Envelope]("greetings", 8)
 	queue.Put(Envelope{From: "a", Message: greeting{Text: "one"}})
 	queue.Put(Envelope{From: "b", Message: farewell{}})
@@ -27,7 +27,7 @@
 	require.Empty(t, Receive[greeting](queue))
 }
 
-func TestDispatcherCountsWhatItLoses(t *testing.T) {
+func TestDispatcherCountsLosses(t *testing.T) {
 	mailbox := NewMailbox("self")
 	dispatcher := NewDispatcher(mailbox)
 	greetings := dispatcher.Handle(greeting{})
