--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -14,8 +14,8 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// connection is one established stream to a peer whose name and role are
-// known. One goroutine reads it and one writes it.
+// connection is a stream to a peer. The peer's name and role are known after the handshake. Then one
+// goroutine reads from the stream and another writes to it.
 type connection struct {
 	self    model.NodeName
 	peer    keys.Process
@@ -46,7 +46,7 @@
 	}
 }
 
-// send writes frames and flushes them.
+// send writes frames and flushes the buffer.
 func (connection *connection) send(frames ...frame) error {
 	for index := range frames {
 		if err := connection.encoder.Encode(&frames[index]); err != nil {
@@ -67,27 +67,30 @@
 	return next, nil
 }
 
-// introduce sends the own hello and reads the peer's.
-func (connection *connection) introduce(own hello) error {
-	return connection.send(frame{Hello: &own})
+// sendHello sends the hello of this process.
+func (connection *connection) sendHello(local hello) error {
+	return connection.send(frame{Hello: &local})
 }
 
-// readHello reads the peer's introduction, or its refusal.
+// readHello reads the peer's hello. If the peer refused the connection, it returns the refusal as an
+// error.
 func (connection *connection) readHello() (hello, error) {
 	first, err := connection.receive()
 	if err != nil {
-		return hello{}, faults.New(faults.CodeLinkBroken, "read introduction: %v", err)
+		return hello{}, faults.New(faults.CodeLinkBroken, "read hello: %v", err)
 	}
 	if first.Refusal != nil {
 		return hello{}, faults.New(first.Refusal.Code, "refused by the peer: %s", first.Refusal.Text)
 	}
 	if first.Hello == nil || first.Hello.Name == "" {
-		return hello{}, faults.New(faults.CodeHelloRefused, "the first message is not an introduction")
+		return hello{}, faults.New(faults.CodeHelloRefused, "the first frame is not a hello with a name")
 	}
 	return *first.Hello, nil
 }
 
-// run reads and writes until the stream breaks or ctx ends, and returns why.
+// run reads and writes messages until the connection fails or ctx ends, and returns the reason. It
+// passes each received message to receive, and sends a keepalive after each interval of length
+// keepalive in which nothing was sent.
 func (connection *connection) run(ctx context.Context, keepalive time.Duration, receive func(protocol.Envelope)) error {
 	runContext, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,7 +118,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-connection.queue.notice:
-			if err := connection.writeWaiting(); err != nil {
+			if err := connection.writeQueued(); err != nil {
 				return err
 			}
 		case <-idle.C:
@@ -127,11 +130,12 @@
 	}
 }
 
-func (connection *connection) writeWaiting() error {
+// writeQueued sends the messages in the send queue.
+func (connection *connection) writeQueued() error {
 	envelopes := connection.queue.take(time.Now())
 	frames := make([]frame, 0, len(envelopes))
 	for index := range envelopes {
-		frames = append(frames, frame{Envelope: connection.shorten(envelopes[index])})
+		frames = append(frames, frame{Envelope: connection.omitKnownNames(envelopes[index])})
 	}
 	if len(frames) == 0 {
 		return nil
@@ -139,9 +143,9 @@
 	return connection.send(frames...)
 }
 
-// shorten leaves out the names that the peer knows from the introduction. A
-// name that differs is kept, for the peer to refuse.
-func (connection *connection) shorten(envelope protocol.Envelope) *protocol.Envelope {
+// omitKnownNames returns envelope without the names that the peer knows from the hello. A sender
+// other than this process is kept, and the peer refuses the message.
+func (connection *connection) omitKnownNames(envelope protocol.Envelope) *protocol.Envelope {
 	if envelope.From == connection.self {
 		envelope.From = ""
 	}
@@ -151,8 +155,8 @@
 	return &envelope
 }
 
-// restore undoes what the peer's shorten did.
-func (connection *connection) restore(envelope *protocol.Envelope) {
+// restoreNames sets the names that the peer omitted (omitKnownNames).
+func (connection *connection) restoreNames(envelope *protocol.Envelope) {
 	if envelope.From == "" {
 		envelope.From = connection.peer.Name
 	}
@@ -161,6 +165,8 @@
 	}
 }
 
+// readAll passes each received message to receive. It returns an error when the stream breaks, the
+// peer refuses the connection, or the peer sends a message that it may not send.
 func (connection *connection) readAll(receive func(protocol.Envelope)) error {
 	for {
 		next, err := connection.receive()
@@ -173,7 +179,7 @@
 		if next.Envelope == nil {
 			continue
 		}
-		connection.restore(next.Envelope)
+		connection.restoreNames(next.Envelope)
 		if next.Envelope.From != connection.peer.Name {
 			return faults.New(faults.CodeSenderRefused, "%s sent a message as %s", connection.peer.Name, next.Envelope.From)
 		}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -6,10 +6,9 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// frame is one value of the stream. A frame without any field set is a
-// keepalive.
+// frame is one value of the gob stream of a connection. A frame without fields is a keepalive.
 type frame struct {
-	// Hello introduces the sender; it is the first frame of each direction.
+	// Hello identifies the sender. It is the first frame in each direction.
 	Hello *hello
 	// Refusal is the last frame before the sender closes the connection.
 	Refusal *refusal
@@ -17,30 +16,31 @@
 	Envelope *protocol.Envelope
 }
 
-// hello tells who opened or accepted the connection. On TLS connections it
-// must equal the certificate.
+// hello identifies a process that opened or accepted a connection. On a TLS connection it must match
+// the process's certificate.
 type hello struct {
 	Name model.NodeName
 	Role model.Role
 }
 
-// refusal tells a peer why it may not connect.
+// refusal tells a peer why its connection is refused.
 type refusal struct {
 	Code faults.Code
 	Text string
 }
 
-// servedRoles lists, for each role, the roles that may connect to it.
-var servedRoles = map[model.Role][]model.Role{
+// acceptedRoles has, for each role, the roles from which it accepts connections.
+var acceptedRoles = map[model.Role][]model.Role{
 	model.RoleControl: {model.RoleControl, model.RoleRelay, model.RoleBalancer},
 	model.RoleRelay:   {model.RoleBalancer, model.RoleAgent, model.RoleRelay},
-	// Balancers of direct services pass their feed on.
+	// Balancers of direct services forward their feed to other balancers.
 	model.RoleBalancer: {model.RoleBalancer},
 }
 
-// serves tells whether a process of role server accepts one of role client.
-func serves(server, client model.Role) bool {
-	for _, role := range servedRoles[server] {
+// accepts reports whether a process of role server accepts connections from processes of role
+// client.
+func accepts(server, client model.Role) bool {
+	for _, role := range acceptedRoles[server] {
 		if role == client {
 			return true
 		}
@@ -48,9 +48,9 @@
 	return false
 }
 
-// maySend tells whether a process of the role may send the message. Only
-// relays report, and only they and control pass messages on: a node that could
-// would speak for others.
+// maySend reports whether a process of the role may send the message. Only relays may send reports,
+// and only relays and control may forward messages. Otherwise a node could send messages in the name
+// of other nodes.
 func maySend(role model.Role, message any) bool {
 	switch message.(type) {
 	case protocol.Report:
--- a/internal/transport/incoming.go
+++ b/internal/transport/incoming.go
@@ -12,10 +12,11 @@
 	"merlinpaddle/internal/model"
 )
 
-// acceptPause is the wait after a failed accept, for example when the process
-// has no file descriptors left.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, for example when the process has no file
+// descriptors left.
+const acceptRetryDelay = 50 * time.Millisecond
 
+// accept accepts connections until ctx ends.
 func (links *Links) accept(ctx context.Context) {
 	for {
 		raw, err := links.listener.Accept()
@@ -26,13 +27,15 @@
 			return
 		}
 		if err != nil {
-			sleep(ctx, acceptPause)
+			sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		links.spawn(func() { links.serveIncoming(ctx, raw) })
 	}
 }
 
+// serveIncoming performs the handshake on an accepted connection and carries messages over it until
+// it fails or ctx ends.
 func (links *Links) serveIncoming(ctx context.Context, raw net.Conn) {
 	defer raw.Close()
 	stopClose := context.AfterFunc(ctx, func() { _ = raw.Close() })
@@ -50,31 +53,33 @@
 		zap.Int("code", int(faults.CodeOf(err))), zap.Error(err))
 }
 
-// admit makes the TLS handshake, reads the peer's introduction, and refuses
-// peers whose role this process does not serve.
+// admit performs the TLS handshake, reads the peer's hello and answers it. It refuses a peer whose
+// certificate does not match its hello, or whose role this process does not accept.
 func (links *Links) admit(ctx context.Context, raw net.Conn) (*connection, error) {
 	stream, err := links.secure(ctx, raw)
 	if err != nil {
 		return nil, err
 	}
-	connection := newConnection(links.options.Self, stream, newSendQueue(links.options.Metrics.drop), links.options.Metrics.traffic)
+	connection := newConnection(links.options.Self, stream, newSendQueue(links.options.Metrics.countDrop), links.options.Metrics.traffic)
 	introduced, err := connection.readHello()
 	if err != nil {
 		return nil, err
 	}
 	peer, err := identify(stream, introduced)
-	if err == nil && !serves(links.options.Role, peer.Role) {
-		err = faults.New(faults.CodeRoleRefused, "a %s does not serve a %s", links.options.Role, peer.Role)
+	if err == nil && !accepts(links.options.Role, peer.Role) {
+		err = faults.New(faults.CodeRoleRefused, "a process of role %s does not accept connections from role %s", links.options.Role, peer.Role)
 	}
 	if err != nil {
-		links.options.Metrics.refuse(introduced.Role)
+		links.options.Metrics.countRefusal(introduced.Role)
 		_ = connection.send(frame{Refusal: &refusal{Code: faults.CodeOf(err), Text: err.Error()}})
 		return nil, err
 	}
 	connection.peer = peer
-	return connection, connection.introduce(links.hello())
+	return connection, connection.sendHello(links.hello())
 }
 
+// secure returns the connection with its bytes counted and its reads and writes limited in time, and
+// with TLS if this process has keys.
 func (links *Links) secure(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	metered := links.options.Metrics.meter(raw, links.options.Timing)
 	if links.options.Keys == nil {
@@ -89,16 +94,16 @@
 	return secured, nil
 }
 
-// addIncoming makes connection the way to its peer. An earlier connection of
-// the same peer is closed: the peer has given it up.
+// addIncoming makes connection the one by which messages to its peer are sent. A previous connection
+// from the same peer is closed, because the peer has abandoned it.
 func (links *Links) addIncoming(connection *connection) {
 	links.lock.Lock()
-	earlier := links.incoming[connection.peer.Name]
+	previous := links.incoming[connection.peer.Name]
 	links.incoming[connection.peer.Name] = connection
 	links.lock.Unlock()
 	links.options.Metrics.connections.Inc()
-	if earlier != nil {
-		_ = earlier.stream.Close()
+	if previous != nil {
+		_ = previous.stream.Close()
 	}
 }
 
@@ -111,7 +116,7 @@
 	}
 }
 
-// Peers returns the names of the processes that are connected to this one.
+// Peers returns the names of the processes whose connections this process accepted.
 func (links *Links) Peers() []model.NodeName {
 	links.lock.Lock()
 	defer links.lock.Unlock()
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -15,26 +15,28 @@
 	"merlinpaddle/internal/settings"
 )
 
-// Timing has the time limits of links.
+// Timing has the time limits of connections.
 type Timing struct {
-	// ConnectTimeout bounds the making of one connection.
+	// ConnectTimeout bounds the time to establish a connection, including the TLS handshake.
 	ConnectTimeout time.Duration
-	// FirstConnectTimeout bounds the first attempt after a connection was
-	// lost; later attempts wait twice as long each, up to ConnectTimeout. A
-	// machine without power does not answer, and one that returns answers at
-	// once, so short attempts find it sooner. Zero means ConnectTimeout.
+	// FirstConnectTimeout bounds the first attempt to connect, and the first one after a connection
+	// was lost. The limit doubles with each further attempt, up to ConnectTimeout. A machine without
+	// power does not answer, and one that has restarted answers immediately, so short attempts
+	// reconnect sooner. Zero means ConnectTimeout.
 	FirstConnectTimeout time.Duration
-	// Keepalive is the longest silence of a sender.
+	// Keepalive is the time without a message after which a sender sends a keepalive.
 	Keepalive time.Duration
-	// ReadTimeout is the silence after which a connection counts as broken.
+	// ReadTimeout is the time after which a connection that receives nothing counts as broken.
 	ReadTimeout time.Duration
-	// WriteTimeout bounds the writing of one piece.
+	// WriteTimeout bounds the time to write one chunk (maxWriteChunk).
 	WriteTimeout time.Duration
-	// MinBackoff and MaxBackoff bound the wait between two attempts.
+	// MinBackoff and MaxBackoff bound the wait between two attempts to connect. The wait doubles with
+	// each attempt and is jittered.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
+// firstConnectTimeout returns FirstConnectTimeout or its default.
 func (timing Timing) firstConnectTimeout() time.Duration {
 	if timing.FirstConnectTimeout == 0 {
 		return timing.ConnectTimeout
@@ -42,7 +44,7 @@
 	return timing.FirstConnectTimeout
 }
 
-// DefaultTiming returns the time limits of processes.
+// DefaultTiming returns the default time limits.
 func DefaultTiming() Timing {
 	return Timing{
 		ConnectTimeout: 2 * time.Second,
@@ -54,8 +56,8 @@
 	}
 }
 
-// QuickTiming returns the time limits of processes whose group must notice a
-// cut and its end within a second.
+// QuickTiming returns short time limits, for processes whose group must detect a network partition,
+// and its end, within one second.
 func QuickTiming() Timing {
 	return Timing{
 		ConnectTimeout:      150 * time.Millisecond,
@@ -68,13 +70,14 @@
 	}
 }
 
-// Options are what Links need.
+// Options configures Links.
 type Options struct {
+	// Self and Role are the name and role of this process.
 	Self model.NodeName
 	Role model.Role
-	// Listen is the address for connections of others; empty accepts none.
+	// Listen is the address on which connections are accepted. If it is empty, none are accepted.
 	Listen string
-	// Keys, when set, makes all links TLS.
+	// Keys, if not nil, makes all connections use TLS.
 	Keys    *keys.Loader
 	Mailbox *protocol.Mailbox
 	Metrics *Metrics
@@ -82,20 +85,24 @@
 	Timing  Timing
 }
 
-// Links moves the outbox of a mailbox to other processes and what they send
-// to the inbox.
+// Links sends the messages in the outbox of a mailbox to other processes, and puts the messages that
+// they send into the inbox.
 type Links struct {
 	options  Options
 	listener net.Listener
 
-	lock     sync.Mutex
-	running  context.Context
+	lock sync.Mutex
+	// runContext is the context of Run, or nil before Run.
+	runContext context.Context
+	// outgoing has the links that this process dials, and incoming the connections that it accepted,
+	// by the name of the peer.
 	outgoing map[model.NodeName]*outgoingLink
 	incoming map[model.NodeName]*connection
-	tasks    sync.WaitGroup
+	// tasks has the goroutines of accepted connections and outgoing links.
+	tasks sync.WaitGroup
 }
 
-// NewLinks returns links that do nothing until Listen and Run.
+// NewLinks returns links that carry no messages until Run is called.
 func NewLinks(options Options) *Links {
 	return &Links{
 		options:  options,
@@ -104,7 +111,8 @@
 	}
 }
 
-// Listen takes the listen address, if there is one.
+// Listen opens the listen address of the options, if there is one. It is called before Run. Its error
+// has CodeAddressInUse.
 func (links *Links) Listen() error {
 	if links.options.Listen == "" {
 		return nil
@@ -117,7 +125,7 @@
 	return nil
 }
 
-// Address returns the address that Listen took, or nil.
+// Address returns the address on which connections are accepted, or nil if there is none.
 func (links *Links) Address() net.Addr {
 	if links.listener == nil {
 		return nil
@@ -125,8 +133,8 @@
 	return links.listener.Addr()
 }
 
-// Run carries messages until ctx ends, and returns once all its goroutines
-// have ended.
+// Run carries messages until ctx ends, and returns when all its goroutines have ended. The error is
+// always nil.
 func (links *Links) Run(ctx context.Context) error {
 	links.start(ctx)
 	if links.listener != nil {
@@ -142,7 +150,7 @@
 func (links *Links) start(ctx context.Context) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
-	links.running = ctx
+	links.runContext = ctx
 	for _, link := range links.outgoing {
 		links.spawn(func() { link.run(ctx) })
 	}
@@ -156,8 +164,8 @@
 	}()
 }
 
-// Dial keeps a connection to peer from now on. Dialling a peer twice has no
-// further effect; another address for the same name replaces the first.
+// Dial connects to peer and reconnects when the connection breaks, until Disconnect. If the peer was
+// dialled before, Dial only replaces the address, which the next attempt to connect uses.
 func (links *Links) Dial(peer settings.Peer) {
 	name := model.NodeName(peer.Name)
 	links.lock.Lock()
@@ -168,14 +176,14 @@
 	}
 	link := newOutgoingLink(links, name, peer.Address)
 	links.outgoing[name] = link
-	if links.running != nil && links.running.Err() == nil {
-		ctx := links.running
+	if links.runContext != nil && links.runContext.Err() == nil {
+		ctx := links.runContext
 		links.spawn(func() { link.run(ctx) })
 	}
 }
 
-// Disconnect closes the connection to peer and makes it no more. Messages that
-// wait for it are dropped.
+// Disconnect closes the connection to a dialled peer and does not reconnect. Queued messages to the
+// peer are dropped.
 func (links *Links) Disconnect(peer model.NodeName) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
@@ -187,7 +195,7 @@
 	link.stop()
 }
 
-// Connected tells whether a message to peer has a connection to go by.
+// Connected reports whether there is a connection by which messages to peer are sent.
 func (links *Links) Connected(peer model.NodeName) bool {
 	links.lock.Lock()
 	defer links.lock.Unlock()
@@ -197,8 +205,8 @@
 	return links.incoming[peer] != nil
 }
 
-// route moves the outbox to the send queues until ctx ends. It takes what is
-// left in the outbox once more at the end, for messages of a planned stop.
+// route moves messages from the outbox to the send queues of their receivers until ctx ends. Messages
+// that are put into the outbox when ctx ends may remain there.
 func (links *Links) route(ctx context.Context) {
 	notices := links.options.Mailbox.Outbox.Watch()
 	for {
@@ -213,20 +221,24 @@
 	}
 }
 
+// enqueue puts envelope into the send queue of its receiver. A message to this process goes directly
+// into the inbox; a message to a process without a link or connection is dropped and counted.
 func (links *Links) enqueue(envelope protocol.Envelope) {
 	if envelope.To == links.options.Self {
 		links.receive(envelope)
 		return
 	}
-	queue := links.queueOf(envelope.To)
+	queue := links.queueFor(envelope.To)
 	if queue == nil {
-		links.options.Metrics.drop(dropNoRoute)
+		links.options.Metrics.countDrop(dropNoRoute)
 		return
 	}
 	queue.put(envelope, time.Now())
 }
 
-func (links *Links) queueOf(peer model.NodeName) *sendQueue {
+// queueFor returns the send queue for peer, or nil if there is none. A dialled link takes precedence
+// over an accepted connection.
+func (links *Links) queueFor(peer model.NodeName) *sendQueue {
 	links.lock.Lock()
 	defer links.lock.Unlock()
 	if link, exists := links.outgoing[peer]; exists {
@@ -238,9 +250,10 @@
 	return nil
 }
 
+// receive puts envelope into the inbox. If the inbox is full, the message is dropped and counted.
 func (links *Links) receive(envelope protocol.Envelope) {
 	if !links.options.Mailbox.Inbox.Put(envelope) {
-		links.options.Metrics.drop(dropInbox)
+		links.options.Metrics.countDrop(dropInbox)
 	}
 }
 
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -30,15 +30,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// endpoint is one process of a test.
+// endpoint is a process with a mailbox and links.
 type endpoint struct {
 	mailbox *protocol.Mailbox
 	links   *Links
 	metrics *Metrics
 }
 
-// received waits for the next count messages.
-func (endpoint *endpoint) received(t *testing.T, count int) []protocol.Envelope {
+// waitForMessages waits until at least count messages have arrived, and returns them.
+func (endpoint *endpoint) waitForMessages(t *testing.T, count int) []protocol.Envelope {
 	t.Helper()
 	var all []protocol.Envelope
 	require.Eventually(t, func() bool {
@@ -48,10 +48,13 @@
 	return all
 }
 
+// peer returns the address book entry by which other endpoints dial this one, with the given name.
 func (endpoint *endpoint) peer(name string) settings.Peer {
 	return settings.Peer{Name: name, Address: endpoint.links.Address().String()}
 }
 
+// endpointOptions configures an endpoint. Control members and relays listen on a free port if listen
+// is empty.
 type endpointOptions struct {
 	name   model.NodeName
 	role   model.Role
@@ -62,12 +65,13 @@
 
 func startEndpoint(t *testing.T, options endpointOptions) *endpoint {
 	t.Helper()
-	endpoint, stop := startStoppable(t, options)
+	endpoint, stop := startStoppableEndpoint(t, options)
 	t.Cleanup(stop)
 	return endpoint
 }
 
-func startStoppable(t *testing.T, options endpointOptions) (*endpoint, func()) {
+// startStoppableEndpoint starts an endpoint and returns a function that stops it.
+func startStoppableEndpoint(t *testing.T, options endpointOptions) (*endpoint, func()) {
 	t.Helper()
 	timing := DefaultTiming()
 	timing.MinBackoff = 5 * time.Millisecond
@@ -103,7 +107,7 @@
 	}
 }
 
-// makeKeys returns a folder with keys for the processes.
+// makeKeys returns a folder with keys for the processes, all signed by one new authority.
 func makeKeys(t *testing.T, processes ...keys.Process) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -111,8 +115,8 @@
 	return folder
 }
 
-// sendUntil sends message again and again until the receiver has it.
-func sendUntil(t *testing.T, from *endpoint, to model.NodeName, message any, receiver *endpoint) protocol.Envelope {
+// sendUntilReceived sends message repeatedly until the receiver has a message, which it returns.
+func sendUntilReceived(t *testing.T, from *endpoint, to model.NodeName, message any, receiver *endpoint) protocol.Envelope {
 	t.Helper()
 	var first protocol.Envelope
 	require.Eventually(t, func() bool {
@@ -140,13 +144,13 @@
 			balancer.links.Dial(relay.peer("relay-1"))
 
 			balancer.mailbox.Send("relay-1", protocol.Heartbeat{Sequence: 7})
-			request := relay.received(t, 1)[0]
+			request := relay.waitForMessages(t, 1)[0]
 			require.Equal(t, model.NodeName("balancer-1"), request.From)
 			require.Equal(t, model.NodeName("relay-1"), request.To)
 			require.Equal(t, protocol.Heartbeat{Sequence: 7}, request.Message)
 
 			relay.mailbox.Send("balancer-1", protocol.HeartbeatAck{Sequence: 7})
-			require.Equal(t, protocol.HeartbeatAck{Sequence: 7}, balancer.received(t, 1)[0].Message)
+			require.Equal(t, protocol.HeartbeatAck{Sequence: 7}, balancer.waitForMessages(t, 1)[0].Message)
 			in, out := balancer.metrics.Bytes()
 			require.Positive(t, in)
 			require.Positive(t, out)
@@ -158,8 +162,7 @@
 	}
 }
 
-// requireCounted checks that one message of the type was counted with its
-// bytes.
+// requireCounted checks that one message of the type, and its bytes, were counted.
 func requireCounted(t *testing.T, endpoint *endpoint, direction, kind string) {
 	t.Helper()
 	require.Equal(t, 1.0, testutil.ToFloat64(endpoint.metrics.traffic.messages.WithLabelValues(direction, kind)))
@@ -172,34 +175,34 @@
 		keys.Process{Name: "relay-1", Role: model.RoleRelay},
 		keys.Process{Name: "agent-1", Role: model.RoleAgent},
 	)
-	foreign := makeKeys(t, keys.Process{Name: "relay-1", Role: model.RoleRelay})
+	otherAuthority := makeKeys(t, keys.Process{Name: "relay-1", Role: model.RoleRelay})
 	control := endpointOptions{name: "control-1", role: model.RoleControl, keys: filepath.Join(folder, "control-1")}
 	plainControl := endpointOptions{name: "control-1", role: model.RoleControl}
 	cases := []struct {
 		name   string
 		server endpointOptions
 		client endpointOptions
-		called string
+		peer   string
 		code   faults.Code
 	}{
 		{
-			name: "agent at control", server: control, called: "control-1", code: faults.CodeRoleRefused,
+			name: "agent at control", server: control, peer: "control-1", code: faults.CodeRoleRefused,
 			client: endpointOptions{name: "agent-1", role: model.RoleAgent, keys: filepath.Join(folder, "agent-1")},
 		},
 		{
-			name: "agent at control without TLS", server: plainControl, called: "control-1", code: faults.CodeRoleRefused,
+			name: "agent at control without TLS", server: plainControl, peer: "control-1", code: faults.CodeRoleRefused,
 			client: endpointOptions{name: "agent-1", role: model.RoleAgent},
 		},
 		{
-			name: "other authority", server: control, called: "control-1", code: faults.CodeKeysInvalid,
-			client: endpointOptions{name: "relay-1", role: model.RoleRelay, keys: filepath.Join(foreign, "relay-1")},
+			name: "other authority", server: control, peer: "control-1", code: faults.CodeKeysInvalid,
+			client: endpointOptions{name: "relay-1", role: model.RoleRelay, keys: filepath.Join(otherAuthority, "relay-1")},
 		},
 		{
-			name: "another process at the address", server: control, called: "control-2", code: faults.CodeKeysInvalid,
+			name: "another process at the address", server: control, peer: "control-2", code: faults.CodeKeysInvalid,
 			client: endpointOptions{name: "relay-1", role: model.RoleRelay, keys: filepath.Join(folder, "relay-1")},
 		},
 		{
-			name: "another process at the address without TLS", server: plainControl, called: "control-2", code: faults.CodeRoleRefused,
+			name: "another process at the address without TLS", server: plainControl, peer: "control-2", code: faults.CodeRoleRefused,
 			client: endpointOptions{name: "relay-1", role: model.RoleRelay},
 		},
 	}
@@ -207,7 +210,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := startEndpoint(t, test.server)
 			client := startEndpoint(t, test.client)
-			link := newOutgoingLink(client.links, model.NodeName(test.called), server.links.Address().String())
+			link := newOutgoingLink(client.links, model.NodeName(test.peer), server.links.Address().String())
 			established, err := link.connectAndServe(t.Context(), DefaultTiming().ConnectTimeout)
 			require.False(t, established)
 			require.Equal(t, test.code, faults.CodeOf(err), "%v", err)
@@ -216,26 +219,26 @@
 	}
 }
 
-// incomingFrom returns the connection of a peer that connected, or nil.
+// incomingFrom returns the accepted connection from peer, or nil.
 func (links *Links) incomingFrom(peer model.NodeName) *connection {
 	links.lock.Lock()
 	defer links.lock.Unlock()
 	return links.incoming[peer]
 }
 
-// TestForgedSenderClosesTheConnection sends a message under another name than
-// the connection was opened with.
-func TestForgedSenderClosesTheConnection(t *testing.T) {
+// TestForgedSenderClosesConnection checks that a relay closes the connection of an agent that sends a
+// message with another sender than the connection's hello, and that it discards the message.
+func TestForgedSenderClosesConnection(t *testing.T) {
 	relay := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay})
 	agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent})
 	agent.links.Dial(relay.peer("relay-1"))
-	sendUntil(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
+	sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
 	first := relay.links.incomingFrom("agent-1")
 	require.NotNil(t, first)
 
 	agent.mailbox.Outbox.Put(protocol.Envelope{From: "agent-2", To: "relay-1", Message: protocol.Heartbeat{Sequence: 666}})
 	require.Eventually(t, func() bool { return relay.links.incomingFrom("agent-1") != first }, conditionTimeout, time.Millisecond,
-		"the connection is closed; the agent may have another one already")
+		"the connection must be closed; the agent may have reconnected already")
 	seen := make(map[uint64]bool)
 	require.Eventually(t, func() bool {
 		agent.mailbox.Send("relay-1", protocol.Heartbeat{Sequence: 2})
@@ -243,27 +246,26 @@
 			seen[envelope.Message.(protocol.Heartbeat).Sequence] = true
 		}
 		return seen[2]
-	}, conditionTimeout, 20*time.Millisecond, "the link heals")
-	require.False(t, seen[666], "the forged message never arrives")
+	}, conditionTimeout, 20*time.Millisecond, "the link must reconnect")
+	require.False(t, seen[666], "the forged message must not arrive")
 }
 
-func TestLinkHealsAfterRestartOfThePeer(t *testing.T) {
-	relay, stop := startStoppable(t, endpointOptions{name: "relay-1", role: model.RoleRelay})
+func TestLinkReconnectsAfterPeerRestart(t *testing.T) {
+	relay, stop := startStoppableEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay})
 	address := relay.links.Address().String()
 	agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent})
 	agent.links.Dial(relay.peer("relay-1"))
-	sendUntil(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
+	sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
 	stop()
 	require.Eventually(t, func() bool { return !agent.links.Connected("relay-1") }, conditionTimeout, conditionPoll)
 
-	again := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay, listen: address})
-	sendUntil(t, agent, "relay-1", protocol.Heartbeat{Sequence: 2}, again)
+	restarted := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay, listen: address})
+	sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{Sequence: 2}, restarted)
 }
 
-// TestHalfOpenConnectionIsFound connects to a listener that accepts,
-// introduces itself and then says nothing more, like a machine that lost its
-// power.
-func TestHalfOpenConnectionIsFound(t *testing.T) {
+// TestHalfOpenConnectionTimesOut connects to a peer that completes the handshake and then sends
+// nothing more, like a machine that lost power. The read timeout must end the connection.
+func TestHalfOpenConnectionTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -277,25 +279,25 @@
 		if err != nil {
 			return
 		}
-		silent := newConnection("relay-1", stream, newSendQueue(func(string) {}), newTraffic())
-		_ = silent.introduce(hello{Name: "relay-1", Role: model.RoleRelay})
+		unresponsive := newConnection("relay-1", stream, newSendQueue(func(string) {}), newTraffic())
+		_ = unresponsive.sendHello(hello{Name: "relay-1", Role: model.RoleRelay})
 	}()
 	established, err := link.connectAndServe(t.Context(), DefaultTiming().ConnectTimeout)
 	require.True(t, established)
 	require.Equal(t, faults.CodeLinkBroken, faults.CodeOf(err))
 }
 
-// TestKeepaliveHoldsAnIdleConnection is the counterpart: a healthy idle link
-// outlives many read timeouts.
-func TestKeepaliveHoldsAnIdleConnection(t *testing.T) {
-	fast := func(timing *Timing) {
+// TestKeepaliveKeepsIdleConnectionOpen checks that keepalives keep an idle connection open for much
+// longer than the read timeout.
+func TestKeepaliveKeepsIdleConnectionOpen(t *testing.T) {
+	shortTimeout := func(timing *Timing) {
 		timing.ReadTimeout = 200 * time.Millisecond
 		timing.Keepalive = 10 * time.Millisecond
 	}
-	relay := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay, timing: fast})
-	agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent, timing: fast})
+	relay := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay, timing: shortTimeout})
+	agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent, timing: shortTimeout})
 	agent.links.Dial(relay.peer("relay-1"))
-	sendUntil(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
+	sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
 	relay.links.lock.Lock()
 	first := relay.links.incoming["agent-1"]
 	relay.links.lock.Unlock()
@@ -305,14 +307,14 @@
 	require.Same(t, first, relay.links.incoming["agent-1"])
 }
 
-func TestLargeMessageArrivesWhole(t *testing.T) {
+func TestLargeMessageRoundTrip(t *testing.T) {
 	relay := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay})
 	agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent})
 	agent.links.Dial(relay.peer("relay-1"))
-	sendUntil(t, agent, "relay-1", protocol.Heartbeat{}, relay)
+	sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{}, relay)
 	payload := bytes.Repeat([]byte("0123456789abcdef"), 1<<20)
 	relay.mailbox.Send("agent-1", protocol.PackedUpdate{Payload: payload})
-	require.Equal(t, protocol.PackedUpdate{Payload: payload}, agent.received(t, 1)[0].Message)
+	require.Equal(t, protocol.PackedUpdate{Payload: payload}, agent.waitForMessages(t, 1)[0].Message)
 }
 
 func TestMessagesToUnknownPeersAreCounted(t *testing.T) {
@@ -342,7 +344,7 @@
 	}{
 		{name: "in order", put: 3, taken: 3, first: 0},
 		{name: "full drops the oldest", put: sendQueueCapacity + 2, taken: sendQueueCapacity, first: 2, reason: dropFull, drops: 2},
-		{name: "old messages are dropped", put: 3, takenAt: maximumQueueAge + time.Second, reason: dropOld, drops: 3},
+		{name: "old messages are dropped", put: 3, takenAt: maxQueueAge + time.Second, reason: dropOld, drops: 3},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -361,8 +363,9 @@
 	}
 }
 
-// TestNodeMayNotSpeakAsRelay lets an agent send what only relays send.
-func TestNodeMayNotSpeakAsRelay(t *testing.T) {
+// TestAgentMayNotSendRelayMessages checks that a relay discards messages from an agent that only
+// relays may send.
+func TestAgentMayNotSendRelayMessages(t *testing.T) {
 	cases := []struct {
 		name    string
 		message any
@@ -375,21 +378,21 @@
 			relay := startEndpoint(t, endpointOptions{name: "relay-1", role: model.RoleRelay})
 			agent := startEndpoint(t, endpointOptions{name: "agent-1", role: model.RoleAgent})
 			agent.links.Dial(relay.peer("relay-1"))
-			sendUntil(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
+			sendUntilReceived(t, agent, "relay-1", protocol.Heartbeat{Sequence: 1}, relay)
 			agent.mailbox.Send("relay-1", test.message)
-			// Messages of one connection keep their order, so what the relay
-			// took would come before the last heartbeat.
-			var taken []any
+			// Messages of one connection keep their order, so the message would have arrived before
+			// the last heartbeat.
+			var received []any
 			require.Eventually(t, func() bool {
 				agent.mailbox.Send("relay-1", protocol.Heartbeat{Sequence: 2})
 				for _, envelope := range relay.mailbox.Inbox.Drain() {
-					taken = append(taken, envelope.Message)
+					received = append(received, envelope.Message)
 				}
-				return slices.ContainsFunc(taken, func(message any) bool {
+				return slices.ContainsFunc(received, func(message any) bool {
 					return assert.ObjectsAreEqual(protocol.Heartbeat{Sequence: 2}, message)
 				})
 			}, conditionTimeout, 20*time.Millisecond)
-			require.NotContains(t, taken, test.message)
+			require.NotContains(t, received, test.message)
 		})
 	}
 }
--- a/internal/transport/losses.go
+++ b/internal/transport/losses.go
@@ -6,28 +6,30 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// losses shows how many received messages were not handled.
-type losses struct {
+// lossCollector exports the numbers of received messages that were not handled.
+type lossCollector struct {
 	dispatcher *protocol.Dispatcher
-	lost       *prometheus.Desc
+	descriptor *prometheus.Desc
 }
 
-func newLosses(dispatcher *protocol.Dispatcher) *losses {
-	return &losses{
+func newLossCollector(dispatcher *protocol.Dispatcher) *lossCollector {
+	return &lossCollector{
 		dispatcher: dispatcher,
-		lost: prometheus.NewDesc("merlinpaddle_control_messages_lost_total",
+		descriptor: prometheus.NewDesc("merlinpaddle_control_messages_lost_total",
 			"Control messages that were received and not handled, by queue and reason.", []string{"queue", "reason"}, nil),
 	}
 }
 
 // Describe implements prometheus.Collector.
-func (losses *losses) Describe(descriptions chan<- *prometheus.Desc) { descriptions <- losses.lost }
+func (collector *lossCollector) Describe(descriptors chan<- *prometheus.Desc) {
+	descriptors <- collector.descriptor
+}
 
-// Collect implements prometheus.Collector. What was never lost is left out.
-func (losses *losses) Collect(collected chan<- prometheus.Metric) {
-	losses.dispatcher.EachLoss(func(loss protocol.Loss, count uint64) {
+// Collect implements prometheus.Collector. Queues and reasons without losses are omitted.
+func (collector *lossCollector) Collect(metrics chan<- prometheus.Metric) {
+	collector.dispatcher.EachLoss(func(loss protocol.Loss, count uint64) {
 		if count > 0 {
-			collected <- prometheus.MustNewConstMetric(losses.lost, prometheus.CounterValue, float64(count), loss.Queue, string(loss.Reason))
+			metrics <- prometheus.MustNewConstMetric(collector.descriptor, prometheus.CounterValue, float64(count), loss.Queue, string(loss.Reason))
 		}
 	})
 }
--- a/internal/transport/memory_bench_test.go
+++ b/internal/transport/memory_bench_test.go
@@ -11,9 +11,8 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// BenchmarkConnectionMemory is the heap that both ends of one connection keep
-// once they have exchanged a heartbeat and its answer, without TLS and without
-// the stacks of their goroutines.
+// BenchmarkConnectionMemory measures the heap memory that both ends of a connection use after they
+// have exchanged a heartbeat and its acknowledgement, without TLS and goroutine stacks.
 func BenchmarkConnectionMemory(b *testing.B) {
 	const count = 200
 	traffic := newTraffic()
@@ -25,24 +24,25 @@
 	}
 	for b.Loop() {
 		before := heap()
-		var kept []*connection
+		var connections []*connection
 		for range count {
-			near, far := net.Pipe()
-			node := newConnection("balancer-1", near, newSendQueue(func(string) {}), traffic)
-			relay := newConnection("relay-1", far, newSendQueue(func(string) {}), traffic)
-			exchange(b, node, relay, protocol.Heartbeat{Role: model.RoleBalancer, Sequence: 1})
-			exchange(b, relay, node, protocol.HeartbeatAck{Sequence: 1})
-			kept = append(kept, node, relay)
+			nodeEnd, relayEnd := net.Pipe()
+			node := newConnection("balancer-1", nodeEnd, newSendQueue(func(string) {}), traffic)
+			relay := newConnection("relay-1", relayEnd, newSendQueue(func(string) {}), traffic)
+			sendAndReceive(b, node, relay, protocol.Heartbeat{Role: model.RoleBalancer, Sequence: 1})
+			sendAndReceive(b, relay, node, protocol.HeartbeatAck{Sequence: 1})
+			connections = append(connections, node, relay)
 		}
 		b.ReportMetric(float64(heap()-before)/count, "B/pair")
-		for _, connection := range kept {
+		for _, connection := range connections {
 			connection.stream.Close()
 		}
-		runtime.KeepAlive(kept)
+		runtime.KeepAlive(connections)
 	}
 }
 
-func exchange(b *testing.B, from, to *connection, message any) {
+// sendAndReceive sends message over one end of a connection and reads it from the other.
+func sendAndReceive(b *testing.B, from, to *connection, message any) {
 	received := make(chan error, 1)
 	go func() {
 		_, err := to.receive()
--- a/internal/transport/metrics.go
+++ b/internal/transport/metrics.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// Reasons for which a message is dropped.
+// The reasons for which a message is dropped, as values of the label reason.
 const (
 	dropFull    = "queue_full"
 	dropOld     = "too_old"
@@ -18,12 +18,13 @@
 	dropInbox   = "inbox_full"
 )
 
+// The directions of traffic, as values of the label direction.
 const (
 	directionIn  = "in"
 	directionOut = "out"
 )
 
-// Metrics counts what control traffic costs this process.
+// Metrics has the metrics of the control connections of a process.
 type Metrics struct {
 	bytesIn     atomic.Uint64
 	bytesOut    atomic.Uint64
@@ -33,7 +34,7 @@
 	connections prometheus.Gauge
 }
 
-// NewMetrics registers the counters of links with registry.
+// NewMetrics returns metrics that are registered with registry.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	metrics := &Metrics{
 		traffic: newTraffic(),
@@ -63,18 +64,20 @@
 	}, func() float64 { return float64(count.Load()) })
 }
 
-// Bytes returns the bytes received and sent so far.
+// Bytes returns the numbers of bytes received and sent so far, including TLS.
 func (metrics *Metrics) Bytes() (in, out uint64) {
 	return metrics.bytesIn.Load(), metrics.bytesOut.Load()
 }
 
-func (metrics *Metrics) drop(reason string) { metrics.dropped.WithLabelValues(reason).Inc() }
+func (metrics *Metrics) countDrop(reason string) { metrics.dropped.WithLabelValues(reason).Inc() }
 
-func (metrics *Metrics) refuse(role model.Role) { metrics.refused.WithLabelValues(string(role)).Inc() }
+func (metrics *Metrics) countRefusal(role model.Role) {
+	metrics.refused.WithLabelValues(string(role)).Inc()
+}
 
-// meteredConn counts bytes and bounds each read and write by time. The bounds
-// are renewed with every piece, so a large message that makes progress is
-// never cut, while a half-open connection is found within a read timeout.
+// meteredConn counts bytes and sets deadlines for reads and writes. Each read, and each chunk of a
+// write, gets a new deadline. So a large message that makes progress is never interrupted, while a
+// half-open connection is detected within the read timeout.
 type meteredConn struct {
 	net.Conn
 	in, out      *atomic.Uint64
@@ -102,8 +105,8 @@
 	return count, err
 }
 
-// writePiece bounds how much one write deadline has to cover.
-const writePiece = 64 << 10
+// maxWriteChunk is the maximum number of bytes that are written under one write deadline.
+const maxWriteChunk = 64 << 10
 
 // Write implements net.Conn.
 func (conn *meteredConn) Write(buffer []byte) (int, error) {
@@ -112,7 +115,7 @@
 		if err := conn.SetWriteDeadline(time.Now().Add(conn.writeTimeout)); err != nil {
 			return written, err
 		}
-		end := min(written+writePiece, len(buffer))
+		end := min(written+maxWriteChunk, len(buffer))
 		count, err := conn.Conn.Write(buffer[written:end])
 		written += count
 		conn.out.Add(uint64(count))
--- a/internal/transport/module.go
+++ b/internal/transport/module.go
@@ -16,13 +16,13 @@
 	"merlinpaddle/internal/settings"
 )
 
-// dispatchInterval is how often the dispatcher runs without a notice.
+// dispatchInterval is the interval at which the dispatcher runs if no message arrives.
 const dispatchInterval = time.Second
 
 // Module provides the mailbox, the dispatcher and the links of a process.
 func Module() fx.Option { return ModuleWith(DefaultTiming()) }
 
-// ModuleWith is Module with other time limits.
+// ModuleWith is like Module but with the given time limits.
 func ModuleWith(timing Timing) fx.Option {
 	return fx.Module("transport",
 		fx.Supply(timing),
@@ -45,7 +45,7 @@
 		Logger:  logger.Named("links"),
 		Timing:  timing,
 	}
-	if servesOthers(role, chosen) {
+	if acceptsConnections(role, chosen) {
 		options.Listen = chosen.Listen
 	}
 	if chosen.Keys != "" {
@@ -58,9 +58,9 @@
 	return NewLinks(options), nil
 }
 
-// servesOthers tells whether others connect to a process of the role. Balancers
-// do so among each other when they serve direct services.
-func servesOthers(role model.Role, chosen settings.Settings) bool {
+// acceptsConnections reports whether a process of the role accepts connections. Balancers accept
+// connections from each other if they serve direct services.
+func acceptsConnections(role model.Role, chosen settings.Settings) bool {
 	switch role {
 	case model.RoleControl, model.RoleRelay:
 		return true
@@ -72,7 +72,7 @@
 }
 
 func run(lifecycle fx.Lifecycle, links *Links, dispatcher *protocol.Dispatcher, mailbox *protocol.Mailbox, registry *prometheus.Registry, tasks *process.Tasks) {
-	registry.MustRegister(newLosses(dispatcher))
+	registry.MustRegister(newLossCollector(dispatcher))
 	runner := board.NewRunner(dispatcher, dispatchInterval, mailbox.Inbox.Watch())
 	lifecycle.Append(fx.StartHook(func() error {
 		if err := links.Listen(); err != nil {
--- a/internal/transport/outgoing.go
+++ b/internal/transport/outgoing.go
@@ -16,14 +16,14 @@
 	"merlinpaddle/internal/model"
 )
 
-// outgoingLink keeps one connection to a peer and makes it again, with
-// jittered and growing delays, when it breaks.
+// outgoingLink maintains a connection to a peer. When the connection breaks, it reconnects with
+// exponential backoff and jitter.
 type outgoingLink struct {
 	links     *Links
 	peer      model.NodeName
 	queue     *sendQueue
 	connected atomic.Bool
-	// stopped is closed when the link is not wanted any more.
+	// stopped is closed by stop.
 	stopped  chan struct{}
 	stopOnce sync.Once
 
@@ -36,11 +36,12 @@
 		links:   links,
 		peer:    peer,
 		address: address,
-		queue:   newSendQueue(links.options.Metrics.drop),
+		queue:   newSendQueue(links.options.Metrics.countDrop),
 		stopped: make(chan struct{}),
 	}
 }
 
+// stop ends run. It may be called more than once.
 func (link *outgoingLink) stop() { link.stopOnce.Do(func() { close(link.stopped) }) }
 
 func (link *outgoingLink) setAddress(address string) {
@@ -55,8 +56,9 @@
 	return link.address
 }
 
-func (link *outgoingLink) run(process context.Context) {
-	ctx, cancel := context.WithCancel(process)
+// run connects and reconnects to the peer until stop is called or parent ends.
+func (link *outgoingLink) run(parent context.Context) {
+	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
 	go func() {
 		select {
@@ -89,8 +91,8 @@
 	}
 }
 
-// connectAndServe makes one connection and serves it until it breaks. It
-// tells whether the connection was established.
+// connectAndServe establishes one connection and carries messages over it until it fails or ctx ends.
+// It reports whether the connection was established, and returns the reason for its end.
 func (link *outgoingLink) connectAndServe(ctx context.Context, connectTimeout time.Duration) (bool, error) {
 	options := link.links.options
 	stream, err := link.dial(ctx, connectTimeout)
@@ -99,7 +101,7 @@
 	}
 	defer stream.Close()
 	connection := newConnection(options.Self, stream, link.queue, options.Metrics.traffic)
-	if err := link.shakeHands(connection); err != nil {
+	if err := link.handshake(connection); err != nil {
 		return false, err
 	}
 	link.connected.Store(true)
@@ -110,6 +112,7 @@
 	return true, connection.run(ctx, options.Timing.Keepalive, link.links.receive)
 }
 
+// dial opens a TCP connection to the peer, with TLS if this process has keys.
 func (link *outgoingLink) dial(ctx context.Context, timeout time.Duration) (net.Conn, error) {
 	options := link.links.options
 	connectContext, cancel := context.WithTimeout(ctx, timeout)
@@ -131,11 +134,11 @@
 	return secured, nil
 }
 
-// shakeHands introduces this process and checks that the peer is the one that
-// was meant and serves this process's role.
-func (link *outgoingLink) shakeHands(connection *connection) error {
-	if err := connection.introduce(link.links.hello()); err != nil {
-		return faults.New(faults.CodeLinkBroken, "introduce: %v", err)
+// handshake exchanges hellos with the peer. It checks that the peer has the expected name and accepts
+// connections from this process's role.
+func (link *outgoingLink) handshake(connection *connection) error {
+	if err := connection.sendHello(link.links.hello()); err != nil {
+		return faults.New(faults.CodeLinkBroken, "send hello: %v", err)
 	}
 	answer, err := connection.readHello()
 	if err != nil {
@@ -145,39 +148,40 @@
 	if err != nil {
 		return err
 	}
-	if peer.Name != link.peer || !serves(peer.Role, link.links.options.Role) {
-		return faults.New(faults.CodeRoleRefused, "%s is %s %q, not the peer %q that serves role %s",
+	if peer.Name != link.peer || !accepts(peer.Role, link.links.options.Role) {
+		return faults.New(faults.CodeRoleRefused, "%s is %s %q, not a peer %q that accepts role %s",
 			link.currentAddress(), peer.Role, peer.Name, link.peer, link.links.options.Role)
 	}
 	connection.peer = peer
 	return nil
 }
 
-// identify returns who the peer is. On TLS the certificate decides and the
-// introduction must agree with it.
-func identify(stream net.Conn, introduced hello) (keys.Process, error) {
-	claimed := keys.Process{Name: introduced.Name, Role: introduced.Role}
+// identify returns the name and role of the peer: on TLS those of its certificate, which must match
+// its hello, otherwise those of its hello.
+func identify(stream net.Conn, received hello) (keys.Process, error) {
+	claimed := keys.Process{Name: received.Name, Role: received.Role}
 	secured, isTLS := stream.(*tls.Conn)
 	if !isTLS {
 		return claimed, nil
 	}
-	proved, err := keys.PeerProcess(secured.ConnectionState())
+	certified, err := keys.PeerProcess(secured.ConnectionState())
 	if err != nil {
 		return keys.Process{}, err
 	}
-	if proved.Name != claimed.Name || proved.Role != claimed.Role {
-		return keys.Process{}, faults.New(faults.CodeSenderRefused, "%s %q introduced itself as %s %q",
-			proved.Role, proved.Name, claimed.Role, claimed.Name)
+	if certified.Name != claimed.Name || certified.Role != claimed.Role {
+		return keys.Process{}, faults.New(faults.CodeSenderRefused, "the certificate is of %s %q, but the hello is from %s %q",
+			certified.Role, certified.Name, claimed.Role, claimed.Name)
 	}
-	return proved, nil
+	return certified, nil
 }
 
-// jitter returns a duration between half of delay and delay, so that many
-// processes that lost the same peer do not return at the same moment.
+// jitter returns a random duration between half of delay and delay, so that processes that lost the
+// same peer do not all reconnect at the same time.
 func jitter(delay time.Duration) time.Duration {
 	return delay/2 + rand.N(delay/2+1)
 }
 
+// sleep waits for delay. It returns false if ctx ends first.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
--- a/internal/transport/sendqueue.go
+++ b/internal/transport/sendqueue.go
@@ -8,39 +8,40 @@
 )
 
 const (
-	// sendQueueCapacity bounds the messages that wait for one peer.
+	// sendQueueCapacity is the maximum number of messages that wait for one peer.
 	sendQueueCapacity = 4096
-	// maximumQueueAge is how long a message may wait. Control messages are
-	// repeated, so an old one is worth less than the connection's time.
-	maximumQueueAge = 2 * time.Second
+	// maxQueueAge is the maximum time that a message waits. Control messages are repeated, so sending
+	// an older one would only delay newer ones.
+	maxQueueAge = 2 * time.Second
 )
 
-// sendQueue holds the messages that wait for one peer. When it is full the
-// oldest message is dropped.
+// sendQueue holds the messages that wait for one peer. If it is full, its oldest message is dropped.
 type sendQueue struct {
 	lock    sync.Mutex
 	waiting []queuedEnvelope
-	notice  chan struct{}
-	drop    func(reason string)
+	// notice receives a value after a put.
+	notice chan struct{}
+	// countDrop is called for each dropped message with the reason.
+	countDrop func(reason string)
 }
 
 type queuedEnvelope struct {
 	envelope protocol.Envelope
-	at       time.Time
+	queuedAt time.Time
 }
 
-func newSendQueue(drop func(reason string)) *sendQueue {
-	return &sendQueue{notice: make(chan struct{}, 1), drop: drop}
+func newSendQueue(countDrop func(reason string)) *sendQueue {
+	return &sendQueue{notice: make(chan struct{}, 1), countDrop: countDrop}
 }
 
-// put appends an envelope, dropping the oldest one of a full queue.
+// put appends envelope. It drops the oldest message if the queue is full.
 func (queue *sendQueue) put(envelope protocol.Envelope, now time.Time) {
 	queue.lock.Lock()
 	if len(queue.waiting) >= sendQueueCapacity {
 		queue.waiting = queue.waiting[1:]
-		queue.drop(dropFull)
+		queue.countDrop(dropFull)
 	}
-	queue.waiting = append(queue.waiting, queuedEnvelope{envelope: envelope, at: now})
+	queue.waiting = append(queue.waiting, queuedEnvelope{envelope: envelope, queuedAt: now})
 	queue.lock.Unlock()
 	select {
 	case queue.notice <- struct{}{}:
@@ -48,14 +49,15 @@
 	}
 }
 
-// take removes and returns the messages that are not too old.
+// take removes all messages and returns those that are not older than maxQueueAge. The others are
+// dropped and counted.
 func (queue *sendQueue) take(now time.Time) []protocol.Envelope {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	var fresh []protocol.Envelope
 	for _, queued := range queue.waiting {
-		if now.Sub(queued.at) > maximumQueueAge {
-			queue.drop(dropOld)
+		if now.Sub(queued.queuedAt) > maxQueueAge {
+			queue.countDrop(dropOld)
 			continue
 		}
 		fresh = append(fresh, queued.envelope)
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -8,15 +8,15 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Names of the frames that carry no message.
+// The values of the label type for frames that carry no message.
 const (
 	frameHello     = "hello"
 	frameRefusal   = "refusal"
 	frameKeepalive = "keepalive"
 )
 
-// traffic counts messages and their bytes by type and direction, before TLS.
-// What control_bytes_total has above their sum is the cost of TLS.
+// traffic counts messages and their bytes by type and direction, without TLS. The difference between
+// merlinpaddle_control_bytes_total and the sum of these bytes is the overhead of TLS.
 type traffic struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
@@ -36,27 +36,27 @@
 	}
 }
 
-func (traffic traffic) count(direction string, sent *frame, size int) {
-	kind := sent.kind()
+func (traffic traffic) count(direction string, frame *frame, size int) {
+	kind := frame.kind()
 	traffic.messages.WithLabelValues(direction, kind).Inc()
 	traffic.bytes.WithLabelValues(direction, kind).Add(float64(size))
 }
 
-// kind names the frame's message type, or what the frame is without one.
-func (sent *frame) kind() string {
+// kind returns the type name of the frame's message, or the kind of frame if it has no message.
+func (frame *frame) kind() string {
 	switch {
-	case sent.Envelope != nil:
-		return reflect.TypeOf(sent.Envelope.Message).String()
-	case sent.Hello != nil:
+	case frame.Envelope != nil:
+		return reflect.TypeOf(frame.Envelope.Message).String()
+	case frame.Hello != nil:
 		return frameHello
-	case sent.Refusal != nil:
+	case frame.Refusal != nil:
 		return frameRefusal
 	default:
 		return frameKeepalive
 	}
 }
 
-// countingWriter counts what the encoder writes.
+// countingWriter counts the bytes that the encoder writes.
 type countingWriter struct {
 	io.Writer
 	written int
@@ -69,15 +69,15 @@
 	return count, err
 }
 
-// take returns the bytes since the last call.
+// take returns the number of bytes written since the previous call.
 func (writer *countingWriter) take() int {
 	count := writer.written
 	writer.written = 0
 	return count
 }
 
-// countingReader counts what the decoder reads. It implements io.ByteReader,
-// so the decoder takes no more than the value that it decodes.
+// countingReader counts the bytes that the decoder reads. It implements io.ByteReader, so that the
+// gob decoder adds no buffer of its own and reads no further than the value that it decodes.
 type countingReader struct {
 	buffered *bufio.Reader
 	read     int
@@ -99,7 +99,7 @@
 	return value, err
 }
 
-// take returns the bytes since the last call.
+// take returns the number of bytes read since the previous call.
 func (reader *countingReader) take() int {
 	count := reader.read
 	reader.read = 0
