--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTableAgreesWithAMap(t *testing.T) {
+func TestTableBehavesLikeMap(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	properties.Property("puts and deletes act as on a map", prop.ForAll(
+	properties.Property("puts and deletes have the same effect as on a map", prop.ForAll(
 		func(keys []uint32) bool {
 			table := NewTable[uint32, int]("numbers", HashNumber[uint32])
 			model := make(map[uint32]int)
@@ -30,14 +30,14 @@
 				table.Put(key, index)
 				model[key] = index
 			}
-			return agrees(table, model)
+			return sameContent(table, model)
 		},
 		gen.SliceOf(gen.UInt32()),
 	))
 	properties.TestingRun(t)
 }
 
-func agrees(table *Table[uint32, int], model map[uint32]int) bool {
+func sameContent(table *Table[uint32, int], model map[uint32]int) bool {
 	rows := 0
 	equal := true
 	table.Range(func(key uint32, row Row[int]) bool {
@@ -49,17 +49,17 @@
 	return equal && rows == len(model) && table.Length() == len(model)
 }
 
-func TestEveryWriteRaisesTheRevisionAndNotifies(t *testing.T) {
+func TestWriteRaisesRevisionAndNotifies(t *testing.T) {
 	table := NewTable[string, int]("words", HashString[string])
 	watch := table.Watch()
 	first := table.Put("a", 1)
 	second := table.Put("b", 2)
 	require.Greater(t, second, first)
 	require.Equal(t, second, table.Revision())
-	require.Len(t, watch, 1, "notices are merged")
+	require.Len(t, watch, 1, "two notices must be merged")
 }
 
-func TestUpdatesOfOneRowAreAtomic(t *testing.T) {
+func TestConcurrentUpdatesOfOneRowAreAtomic(t *testing.T) {
 	table := NewTable[uint32, int]("counters", HashNumber[uint32])
 	var writers sync.WaitGroup
 	for range 8 {
@@ -75,7 +75,7 @@
 	require.Equal(t, 4000, value)
 }
 
-func TestQueueRefusesWhatItCannotHold(t *testing.T) {
+func TestFullQueueDropsValues(t *testing.T) {
 	queue := NewQueue[int]("numbers", 2)
 	require.True(t, queue.Put(1))
 	require.True(t, queue.Put(2))
@@ -90,7 +90,7 @@
 func (controller *countingController) Name() string        { return "counting" }
 func (controller *countingController) Reconcile(time.Time) { controller.calls.Add(1) }
 
-func TestRunnerCallsOnTheTimerAndOnNotices(t *testing.T) {
+func TestRunnerReconcilesOnTimerAndNotices(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var notifier Notifier
 		controller := &countingController{}
@@ -98,10 +98,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go runner.Run(ctx)
 		synctest.Wait()
-		require.Equal(t, int64(1), controller.calls.Load(), "once at the start")
+		require.Equal(t, int64(1), controller.calls.Load(), "immediately at the start")
 		notifier.Notify()
 		synctest.Wait()
-		require.Equal(t, int64(2), controller.calls.Load(), "at once after a notice")
+		require.Equal(t, int64(2), controller.calls.Load(), "immediately after a notice")
 		time.Sleep(time.Minute)
 		synctest.Wait()
 		require.Equal(t, int64(3), controller.calls.Load(), "again after the interval")
@@ -110,24 +110,24 @@
 	})
 }
 
-// failing is a controller that panics in its second call.
-type failing struct{ calls int }
+// panickingController panics in its second call of Reconcile.
+type panickingController struct{ calls int }
 
-func (*failing) Name() string { return "failing" }
+func (*panickingController) Name() string { return "failing" }
 
-func (failing *failing) Reconcile(time.Time) {
-	failing.calls++
-	if failing.calls == 2 {
+func (controller *panickingController) Reconcile(time.Time) {
+	controller.calls++
+	if controller.calls == 2 {
 		panic("broken")
 	}
 }
 
-// TestPanicOfAControllerLeavesRun: the runner must not wait for its other goroutines,
-// which would keep the process alive without the controller.
-func TestPanicOfAControllerLeavesRun(t *testing.T) {
+// TestControllerPanicPropagatesFromRun guards against a runner that, after a panic of its controller,
+// waits forever for its other goroutines. The process would then continue without the controller.
+func TestControllerPanicPropagatesFromRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notifier := &Notifier{}
-		runner := NewRunner(&failing{}, time.Second, notifier.Watch())
+		runner := NewRunner(&panickingController{}, time.Second, notifier.Watch())
 		require.PanicsWithValue(t, "broken", func() { runner.Run(t.Context()) })
 	})
 }
--- a/internal/board/controller.go
+++ b/internal/board/controller.go
@@ -1,19 +1,19 @@
-// Package board provides the blackboard on which controllers meet: typed
-// tables split into shards, each under its own lock, and message queues.
+// Package board provides the data structures that controllers share (a blackboard architecture):
+// typed tables, split into shards that have their own locks, and message queues.
 //
-// Controllers read and write tables and never call each other. In a process a
-// Runner calls them on a timer and on change notices; in simulation one loop
-// calls them on a virtual clock. The same controllers run in both.
+// Controllers read and write tables and queues, and do not call each other. In a process, a Runner
+// calls each controller periodically and when its inputs change. In the simulation, one loop calls
+// the same controllers with a virtual clock.
 package board
 
 import "time"
 
-// Controller is one decision maker. Reconcile reads tables, writes tables and
-// returns without waiting: it starts no goroutine, reads no clock and opens no
-// socket. It is never called twice at once.
+// Controller keeps a part of a process's state up to date. Reconcile reads and writes tables and
+// queues and returns without blocking. It starts no goroutine, reads no clock and opens no socket. It
+// is not called concurrently.
 type Controller interface {
 	// Name identifies the controller in logs.
 	Name() string
-	// Reconcile brings the controller's tables up to date as of now.
+	// Reconcile brings the controller's state up to date as of now.
 	Reconcile(now time.Time)
 }
--- a/internal/board/notifier.go
+++ b/internal/board/notifier.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// Notifier tells watchers that something changed. Notices are merged, so a
-// slow watcher never delays a writer.
+// Notifier notifies watchers of changes. Notices that a watcher has not read yet are merged into one,
+// so a slow watcher does not delay a writer.
 type Notifier struct {
 	lock     sync.Mutex
 	watchers []chan struct{}
 }
 
-// Watch registers and returns a channel that holds at most one notice.
+// Watch registers a watcher and returns its channel, which holds at most one notice.
 func (notifier *Notifier) Watch() <-chan struct{} {
 	channel := make(chan struct{}, 1)
 	notifier.lock.Lock()
@@ -18,7 +18,7 @@
 	return channel
 }
 
-// Notify leaves a notice with every watcher that has none.
+// Notify sends a notice to every watcher that has no unread one.
 func (notifier *Notifier) Notify() {
 	notifier.lock.Lock()
 	defer notifier.lock.Unlock()
--- a/internal/board/queue.go
+++ b/internal/board/queue.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Queue is a bounded first-in, first-out list on the blackboard: inboxes and
-// outboxes of messages, and streams of events between controllers.
+// Queue is a bounded first-in, first-out queue. It is used for inboxes and outboxes of messages, and
+// for events between controllers. It is safe for concurrent use.
 type Queue[Value any] struct {
 	name     string
 	capacity int
@@ -22,8 +22,8 @@
 // Name returns the queue's name.
 func (queue *Queue[Value]) Name() string { return queue.name }
 
-// Put appends a value. It returns false, and counts a drop, when the queue is
-// full: senders of messages must already live with loss.
+// Put appends a value and notifies the watchers. If the queue is full, Put drops the value, counts
+// it and returns false: senders of messages must tolerate loss anyway.
 func (queue *Queue[Value]) Put(value Value) bool {
 	queue.lock.Lock()
 	if len(queue.values) >= queue.capacity {
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Drain removes and returns all values in the order in which they came.
+// Drain removes and returns all values in the order in which they were put.
 func (queue *Queue[Value]) Drain() []Value {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
@@ -46,33 +46,35 @@
 	return values
 }
 
-// Length returns the number of values that wait.
+// Length returns the number of values in the queue.
 func (queue *Queue[Value]) Length() int {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	return len(queue.values)
 }
 
-// Dropped returns how many values were refused because the queue was full.
+// Dropped returns the number of values that Put dropped because the queue was full.
 func (queue *Queue[Value]) Dropped() uint64 {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	return queue.dropped
 }
 
-// CountRefused counts a value that its reader could not take.
+// CountRefused counts a value that a reader drained but could not handle, for example because of its
+// type.
 func (queue *Queue[Value]) CountRefused() {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	queue.refused++
 }
 
-// Refused returns how many values their reader could not take.
+// Refused returns the number of values counted by CountRefused.
 func (queue *Queue[Value]) Refused() uint64 {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	return queue.refused
 }
 
-// Watch registers a channel that gets a notice after each Put.
+// Watch registers and returns a channel that receives a notice after a Put. It holds at most one
+// notice.
 func (queue *Queue[Value]) Watch() <-chan struct{} { return queue.notifier.Watch() }
--- a/internal/board/runner.go
+++ b/internal/board/runner.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Runner calls one controller from one goroutine: at every interval, and at
-// once after a notice of any of its sources.
+// Runner calls a controller from one goroutine, at regular intervals and immediately after a notice
+// from any of its sources.
 type Runner struct {
 	controller Controller
 	interval   time.Duration
 	sources    []<-chan struct{}
 }
 
-// NewRunner returns a runner for controller.
+// NewRunner returns a runner that calls controller at each interval and after notices from sources.
 func NewRunner(controller Controller, interval time.Duration, sources ...<-chan struct{}) *Runner {
 	return &Runner{controller: controller, interval: interval, sources: sources}
 }
 
-// Run calls the controller until ctx ends. A panic of the controller leaves Run, so
-// that the process ends instead of going on without the controller.
+// Run calls the controller, first immediately, until ctx ends. A panic of the controller propagates
+// out of Run, so that the process ends instead of continuing without the controller.
 func (runner *Runner) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	notices := make(chan struct{}, 1)
@@ -47,6 +47,7 @@
 	}
 }
 
+// forwardNotices merges the notices of source into notices until ctx ends.
 func forwardNotices(ctx context.Context, source <-chan struct{}, notices chan<- struct{}) {
 	for {
 		select {
--- a/internal/board/table.go
+++ b/internal/board/table.go
@@ -7,17 +7,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount is the number of shards a table is split into.
+// shardCount is the number of shards of a table.
 const shardCount = 16
 
-// Row is one row of a table with the table's revision at its last write.
+// Row is the value of a row of a table.
 type Row[Value any] struct {
-	Value    Value
+	Value Value
+	// Revision is the revision of the table after the last write of the row.
 	Revision uint64
 }
 
-// Table is a typed map in shards, each under its own lock. Every write gives
-// the row a new revision and notifies the table's watchers.
+// Table is a typed map that is split into shards with their own locks. It is safe for concurrent use.
+// Every write increments the revision of the table, records it in the row and notifies the table's
+// watchers.
 type Table[Key comparable, Value any] struct {
 	name     string
 	hash     func(Key) uint64
@@ -31,7 +33,7 @@
 	rows map[Key]Row[Value]
 }
 
-// NewTable returns an empty table whose shards are chosen by hash.
+// NewTable returns an empty table. The hash of a key determines its shard.
 func NewTable[Key comparable, Value any](name string, hash func(Key) uint64) *Table[Key, Value] {
 	table := &Table[Key, Value]{name: name, hash: hash}
 	for index := range table.shards {
@@ -40,13 +42,13 @@
 	return table
 }
 
-// HashNumber is a shard hash for integer keys.
+// HashNumber is a hash for integer keys.
 func HashNumber[Key ~uint32 | ~uint64 | ~int](key Key) uint64 {
-	// The multiplier is the golden ratio of 64 bits; it spreads small keys.
+	// Fibonacci hashing: the multiplier is 2^64 divided by the golden ratio. It spreads small keys.
 	return uint64(key) * 0x9E3779B97F4A7C15 >> 32
 }
 
-// HashString is a shard hash for string keys.
+// HashString is a hash for string keys.
 func HashString[Key ~string](key Key) uint64 { return xxhash.Sum64String(string(key)) }
 
 // Name returns the table's name.
@@ -56,7 +58,7 @@
 	return &table.shards[table.hash(key)%shardCount]
 }
 
-// Get returns the row of key and whether it exists.
+// Get returns the value of key and whether it exists.
 func (table *Table[Key, Value]) Get(key Key) (Value, bool) {
 	shard := table.shard(key)
 	shard.lock.RLock()
@@ -65,7 +67,7 @@
 	return row.Value, exists
 }
 
-// Put writes the row of key and returns the revision it got.
+// Put sets the value of key and returns the revision of the write.
 func (table *Table[Key, Value]) Put(key Key, value Value) uint64 {
 	shard := table.shard(key)
 	shard.lock.Lock()
@@ -76,8 +78,8 @@
 	return revision
 }
 
-// Update replaces the row of key by what change returns, under the shard's
-// lock. When keep is false the row is deleted.
+// Update calls change with the value of key under the lock of its shard, and replaces the value with
+// next. If keep is false, it deletes the row instead.
 func (table *Table[Key, Value]) Update(key Key, change func(value Value, exists bool) (next Value, keep bool)) {
 	shard := table.shard(key)
 	shard.lock.Lock()
@@ -98,8 +100,8 @@
 	table.Update(key, func(value Value, _ bool) (Value, bool) { return value, false })
 }
 
-// Range calls visit for a copy of each row until visit returns false. The
-// order is not stated; a caller that needs the same order each time sorts.
+// Range calls visit with a copy of each row until visit returns false. Visit is called without locks.
+// The order is not specified; a caller that needs a deterministic order must sort.
 func (table *Table[Key, Value]) Range(visit func(key Key, row Row[Value]) bool) {
 	for index := range table.shards {
 		for key, row := range table.shards[index].copyRows() {
@@ -110,6 +112,7 @@
 	}
 }
 
+// copyRows returns a copy of the shard's rows.
 func (shard *tableShard[Key, Value]) copyRows() map[Key]Row[Value] {
 	shard.lock.RLock()
 	defer shard.lock.RUnlock()
@@ -132,9 +135,9 @@
 	return total
 }
 
-// Revision returns the table's revision: that of its latest write.
+// Revision returns the revision of the latest write, or zero before the first.
 func (table *Table[Key, Value]) Revision() uint64 { return table.revision.Load() }
 
-// Watch registers a channel that gets a notice after writes. Notices are
-// merged: the channel holds at most one.
+// Watch registers and returns a channel that receives a notice after a write. Notices are merged: the
+// channel holds at most one.
 func (table *Table[Key, Value]) Watch() <-chan struct{} { return table.notifier.Watch() }
