--- a/internal/process/body.go
+++ b/internal/process/body.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// bodyWithin bounds the time in which a caller sends the body of a call. A connection may
-// fall silent for good without a reset; without a bound each of them would hold a
-// goroutine and its buffers for ever. Callers wait a second or a little longer for an
-// answer, and send 16 MB in two on a link of 100 Mbit/s.
-const bodyWithin = 5 * time.Second
+// bodyTimeout bounds the time to read the body of a request. A peer may stop responding without
+// closing or resetting its connection; without a bound, each such connection would hold a goroutine
+// and its buffers forever. Callers wait for an answer for a second or slightly longer, and send 16 MB
+// in two seconds over a link of 100 Mbit/s.
+const bodyTimeout = 5 * time.Second
 
-// SetBodyDeadline makes reads of a request's body fail once bodyWithin has passed. The returned
-// function ends the bound; it is called once the body was read whole. Without that call
-// the bound stays, because a server reads what is left of a body before it answers.
+// SetBodyDeadline makes reads of a request's body fail after bodyTimeout. The returned function
+// removes the deadline. Callers call it only after they have read the whole body: otherwise the
+// server still reads the rest of the body before it answers, and needs the deadline.
 func SetBodyDeadline(writer http.ResponseWriter) (done func(), err error) {
 	controller := http.NewResponseController(writer)
-	err = controller.SetReadDeadline(time.Now().Add(bodyWithin))
+	err = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
 	if errors.Is(err, http.ErrNotSupported) {
-		// The writer belongs to no connection, so that nothing can fall silent.
+		// The writer has no connection, as in tests, so no peer can stop responding.
 		return func() {}, nil
 	}
 	return func() { _ = controller.SetReadDeadline(time.Time{}) }, err
--- a/internal/process/body_test.go
+++ b/internal/process/body_test.go
@@ -12,9 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCallWhoseConnectionFallsSilentEnds: the caller sends a part of its body and nothing
-// more, and closes nothing.
-func TestCallWhoseConnectionFallsSilentEnds(t *testing.T) {
+// TestStalledBodyTimesOut guards against a handler that never ends because its caller sends only a
+// part of the body and leaves the connection open.
+func TestStalledBodyTimesOut(t *testing.T) {
 	ended := make(chan error, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		done, err := SetBodyDeadline(writer)
@@ -33,13 +33,14 @@
 	select {
 	case err := <-ended:
 		require.Error(t, err)
-	case <-time.After(10 * bodyWithin):
-		t.Fatal("the call goes on")
+	case <-time.After(10 * bodyTimeout):
+		t.Fatal("the handler did not end")
 	}
 }
 
-// TestBoundEndsWithTheBody: a call may take longer than its body.
-func TestBoundEndsWithTheBody(t *testing.T) {
+// TestBodyDeadlineWithoutConnection checks that a writer without a connection, which supports no
+// deadlines, is not an error.
+func TestBodyDeadlineWithoutConnection(t *testing.T) {
 	writer := httptest.NewRecorder()
 	done, err := SetBodyDeadline(writer)
 	require.NoError(t, err, "a writer without a connection")
--- a/internal/process/folder.go
+++ b/internal/process/folder.go
@@ -8,8 +8,8 @@
 	"merlinpaddle/internal/settings"
 )
 
-// ProvideDataFolder opens and locks the data folder of the settings and gives it
-// up when the process stops.
+// ProvideDataFolder opens and locks the data folder of the settings. It releases the folder when the
+// process stops.
 func ProvideDataFolder(lifecycle fx.Lifecycle, chosen settings.Settings) (filesystem.FileSystem, error) {
 	folder, err := disk.Open(chosen.DataFolder)
 	if err != nil {
--- a/internal/process/metrics.go
+++ b/internal/process/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// newRegistry returns a registry with the metrics that every process has.
+// newRegistry returns a registry with the metrics that all processes have.
 func newRegistry(readiness *Readiness) *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -16,34 +16,34 @@
 	return registry
 }
 
-// readinessCollector shows the readiness of each part, so that alerts need not
-// ask for /readyz.
+// readinessCollector exports the readiness of each part, so that alerts do not need to poll /readyz.
 type readinessCollector struct {
-	readiness   *Readiness
-	description *prometheus.Desc
+	readiness  *Readiness
+	descriptor *prometheus.Desc
 }
 
 func newReadinessCollector(readiness *Readiness) *readinessCollector {
 	return &readinessCollector{
 		readiness: readiness,
-		description: prometheus.NewDesc("merlinpaddle_ready",
+		descriptor: prometheus.NewDesc("merlinpaddle_ready",
 			"1 while the part of the process is ready to serve, else 0.", []string{"part"}, nil),
 	}
 }
 
 // Describe implements prometheus.Collector.
-func (collector *readinessCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	descriptions <- collector.description
+func (collector *readinessCollector) Describe(descriptors chan<- *prometheus.Desc) {
+	descriptors <- collector.descriptor
 }
 
 // Collect implements prometheus.Collector.
 func (collector *readinessCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, part := range collector.readiness.Parts() {
-		metrics <- prometheus.MustNewConstMetric(collector.description, prometheus.GaugeValue, asGauge(part.Ready), part.Name)
+		metrics <- prometheus.MustNewConstMetric(collector.descriptor, prometheus.GaugeValue, gaugeValue(part.Ready), part.Name)
 	}
 }
 
-func asGauge(ready bool) float64 {
+// gaugeValue returns 1 if ready, else 0.
+func gaugeValue(ready bool) float64 {
 	if ready {
 		return 1
 	}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,9 +1,9 @@
-// Package process is the base of every long-running process: an fx
-// application with the log ring, metrics, health and readiness, supervised
-// goroutines, and a clean stop on SIGTERM or SIGINT.
+// Package process is the common base of all long-running processes: an fx application with a log
+// ring, metrics, health and readiness endpoints, supervised goroutines, reloading of settings, and a
+// graceful stop on SIGTERM or SIGINT.
 //
-// It provides settings.Settings, *zap.Logger, *logring.Ring, *logring.Dumper,
-// *prometheus.Registry, *Readiness and *Tasks, and needs nothing.
+// It provides settings.Settings, settings.File, *zap.Logger, *logring.Ring, *logring.Dumper,
+// *prometheus.Registry, *Readiness, *Reloads and *Tasks, and requires nothing.
 package process
 
 import (
@@ -27,31 +27,31 @@
 	"merlinpaddle/internal/settings"
 )
 
-// ExitFailure is the exit code of a process that stopped because of a fault.
+// ExitFailure is the exit code of a process that stopped because of a failure.
 const ExitFailure = 1
 
-// ringFolder is the part of the data folder that holds written rings.
-const ringFolder = "rings"
+// dumpFolder is the folder, within the data folder, to which log rings are written.
+const dumpFolder = "rings"
 
 const (
-	// startTimeout bounds the start of all parts.
+	// startTimeout bounds the time to start all parts.
 	startTimeout = 30 * time.Second
-	// stopTimeout bounds a planned stop. It is long because an agent lets
-	// uploads and feeds run to their end.
+	// stopTimeout bounds the time of a planned stop. It is long because an agent waits for uploads and
+	// feeds in progress to end.
 	stopTimeout = 15 * time.Minute
-	// lastLinesTimeout bounds the wait for a standard output that blocks.
-	lastLinesTimeout = 200 * time.Millisecond
+	// logFlushTimeout bounds the time to write the last log lines, because standard output may block.
+	logFlushTimeout = 200 * time.Millisecond
 )
 
-// Run runs the parts of one role with the settings of file until SIGTERM,
-// SIGINT or a fault, and returns the fault if there was one.
+// Run runs the parts of a role with the settings in file until SIGTERM, SIGINT or a failure. It
+// returns an error if the process failed.
 func Run(role string, file settings.File, parts ...fx.Option) error {
 	chosen, err := file.Load()
 	if err != nil {
 		return err
 	}
 	ring := logring.New(chosen.Log.RingLines)
-	dumper := logring.NewDumper(filepath.Join(chosen.DataFolder, ringFolder), chosen.Node, ring, time.Now)
+	dumper := logring.NewDumper(filepath.Join(chosen.DataFolder, dumpFolder), chosen.Node, ring, time.Now)
 	core, closeLog := newLogCore(chosen.Log, ring, dumper)
 	defer closeLog()
 	logger := zap.New(core).
@@ -71,11 +71,13 @@
 	return err
 }
 
-// newLogCore returns where log lines go, and what writes the last ones.
+// newLogCore returns a core that writes log lines to the ring and, if the settings say so, to
+// standard output. The returned function ends the output after the remaining lines are written, or
+// after logFlushTimeout.
 func newLogCore(chosen settings.Log, ring *logring.Ring, dumper *logring.Dumper) (zapcore.Core, func()) {
-	kept := logring.NewCore(zapcore.DebugLevel, ring, dumper)
+	ringCore := logring.NewCore(zapcore.DebugLevel, ring, dumper)
 	if !chosen.Output {
-		return kept, func() {}
+		return ringCore, func() {}
 	}
 	level, err := zapcore.ParseLevel(chosen.Level)
 	if err != nil {
@@ -92,23 +94,25 @@
 		defer close(done)
 		stream.Run(ctx, os.Stdout)
 	}()
-	return zapcore.NewTee(kept, logstream.NewCore(stream)), func() {
+	return zapcore.NewTee(ringCore, logstream.NewCore(stream)), func() {
 		cancel()
 		select {
 		case <-done:
-		case <-time.After(lastLinesTimeout):
+		case <-time.After(logFlushTimeout):
 		}
 	}
 }
 
-// newFxLogger returns a logger for the application's wiring, which matters
-// only when something fails.
+// newFxLogger returns a logger for events of fx. It logs them at debug level, because they matter only
+// when something fails.
 func newFxLogger(logger *zap.Logger) fxevent.Logger {
 	wiring := &fxevent.ZapLogger{Logger: logger.Named("fx")}
 	wiring.UseLogLevel(zapcore.DebugLevel)
 	return wiring
 }
 
+// runApplication starts the application, waits for a signal or a failure, and stops it. If the start
+// or the stop fails, it writes the log ring.
 func runApplication(app *fx.App, dumper *logring.Dumper, logger *zap.Logger) error {
 	startContext, cancelStart := context.WithTimeout(context.Background(), startTimeout)
 	defer cancelStart()
@@ -125,13 +129,13 @@
 		return err
 	}
 	if stopSignal.ExitCode != 0 {
-		return faults.New(faults.CodeTaskFailed, "stopped by a fault; the log ring is in the data folder under %s", ringFolder)
+		return faults.New(faults.CodeTaskFailed, "stopped by a fault; the log ring is in the data folder under %s", dumpFolder)
 	}
 	return nil
 }
 
-// rootFault unwraps fx's account of a failed start to the first error with a
-// code, which is what the operator needs to read.
+// rootFault returns the innermost error in err's chain that has a fault code, or err if none has one.
+// fx wraps the error of a failed start in text that does not help the operator.
 func rootFault(err error) error {
 	for inner := err; inner != nil; inner = errors.Unwrap(inner) {
 		if faults.CodeOf(inner) != 0 {
@@ -141,7 +145,7 @@
 	return err
 }
 
-// dumpOnSignal writes the ring when the operator sends SIGUSR1.
+// dumpOnSignal writes the log ring on SIGUSR1.
 func dumpOnSignal(tasks *Tasks, dumper *logring.Dumper) {
 	tasks.Go("ring signal", func(ctx context.Context) error {
 		signals := make(chan os.Signal, 1)
--- a/internal/process/readiness.go
+++ b/internal/process/readiness.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// Part is one part of a process and whether it is ready to serve.
+// Part is the readiness of a named part of a process.
 type Part struct {
 	Name  string
 	Ready bool
 }
 
-// Readiness collects whether each part of the process is ready to serve. The
-// process is ready when it has parts and all of them are.
+// Readiness records which parts of the process are ready to serve. The process is ready if it has at
+// least one part and all its parts are ready.
 type Readiness struct {
 	lock  sync.Mutex
 	parts map[string]bool
@@ -29,7 +29,7 @@
 	readiness.parts[part] = ready
 }
 
-// Parts returns all parts in order of name.
+// Parts returns all parts, sorted by name.
 func (readiness *Readiness) Parts() []Part {
 	readiness.lock.Lock()
 	defer readiness.lock.Unlock()
@@ -40,7 +40,7 @@
 	return parts
 }
 
-// Ready tells whether every part is ready.
+// Ready reports whether the process is ready.
 func (readiness *Readiness) Ready() bool {
 	parts := readiness.Parts()
 	return len(parts) > 0 && len(unready(parts)) == 0
--- a/internal/process/reload.go
+++ b/internal/process/reload.go
@@ -15,11 +15,11 @@
 	"merlinpaddle/internal/settings"
 )
 
-// settingsInterval is how often the settings file is looked at.
-const settingsInterval = time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes.
+const settingsPollInterval = time.Second
 
-// Reloads tells parts of the process that the settings changed. Which fields a
-// part takes anew is the part's to say; others need a restart.
+// Reloads notifies parts of the process of changed settings. Each part decides which settings it
+// applies immediately; changes of other settings need a restart.
 type Reloads struct {
 	lock      sync.Mutex
 	listeners []func(settings.Settings)
@@ -27,14 +27,15 @@
 
 func newReloads() *Reloads { return &Reloads{} }
 
-// OnChange calls listener with each new settings, from one goroutine.
+// OnChange registers listener, which is called with the new settings after each change. Listeners are
+// called one after the other from one goroutine.
 func (reloads *Reloads) OnChange(listener func(settings.Settings)) {
 	reloads.lock.Lock()
 	defer reloads.lock.Unlock()
 	reloads.listeners = append(reloads.listeners, listener)
 }
 
-func (reloads *Reloads) tell(changed settings.Settings) {
+func (reloads *Reloads) notify(changed settings.Settings) {
 	reloads.lock.Lock()
 	defer reloads.lock.Unlock()
 	for _, listener := range reloads.listeners {
@@ -42,17 +43,16 @@
 	}
 }
 
-// watchSettings reads the settings again on SIGHUP and when the file changed.
-// Settings that are wrong are refused with the reason, and the former ones
-// stay in force.
+// watchSettings reloads the settings on SIGHUP and when the file changes. If the new settings are
+// invalid, it logs the reason and keeps the previous ones.
 func watchSettings(tasks *Tasks, file settings.File, chosen settings.Settings, reloads *Reloads, logger *zap.Logger) {
 	watcher := &settingsWatcher{file: file, current: chosen, reloads: reloads, logger: logger.Named("settings")}
-	watcher.seen, _ = file.Fingerprint()
+	watcher.lastFingerprint, _ = file.Fingerprint()
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	tasks.Go("settings", func(ctx context.Context) error {
 		defer signal.Stop(signals)
-		ticker := time.NewTicker(settingsInterval)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
 			select {
@@ -61,31 +61,33 @@
 			case <-signals:
 				watcher.reload("signal")
 			case <-ticker.C:
-				watcher.look()
+				watcher.reloadIfChanged()
 			}
 		}
 	})
 }
 
+// settingsWatcher reloads the settings file.
 type settingsWatcher struct {
-	file    settings.File
-	seen    settings.Fingerprint
-	current settings.Settings
-	reloads *Reloads
-	logger  *zap.Logger
+	file            settings.File
+	lastFingerprint settings.Fingerprint
+	current         settings.Settings
+	reloads         *Reloads
+	logger          *zap.Logger
 }
 
-// look reloads the file when it is another one than before.
-func (watcher *settingsWatcher) look() {
+// reloadIfChanged reloads the settings if the file has another fingerprint than at the last reload.
+func (watcher *settingsWatcher) reloadIfChanged() {
 	fingerprint, err := watcher.file.Fingerprint()
-	if err != nil || fingerprint == watcher.seen {
+	if err != nil || fingerprint == watcher.lastFingerprint {
 		return
 	}
 	watcher.reload("file changed")
 }
 
+// reload reads the file and notifies the listeners if the settings changed. Cause is logged.
 func (watcher *settingsWatcher) reload(cause string) {
-	watcher.seen, _ = watcher.file.Fingerprint()
+	watcher.lastFingerprint, _ = watcher.file.Fingerprint()
 	changed, err := watcher.file.Load()
 	if err != nil {
 		watcher.logger.Warn("settings refused", zap.String("cause", cause), zap.Int("code", int(faults.CodeOf(err))), zap.Error(err))
@@ -97,5 +99,5 @@
 		return
 	}
 	watcher.current = changed
-	watcher.reloads.tell(changed)
+	watcher.reloads.notify(changed)
 }
--- a/internal/process/serve.go
+++ b/internal/process/serve.go
@@ -13,29 +13,31 @@
 )
 
 const (
-	// headerTimeout bounds the wait for a request's header.
+	// headerTimeout bounds the time to read the header of a request.
 	headerTimeout = 2 * time.Second
-	// idleTimeout is how long a connection without a request is kept: longer
-	// than the time between two renewals of a target, and short enough that
-	// thousands of targets which renew elsewhere hold no memory.
+	// idleTimeout is how long a connection without a request is kept open. It is longer than the
+	// interval between two renewals of a target, so that renewals reuse connections. It is short
+	// because thousands of targets that now renew elsewhere would otherwise occupy memory with idle
+	// connections.
 	idleTimeout = 8 * time.Second
-	// callsTimeout bounds the wait for calls under way when a server stops.
-	callsTimeout = time.Second
+	// shutdownTimeout bounds the wait for requests in progress when a server stops.
+	shutdownTimeout = time.Second
 )
 
-// Endpoint is a server of HTTP in a process.
+// Endpoint configures an HTTP server in a process.
 type Endpoint struct {
-	// Name tells the server's task from others.
+	// Name is the name of the server's task in logs.
 	Name string
-	// Field is the field of the settings that has the address.
-	Field   string
+	// Field is the settings field that contains the address. It is named in errors.
+	Field string
+	// Address is the TCP address on which the server listens.
 	Address string
 	Handler http.Handler
 }
 
-// Serve runs the endpoint from the start of the process to its stop. A stop lets
-// calls under way end for a second and then closes their connections: a caller
-// that never sends the rest of its call must not hold up the process.
+// Serve runs the endpoint from the start of the process to its stop. A stop waits for at most
+// shutdownTimeout for requests in progress and then closes their connections, so that a caller that
+// never sends the rest of its request does not delay the stop.
 func Serve(lifecycle fx.Lifecycle, tasks *Tasks, endpoint Endpoint) {
 	server := &http.Server{Handler: endpoint.Handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	lifecycle.Append(fx.StartStopHook(
@@ -53,9 +55,9 @@
 			return nil
 		},
 		func(ctx context.Context) {
-			within, cancel := context.WithTimeout(ctx, callsTimeout)
+			shutdownContext, cancel := context.WithTimeout(ctx, shutdownTimeout)
 			defer cancel()
-			if server.Shutdown(within) != nil {
+			if server.Shutdown(shutdownContext) != nil {
 				_ = server.Close()
 			}
 		},
--- a/internal/process/status.go
+++ b/internal/process/status.go
@@ -31,7 +31,7 @@
 	return router
 }
 
-// serveStatus runs the status server when the settings name an address.
+// serveStatus runs the status server if the settings have an address for it.
 func serveStatus(lifecycle fx.Lifecycle, tasks *Tasks, chosen settings.Settings, readiness *Readiness, registry *prometheus.Registry) {
 	if chosen.Status == "" {
 		return
--- a/internal/process/status_test.go
+++ b/internal/process/status_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestStatusTellsWhichPartIsNotReady(t *testing.T) {
+func TestReadyzNamesUnreadyParts(t *testing.T) {
 	tests := []struct {
 		name   string
 		parts  []Part
 		status int
 		answer string
 	}{
-		{"no part yet", nil, http.StatusServiceUnavailable, "not ready: \n"},
-		{"all parts", []Part{{"consensus", true}, {"packets", true}}, http.StatusOK, "ready\n"},
-		{"one part lost", []Part{{"consensus", false}, {"packets", true}}, http.StatusServiceUnavailable, "not ready: consensus\n"},
+		{"no parts", nil, http.StatusServiceUnavailable, "not ready: \n"},
+		{"all parts ready", []Part{{"consensus", true}, {"packets", true}}, http.StatusOK, "ready\n"},
+		{"one part not ready", []Part{{"consensus", false}, {"packets", true}}, http.StatusServiceUnavailable, "not ready: consensus\n"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestMetricsShowEachPartsReadiness(t *testing.T) {
+func TestMetricsContainReadinessOfEachPart(t *testing.T) {
 	readiness := NewReadiness()
 	readiness.Set("consensus", true)
 	readiness.Set("packets", false)
@@ -44,6 +44,7 @@
 	require.Contains(t, metrics, `merlinpaddle_ready{part="packets"} 0`)
 }
 
+// get returns handler's response to a GET request for path.
 func get(handler http.Handler, path string) *httptest.ResponseRecorder {
 	recorder := httptest.NewRecorder()
 	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, path, nil))
--- a/internal/process/tasks.go
+++ b/internal/process/tasks.go
@@ -12,9 +12,9 @@
 	"merlinpaddle/internal/logring"
 )
 
-// Tasks runs the goroutines of a process. A task that fails or panics writes
-// the ring and stops the process, because a process with a dead part is worse
-// than one that its supervisor restarts.
+// Tasks runs the goroutines of a process. When a task fails or panics, the log ring is written and the
+// process stops: it is better that a supervisor restarts the process than that it runs on without one
+// of its parts.
 type Tasks struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -24,7 +24,7 @@
 	running    sync.WaitGroup
 }
 
-// NewTasks returns tasks that end when the process stops.
+// NewTasks returns Tasks without tasks. When the process stops, it ends all tasks and waits for them.
 func NewTasks(lifecycle fx.Lifecycle, shutdowner fx.Shutdowner, logger *zap.Logger, dumper *logring.Dumper) *Tasks {
 	ctx, cancel := context.WithCancel(context.Background())
 	tasks := &Tasks{ctx: ctx, cancel: cancel, logger: logger, dumper: dumper, shutdowner: shutdowner}
@@ -32,7 +32,8 @@
 	return tasks
 }
 
-// Go runs a task under name. Its context ends when the process stops.
+// Go runs a task in a goroutine. Its context ends when the process stops. An error other than
+// context.Canceled is a failure. The name appears in logs.
 func (tasks *Tasks) Go(name string, run func(ctx context.Context) error) {
 	tasks.running.Add(1)
 	go func() {
@@ -45,6 +46,7 @@
 	}()
 }
 
+// recoverPanic logs a panic of the task, writes the log ring and stops the process.
 func (tasks *Tasks) recoverPanic(name string) {
 	cause := recover()
 	if cause == nil {
@@ -55,12 +57,14 @@
 	_ = tasks.shutdowner.Shutdown(fx.ExitCode(ExitFailure))
 }
 
+// fail logs the failure of a task and stops the process. The logger writes the log ring, as for every
+// line at error level.
 func (tasks *Tasks) fail(name string, err error) {
 	tasks.logger.Error("task failed", zap.String("task", name), zap.Error(err))
 	_ = tasks.shutdowner.Shutdown(fx.ExitCode(ExitFailure))
 }
 
-// stop ends the tasks and waits for them, as long as ctx allows.
+// stop ends the context of all tasks and waits for the tasks until ctx ends.
 func (tasks *Tasks) stop(ctx context.Context) error {
 	tasks.cancel()
 	done := make(chan struct{})
