--- a/internal/control/distributor.go
+++ b/internal/control/distributor.go
@@ -42,7 +42,7 @@
 
 func newDistributor(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, source rollout.Source,
 	registry *membership.Registry, leadership *leadershipTracker) *Distributor {
-	dispatcher.AcceptPassed()
+	dispatcher.AcceptForwarded()
 	return &Distributor{
 		mailbox:       mailbox,
 		source:        source,
@@ -110,7 +110,7 @@
 // confirmApplied records with the publisher which revision a relay holds. Relays that reach control
 // through another relay are left out: they get their updates from that relay.
 func (distributor *Distributor) confirmApplied(now time.Time, relay model.NodeName, report protocol.Report) {
-	if !distributor.mailbox.Far(relay) {
+	if !distributor.mailbox.ReachedViaRelay(relay) {
 		distributor.publisher.Confirm(now, relay, report.Applied, report.Digest)
 	}
 }
--- a/internal/protocol/pack_test.go
+++ b/internal/protocol/pack_test.go
@@ -10,6 +10,7 @@
 	"merlinpaddle/internal/model"
 )
 
+// fullUpdate returns an update with a snapshot, a delta and the other fields set.
 func fullUpdate() Update {
 	configuration := model.NewConfiguration()
 	configuration.Revision = 7
@@ -33,7 +34,9 @@
 	}
 }
 
-func TestPackedUpdatesAreIndependentOfEachOther(t *testing.T) {
+// TestPackedUpdatesDecodeIndependently checks that lost, reordered and duplicated updates do not
+// prevent the decoding of others, as soon as the type descriptions have arrived.
+func TestPackedUpdatesDecodeIndependently(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	first, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
@@ -46,10 +49,10 @@
 		want    []model.Revision
 		unknown []bool
 	}{
-		{name: "in order", packed: []PackedUpdate{encoder.Describe(first), second}, want: []model.Revision{8, 9}, unknown: []bool{false, false}},
-		{name: "first lost", packed: []PackedUpdate{second, encoder.Describe(first), second}, want: []model.Revision{0, 8, 9}, unknown: []bool{true, false, false}},
-		{name: "reordered", packed: []PackedUpdate{encoder.Describe(second), first}, want: []model.Revision{9, 8}, unknown: []bool{false, false}},
-		{name: "doubled", packed: []PackedUpdate{encoder.Describe(first), first, encoder.Describe(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
+		{name: "in order", packed: []PackedUpdate{encoder.WithDescriptions(first), second}, want: []model.Revision{8, 9}, unknown: []bool{false, false}},
+		{name: "first lost", packed: []PackedUpdate{second, encoder.WithDescriptions(first), second}, want: []model.Revision{0, 8, 9}, unknown: []bool{true, false, false}},
+		{name: "reordered", packed: []PackedUpdate{encoder.WithDescriptions(second), first}, want: []model.Revision{9, 8}, unknown: []bool{false, false}},
+		{name: "duplicated", packed: []PackedUpdate{encoder.WithDescriptions(first), first, encoder.WithDescriptions(first)}, want: []model.Revision{8, 8, 8}, unknown: []bool{false, false, false}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -67,21 +70,24 @@
 	}
 }
 
-func TestPackedUpdateKeepsEveryField(t *testing.T) {
+// TestPackedUpdateRoundTrip checks that every field of an update is encoded and decoded.
+func TestPackedUpdateRoundTrip(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
-	update, err := NewUpdateDecoder().Decode(encoder.Describe(packed))
+	update, err := NewUpdateDecoder().Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, fullUpdate(), update)
 }
 
-func TestDamagedPayloadIsRefusedAndTypesAreAskedForAgain(t *testing.T) {
+// TestDamagedPayloadDiscardsTypeDescriptions checks that the decoder needs the type descriptions
+// again after a payload that gob cannot decode, because the state of the gob stream is then unknown.
+func TestDamagedPayloadDiscardsTypeDescriptions(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(fullUpdate())
 	require.NoError(t, err)
 	decoder := NewUpdateDecoder()
-	_, err = decoder.Decode(encoder.Describe(packed))
+	_, err = decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 
 	damaged := packed
@@ -90,12 +96,12 @@
 	require.Error(t, err)
 	_, err = decoder.Decode(packed)
 	require.ErrorIs(t, err, ErrUnknownTypes)
-	update, err := decoder.Decode(encoder.Describe(packed))
+	update, err := decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, fullUpdate(), update)
 }
 
-func TestDescriptionsAreLeftOut(t *testing.T) {
+func TestPayloadOmitsTypeDescriptions(t *testing.T) {
 	encoder := NewUpdateEncoder()
 	packed, err := encoder.Encode(Update{Deltas: []model.Delta{{From: 7, To: 8}}})
 	require.NoError(t, err)
@@ -113,7 +119,7 @@
 	require.NoError(t, err)
 	require.True(t, packed.Compressed)
 	decoder := NewUpdateDecoder()
-	update, err := decoder.Decode(encoder.Describe(packed))
+	update, err := decoder.Decode(encoder.WithDescriptions(packed))
 	require.NoError(t, err)
 	require.Equal(t, large, update)
 
@@ -124,7 +130,7 @@
 	small, err := encoder.Encode(Update{Committed: 9})
 	require.NoError(t, err)
 	require.False(t, small.Compressed)
-	update, err = decoder.Decode(encoder.Describe(small))
-	require.NoError(t, err, "a damaged update hinders no later one")
+	update, err = decoder.Decode(encoder.WithDescriptions(small))
+	require.NoError(t, err, "a damaged update does not prevent the decoding of a later one")
 	require.Equal(t, model.Revision(9), update.Committed)
 }
