--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -268,7 +268,7 @@
 func (plan *planner) removeUnresponsiveLearner() Change {
 	for _, peer := range plan.status.Peers {
 		if peer.Learner && plan.timeSinceAnswer(peer) > plan.options.DropLearnerAfter {
-			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the learner does not respond"}
+			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the learner is silent"}
 		}
 	}
 	return Change{}
@@ -315,7 +315,7 @@
 	}
 	for _, peer := range plan.status.Peers {
 		if !peer.Learner && peer.ID != plan.status.Self && plan.timeSinceAnswer(peer) > plan.options.ReplaceVoterAfter {
-			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the voter does not respond and a learner is ready"}
+			return Change{Kind: ChangeRemove, ID: peer.ID, Name: peer.Name, Cause: "the voter is silent and a learner is ready"}
 		}
 	}
 	return Change{}
