--- a/internal/relay/claims.go
+++ b/internal/relay/claims.go
@@ -21,8 +21,8 @@
 	correlation uint64
 }
 
-// forwardRecord counts how often a claim was forwarded to control, and has the time of the last
-// time.
+// forwardRecord has the number of times that a claim was forwarded to control, and when it was last
+// forwarded.
 type forwardRecord struct {
 	count int
 	last  time.Time
--- a/internal/relay/controller.go
+++ b/internal/relay/controller.go
@@ -20,8 +20,9 @@
 	ReportInterval time.Duration
 }
 
-// Controller implements the whole relay. It performs no input or output and reads no clock: it
-// reads messages from queues, writes messages to the mailbox, and gets the time as a parameter.
+// Controller is the controller that implements a relay. It performs no input or output and reads no
+// clock: it reads messages from queues, writes messages to the mailbox, and gets the time as a
+// parameter.
 type Controller struct {
 	options Options
 	mailbox *protocol.Mailbox
@@ -152,7 +153,7 @@
 }
 
 // apply applies an update to the relay's configuration. It asks the sender for the missing deltas
-// if the update starts after the configuration's revision.
+// if the update does not continue the configuration.
 func (controller *Controller) apply(from model.NodeName, update protocol.Update) {
 	if update.Snapshot != nil {
 		controller.receiver.ApplySnapshot(update.Snapshot)
@@ -237,9 +238,9 @@
 }
 
 // answerHeartbeats acknowledges the heartbeats that can be answered now. The first heartbeats of a
-// node are deferred until control knows the node. They are checked again after each grant and at
-// deferredInterval. To check them with each message would cost time quadratic in the number of
-// nodes when many arrive together.
+// node are deferred until control knows the node. They are checked again after each grant and every
+// deferredInterval. Checking them after each message would take time quadratic in the number of nodes
+// when many arrive together.
 func (controller *Controller) answerHeartbeats(now time.Time) {
 	includeDeferred := now.Sub(controller.deferredCheckedAt) >= deferredInterval || controller.upstream.grantedAt.After(controller.deferredCheckedAt)
 	if includeDeferred {
--- a/internal/relay/grants.go
+++ b/internal/relay/grants.go
@@ -46,8 +46,9 @@
 	list.grants = kept
 }
 
-// best returns the grant that expires last among those that confirm a revision up to applied and
-// answer the report knownSince or a later one. The bool reports whether there is one.
+// best returns the grant that expires last among those that confirm at most the revision applied and
+// answer the report with the sequence knownSince or a later one. The bool reports whether there is
+// one.
 func (list *grantList) best(now time.Time, applied model.Revision, knownSince uint64) (grant, bool) {
 	var best grant
 	found := false
--- a/internal/relay/loads.go
+++ b/internal/relay/loads.go
@@ -15,9 +15,9 @@
 const (
 	// loadInterval is the time between two load digests to agents.
 	loadInterval = time.Second
-	// unchangedLoadInterval is the time after which an unchanged digest is sent again, for agents
-	// that did not receive it.
-	unchangedLoadInterval = 10 * time.Second
+	// unchangedLoadResendInterval is the time after which an unchanged digest is sent again, for
+	// agents that did not receive it.
+	unchangedLoadResendInterval = 10 * time.Second
 )
 
 // loadAggregator sends the agents of each service the loads of its targets: those that this
@@ -124,7 +124,7 @@
 }
 
 // send sends the service's digest to its agents if the loads or the number of agents changed, or
-// if unchangedLoadInterval has passed.
+// if unchangedLoadResendInterval has passed.
 func (aggregator *loadAggregator) send(now time.Time, id model.ServiceID, service *serviceLoads) {
 	loads := make([]model.TargetLoad, 0, len(service.loads))
 	for _, load := range service.loads {
@@ -133,7 +133,7 @@
 	slices.SortFunc(loads, func(left, right model.TargetLoad) int { return cmp.Compare(left.Target, right.Target) })
 	last := aggregator.lastSent[id]
 	unchanged := slices.Equal(loads, last.loads) && last.agents == len(service.agents)
-	if unchanged && now.Sub(last.at) < unchangedLoadInterval {
+	if unchanged && now.Sub(last.at) < unchangedLoadResendInterval {
 		return
 	}
 	aggregator.lastSent[id] = sentLoads{loads: loads, agents: len(service.agents), at: now}
--- a/internal/relay/nodes.go
+++ b/internal/relay/nodes.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// expireAfter is the age of its last heartbeat at which a node is marked as gone, and the age
-	// of its last message at which a downstream relay is removed.
+	// expireAfter is how long after its last heartbeat a node is marked as gone, and how long after
+	// its last message a downstream relay is removed.
 	expireAfter = 30 * time.Second
 	// housekeepingInterval is the time between two checks for expired nodes and for old records of
 	// forwarded claims.
@@ -32,8 +32,8 @@
 	// knownSince is the sequence of the first report that named this incarnation of the node, or
 	// unknownSequence.
 	knownSince uint64
-	// countedSince is the sequence of the report from which on control counts the node among those
-	// that may hold a lease, or unknownSequence while it does not.
+	// countedSince is the sequence of the first report since which control counts the node among
+	// those that may hold a lease, or unknownSequence while control does not count it.
 	countedSince uint64
 	// leaseUntil is the latest end of a lease that the relay granted, plus rollout.ClockMargin for a
 	// node whose clock runs slower.
@@ -92,8 +92,8 @@
 	}
 }
 
-// receive records a heartbeat. It returns false and records nothing if the heartbeat is not newer
-// than the last recorded one of the node.
+// receive records a heartbeat if it is newer than the last recorded one of the node, and reports
+// whether it is.
 func (table *nodeTable) receive(now time.Time, name model.NodeName, heartbeat protocol.Heartbeat) bool {
 	row, known := table.rows[name]
 	if known && !newer(row.heartbeat, heartbeat) {
@@ -143,9 +143,10 @@
 	return next.Sequence > previous.Sequence
 }
 
-// recordChanges marks the row for the next report if the heartbeat next has a change to report. A
-// new applied revision of a balancer makes the report urgent, because control waits for it before
-// a change counts as in force. The floor reports the revision, unless the node is behind.
+// recordChanges marks the row for the next report if the heartbeat next has a change to report. The
+// report is urgent when the node leaves, and when a balancer has applied a new revision, because
+// control waits for it before a change counts as in force. The floor reports the revision, unless the
+// node is behind.
 func (table *nodeTable) recordChanges(now time.Time, row *nodeRow, next protocol.Heartbeat) {
 	previous := row.heartbeat
 	if next.Applied != previous.Applied || next.Leaving != previous.Leaving {
@@ -223,7 +224,7 @@
 		return nil
 	}
 	table.lastExpiry = now
-	var forgotten []model.NodeName
+	var expired []model.NodeName
 	for name, row := range table.rows {
 		departed := row.moved && !row.leased(now)
 		if row.gone || (!departed && now.Sub(row.receivedAt) <= expireAfter) {
@@ -231,7 +232,7 @@
 		}
 		row.gone = true
 		table.markChanged(row)
-		forgotten = append(forgotten, name)
+		expired = append(expired, name)
 	}
-	return forgotten
+	return expired
 }
--- a/internal/relay/passage.go
+++ b/internal/relay/passage.go
@@ -12,7 +12,7 @@
 // downstreamRelays serves relays that have this one as their upstream. They subscribe to the
 // configuration here. Their reports and claims are forwarded to control, and control's answers
 // back to them. The leader grants to each relay individually. The duration of a grant counts from
-// when the far relay sent its report, so the delay of forwarding only shortens it.
+// when the downstream relay sent its report, so the delay of forwarding only shortens it.
 type downstreamRelays struct {
 	mailbox   *protocol.Mailbox
 	publisher *rollout.Publisher
@@ -81,8 +81,8 @@
 	downstream.mailbox.Send(member, passed)
 }
 
-// sendDown sends an answer of control to its relay, or to the child through which the relay was
-// last heard.
+// sendDown sends an answer of control to its relay, or to the child that last forwarded a message of
+// the relay.
 func (downstream *downstreamRelays) sendDown(passed protocol.Passed) {
 	if downstream.hasChild(passed.Relay) {
 		downstream.mailbox.Send(passed.Relay, passed.Message)
--- a/internal/relay/report_test.go
+++ b/internal/relay/report_test.go
@@ -166,7 +166,7 @@
 	reports := harness.run(true)
 	latest := reports[len(reports)-1]
 	require.Equal(t, []protocol.Floor{{Role: model.RoleBalancer, Revision: 8}}, latest.Floors)
-	for begun := harness.now; harness.now.Sub(begun) < rollout.LeaseLength+2*time.Second; {
+	for start := harness.now; harness.now.Sub(start) < rollout.LeaseLength+2*time.Second; {
 		for _, report := range harness.run(true) {
 			for _, node := range report.Nodes {
 				if node.Gone {
@@ -263,7 +263,7 @@
 				harness.run(true)
 			}
 			test.leave(harness)
-			for begun := harness.now; harness.now.Sub(begun) < rollout.LeaseLength+2*time.Second; {
+			for start := harness.now; harness.now.Sub(start) < rollout.LeaseLength+2*time.Second; {
 				harness.sendHeartbeats(7, names[1:]...)
 				harness.run(true)
 			}
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -13,9 +13,9 @@
 	// memberTimeout is how long a control member may go without granting before the relay tries the
 	// next one.
 	memberTimeout = time.Second
-	// minimumDwell is the shortest time for which the relay stays at one member before it follows
-	// that member's word on who leads. It keeps the relay from switching in a fast loop between
-	// members that name each other as leader.
+	// minimumDwell is the shortest time for which the relay stays at one member before it switches to
+	// the member that this one names as leader. It keeps the relay from switching in a fast loop
+	// between members that name each other as leader.
 	minimumDwell = 200 * time.Millisecond
 	// minimumReportInterval is the shortest time between two reports, which applies to urgent ones.
 	minimumReportInterval = 50 * time.Millisecond
@@ -126,8 +126,8 @@
 }
 
 // grantFor returns the grant that expires last among those that cover a node which runs the
-// revision applied and which control knows since the report knownSince. The bool reports whether
-// there is one.
+// revision applied and which control has known since the report with the sequence knownSince. The
+// bool reports whether there is one.
 func (upstream *upstream) grantFor(now time.Time, applied model.Revision, knownSince uint64) (grant, bool) {
 	return upstream.grants.best(now, applied, knownSince)
 }
--- a/internal/rollout/heartbeat.go
+++ b/internal/rollout/heartbeat.go
@@ -55,9 +55,9 @@
 	return heartbeat
 }
 
-// runningDigest returns the digest of the running configuration. At recomputeInterval it computes
-// the digest from every row, because the sum that the configuration keeps does not show rows that
-// were corrupted in memory.
+// runningDigest returns the digest of the running configuration. Once per recomputeInterval it
+// computes the digest from every row, because the sum that the configuration keeps does not show rows
+// that were corrupted in memory.
 func (subscriber *Subscriber) runningDigest(now time.Time, running *model.Configuration) uint64 {
 	if now.Sub(subscriber.digestRecomputedAt) < recomputeInterval {
 		return running.Digest()
@@ -67,7 +67,7 @@
 }
 
 // Leave releases the node's lease and sends the last heartbeat of a planned stop, which says that
-// the node is leaving. The controller sends nothing after it.
+// the node is leaving. The subscriber sends nothing after it.
 func (subscriber *Subscriber) Leave(now time.Time) {
 	if subscriber.leaving || len(subscriber.options.Relays) == 0 {
 		return
--- a/internal/rollout/history.go
+++ b/internal/rollout/history.go
@@ -9,7 +9,8 @@
 }
 
 // Append adds a delta. A delta that does not start where the log ends, as after a snapshot,
-// replaces the log.
+// replaces the log. A log that exceeds historyCapacity is cut to its latest historyCapacity/2
+// deltas.
 func (history *History) Append(delta model.Delta) {
 	if count := len(history.deltas); count > 0 && history.deltas[count-1].To != delta.From {
 		history.deltas = nil
--- a/internal/rollout/lease.go
+++ b/internal/rollout/lease.go
@@ -28,8 +28,8 @@
 	lease.until.Store(nil)
 }
 
-// Extend extends the lease to until, and does nothing if the lease already lasts that long. A
-// released lease stays invalid.
+// Extend extends the lease to until, and does nothing if the lease already lasts that long. A lease
+// that was released stays invalid.
 func (lease *Lease) Extend(until time.Time) {
 	for {
 		current := lease.until.Load()
--- a/internal/rollout/pause_test.go
+++ b/internal/rollout/pause_test.go
@@ -59,7 +59,7 @@
 	require.True(t, node.pause.Over(now.Add(pauseLimit)))
 
 	resumed := now.Add(10 * time.Second)
-	require.False(t, node.pause.Over(resumed), "a packet may come before the subscriber runs")
+	require.False(t, node.pause.Over(resumed), "a packet may arrive before the subscriber runs")
 	node.answer(before[0], 0)
 	after := node.run(resumed)
 	require.Len(t, after, 1)
@@ -68,7 +68,7 @@
 
 	node.answer(after[0], 7)
 	node.run(resumed.Add(100 * time.Millisecond))
-	require.False(t, node.pause.Over(resumed.Add(100*time.Millisecond)), "revision 7 has not come yet")
+	require.False(t, node.pause.Over(resumed.Add(100*time.Millisecond)), "revision 7 has not arrived yet")
 
 	node.store.Advance(&model.Configuration{Revision: 7})
 	node.run(resumed.Add(150 * time.Millisecond))
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -77,8 +77,9 @@
 }
 
 // Confirm records that the subscriber has the revision with the digest, and adds the subscriber if
-// it is new. It returns false if the digest differs from that of the current configuration at the
-// same revision; the subscriber then gets a snapshot. A zero digest is not compared.
+// it is new. It reports whether the digest matches: false means that it differs from that of the
+// current configuration at the same revision, and the subscriber then gets a snapshot. A zero digest
+// is not compared.
 func (publisher *Publisher) Confirm(now time.Time, subscriber model.NodeName, revision model.Revision, digest uint64) bool {
 	entry, known := publisher.subscribers[subscriber]
 	if !known {
@@ -178,7 +179,7 @@
 }
 
 // sendSnapshot sends the cached snapshot, or a new one if that is not usable for the subscriber. It
-// returns false if the new one cannot be encoded.
+// reports whether it sent one: a new one may fail to be encoded.
 func (publisher *Publisher) sendSnapshot(now time.Time, name model.NodeName, confirmation Confirmation) bool {
 	entry := publisher.subscribers[name]
 	if !publisher.cachedSnapshotUsable(entry) && !publisher.encodeSnapshot(confirmation) {
--- a/internal/rollout/receiver.go
+++ b/internal/rollout/receiver.go
@@ -6,8 +6,8 @@
 type ApplyResult struct {
 	// Changed means that the configuration changed.
 	Changed bool
-	// Resync means that the update starts after the configuration's revision, so the deltas between
-	// them must be requested.
+	// Resync means that a delta does not continue the configuration, so the deltas that follow the
+	// configuration's revision must be requested.
 	Resync bool
 }
 
@@ -49,23 +49,23 @@
 }
 
 // ApplyDeltas applies deltas in order. It skips those that are already applied, and stops with
-// Resync set at one that starts after the working configuration's revision.
+// Resync set at one that does not continue the working configuration.
 func (receiver *Receiver) ApplyDeltas(deltas []model.Delta) ApplyResult {
-	var progress ApplyResult
+	var result ApplyResult
 	for _, delta := range deltas {
 		if delta.To <= receiver.current.Revision {
 			continue
 		}
 		next, err := receiver.current.Apply(delta)
 		if err != nil {
-			progress.Resync = true
-			return progress
+			result.Resync = true
+			return result
 		}
 		receiver.current = next
 		receiver.history.Append(delta)
-		progress.Changed = true
+		result.Changed = true
 	}
-	return progress
+	return result
 }
 
 // withEmptyMaps returns a sealed copy of a decoded configuration, in which empty maps replace the
--- a/internal/rollout/relayselector.go
+++ b/internal/rollout/relayselector.go
@@ -90,7 +90,7 @@
 }
 
 // advance switches to the next relay if the current one has not confirmed in time, or back to the
-// first one if an attempt at it is due. It returns true if the node has to subscribe at its relay:
+// first one if an attempt at it is due. It reports whether the node has to subscribe at its relay:
 // after a switch, and at the first call.
 func (selector *relaySelector) advance(now time.Time) bool {
 	selector.lock.Lock()
--- a/internal/rollout/store.go
+++ b/internal/rollout/store.go
@@ -43,8 +43,8 @@
 }
 
 // Repair replaces the running configuration by another one of the same revision, after a digest
-// showed that the running one is wrong. It returns false if the revision differs, or if the running
-// configuration was replaced meanwhile.
+// showed that the running one is wrong. It reports whether it did. It does not if the revision
+// differs, or if the running configuration was replaced at the same time.
 func (store *Store) Repair(configuration *model.Configuration) bool {
 	running := store.current.Load()
 	if configuration.Revision != running.Revision {
--- a/internal/rollout/subscriber.go
+++ b/internal/rollout/subscriber.go
@@ -46,9 +46,9 @@
 // relay, applies updates in order, sends heartbeats and extends the lease.
 //
 // A process that has just started installs no configuration until a relay has answered one of its
-// heartbeats as current, that is, as confirmed by the control leader. The configuration must have
-// at least the revision that was committed by then. A restarted node therefore never starts with a
-// lower revision than it ran before the restart.
+// heartbeats as current, that is, under a grant that the control leader issued when it already knew
+// this process. The configuration must have at least the revision that was committed at that grant.
+// A restarted node therefore never starts with a lower revision than it ran before the restart.
 type Subscriber struct {
 	options  SubscriberOptions
 	mailbox  *protocol.Mailbox
@@ -87,9 +87,9 @@
 	digestRecomputedAt time.Time
 }
 
-// relayConfirmation is what a current relay last confirmed: that committed was the committed
-// revision when the node sent the heartbeat, at askedAt. It is valid until the relay's own grant
-// expires.
+// relayConfirmation is the latest answer of a current relay to a heartbeat that the node sent at
+// askedAt. committed is the revision that was committed when the leader issued the relay's grant, up
+// to LeaseLength before the answer. The answer is valid until that grant expires.
 type relayConfirmation struct {
 	committed model.Revision
 	askedAt   time.Time
@@ -145,8 +145,8 @@
 	subscriber.sendHeartbeat(now)
 }
 
-// chooseRelay switches to another relay if the selector says so, and unsubscribes from the previous
-// one.
+// chooseRelay uses the relay that the selector chooses. After a switch it unsubscribes from the
+// previous one.
 func (subscriber *Subscriber) chooseRelay(now time.Time) {
 	previous := subscriber.selector.current()
 	if !subscriber.selector.advance(now) {
@@ -158,7 +158,7 @@
 	}
 }
 
-// RelayName returns the relay that the node uses at present, or an empty name.
+// RelayName returns the relay that the node uses at present, or an empty name if none is configured.
 // It may be called from any goroutine.
 func (subscriber *Subscriber) RelayName() model.NodeName { return subscriber.selector.current() }
 
@@ -245,7 +245,7 @@
 }
 
 // endPause ends a pause of the process once a current relay has answered a heartbeat that was sent
-// after it, and the node runs the revision that was committed by then.
+// after it, and the node runs at least the revision that the answer gives as committed.
 func (subscriber *Subscriber) endPause(now time.Time) {
 	confirmed := subscriber.confirmation
 	if now.Before(confirmed.until) && subscriber.store.Current().Revision >= confirmed.committed {
