--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -55,8 +55,8 @@
 	mailbox     *protocol.Mailbox
 	dispatcher  *protocol.Dispatcher
 	controllers []board.Controller
-	// A stopped process runs nothing, and messages to it are lost. A frozen process runs nothing,
-	// but its inbox keeps the messages until it resumes.
+	// stopped means that the process runs nothing and that messages to it are lost. frozen means that
+	// it runs nothing, but its inbox keeps the messages until it resumes.
 	stopped, frozen bool
 	// offset and rate define the process's own clock relative to the cluster's.
 	offset time.Duration
--- a/internal/control/distributor.go
+++ b/internal/control/distributor.go
@@ -72,9 +72,9 @@
 		distributor.sentDigests = nil
 	}
 	distributor.receiveSubscribes(now)
-	// Updates are sent before the grants that confirm them.
 	reports := distributor.receiveReports(now)
 	distributor.removeSilentRelays(now)
+	// Updates are sent before the grants that confirm them.
 	distributor.publisher.Publish(now, rollout.Confirmation{
 		Committed:   distributor.source.Current().Revision,
 		ConfirmedAt: status.ConfirmedAt,
@@ -85,7 +85,8 @@
 	distributor.sendLoads(now)
 }
 
-// receiveSubscribes answers subscriptions with the configuration that the relays lack.
+// receiveSubscribes records subscriptions. The next Publish sends the relays the updates that they
+// need.
 func (distributor *Distributor) receiveSubscribes(now time.Time) {
 	for _, envelope := range distributor.subscribes.Drain() {
 		if subscribe, isSubscribe := envelope.Message.(protocol.Subscribe); isSubscribe {
@@ -202,8 +203,8 @@
 	load  model.TargetLoad
 }
 
-// indexLoads returns the loads of all nodes with a fresh relay whose targets are in the
-// configuration.
+// indexLoads returns the loads of all nodes of which some relay reported a fresh heartbeat, as far as
+// their targets are in the configuration.
 func indexLoads(registry *membership.Registry, configuration *model.Configuration) loadIndex {
 	index := loadIndex{
 		servicesByRelay: make(map[model.NodeName]map[model.ServiceID]struct{}),
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -27,7 +27,7 @@
 // begins only after a read barrier in the new term.
 type leadershipTracker struct {
 	group Group
-	// passedBarriers receives the terms whose read barrier was passed.
+	// passedBarriers receives the terms whose read barrier has passed.
 	passedBarriers *board.Queue[uint64]
 
 	lock          sync.Mutex
--- a/internal/control/member.go
+++ b/internal/control/member.go
@@ -47,19 +47,19 @@
 
 // NewMember returns the controllers of one member and registers the messages that they handle with
 // the dispatcher.
-func NewMember(parts Dependencies) *Member {
+func NewMember(dependencies Dependencies) *Member {
 	registry := membership.NewRegistry()
-	leadership := newLeadershipTracker(parts.Group)
+	leadership := newLeadershipTracker(dependencies.Group)
 	member := &Member{
-		Distributor: newDistributor(parts.Mailbox, parts.Dispatcher, machineSource{machine: parts.Machine}, registry, leadership),
-		Claims:      newClaimBroker(parts.Mailbox, parts.Dispatcher, parts.Group),
-		Proposer:    newProposer(parts.Group),
+		Distributor: newDistributor(dependencies.Mailbox, dependencies.Dispatcher, machineSource{machine: dependencies.Machine}, registry, leadership),
+		Claims:      newClaimBroker(dependencies.Mailbox, dependencies.Dispatcher, dependencies.Group),
+		Proposer:    newProposer(dependencies.Group),
 		registry:    registry,
 		leadership:  leadership,
-		machine:     parts.Machine,
-		machines:    parts.Machines,
+		machine:     dependencies.Machine,
+		machines:    dependencies.Machines,
 	}
-	member.Liveness = membership.NewLiveness(registry, member, parts.DeadAfter, member.Proposer.proposals)
+	member.Liveness = membership.NewLiveness(registry, member, dependencies.DeadAfter, member.Proposer.proposals)
 	return member
 }
 
--- a/internal/control/relaytree_test.go
+++ b/internal/control/relaytree_test.go
@@ -61,7 +61,7 @@
 	return cluster, revision
 }
 
-// TestChangesReachNodesThroughTreeOfRelays checks that changes reach every node and come in force
+// TestChangesReachNodesThroughTreeOfRelays checks that changes reach every node and come into force
 // through the tree, and that control sends nothing to relays that are not connected to it.
 func TestChangesReachNodesThroughTreeOfRelays(t *testing.T) {
 	t.Parallel()
@@ -81,8 +81,8 @@
 }
 
 // TestTreeOfRelaysUnderFaults disturbs the top of the tree. Leases are long enough for the
-// zone relays to fail over. A change must come in force in time, and all nodes must hold leases
-// afterwards.
+// zone relays to fail over. A change must come into force in time, and all nodes must hold
+// leases afterwards.
 func TestTreeOfRelaysUnderFaults(t *testing.T) {
 	t.Parallel()
 	cases := []struct {
--- a/internal/control/rollout_test.go
+++ b/internal/control/rollout_test.go
@@ -167,7 +167,7 @@
 }
 
 // TestDistributionContinuesAfterALeaderChange stops the leader before a change. The change must
-// still reach every node and come in force.
+// still reach every node and come into force.
 func TestDistributionContinuesAfterALeaderChange(t *testing.T) {
 	t.Parallel()
 	cluster := newTwoZoneCluster(t, 6)
@@ -254,7 +254,8 @@
 }
 
 // checkReportedInForce gives every process a clock with its own offset of up to an hour and a rate
-// of 0.98 to 1.02, and runs six rounds of a random fault and a change.
+// of 0.98 to 1.02, and runs six rounds of a random fault and a change. It fails the test when a
+// balancer with a lease runs an older revision than any member reported as in force.
 func checkReportedInForce(t *testing.T, cluster *cluster, seed uint64) {
 	for _, process := range cluster.processes {
 		process.offset = time.Duration(cluster.random.Int64N(int64(time.Hour)))
--- a/internal/membership/liveness_test.go
+++ b/internal/membership/liveness_test.go
@@ -89,9 +89,9 @@
 	require.False(t, fixture.proposesDead(600*time.Millisecond))
 }
 
-// TestNewLeaderDeclaresDeadANodeThatNoRelayReceives checks that a new leader counts a node's
-// silence from the start of its leadership and declares the target dead after the timeout.
-func TestNewLeaderDeclaresDeadANodeThatNoRelayReceives(t *testing.T) {
+// TestNewLeaderDeclaresTargetOfSilentNodeDead checks that a new leader counts a node's silence from
+// the start of its leadership and declares the target dead after the timeout.
+func TestNewLeaderDeclaresTargetOfSilentNodeDead(t *testing.T) {
 	fixture := newLivenessFixture()
 	for at := time.Duration(0); at <= testDeadAfter; at += time.Second {
 		fixture.report(at, "relay-1", 20*time.Second+at)
--- a/internal/membership/registry.go
+++ b/internal/membership/registry.go
@@ -120,8 +120,9 @@
 	})
 }
 
-// ApplyReport applies one relay's report. It returns false when the relay must send a full report
-// first, because the registry does not have the earlier reports of this relay process.
+// ApplyReport applies one relay's report. It reports whether the registry is now at the report or a
+// later one. If not, it does not have the earlier reports of this relay process, and the relay must
+// send a full report.
 func (registry *Registry) ApplyReport(now time.Time, name model.NodeName, report protocol.Report) bool {
 	relay, known := registry.Relays.Get(name)
 	restarted := known && report.Incarnation > relay.Incarnation
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -23,10 +23,10 @@
 }
 
 // next returns the next report, with the given floor for balancers. The first report is full.
-func (reports *reportBuilder) next(floor model.Revision, nodes ...protocol.NodeReport) protocol.Report {
-	reports.sequence++
+func (builder *reportBuilder) next(floor model.Revision, nodes ...protocol.NodeReport) protocol.Report {
+	builder.sequence++
 	return protocol.Report{
-		Zone: "a", Incarnation: reports.incarnation, Sequence: reports.sequence, Full: reports.sequence == 1,
+		Zone: "a", Incarnation: builder.incarnation, Sequence: builder.sequence, Full: builder.sequence == 1,
 		Floors:      []protocol.Floor{{Role: model.RoleBalancer, Revision: floor, Digest: uint64(floor) * 10}},
 		FreshWithin: rollout.FreshWithin, Nodes: nodes,
 	}
--- a/internal/reconfigure/reconfigure.go
+++ b/internal/reconfigure/reconfigure.go
@@ -75,7 +75,7 @@
 	logger  *zap.Logger
 	// pendingSince is when the pending change was proposed; zero if none is pending.
 	pendingSince time.Time
-	// changeDone has a value when the result of a proposed change has come.
+	// changeDone has a value once the result of a proposed change has arrived.
 	changeDone chan struct{}
 }
 
@@ -321,10 +321,9 @@
 	return Change{}
 }
 
-// admitCandidates adds all candidates whose names no member has as learners, in one change. Each
-// change takes a round of the whole group, and a process that is not a member can serve no calls, so
-// with one change per candidate the first start of a group would take longer the more members it
-// has.
+// admitCandidates adds, in one change, all candidates whose names no member has as learners. Each
+// change takes a round of consensus, and a process that is not a member can serve no calls, so with
+// one change per candidate the first start of a group would take longer the more members it has.
 func (plan *planner) admitCandidates() Change {
 	var admitted []replica.Candidate
 	for _, candidate := range plan.status.Candidates {
