--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -46,7 +46,7 @@
 	started        time.Time
 
 	claims      requests.Claims
-	identifiers *requests.IDAssigner
+	idAssigner  *requests.IDAssigner
 	incarnation model.Incarnation
 	socket      *dataplane.Socket
 	// fabric is the address of the fabric, to which answers are sent.
@@ -109,7 +109,7 @@
 	agent.fabric = fabric
 	agent.incarnation = identity.Incarnation
 	agent.claims = identity.Claims
-	agent.identifiers = requests.NewIDAssigner(model.NodeName(agent.settings.Node), identity.Incarnation)
+	agent.idAssigner = requests.NewIDAssigner(model.NodeName(agent.settings.Node), identity.Incarnation)
 	agent.socket, err = dataplane.Listen(agent.settings.Agent.Packets)
 	return err
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -87,13 +87,13 @@
 	// A caller with another address reaches the other target.
 	_, body := get(t, fleet.fabric.client(), "/call")
 	require.Equal(t, "called", body)
-	require.NotEqual(t, 0, fleet.other(owner).instance.Load().owners.Len())
+	require.NotEqual(t, 0, fleet.other(owner).instance.Load().ownedFlows.Len())
 
 	expect("still open")
 	close(updates)
 	_, err = lines.ReadString('\n')
 	require.ErrorIs(t, err, io.EOF)
-	eventually(t, func() bool { return owner.instance.Load().owners.Len() == 0 })
+	eventually(t, func() bool { return owner.instance.Load().ownedFlows.Len() == 0 })
 	require.NoError(t, owner.Drain(t.Context()))
 }
 
@@ -155,7 +155,7 @@
 	connections, requests := fleet.agents[0].instance.Load().frontend.connections.counts()
 	require.Zero(t, connections)
 	require.Zero(t, requests)
-	eventually(t, func() bool { return fleet.agents[0].instance.Load().owners.Len() == 0 })
+	eventually(t, func() bool { return fleet.agents[0].instance.Load().ownedFlows.Len() == 0 })
 }
 
 func TestStopGraceBoundsDrain(t *testing.T) {
@@ -210,7 +210,7 @@
 		require.Equal(t, "update\n", line)
 		return other.instance.Load().plane.Counters().Forwarded.Load() > 3 && fleet.fabric.hints.Load() > 3
 	})
-	require.Zero(t, other.instance.Load().owners.Len())
+	require.Zero(t, other.instance.Load().ownedFlows.Len())
 }
 
 func TestPacketsOfOtherServicesAreDropped(t *testing.T) {
@@ -242,7 +242,7 @@
 			}))
 			eventually(t, func() bool { return counters.Dropped.Load() == before+1 })
 			require.Zero(t, counters.Delivered.Load())
-			require.Zero(t, fleet.agents[0].instance.Load().owners.Len())
+			require.Zero(t, fleet.agents[0].instance.Load().ownedFlows.Len())
 		})
 	}
 }
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -25,9 +25,9 @@
 		{"serving and busy", 1, time.Hour, false, 0, false},
 		{"serving and briefly idle", 0, time.Second, false, 0, false},
 		{"idle for long, GOAWAY not sent before", 0, time.Hour, false, 0, false},
-		{"idle for long, grace after GOAWAY over", 0, time.Hour, false, goAwayGrace, true},
+		{"idle for long, grace after GOAWAY has passed", 0, time.Hour, false, goAwayGrace, true},
 		{"idle for long before the drain", 0, time.Hour, true, 0, false},
-		{"idle, grace after the drain over", 0, time.Second, true, 2 * goAwayGrace, true},
+		{"idle, grace after the drain began has passed", 0, time.Second, true, 2 * goAwayGrace, true},
 		{"drained with a feed", 1, time.Hour, true, time.Hour, false},
 	}
 	for _, test := range cases {
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -21,7 +21,7 @@
 
 // conditionTimeout bounds the wait for an expected packet. It is long enough for a busy machine,
 // and checks no latency.
-const conditionTimeout = 20 * time.Second
+const waitTimeout = 20 * time.Second
 
 const (
 	rigaService     model.ServiceID = 7
@@ -72,7 +72,7 @@
 	t.Helper()
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	require.NoError(t, err)
-	require.NoError(t, socket.SetReadDeadline(time.Now().Add(conditionTimeout)))
+	require.NoError(t, socket.SetReadDeadline(time.Now().Add(waitTimeout)))
 	t.Cleanup(func() { _ = socket.Close() })
 	return socket
 }
@@ -96,8 +96,8 @@
 	return newPlaneFixtureWithAlternate(t, protocol, otherTarget)
 }
 
-// newPlaneFixtureWithAlternate returns a fixture with the alternate of all of riga's buckets. With
-// zero there is none, and ownTarget, the head, decides alone about new flows.
+// newPlaneFixtureWithAlternate returns a fixture in which all of riga's buckets have the given
+// alternate. If it is zero, they have none, and ownTarget, the head, decides alone about new flows.
 func newPlaneFixtureWithAlternate(t *testing.T, protocol model.Protocol, alternate model.TargetID) *planeFixture {
 	t.Helper()
 	fixture := &planeFixture{
--- a/internal/agent/frontend.go
+++ b/internal/agent/frontend.go
@@ -144,8 +144,8 @@
 	return ctx, nil
 }
 
-// connectionEnded uncounts a connection of caller after flowLinger, and closes
-// the flow if it was the last one.
+// connectionEnded subtracts an ended connection from the caller's count after
+// flowLinger, and closes the flow if it was the last one.
 func (frontend *frontend) connectionEnded(caller netip.AddrPort) {
 	time.AfterFunc(flowLinger, func() {
 		frontend.lock.Lock()
--- a/internal/agent/harness_test.go
+++ b/internal/agent/harness_test.go
@@ -371,7 +371,7 @@
 func (fleet *fleet) owner() *Agent {
 	fleet.t.Helper()
 	for _, agent := range fleet.agents {
-		if agent.instance.Load().owners.Len() > 0 {
+		if agent.instance.Load().ownedFlows.Len() > 0 {
 			return agent
 		}
 	}
--- a/internal/agent/health.go
+++ b/internal/agent/health.go
@@ -17,8 +17,8 @@
 )
 
 // PollHealth checks the back end's health at the configured interval until ctx
-// ends. It returns at once when no health path is configured. The results are
-// used only while the agent has no recent results of its own requests.
+// ends. It returns at once when no health path is configured. A recent good
+// result of the agent's own requests takes precedence over these checks.
 func (agent *Agent) PollHealth(ctx context.Context) error {
 	if agent.settings.Agent.HealthPath == "" {
 		return nil
--- a/internal/agent/instance.go
+++ b/internal/agent/instance.go
@@ -24,11 +24,11 @@
 // instance serves one target ID. A target that is removed and created again has
 // a new ID and gets a new instance.
 type instance struct {
-	target   model.TargetID
-	service  model.ServiceID
-	owners   *flow.OwnedFlows
-	steering *steering.Steering
-	plane    *dataplane.Plane
+	target     model.TargetID
+	service    model.ServiceID
+	ownedFlows *flow.OwnedFlows
+	steering   *steering.Steering
+	plane      *dataplane.Plane
 
 	// gate, pool and frontend serve QUIC services; datagrams serves plain UDP.
 	gate      *requests.Gate
@@ -44,7 +44,7 @@
 // newInstance returns an instance for target and starts its receiver.
 func (agent *Agent) newInstance(target model.Target, service model.Service, fabric netip.AddrPort) (*instance, error) {
 	created := &instance{target: target.ID, service: service.ID}
-	created.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
+	created.ownedFlows = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
 		Service:     service.ID,
 		Target:      target.ID,
 		IdleTimeout: flowIdleTimeout(service),
@@ -60,7 +60,7 @@
 	created.steering = steering.New(steering.Options{
 		Target:         target.ID,
 		Configurations: agent.store,
-		OwnedFlows:     created.owners,
+		OwnedFlows:     created.ownedFlows,
 		Load:           func() model.TargetLoad { return agent.loadOf(created) },
 		Draining:       agent.stopping.Load,
 		MayOpen:        agent.pause.Over,
@@ -71,7 +71,7 @@
 		Service:        service.ID,
 		Configurations: agent.store,
 		Decider:        created.steering,
-		OwnedFlows:     created.owners,
+		OwnedFlows:     created.ownedFlows,
 		Socket:         agent.socket,
 		Fabric:         fabric,
 	})
@@ -104,7 +104,7 @@
 		Gate:       created.gate,
 		Pool:       created.pool,
 		Claims:     agent.claims,
-		IDAssigner: agent.identifiers,
+		IDAssigner: agent.idAssigner,
 		Metrics:    agent.requestMetrics,
 	})
 	created.frontend, err = newFrontend(created.plane, service, pair, handler)
@@ -143,7 +143,7 @@
 }
 
 // maintain expires idle flows, closes idle connections, and updates the average
-// number of requests. It is to be called every reconcileInterval.
+// number of requests. It must be called at least every reconcileInterval.
 func (instance *instance) maintain(now time.Time, limits model.Limits) {
 	instance.plane.Expire(now)
 	instance.steering.ObserveLoad(now)
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -63,7 +63,7 @@
 			require.Equal(t, "called", body)
 			cancel()
 			require.Error(t, <-failed)
-			require.Equal(t, 2, fleet.agents[0].instance.Load().owners.Len())
+			require.Equal(t, 2, fleet.agents[0].instance.Load().ownedFlows.Len())
 			require.EqualValues(t, 3, requests.Load())
 		})
 	}
@@ -274,7 +274,7 @@
 	fleet.fabric.dropAnswers.Store(true)
 	opened := make(chan *quic.Conn, 1)
 	go func() { opened <- rawConnection(t, fleet) }()
-	eventually(t, func() bool { return fleet.agents[0].instance.Load().owners.Len() == 1 })
+	eventually(t, func() bool { return fleet.agents[0].instance.Load().ownedFlows.Len() == 1 })
 	fleet.setPhase(1, model.PhaseDraining)
 	eventually(t, func() bool { return !fleet.agents[0].accepting.Load() })
 	fleet.fabric.dropAnswers.Store(false)
--- a/internal/agent/metrics.go
+++ b/internal/agent/metrics.go
@@ -67,7 +67,7 @@
 	counters.EachDrop(func(reason dataplane.DropReason, count uint64) {
 		counter(collector.drops, count, reason.String())
 	})
-	gauge(collector.flows, float64(current.owners.Len()))
+	gauge(collector.flows, float64(current.ownedFlows.Len()))
 	load := current.gate.Load()
 	gauge(collector.requests, float64(load.Running), "running")
 	gauge(collector.requests, float64(load.Waiting), "waiting")
--- a/internal/agent/report.go
+++ b/internal/agent/report.go
@@ -9,7 +9,7 @@
 		return nil
 	}
 	load := agent.loadOf(current)
-	load.Flows = uint32(current.owners.Len())
+	load.Flows = uint32(current.ownedFlows.Len())
 	return &load
 }
 
--- a/internal/agent/requests/backend_faults_test.go
+++ b/internal/agent/requests/backend_faults_test.go
@@ -55,8 +55,8 @@
 			return true
 		}, faults.BackendAnswerMismatched},
 		{"shorter than Content-Length", func(connection net.Conn, request *http.Request) bool {
-			whole := formatAnswer(200, requestID(request), "whole answer")
-			_, _ = io.WriteString(connection, whole[:len(whole)-3])
+			complete := formatAnswer(200, requestID(request), "whole answer")
+			_, _ = io.WriteString(connection, complete[:len(complete)-3])
 			return false
 		}, faults.BackendAnswerShort},
 		{"chunked body without an end", func(connection net.Conn, request *http.Request) bool {
@@ -165,8 +165,8 @@
 
 func TestTruncatedLongAnswerResetsTheStream(t *testing.T) {
 	fixture := newHandlerFixture(t, func(connection net.Conn, request *http.Request) bool {
-		whole := formatAnswer(200, requestID(request), strings.Repeat("a", 4*answerBufferSize))
-		_, _ = io.WriteString(connection, whole[:len(whole)-1])
+		complete := formatAnswer(200, requestID(request), strings.Repeat("a", 4*answerBufferSize))
+		_, _ = io.WriteString(connection, complete[:len(complete)-1])
 		return false
 	})
 	response, err := fixture.send(http.MethodGet, "/call", "")
@@ -223,11 +223,11 @@
 
 func TestCallerDisconnectCancelsTheRequestAtTheBackend(t *testing.T) {
 	arrived := make(chan struct{})
-	cancelled := make(chan struct{})
+	canceled := make(chan struct{})
 	fixture := newHandlerFixture(t, func(connection net.Conn, _ *http.Request) bool {
 		close(arrived)
 		waitUntilClosed(connection)
-		close(cancelled)
+		close(canceled)
 		return false
 	})
 	request, err := http.NewRequest(http.MethodGet, fixture.frontend.URL+"/call", nil)
@@ -239,8 +239,8 @@
 	_, err = fixture.frontend.Client().Do(request)
 	require.Error(t, err)
 	select {
-	case <-cancelled:
-	case <-time.After(waitLimit):
+	case <-canceled:
+	case <-time.After(waitTimeout):
 		t.Fatal("the connection to the back end was not closed")
 	}
 	eventually(t, func() bool { return fixture.gate.Load() == admission.Load{Slots: 2, Healthy: true} })
--- a/internal/agent/requests/gate.go
+++ b/internal/agent/requests/gate.go
@@ -15,8 +15,8 @@
 // Gate makes requests wait until an admission controller decides about them.
 type Gate struct {
 	controller *admission.Controller
-	// nextID is the ID of the latest request.
-	nextID atomic.Uint64
+	// lastID is the ID of the latest request.
+	lastID atomic.Uint64
 	// lock guards waiters, which has a channel for each request that has no decision yet.
 	lock    sync.Mutex
 	waiters map[admission.RequestID]chan admission.Decision
@@ -46,8 +46,8 @@
 // ctx ends; the request then has not run and must not be run.
 func (gate *Gate) Enter(ctx context.Context, rule model.RequestRule, deadline time.Time) (*Ticket, error) {
 	now := time.Now()
-	id := admission.RequestID(gate.nextID.Add(1))
-	verdict := gate.register(id)
+	id := admission.RequestID(gate.lastID.Add(1))
+	waiter := gate.register(id)
 	gate.deliver(gate.controller.Offer(now, admission.Request{
 		ID:       id,
 		Class:    rule.Class,
@@ -55,7 +55,7 @@
 		Arrived:  now,
 		Deadline: deadline,
 	}))
-	decision, ended := gate.await(ctx, id, verdict)
+	decision, ended := gate.await(ctx, id, waiter)
 	if ended {
 		return nil, gate.refusalForEnded(ctx)
 	}
@@ -90,11 +90,11 @@
 
 // register returns the channel on which the request's decision will be delivered.
 func (gate *Gate) register(id admission.RequestID) <-chan admission.Decision {
-	verdict := make(chan admission.Decision, 1)
+	waiter := make(chan admission.Decision, 1)
 	gate.lock.Lock()
 	defer gate.lock.Unlock()
-	gate.waiters[id] = verdict
-	return verdict
+	gate.waiters[id] = waiter
+	return waiter
 }
 
 // deliver sends decisions to the requests that wait for them. The channels are buffered, so it does
@@ -120,18 +120,18 @@
 
 // await returns the request's decision, or true if ctx ended before there was one. While it waits
 // it reconciles the controller, which has no goroutine of its own.
-func (gate *Gate) await(ctx context.Context, id admission.RequestID, verdict <-chan admission.Decision) (decision admission.Decision, ended bool) {
+func (gate *Gate) await(ctx context.Context, id admission.RequestID, waiter <-chan admission.Decision) (decision admission.Decision, ended bool) {
 	for {
 		timer := time.NewTimer(gate.timeUntilReconcile())
 		select {
-		case decision := <-verdict:
+		case decision := <-waiter:
 			timer.Stop()
 			return decision, false
 		case <-timer.C:
 			gate.deliver(gate.controller.Reconcile(time.Now()))
 		case <-ctx.Done():
 			timer.Stop()
-			gate.withdraw(id, verdict)
+			gate.withdraw(id, waiter)
 			return admission.Decision{}, true
 		}
 	}
@@ -151,13 +151,13 @@
 }
 
 // withdraw removes a request from the queue, or frees the slot that it was given at the same time.
-func (gate *Gate) withdraw(id admission.RequestID, verdict <-chan admission.Decision) {
+func (gate *Gate) withdraw(id admission.RequestID, waiter <-chan admission.Decision) {
 	gate.deliver(gate.controller.Cancel(time.Now(), id))
 	gate.lock.Lock()
 	delete(gate.waiters, id)
 	gate.lock.Unlock()
 	select {
-	case decision := <-verdict:
+	case decision := <-waiter:
 		if decision.Verdict == admission.VerdictRun {
 			gate.deliver(gate.controller.Finish(time.Now(), id, admission.ResultNeutral))
 		}
@@ -182,7 +182,8 @@
 	return definition.Meaning
 }
 
-// RecordHealthReport reports a health report of the back end to the controller.
+// RecordHealthReport passes a health report of the back end to the controller. good is false also for
+// a report that did not arrive.
 func (gate *Gate) RecordHealthReport(good bool) { gate.controller.RecordHealthReport(good) }
 
 // SetClosed stops or resumes the admission of requests. Closing refuses those that wait.
--- a/internal/agent/requests/handler.go
+++ b/internal/agent/requests/handler.go
@@ -239,9 +239,9 @@
 // evidence about the back end when the caller disconnected, its body failed, or the grant had
 // expired.
 func resultOf(ctx context.Context, err error) admission.Result {
-	callerGone := ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
+	callerCanceled := ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 	switch code := codeOf(err); {
-	case callerGone:
+	case callerCanceled:
 		return admission.ResultNeutral
 	case code == faults.RequestBodyOverLimit || code == faults.RequestBodyIncomplete:
 		return admission.ResultNeutral
--- a/internal/agent/requests/harness_test.go
+++ b/internal/agent/requests/harness_test.go
@@ -27,7 +27,7 @@
 )
 
 // waitLimit bounds the wait for an expected event. It checks no latency.
-const waitLimit = 10 * time.Second
+const waitTimeout = 10 * time.Second
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
@@ -270,7 +270,7 @@
 // eventually waits until condition is true.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(waitLimit)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatal("timed out waiting for the condition")
--- a/internal/agent/requests/headers.go
+++ b/internal/agent/requests/headers.go
@@ -75,8 +75,8 @@
 	return time.Duration(milliseconds) * time.Millisecond, nil
 }
 
-// setRemainingTimeout sets the header field with the time that remains until deadline, at least 1
-// ms.
+// setRemainingTimeout sets the header field with the time that remains until deadline, in
+// milliseconds and at least 1.
 func setRemainingTimeout(header http.Header, deadline time.Time) {
 	remaining := max(time.Until(deadline).Milliseconds(), 1)
 	header.Set(protocol.HeaderRequestTimeout, strconv.FormatInt(remaining, 10))
--- a/internal/agent/requests/refuse.go
+++ b/internal/agent/requests/refuse.go
@@ -59,8 +59,8 @@
 	return faults.CodeOf(err)
 }
 
-// definitionOf returns the definition of err's code. For an error without a code that has an HTTP
-// status, it is unknown whether the request ran.
+// definitionOf returns the definition of err's code. If err has no code, or its code has no HTTP
+// status, the definition has status 500 and states that it is unknown whether the request ran.
 func definitionOf(err error) faults.Definition {
 	definition, known := faults.Lookup(codeOf(err))
 	if known && definition.HTTPStatus != 0 {
--- a/internal/agent/stateless_reset.go
+++ b/internal/agent/stateless_reset.go
@@ -32,7 +32,7 @@
 // that only receives a feed sends shorter ones, so the agent builds its own. The
 // token is the one that the library announced for the connection ID: the
 // HMAC-SHA256 of the ID under the shared key, truncated. The reset is shorter than
-// the packet, so that two endpoints cannot answer each other's resets for ever.
+// the packet, so that two endpoints cannot answer each other's resets forever.
 func statelessReset(key *quic.StatelessResetKey, received []byte) []byte {
 	answerable := len(received) > minResetLength && received[0]&longHeaderBit == 0
 	if !answerable {
--- a/internal/agent/stop.go
+++ b/internal/agent/stop.go
@@ -9,8 +9,7 @@
 	"merlinpaddle/internal/faults"
 )
 
-// drainPollInterval is the time between two checks of a draining agent whether its
-// work has ended.
+// drainPollInterval is how often a draining agent checks whether its work has ended.
 const drainPollInterval = 50 * time.Millisecond
 
 // Drain stops accepting new flows and waits until the open connections, requests
--- a/internal/claim/control_test.go
+++ b/internal/claim/control_test.go
@@ -66,9 +66,9 @@
 	inTransit []protocol.Envelope
 	// lossy is set while the network loses, delays and duplicates messages.
 	lossy bool
-	// ran counts the actual runs of each key. recorded has the keys of which an
-	// outcome was reported by Record, unknownOutcome those of which a run ended by
-	// Forget or an agent crashed with a grant.
+	// ran counts the actual runs of each key. recorded has the keys whose outcome
+	// was reported by Record. unknownOutcome has the keys with a run that ended by
+	// Forget, or with an unused grant at an agent that crashed.
 	ran            map[string]int
 	recorded       map[string]bool
 	unknownOutcome map[string]bool
--- a/internal/claim/tracker_test.go
+++ b/internal/claim/tracker_test.go
@@ -46,7 +46,7 @@
 	return created
 }
 
-// claim claims payoutKey; the deadline is allowed after now.
+// claim claims payoutKey with a deadline of now plus allowed.
 func (fixture *fixture) claim(now time.Time, allowed time.Duration) uint64 {
 	return fixture.tracker.Claim(now, payoutKey, 11, now.Add(allowed), func(answer Answer) {
 		fixture.answers = append(fixture.answers, answer)
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -90,7 +90,7 @@
 	return json.NewEncoder(writer).Encode(adminapi.ChangeAnswer{Revision: 9})
 }
 
-// refuses answers with the problem document of a code. Its Retry-After is 2 s for
+// refuses returns a reaction that answers with the problem document of a code. Its Retry-After is 2 s for
 // statuses that can be retried.
 func refuses(code faults.Code, leader model.NodeName) reaction {
 	return func(writer http.ResponseWriter) error {
@@ -104,7 +104,7 @@
 	}
 }
 
-// fails returns a transport error.
+// fails returns a reaction that returns a transport error.
 func fails(err error) reaction { return func(http.ResponseWriter) error { return err } }
 
 var (
@@ -134,7 +134,7 @@
 		{"refused by the state machine", map[string][]reaction{"a": {refuses(faults.CodeRevisionMismatch, "")}}, "a", faults.CodeRevisionMismatch, faults.RanNo},
 		{"refused by the state machine after a lost answer",
 			map[string][]reaction{"a": {unknown}, "b": {refuses(faults.CodeRevisionMismatch, "")}}, "a b", faults.CodeRevisionMismatch, faults.RanNo},
-		{"refused before the log after a lost answer",
+		{"refused before the state machine after a lost answer",
 			map[string][]reaction{"a": {unknown}, "b": {refuses(faults.CodeForbidden, "")}}, "a b", faults.CodeForbidden, faults.RanUnknown},
 		{"answer without a problem document",
 			map[string][]reaction{"a": {func(writer http.ResponseWriter) error { writer.WriteHeader(http.StatusBadGateway); return nil }}, "b": {committed}}, "a b", 0, ""},
--- a/internal/client/request.go
+++ b/internal/client/request.go
@@ -137,8 +137,8 @@
 }
 
 // refusedByStateMachine reports whether a refusal with the code came from the state
-// machine. That looks up the idempotency key first, so no previous attempt was
-// committed.
+// machine, which looks up the idempotency key first. No previous attempt was
+// committed then.
 func refusedByStateMachine(code faults.Code) bool {
 	switch code {
 	case faults.CodeRevisionMismatch, faults.CodeConflict, faults.CodeQuotaExceeded, faults.CodeGroupNotEmpty:
@@ -186,8 +186,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// attempt sends the call to one endpoint, once. The answer is set for a failure too
-// if there was one.
+// attempt sends the call to one endpoint, once. With a failure, the answer is set too
+// if one was received.
 func (client *Client) attempt(ctx context.Context, endpoint *endpoint, call apiCall) (answer, *Error) {
 	ctx, cancel := context.WithTimeout(ctx, client.options.AttemptTimeout)
 	defer cancel()
@@ -246,7 +246,7 @@
 }
 
 // noAnswerError returns the error of an attempt that got no valid answer. A change may
-// have reached a member before the connection broke, unless it was never call.
+// have reached a member before the connection broke, unless it was never sent.
 func noAnswerError(call apiCall, err error) *Error {
 	code := faults.CodeOutcomeUnknown
 	if call.method == http.MethodGet || neverSent(err) {
