--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -4,9 +4,9 @@
 // A claim and its reply travel through the agent's relay to the control leader
 // and back, as messages that may be lost, duplicated or delayed. The agent
 // resends each message with the same correlation until it is answered. A grant
-// may be used only for a bounded time, counted from when the claim was first
-// sent. A claim that was not granted in time is released, so that the caller
-// can safely retry the request.
+// may be used only for a bounded time, counted from when the claim was made,
+// which is never later than its first send. A claim that was not granted in time is
+// released, so that the caller can safely retry the request.
 //
 // The package reads no clock and starts no goroutine: callers pass the time, and
 // Tracker is a board.Controller.
@@ -84,9 +84,9 @@
 type entry struct {
 	request protocol.ClaimRequest
 	phase   phase
-	// firstSent is when the claim was made, which is never later than its first
+	// claimedAt is when the claim was made, which is never later than its first
 	// send. The time that a grant allows is counted from it.
-	firstSent time.Time
+	claimedAt time.Time
 	// deadline is when the tracker gives up the present phase; unused in
 	// phaseGranted.
 	deadline time.Time
--- a/internal/claim/tracker.go
+++ b/internal/claim/tracker.go
@@ -81,7 +81,7 @@
 			Incarnation: tracker.options.Incarnation,
 		},
 		phase:     phaseRequested,
-		firstSent: now,
+		claimedAt: now,
 		deadline:  deadline,
 		done:      done,
 		nextSend:  now,
@@ -252,7 +252,7 @@
 		result.Grant = Grant{
 			Correlation: requested.request.Correlation,
 			Key:         requested.request.Key,
-			StartBefore: requested.firstSent.Add(reply.GrantedFor - grantMargin),
+			StartBefore: requested.claimedAt.Add(reply.GrantedFor - grantMargin),
 		}
 	case protocol.ClaimUnavailable:
 		// The leader did not confirm the claim, but it may still be
--- a/internal/claim/tracker_test.go
+++ b/internal/claim/tracker_test.go
@@ -102,9 +102,9 @@
 	require.Empty(t, fixture.takeSent(), "a granted claim is not resent")
 }
 
-// The time that a grant allows counts from when the claim was first sent. A reply that
+// The time that a grant allows counts from when the claim was made. A reply that
 // arrives late, or a process that was suspended, must not extend it.
-func TestGrantCountsFromFirstSending(t *testing.T) {
+func TestGrantCountsFromWhenTheClaimWasMade(t *testing.T) {
 	fixture := newFixture(t)
 	correlation := fixture.claim(start, time.Minute)
 	fixture.grant(start.Add(4*time.Second), correlation)
