--- a/internal/claim/tracker_test.go
+++ b/internal/claim/tracker_test.go
@@ -46,7 +46,7 @@
 	return created
 }
 
-// claim claims payoutKey; the deadline is allowed after now.
+// claim claims payoutKey with a deadline of now plus allowed.
 func (fixture *fixture) claim(now time.Time, allowed time.Duration) uint64 {
 	return fixture.tracker.Claim(now, payoutKey, 11, now.Add(allowed), func(answer Answer) {
 		fixture.answers = append(fixture.answers, answer)
@@ -102,9 +102,9 @@
 	require.Empty(t, fixture.takeSent(), "a granted claim is not resent")
 }
 
-// The time that a grant allows counts from when the claim was first sent. A reply that
+// The time that a grant allows counts from when the claim was made. A reply that
 // arrives late, or a process that was suspended, must not extend it.
-func TestGrantCountsFromFirstSending(t *testing.T) {
+func TestGrantCountsFromWhenTheClaimWasMade(t *testing.T) {
 	fixture := newFixture(t)
 	correlation := fixture.claim(start, time.Minute)
 	fixture.grant(start.Add(4*time.Second), correlation)
