--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -9,63 +9,63 @@
 	"merlinpaddle/internal/faults"
 )
 
-// freezeLeader pauses the leader for longer than every timeout while the other
+// pauseLeader pauses the leader for longer than every timeout while the other
 // members commit a change. It returns the paused member when it resumes.
-func freezeLeader(cluster *cluster) *member {
-	frozen := cluster.awaitLeader()
-	frozen.pausedUntil = cluster.now.Add(20 * testElectionTimeout)
+func pauseLeader(cluster *cluster) *member {
+	paused := cluster.awaitLeader()
+	paused.pausedUntil = cluster.now.Add(20 * testElectionTimeout)
 	cluster.runUntil(10*time.Second, "another leader", func() bool {
 		leader := cluster.leader()
-		return leader != nil && leader != frozen
+		return leader != nil && leader != paused
 	})
-	cluster.propose("while the leader is frozen")
-	for cluster.now.Before(frozen.pausedUntil) {
+	cluster.propose("while the leader is paused")
+	for cluster.now.Before(paused.pausedUntil) {
 		cluster.step()
 	}
-	return frozen
+	return paused
 }
 
-// TestFrozenLeaderServesNoStaleRead requests a read from a paused leader when it
+// TestPausedLeaderServesNoStaleRead requests a read from a paused leader when it
 // resumes. It has received no message from its successor yet, as if they were
 // still in transit, and would serve stale state if it trusted its lease.
-func TestFrozenLeaderServesNoStaleRead(t *testing.T) {
+func TestPausedLeaderServesNoStaleRead(t *testing.T) {
 	cluster := newCluster(t, 11, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("before")
-	frozen := freezeLeader(cluster)
-	require.Equal(t, []string{"before"}, frozen.machine.commands)
-	require.False(t, frozen.controller.StatusAt(cluster.now).Leading, "a paused leader must not report that it leads when it resumes")
+	paused := pauseLeader(cluster)
+	require.Equal(t, []string{"before"}, paused.machine.commands)
+	require.False(t, paused.controller.StatusAt(cluster.now).Leading, "a paused leader must not report that it leads when it resumes")
 
 	answered := false
-	frozen.controller.ReadBarrier(func(err error) {
+	paused.controller.ReadBarrier(func(err error) {
 		answered = true
 		if err == nil {
-			require.Len(t, frozen.machine.commands, 2, "a read that is served must show the change")
+			require.Len(t, paused.machine.commands, 2, "a read that is served must show the change")
 			return
 		}
 		require.Contains(t, []faults.Code{faults.NotLeader, faults.LeadershipUnconfirmed}, faults.CodeOf(err))
 	})
 	// The process uses a time that it read before it was paused.
-	frozen.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
+	paused.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
 	cluster.runUntil(5*time.Second, "an answer to the read", func() bool { return answered })
 }
 
-// TestFrozenLeaderCommitsNoWrite proposes a command to a paused leader when it
+// TestPausedLeaderCommitsNoWrite proposes a command to a paused leader when it
 // resumes and its successor has committed another one.
-func TestFrozenLeaderCommitsNoWrite(t *testing.T) {
+func TestPausedLeaderCommitsNoWrite(t *testing.T) {
 	cluster := newCluster(t, 12, "a", "b", "c")
 	cluster.startAll()
 	cluster.propose("before")
-	frozen := freezeLeader(cluster)
+	paused := pauseLeader(cluster)
 	var fault error
 	answered := false
-	frozen.controller.Submit([]byte("late"), func(_ []byte, err error) { answered, fault = true, err })
-	frozen.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
+	paused.controller.Submit([]byte("late"), func(_ []byte, err error) { answered, fault = true, err })
+	paused.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
 	cluster.runUntil(5*time.Second, "an answer to the write", func() bool { return answered })
 	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.OutcomeUnknown}, faults.CodeOf(fault))
 	cluster.propose("after")
 	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
-	require.Equal(t, []string{"before", "while the leader is frozen", "after"}, frozen.machine.commands)
+	require.Equal(t, []string{"before", "while the leader is paused", "after"}, paused.machine.commands)
 }
 
 // TestPartitionedLeaderStepsDown tests check-quorum: a leader without replies from
