--- a/internal/raft/leader.go
+++ b/internal/raft/leader.go
@@ -141,7 +141,7 @@
 
 // sendAppend sends one batch of entries. If the term of the entry before them is
 // no longer known because the log was compacted, it starts a snapshot transfer
-// and returns false.
+// instead. It reports whether entries were sent.
 func (raft *Raft) sendAppend(id MemberID, progress *Progress) bool {
 	previous := progress.Next - 1
 	previousTerm, known := raft.log.term(previous)
--- a/internal/raft/raft.go
+++ b/internal/raft/raft.go
@@ -49,7 +49,8 @@
 	// FirstElectionTimeout replaces ElectionTimeout for the first wait after a
 	// start; zero means that ElectionTimeout applies.
 	FirstElectionTimeout time.Duration
-	HeartbeatInterval    time.Duration
+	// HeartbeatInterval is the time between heartbeat rounds of a leader.
+	HeartbeatInterval time.Duration
 	// MaxBatchEntries and MaxBatchBytes limit the size of one append message.
 	MaxBatchEntries int
 	MaxBatchBytes   int
--- a/internal/raft/ready.go
+++ b/internal/raft/ready.go
@@ -108,9 +108,10 @@
 	// follower has reached; zero on the leader and without a leader. It bounds
 	// the staleness of the follower's state.
 	CurrentAt time.Time
-	// LeaderSince is when this member became leader; zero on others.
+	// LeaderSince is when this member became leader; zero if it is not.
 	LeaderSince time.Time
-	// Peers is the leader's view of every member, itself included; nil on others.
+	// Peers is the leader's view of every member, itself included; nil if this
+	// member is not the leader.
 	Peers []Peer
 }
 
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -39,7 +39,7 @@
 }
 
 // continueTransfer makes the transfer's target start an election once it holds
-// the leader's whole log.
+// the leader's complete log.
 func (raft *Raft) continueTransfer() {
 	progress := raft.progress[raft.transferTarget]
 	if raft.transferTarget == 0 || progress == nil || progress.Match < raft.log.lastIndex() {
--- a/internal/replica/controller.go
+++ b/internal/replica/controller.go
@@ -38,7 +38,9 @@
 	appliedAt int64
 	// backlog has the requests that were taken from the queue and not yet passed
 	// to the core.
-	backlog    []request
+	backlog []request
+	// proposals has the pending proposals by log index, and reads the callbacks of
+	// pending reads by the ID that was passed to the core.
 	proposals  map[uint64]pendingProposal
 	reads      map[uint64]func(outcome)
 	lastReadID uint64
@@ -67,8 +69,10 @@
 	status     publishedStatus
 }
 
-// NewController restores a member from its data folder. If it fails, the folder is
-// unchanged. It registers the member's message types with the dispatcher.
+// NewController restores a member from its data folder and registers the member's
+// message types with the dispatcher. If it fails, the folder is unchanged, except
+// that a torn tail of the log may have been removed and the log may have been reset
+// to the latest snapshot (see storage.reconcileLog).
 func NewController(options Options, files filesystem.FileSystem, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, machine StateMachine) (*Controller, error) {
 	controller := &Controller{
 		options:     options.withDefaults(),
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -61,9 +61,10 @@
 	// follower has reached, which bounds the staleness of its state; zero on the
 	// leader and without a leader.
 	CurrentAt time.Time
-	// LeaderSince is when this member became leader; zero on others.
+	// LeaderSince is when this member became leader; zero if it is not.
 	LeaderSince time.Time
-	// Peers is the leader's view of every member, itself included; nil on others.
+	// Peers is the leader's view of every member, itself included; nil if this
+	// member is not the leader.
 	Peers []raft.Peer
 	// Candidates are the members with an empty disk that recently requested a place.
 	Candidates []Candidate
@@ -87,8 +88,9 @@
 // the rollout publisher use it.
 type Group interface {
 	// Propose commits command and returns the state machine's result. An error
-	// with code 3001 means that this member is not the leader and nothing was
-	// proposed; 3002 means that the outcome is unknown.
+	// with code faults.NotLeader (3001) means that this member is not the leader
+	// and nothing was proposed; faults.OutcomeUnknown (3002) means that the
+	// outcome is unknown.
 	Propose(ctx context.Context, command []byte) (result []byte, err error)
 	// ReadBarrier returns once this member's state includes every change that was
 	// committed before the call. It fails when this member is not the leader or
--- a/internal/replica/identity.go
+++ b/internal/replica/identity.go
@@ -35,7 +35,8 @@
 	Name    model.NodeName
 	// Disk is the random number of this disk.
 	Disk uint64
-	// Group and Member are zero until the member has its place.
+	// Group and Member are zero until the member has its place. Group is the disk
+	// number of the group's founder.
 	Group  uint64
 	Member raft.MemberID
 	// Initial is the configuration before the log's first entry.
--- a/internal/replica/inspect.go
+++ b/internal/replica/inspect.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// inspectLog reports whether the log can be read.
+// inspectLog inspects the log and reports whether it can be read.
 func (inspection *Inspection) inspectLog(files filesystem.FileSystem) bool {
 	report, err := wal.Inspect(files, walFolder)
 	if err != nil {
@@ -62,6 +62,8 @@
 	return true
 }
 
+// inspectSnapshots inspects all snapshots and, if the log can be read, checks that it
+// holds every entry after the newest intact snapshot.
 func (inspection *Inspection) inspectSnapshots(files filesystem.FileSystem, logReadable bool) {
 	store := snapshot.NewStore(files, snapshotFolder, inspection.Identity.Group)
 	loaded, err := store.LoadAll()
--- a/internal/replica/join.go
+++ b/internal/replica/join.go
@@ -61,7 +61,7 @@
 }
 
 // sendRequests sends a FoundRequest, or a JoinRequest if this member cannot
-// found the group, to the other members once per heartbeat interval.
+// found the group, to the other members at most once per heartbeat interval.
 func (joiner *joiner) sendRequests(now time.Time) {
 	if now.Before(joiner.nextRequestAt) {
 		return
--- a/internal/replica/node.go
+++ b/internal/replica/node.go
@@ -75,8 +75,8 @@
 // Status implements Group.
 func (node *Node) Status() Status { return node.controller.StatusAt(time.Now()) }
 
-// awaitOutcome calls start and returns the outcome that it passes to done, or an
-// outcome with the error ended if ctx ends first.
+// awaitOutcome calls start and returns the outcome with which done is called, or an
+// outcome whose error is ended if ctx ends first.
 func awaitOutcome(ctx context.Context, ended error, start func(done func(outcome))) outcome {
 	answers := make(chan outcome, 1)
 	start(func(answer outcome) { answers <- answer })
--- a/internal/replica/options.go
+++ b/internal/replica/options.go
@@ -18,12 +18,15 @@
 	Members []model.NodeName
 	// Join makes this member join a running group as a learner. It never founds
 	// one.
-	Join            bool
+	Join bool
+	// ElectionTimeout is the minimum time without contact from a leader before
+	// an election.
 	ElectionTimeout time.Duration
 	// FirstElectionTimeout replaces ElectionTimeout for the first wait after a
 	// start; zero means that ElectionTimeout applies.
 	FirstElectionTimeout time.Duration
-	HeartbeatInterval    time.Duration
+	// HeartbeatInterval is the time between heartbeat rounds of a leader.
+	HeartbeatInterval time.Duration
 	// SnapshotEvery is the number of log entries between snapshots.
 	SnapshotEvery int
 	// Seed seeds the random election timeouts and the number of a new disk.
--- a/internal/replica/place.go
+++ b/internal/replica/place.go
@@ -67,8 +67,8 @@
 	return slices.DeleteFunc(names, func(name model.NodeName) bool { return name == controller.options.Self })
 }
 
-// handlePlaceRequest replies whether the member was removed, once a quorum has
-// confirmed that this member is the leader. Other members do not reply.
+// handlePlaceRequest sends a PlaceReply once a quorum has confirmed that this member
+// is the leader. A member that is not the leader does not reply.
 func (controller *Controller) handlePlaceRequest(now time.Time, from model.NodeName, placeRequest PlaceRequest) {
 	if placeRequest.Group != controller.storage.identity.Group || controller.core.Role() != raft.Leader {
 		return
--- a/internal/replica/replacement_test.go
+++ b/internal/replica/replacement_test.go
@@ -182,7 +182,7 @@
 	cluster.runUntil(5*time.Second, "the learner's place", func() bool { return cluster.members["d"].controller.core != nil })
 	cluster.isolate("d")
 	for range 100 {
-		cluster.propose("while the learner is cut off")
+		cluster.propose("while the learner is isolated")
 	}
 	require.Equal(t, faults.LearnerBehind, faults.CodeOf(simulation.promote("d")))
 	cluster.heal()
--- a/internal/replica/simulation_test.go
+++ b/internal/replica/simulation_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// ranByCode returns for each fault code whether the request was executed.
+// ranByCode maps each fault code to whether the request was executed.
 var ranByCode = func() map[faults.Code]faults.Ran {
 	ran := make(map[faults.Code]faults.Ran)
 	for _, definition := range faults.Catalogue() {
--- a/internal/state/bounds.go
+++ b/internal/state/bounds.go
@@ -35,7 +35,7 @@
 	DefaultTenantClaims   = 65_536
 )
 
-// Durations, all measured by the log's time.
+// Durations, all measured by the log time.
 const (
 	// AnswerRetention is how long the answer to a command is stored, so that a
 	// resent copy of the command gets the same answer.
--- a/internal/state/claim_test.go
+++ b/internal/state/claim_test.go
@@ -44,7 +44,7 @@
 	label   string
 	command Command
 	want    protocol.ClaimState
-	// elapsed is how far the log's time advances before the step.
+	// elapsed is how far the log time advances before the step.
 	elapsed time.Duration
 }
 
--- a/internal/state/claims.go
+++ b/internal/state/claims.go
@@ -14,13 +14,14 @@
 type claimPhase uint8
 
 const (
-	// claimHeld: an agent holds the claim and may have run the request. No other
-	// agent may run it.
+	// claimHeld means that an agent holds the claim and may have run the request.
+	// No other agent may run it.
 	claimHeld claimPhase = iota + 1
-	// claimDone: the outcome of the request is recorded.
+	// claimDone means that the outcome of the request is recorded.
 	claimDone
-	// claimReleased: the request was not run and the key is free. The row is kept
-	// for ReleaseRetention to refuse delayed copies of the claim request.
+	// claimReleased means that the request was not run and the key is free. The
+	// row is kept for ReleaseRetention to refuse delayed copies of the claim
+	// request.
 	claimReleased
 )
 
@@ -39,10 +40,10 @@
 	Phase       claimPhase
 	// Outcome is set in phase claimDone.
 	Outcome *protocol.ClaimOutcome
-	// ExpiresAt is when the row is removed, by the log's time.
+	// ExpiresAt is when the row is removed, by the log time.
 	ExpiresAt time.Time
-	// Serial is the revision of the command that set ExpiresAt. It tells the row
-	// from earlier rows with the same key.
+	// Serial is the revision of the command that set ExpiresAt. It distinguishes
+	// the row from earlier rows with the same key.
 	Serial model.Revision
 }
 
@@ -54,7 +55,7 @@
 
 // claimTable holds the claims and two queues of their expiry: windowQueue for held
 // and completed claims, releaseQueue for released ones. Each queue is ordered by
-// ExpiresAt, because its rows are all kept for the same time and the log's time never
+// ExpiresAt, because its rows are all kept for the same time and the log time never
 // goes back.
 type claimTable struct {
 	rows         map[protocol.ClaimKey]claimRow
--- a/internal/state/concurrency_test.go
+++ b/internal/state/concurrency_test.go
@@ -77,7 +77,7 @@
 		log.add(model.Delta{From: 10 + index, To: 11 + index})
 	}
 	_, known := log.since(14)
-	require.False(t, known, "the caller must send the whole configuration")
+	require.False(t, known, "the caller must send the full configuration")
 	deltas, known := log.since(15)
 	require.True(t, known)
 	require.Len(t, deltas, MaximumDeltas)
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -4,9 +4,9 @@
 // replica.StateMachine.
 //
 // Machine.Apply is deterministic: the result and the new state depend only on
-// the previous state, the log index, the log's time and the command. It uses no
+// the previous state, the log index, the log time and the command. It uses no
 // local clock, random numbers or map iteration order, so members that applied
-// the same log have equal digests. All expiry is decided by the log's time.
+// the same log have equal digests. All expiry is decided by the log time.
 //
 // Readers of a View or of deltas never wait for Apply: each change publishes a new
 // immutable View (copy on write). Claims and stored answers are not part of the
--- a/internal/state/machine.go
+++ b/internal/state/machine.go
@@ -30,7 +30,7 @@
 	Applied model.Revision
 	// Offset is added to a log index to get a revision; see the package comment.
 	Offset model.Revision
-	// Clock is the log's time, which never goes back.
+	// Clock is the log time, which never goes back.
 	Clock time.Time
 	// LastService and LastTarget are the highest IDs ever assigned.
 	LastService model.ServiceID
@@ -71,7 +71,7 @@
 func (machine *Machine) Watch() <-chan struct{} { return machine.notifier.Watch() }
 
 // Apply applies one committed log entry and returns the encoded Result, as
-// replica.StateMachine demands. An empty command only advances the log's time.
+// replica.StateMachine requires. An empty command only advances the log time.
 func (machine *Machine) Apply(index model.Revision, at time.Time, command []byte) []byte {
 	machine.lock.Lock()
 	defer machine.lock.Unlock()
@@ -89,7 +89,7 @@
 	return encodeResult(machine.run(decoded))
 }
 
-// advance records the applied index, moves the log's time forward, never back, and
+// advance records the applied index, moves the log time forward, never back, and
 // removes expired answers and claims.
 func (machine *Machine) advance(index model.Revision, at time.Time) {
 	machine.core.Applied = index
--- a/internal/state/template.go
+++ b/internal/state/template.go
@@ -56,9 +56,9 @@
 	// set limits. Strings and booleans set no property: a string replaces "{name}"
 	// in the path prefixes of rules, and a boolean enables rules.
 	Sets Property `json:"sets,omitempty"`
-	// Required makes a service invalid that does not give the parameter. If a
-	// parameter is not required, not given and has no default, the template's own
-	// value remains in force.
+	// Required means that a service must give the parameter. If a parameter is
+	// not required, not given and has no default, the template's own value
+	// applies.
 	Required bool `json:"required,omitempty"`
 	// Default is the value if the service does not give the parameter.
 	Default json.RawMessage `json:"default,omitempty"`
@@ -78,7 +78,7 @@
 	// PathPrefix may contain "{name}" for the value of a string parameter.
 	PathPrefix string             `json:"path_prefix"`
 	Class      model.RequestClass `json:"class"`
-	// AtMostOnce demands that requests have an idempotency key and are claimed
+	// AtMostOnce requires that requests have an idempotency key and are claimed
 	// before they run.
 	AtMostOnce bool `json:"at_most_once,omitempty"`
 	// Weight is the admission weight; zero means the weight of the class.
--- a/internal/state/template_check.go
+++ b/internal/state/template_check.go
@@ -70,8 +70,8 @@
 	return errors
 }
 
-// checkParameters checks each parameter definition, that names and properties occur
-// only once, and that the address and the targets can be set.
+// checkParameters checks each parameter definition. It also checks that no name or
+// property occurs twice and that parameters set the address and the targets.
 func (errors *fieldErrors) checkParameters(spec TemplateSpec) {
 	if len(spec.Parameters) > MaximumParameters {
 		errors.add("parameters", "more than %d", MaximumParameters)
--- a/internal/state/transaction.go
+++ b/internal/state/transaction.go
@@ -16,7 +16,7 @@
 	machine *Machine
 	// revision is the revision that the changes get.
 	revision model.Revision
-	// now is the log's time.
+	// now is the log time.
 	now time.Time
 	// view is a private copy of the published view, which writes to its tables do
 	// not affect. Its Configuration is not replaced before commit.
