--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -73,10 +73,10 @@
 	options.Self = model.NodeName(config.Node)
 	options.Zone = config.Zone
 	options.Regions = regionsOf(config.Direct.Zones)
-	options.LocalZoneWeight = config.Direct.NearWeight
-	options.SpilloverCandidates = config.Direct.SpillCandidates
+	options.LocalZoneWeight = config.Direct.LocalZoneWeight
+	options.SpilloverCandidates = config.Direct.SpilloverCandidates
 	options.Candidates = config.Direct.LoadCandidates
-	options.MaxOccupancy = config.Direct.LoadCrowd
+	options.MaxOccupancy = config.Direct.MaxOccupancy
 	options.MaxObjectiveShare = config.Direct.LoadAdmission
 	options.Loads = loadCounter
 	return steer.NewTable(options)
--- a/internal/direct/registrar/batch.go
+++ b/internal/direct/registrar/batch.go
@@ -74,7 +74,7 @@
 // one token per registration counts as an unknown outcome.
 func (batch *batch) complete(result directory.Result, err error) {
 	if err == nil && len(result.Tokens) != len(batch.registrations) {
-		err = faults.New(faults.OutcomeUnknown, "the result has %d tokens for %d targets", len(result.Tokens), len(batch.registrations))
+		err = faults.New(faults.ProposalOutcomeUnknown, "the result has %d tokens for %d targets", len(result.Tokens), len(batch.registrations))
 	}
 	for index, entry := range batch.registrations {
 		var token directory.Token
--- a/internal/direct/registrar/batch_test.go
+++ b/internal/direct/registrar/batch_test.go
@@ -122,5 +122,5 @@
 	var outcome error
 	proposed := &batch{registrations: []*registration{{done: func(_ directory.Token, err error) { outcome = err }}}}
 	proposed.complete(directory.Result{Token: 5}, nil)
-	require.Equal(t, faults.OutcomeUnknown, faults.CodeOf(outcome))
+	require.Equal(t, faults.ProposalOutcomeUnknown, faults.CodeOf(outcome))
 }
--- a/internal/direct/registrar/calls.go
+++ b/internal/direct/registrar/calls.go
@@ -92,6 +92,6 @@
 	case err := <-results:
 		return err
 	case <-ctx.Done():
-		return faults.New(faults.OutcomeUnknown, "the caller's context ended before the answer arrived")
+		return faults.New(faults.ProposalOutcomeUnknown, "the caller's context ended before the answer arrived")
 	}
 }
--- a/internal/direct/registrar/evacuate.go
+++ b/internal/direct/registrar/evacuate.go
@@ -58,7 +58,7 @@
 		case err != nil:
 			done(err)
 		case !order.CallerWaiting():
-			done(faults.New(faults.OutcomeUnknown, "the caller disconnected before the order was proposed; this call changed nothing"))
+			done(faults.New(faults.ProposalOutcomeUnknown, "the caller disconnected before the order was proposed; this call changed nothing"))
 		default:
 			_, base := registrar.directory.Evacuations()
 			registrar.proposeZoneOrder(order, base, deadline, attempts, done)
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -213,7 +213,7 @@
 		{"leader does not answer", func(harness *harness) { harness.group.unresponsive = true }, faults.ForwardTimeout},
 		{"no leader", func(harness *harness) { harness.group.status.Leader = "" }, faults.QuorumUnconfirmed},
 		{"member does not lead", func(harness *harness) { harness.group.err = faults.New(faults.NotLeader, "no") }, faults.QuorumUnconfirmed},
-		{"outcome unknown", func(harness *harness) { harness.group.err = faults.New(faults.OutcomeUnknown, "no") }, faults.OutcomeUnknown},
+		{"outcome unknown", func(harness *harness) { harness.group.err = faults.New(faults.ProposalOutcomeUnknown, "no") }, faults.ProposalOutcomeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/faults/codes_consensus.go
+++ b/internal/faults/codes_consensus.go
@@ -6,8 +6,8 @@
 const (
 	// NotLeader: this member is not the leader; nothing was proposed.
 	NotLeader Code = 3001
-	// OutcomeUnknown: the proposal may or may not be committed.
-	OutcomeUnknown Code = 3002
+	// ProposalOutcomeUnknown: the proposal may or may not be committed.
+	ProposalOutcomeUnknown Code = 3002
 	// ProposalReplaced: another leader's entry took the proposal's place.
 	ProposalReplaced Code = 3003
 	// LeadershipUnconfirmed: a read could not be confirmed by a quorum.
@@ -34,7 +34,7 @@
 
 var consensusDefinitions = []Definition{
 	{Code: NotLeader, Name: "NotLeader", Meaning: "This member does not lead the control group; nothing was proposed.", Action: "Send the request to the leader, or again after an election.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
-	{Code: OutcomeUnknown, Name: "ProposalOutcomeUnknown", Meaning: "The change was proposed, and whether it is committed is not known here.", Action: "Send the same request with the same Idempotency-Key again; it is applied at most once.", HTTPStatus: http.StatusGatewayTimeout, Ran: RanUnknown},
+	{Code: ProposalOutcomeUnknown, Name: "ProposalOutcomeUnknown", Meaning: "The change was proposed, and whether it is committed is not known here.", Action: "Send the same request with the same Idempotency-Key again; it is applied at most once.", HTTPStatus: http.StatusGatewayTimeout, Ran: RanUnknown},
 	{Code: ProposalReplaced, Name: "ProposalReplaced", Meaning: "Another leader's entry took the proposal's place in the log; the change was not and will not be applied.", Action: "Send the request again.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
 	{Code: LeadershipUnconfirmed, Name: "LeadershipUnconfirmed", Meaning: "No quorum confirmed this leader, so a read could be out of date.", Action: "Read again, at another member if this one stays cut off.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
 	{Code: LearnerBehind, Name: "LearnerBehind", Meaning: "The learner has not caught up with the log and cannot become a voter yet.", Action: "Wait until it has caught up and promote it again.", HTTPStatus: http.StatusConflict, Ran: RanNo},
--- a/internal/packet/contract_test.go
+++ b/internal/packet/contract_test.go
@@ -59,7 +59,7 @@
 			if err == nil {
 				_, err = Encode(decoded)
 			}
-			if code := faults.CodeOf(err); err != nil && (code < faults.PacketTruncated || code > faults.PacketAddressFamily) {
+			if code := faults.CodeOf(err); err != nil && (code < faults.PacketTruncated || code > faults.AddressFamiliesDiffer) {
 				t.Errorf("%s with bit %d changed: error %v with code %d", name, bit, err, code)
 			}
 		}
@@ -119,13 +119,13 @@
 		{"empty UDP over IPv4", BuildInnerUDP(flowIPv4, nil), 0},
 		{"empty UDP over IPv6", BuildInnerUDP(flowIPv6, nil), 0},
 		{"largest UDP payload", largest, 0},
-		{"IPv6 hop-by-hop options", extended(t, layers.IPProtocolIPv6HopByHop), faults.PacketInnerTransport},
-		{"IPv6 destination options", extended(t, layers.IPProtocolIPv6Destination), faults.PacketInnerTransport},
-		{"IPv6 routing header", extended(t, layers.IPProtocolIPv6Routing), faults.PacketInnerTransport},
-		{"IPv6 fragment header", extended(t, layers.IPProtocolIPv6Fragment), faults.PacketInnerFragment},
-		{"IPv6 jumbogram", jumbogram, faults.PacketInnerHeader},
-		{"SCTP", sctp, faults.PacketInnerTransport},
-		{"ICMPv6", icmp6, faults.PacketInnerTransport},
+		{"IPv6 hop-by-hop options", extended(t, layers.IPProtocolIPv6HopByHop), faults.InnerTransportUnknown},
+		{"IPv6 destination options", extended(t, layers.IPProtocolIPv6Destination), faults.InnerTransportUnknown},
+		{"IPv6 routing header", extended(t, layers.IPProtocolIPv6Routing), faults.InnerTransportUnknown},
+		{"IPv6 fragment header", extended(t, layers.IPProtocolIPv6Fragment), faults.InnerPacketFragmented},
+		{"IPv6 jumbogram", jumbogram, faults.InnerHeaderMalformed},
+		{"SCTP", sctp, faults.InnerTransportUnknown},
+		{"ICMPv6", icmp6, faults.InnerTransportUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/packet/inner.go
+++ b/internal/packet/inner.go
@@ -118,6 +118,6 @@
 		}
 		return &builder.ipv6, nil
 	default:
-		return nil, faults.New(faults.PacketAddressFamily, "flow from %s to %s is not of one IP version", source, destination)
+		return nil, faults.New(faults.AddressFamiliesDiffer, "flow from %s to %s is not of one IP version", source, destination)
 	}
 }
--- a/internal/packet/options.go
+++ b/internal/packet/options.go
@@ -68,16 +68,16 @@
 var (
 	errTruncated      = faults.New(faults.PacketTruncated, "packet is shorter than its headers say")
 	errVersion        = faults.New(faults.PacketVersion, "not a Geneve version 0 data packet")
-	errOption         = faults.New(faults.PacketOption, "Geneve option has a wrong length or value")
+	errOption         = faults.New(faults.PacketOptionMalformed, "Geneve option has a wrong length or value")
 	errOptionRepeated = faults.New(faults.PacketOptionRepeated, "Geneve option occurs twice")
 	errOptionUnknown  = faults.New(faults.PacketOptionUnknown, "critical Geneve option is not known")
 	errOptionMissing  = faults.New(faults.PacketOptionMissing, "Geneve option that this kind of packet needs is absent")
-	errKind           = faults.New(faults.PacketKind, "kind of packet is not known")
-	errChain          = faults.New(faults.PacketChain, "chain is empty, too long, or shorter than its position")
-	errInnerProtocol  = faults.New(faults.PacketInnerProtocol, "inner packet is neither IPv4 nor IPv6")
-	errInnerHeader    = faults.New(faults.PacketInnerHeader, "inner header contradicts itself")
-	errInnerFragment  = faults.New(faults.PacketInnerFragment, "inner packet is a fragment")
-	errInnerTransport = faults.New(faults.PacketInnerTransport, "inner packet is neither UDP nor TCP")
+	errKind           = faults.New(faults.PacketKindUnknown, "kind of packet is not known")
+	errChain          = faults.New(faults.PacketChainMalformed, "chain is empty, too long, or shorter than its position")
+	errInnerProtocol  = faults.New(faults.InnerPacketNotIP, "inner packet is neither IPv4 nor IPv6")
+	errInnerHeader    = faults.New(faults.InnerHeaderMalformed, "inner header contradicts itself")
+	errInnerFragment  = faults.New(faults.InnerPacketFragmented, "inner packet is a fragment")
+	errInnerTransport = faults.New(faults.InnerTransportUnknown, "inner packet is neither UDP nor TCP")
 )
 
 // readOption writes the content of one option into packet. Options of other
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -153,9 +153,9 @@
 		{"QUIC over UDP", udp, model.ProtocolQUIC, model.ProtocolQUIC, 0},
 		{"TCP not stated", tcp, 0, model.ProtocolTCP, 0},
 		{"TCP", tcp, model.ProtocolTCP, model.ProtocolTCP, 0},
-		{"UDP said to be TCP", udp, model.ProtocolTCP, 0, faults.PacketOption},
-		{"TCP said to be QUIC", tcp, model.ProtocolQUIC, 0, faults.PacketOption},
-		{"unknown protocol", udp, 77, 0, faults.PacketOption},
+		{"UDP said to be TCP", udp, model.ProtocolTCP, 0, faults.PacketOptionMalformed},
+		{"TCP said to be QUIC", tcp, model.ProtocolQUIC, 0, faults.PacketOptionMalformed},
+		{"unknown protocol", udp, 77, 0, faults.PacketOptionMalformed},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -199,15 +199,15 @@
 		code   faults.Code
 	}{
 		{"no kind", Encapsulated{Inner: inner}, faults.PacketOptionMissing},
-		{"unknown kind", Encapsulated{Kind: 9, Inner: inner}, faults.PacketKind},
-		{"forward without chain", Encapsulated{Kind: KindForward, Inner: inner}, faults.PacketChain},
-		{"position behind the chain", Encapsulated{Kind: KindForward, Chain: []model.TargetID{1}, Position: 1, Inner: inner}, faults.PacketChain},
-		{"chain too long", Encapsulated{Kind: KindForward, Chain: make([]model.TargetID, MaximumChain+1), Inner: inner}, faults.PacketChain},
+		{"unknown kind", Encapsulated{Kind: 9, Inner: inner}, faults.PacketKindUnknown},
+		{"forward without chain", Encapsulated{Kind: KindForward, Inner: inner}, faults.PacketChainMalformed},
+		{"position behind the chain", Encapsulated{Kind: KindForward, Chain: []model.TargetID{1}, Position: 1, Inner: inner}, faults.PacketChainMalformed},
+		{"chain too long", Encapsulated{Kind: KindForward, Chain: make([]model.TargetID, MaximumChain+1), Inner: inner}, faults.PacketChainMalformed},
 		{"hint without owner", Encapsulated{Kind: KindHint, Flow: flowIPv4}, faults.PacketOptionMissing},
-		{"hint without flow", Encapsulated{Kind: KindHint, Owner: 1}, faults.PacketAddressFamily},
-		{"hint with mixed families", Encapsulated{Kind: KindHint, Owner: 1, Flow: mixed}, faults.PacketAddressFamily},
+		{"hint without flow", Encapsulated{Kind: KindHint, Owner: 1}, faults.AddressFamiliesDiffer},
+		{"hint with mixed families", Encapsulated{Kind: KindHint, Owner: 1, Flow: mixed}, faults.AddressFamiliesDiffer},
 		{"no inner packet", Encapsulated{Kind: KindIngress}, faults.PacketTruncated},
-		{"inner packet not IP", Encapsulated{Kind: KindIngress, Inner: []byte{0xff}}, faults.PacketInnerProtocol},
+		{"inner packet not IP", Encapsulated{Kind: KindIngress, Inner: []byte{0xff}}, faults.InnerPacketNotIP},
 		{"too large", Encapsulated{Kind: KindIngress, Inner: append([]byte{0x45}, make([]byte, MaximumDatagram)...)}, faults.PacketTooLarge},
 	}
 	for _, test := range cases {
--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -61,7 +61,7 @@
 	frozen.controller.Submit([]byte("late"), func(_ []byte, err error) { answered, fault = true, err })
 	frozen.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
 	cluster.until(5*time.Second, "an answer to the write", func() bool { return answered })
-	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.OutcomeUnknown}, faults.CodeOf(fault))
+	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.ProposalOutcomeUnknown}, faults.CodeOf(fault))
 	cluster.propose("after")
 	cluster.until(5*time.Second, "equal state", cluster.converged)
 	require.Equal(t, []string{"before", "while the leader is frozen", "after"}, frozen.machine.commands)
@@ -80,7 +80,7 @@
 	cluster.run(2 * testElectionTimeout)
 	require.NotEqual(t, former.name, former.controller.StatusAt(cluster.now).Leader)
 	cluster.until(5*time.Second, "answers to both calls", func() bool { return len(codes) == 2 })
-	require.Equal(t, []faults.Code{faults.LeadershipUnconfirmed, faults.OutcomeUnknown}, codes)
+	require.Equal(t, []faults.Code{faults.LeadershipUnconfirmed, faults.ProposalOutcomeUnknown}, codes)
 }
 
 // TestReturningMemberDoesNotDeposeLeader shows pre-vote: a member that was cut
@@ -168,5 +168,5 @@
 	leader.controller.Submit([]byte("not taken"), note)
 	leader.controller.Stop()
 	leader.controller.Submit([]byte("too late"), note)
-	require.Equal(t, []faults.Code{faults.OutcomeUnknown, faults.MemberStopped, faults.MemberStopped}, codes)
+	require.Equal(t, []faults.Code{faults.ProposalOutcomeUnknown, faults.MemberStopped, faults.MemberStopped}, codes)
 }
--- a/internal/replica/node_test.go
+++ b/internal/replica/node_test.go
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(errors.New("the caller left"))
 	_, err = node.Propose(ctx, []byte("x"))
-	require.Equal(t, faults.OutcomeUnknown, faults.CodeOf(err))
+	require.Equal(t, faults.ProposalOutcomeUnknown, faults.CodeOf(err))
 	require.Equal(t, faults.LeadershipUnconfirmed, faults.CodeOf(node.ReadBarrier(ctx)))
 }
 
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -145,5 +145,5 @@
 }
 
 func unknownOutcome(cause string) error {
-	return faults.New(faults.OutcomeUnknown, "the change was proposed and its outcome is unknown: %s", cause)
+	return faults.New(faults.ProposalOutcomeUnknown, "the change was proposed and its outcome is unknown: %s", cause)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -74,14 +74,14 @@
 	// PeerFollowers bounds the balancers that a balancer feeds. Zero, or no
 	// listen address, feeds none.
 	PeerFollowers int `koanf:"peer_followers" validate:"min=0,max=10000"`
-	// NearWeight is how many times as many new flows a target of the balancer's own
+	// LocalZoneWeight is how many times as many new flows a target of the balancer's own
 	// zone gets as one of another zone, while it has room; one is no preference. A
 	// zone's flows that stay in it are not lost when it is cut off.
-	NearWeight float64 `koanf:"near_weight" validate:"min=1,max=10000"`
-	// SpillCandidates is the number of targets of other zones among which a balancer
+	LocalZoneWeight float64 `koanf:"near_weight" validate:"min=1,max=10000"`
+	// SpilloverCandidates is the number of targets of other zones among which a balancer
 	// gives a new flow to the least busy one while those of its own zone have no idle
 	// slot; zero keeps all flows near.
-	SpillCandidates int `koanf:"spill_candidates" validate:"min=0,max=8"`
+	SpilloverCandidates int `koanf:"spill_candidates" validate:"min=0,max=8"`
 	// LoadCandidates is the number of targets among which a balancer gives a
 	// new flow to the least busy one; one chooses by hash alone.
 	LoadCandidates int `koanf:"load_candidates" validate:"min=1,max=8"`
@@ -89,11 +89,11 @@
 	// of a new flow may be expected to take; a flow that would take longer waits
 	// for room and is refused then. Zero admits all flows.
 	LoadAdmission float64 `koanf:"load_admission" validate:"min=0,max=10"`
-	// LoadCrowd is how many requests for each of its slots a target may hold before new
+	// MaxOccupancy is how many requests for each of its slots a target may hold before new
 	// flows of the most urgent routes are refused, those of less urgent ones from fewer
 	// on. Targets queue a few requests and turn the others away, whatever their priority,
 	// so it is as much as they hold; zero bounds none.
-	LoadCrowd float64 `koanf:"load_crowd" validate:"min=0,max=1000"`
+	MaxOccupancy float64 `koanf:"load_crowd" validate:"min=0,max=1000"`
 	// LoadInterval is the least time between two reports of open requests, of
 	// balancers to each other or, in a large system, to members and back; zero
 	// shares none.
@@ -380,27 +380,27 @@
 			RequestTimeout:     5 * time.Second,
 		},
 		Direct: Direct{
-			Followers:         64,
-			PeerFollowers:     16,
-			LinkShare:         0.9,
-			LinkOverhead:      66,
-			LinkAdmission:     0.5,
-			NearWeight:        64,
-			SpillCandidates:   3,
-			LoadCandidates:    3,
-			LoadAdmission:     0.6,
-			LoadCrowd:         5,
-			LoadInterval:      40 * time.Millisecond,
-			RenewalsPerSecond: 40,
-			ToleratedLosses:   1,
-			ElectionTimeout:   400 * time.Millisecond,
-			HeartbeatInterval: 80 * time.Millisecond,
-			SnapshotEvery:     400,
-			SilentAfter:       5 * time.Second,
-			RenewalInterval:   time.Second,
-			FlowLife:          time.Minute,
-			AnswerWithin:      850 * time.Millisecond,
-			StopGrace:         2500 * time.Millisecond,
+			Followers:           64,
+			PeerFollowers:       16,
+			LinkShare:           0.9,
+			LinkOverhead:        66,
+			LinkAdmission:       0.5,
+			LocalZoneWeight:     64,
+			SpilloverCandidates: 3,
+			LoadCandidates:      3,
+			LoadAdmission:       0.6,
+			MaxOccupancy:        5,
+			LoadInterval:        40 * time.Millisecond,
+			RenewalsPerSecond:   40,
+			ToleratedLosses:     1,
+			ElectionTimeout:     400 * time.Millisecond,
+			HeartbeatInterval:   80 * time.Millisecond,
+			SnapshotEvery:       400,
+			SilentAfter:         5 * time.Second,
+			RenewalInterval:     time.Second,
+			FlowLife:            time.Minute,
+			AnswerWithin:        850 * time.Millisecond,
+			StopGrace:           2500 * time.Millisecond,
 		},
 	}
 }
--- a/internal/standin/fabric/control.go
+++ b/internal/standin/fabric/control.go
@@ -53,7 +53,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(writer, request.Body, maximumControlBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&wanted); err != nil {
-		writeProblem(writer, faults.New(faults.FabricControl, "impairments cannot be read: %v", err))
+		writeProblem(writer, faults.New(faults.FabricControlRefused, "impairments cannot be read: %v", err))
 		return
 	}
 	if err := wanted.Validate(); err != nil {
--- a/internal/standin/fabric/control_test.go
+++ b/internal/standin/fabric/control_test.go
@@ -45,7 +45,7 @@
 				require.Equal(t, before, *fabric.network.impairments.Load(), "a refused request changes nothing")
 				var problem controlProblem
 				require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &problem))
-				require.Equal(t, faults.FabricControl, problem.Code)
+				require.Equal(t, faults.FabricControlRefused, problem.Code)
 			}
 		})
 	}
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -50,7 +50,7 @@
 // New opens the sockets of a fabric. Run starts it; Close ends it.
 func New(options Options) (*Fabric, error) {
 	if len(options.Addresses) == 0 {
-		return nil, faults.New(faults.FabricUnexpectedSettings, "fabric.addresses: at least one virtual address is needed")
+		return nil, faults.New(faults.FabricSettingsIncomplete, "fabric.addresses: at least one virtual address is needed")
 	}
 	created := &Fabric{
 		machines: options.Machines,
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -196,7 +196,7 @@
 		options Options
 		code    faults.Code
 	}{
-		{"no virtual address", Options{Geneve: loopback}, faults.FabricUnexpectedSettings},
+		{"no virtual address", Options{Geneve: loopback}, faults.FabricSettingsIncomplete},
 		{"Geneve address taken", Options{Addresses: []netip.AddrPort{loopback}, Geneve: boundAddress(taken)}, faults.PacketSocket},
 		{"virtual address taken", Options{Addresses: []netip.AddrPort{boundAddress(taken)}, Geneve: loopback}, faults.PacketSocket},
 	}
--- a/internal/standin/fabric/impairment.go
+++ b/internal/standin/fabric/impairment.go
@@ -43,15 +43,15 @@
 	}
 	for _, share := range shares {
 		if !(share.value >= 0 && share.value <= 1) {
-			return faults.New(faults.FabricControl, "%s: %v is not between 0 and 1", share.field, share.value)
+			return faults.New(faults.FabricControlRefused, "%s: %v is not between 0 and 1", share.field, share.value)
 		}
 	}
 	if delay := impairments.reorderDelay(); delay < 0 || delay > maximumReorderDelay {
-		return faults.New(faults.FabricControl, "reorder_delay_milliseconds: %d is not between 0 and %d",
+		return faults.New(faults.FabricControlRefused, "reorder_delay_milliseconds: %d is not between 0 and %d",
 			impairments.ReorderDelayMilliseconds, maximumReorderDelay.Milliseconds())
 	}
 	if slices.Contains(impairments.CutZones, "") {
-		return faults.New(faults.FabricControl, "cut_zones: a zone has no name")
+		return faults.New(faults.FabricControlRefused, "cut_zones: a zone has no name")
 	}
 	return nil
 }
--- a/internal/standin/fabric/module.go
+++ b/internal/standin/fabric/module.go
@@ -37,13 +37,13 @@
 	for _, text := range chosen.Fabric.Addresses {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return nil, faults.New(faults.FabricUnexpectedSettings, "fabric.addresses: %q: %v", text, err)
+			return nil, faults.New(faults.FabricSettingsIncomplete, "fabric.addresses: %q: %v", text, err)
 		}
 		addresses = append(addresses, address)
 	}
 	geneve, err := netip.ParseAddrPort(chosen.Fabric.Geneve)
 	if err != nil {
-		return nil, faults.New(faults.FabricUnexpectedSettings, "fabric.geneve: %q: %v", chosen.Fabric.Geneve, err)
+		return nil, faults.New(faults.FabricSettingsIncomplete, "fabric.geneve: %q: %v", chosen.Fabric.Geneve, err)
 	}
 	return New(Options{
 		Addresses: addresses,
@@ -81,7 +81,7 @@
 	start := func() error {
 		listener, err := net.Listen("tcp", chosen.Fabric.Control)
 		if err != nil {
-			return faults.New(faults.FabricControl, "fabric.control: listen on %s: %v", chosen.Fabric.Control, err)
+			return faults.New(faults.FabricControlRefused, "fabric.control: listen on %s: %v", chosen.Fabric.Control, err)
 		}
 		tasks.Go("fabric control", func(context.Context) error {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/standin/fabric/network_test.go
+++ b/internal/standin/fabric/network_test.go
@@ -89,7 +89,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			err := test.impairments.Validate()
-			require.Equal(t, faults.FabricControl, faults.CodeOf(err))
+			require.Equal(t, faults.FabricControlRefused, faults.CodeOf(err))
 			require.ErrorContains(t, err, test.field)
 		})
 	}
--- a/internal/standin/fabric/poller.go
+++ b/internal/standin/fabric/poller.go
@@ -39,7 +39,7 @@
 func NewPoller(base string, interval time.Duration, machines *Machines, logger *zap.Logger, onChange func(live int)) (*Poller, error) {
 	joined, err := url.JoinPath(base, "machines")
 	if err != nil {
-		return nil, faults.New(faults.FabricUnexpectedSettings, "fabric.platform %q: %v", base, err)
+		return nil, faults.New(faults.FabricSettingsIncomplete, "fabric.platform %q: %v", base, err)
 	}
 	return &Poller{
 		url:      joined,
@@ -79,20 +79,20 @@
 func (poller *Poller) read(ctx context.Context) ([]platform.Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, poller.url, nil)
 	if err != nil {
-		return nil, faults.New(faults.FabricMachineList, "%s: %v", poller.url, err)
+		return nil, faults.New(faults.MachineListUnreadable, "%s: %v", poller.url, err)
 	}
 	answer, err := poller.client.Do(request)
 	if err != nil {
-		return nil, faults.New(faults.FabricMachineList, "%s: %v", poller.url, err)
+		return nil, faults.New(faults.MachineListUnreadable, "%s: %v", poller.url, err)
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		return nil, faults.New(faults.FabricMachineList, "%s: status %d", poller.url, answer.StatusCode)
+		return nil, faults.New(faults.MachineListUnreadable, "%s: status %d", poller.url, answer.StatusCode)
 	}
 	var list []platform.Machine
 	body := io.LimitReader(answer.Body, maximumMachineListBytes)
 	if err := json.NewDecoder(body).Decode(&list); err != nil {
-		return nil, faults.New(faults.FabricMachineList, "%s: %v", poller.url, err)
+		return nil, faults.New(faults.MachineListUnreadable, "%s: %v", poller.url, err)
 	}
 	return list, nil
 }
