--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -15,8 +15,8 @@
 	"merlinpaddle/internal/faults"
 )
 
-// check tests every field against its rule. The error lists each field that is
-// wrong, with its value and rule.
+// check validates every field against its rule. The error lists each field that breaks its rule,
+// with the place that set it, its value and the rule.
 func check(from origin, chosen Settings) error {
 	err := newValidator().Struct(chosen)
 	var problems validator.ValidationErrors
@@ -34,14 +34,14 @@
 	field := strings.TrimPrefix(problem.Namespace(), "Settings.")
 	rule := problem.Tag()
 	if problem.Param() != "" {
-		rule += " " + boundOf(problem)
+		rule += " " + ruleParameter(problem)
 	}
-	return fmt.Sprintf("%s: %s: value %q breaks the rule %q", from.of(field), field, fmt.Sprint(problem.Value()), rule)
+	return fmt.Sprintf("%s: %s: value %q breaks the rule %q", from.placeOf(field), field, fmt.Sprint(problem.Value()), rule)
 }
 
-// boundOf returns the parameter of the rule. Bounds of durations are stated in
-// nanoseconds in the tags, and shown with their unit.
-func boundOf(problem validator.FieldError) string {
+// ruleParameter returns the parameter of the rule that the field breaks. The tags give bounds of
+// durations in nanoseconds; they are returned with a unit.
+func ruleParameter(problem validator.FieldError) string {
 	if problem.Type() != durationType {
 		return problem.Param()
 	}
@@ -55,10 +55,10 @@
 func newValidator() *validator.Validate {
 	checker := validator.New(validator.WithRequiredStructEnabled())
 	checker.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get(fieldTag) })
-	// The rule "hostport" accepts an IP number and a port, as the system
-	// talks by IP numbers only.
+	// The rule "hostport" accepts an IP address and a port, no host name, because processes connect
+	// to IP addresses only.
 	if err := checker.RegisterValidation("hostport", isAddressAndPort); err != nil {
-		panic(err) // The rule's name is a constant, so this cannot happen.
+		panic(err) // The rule's name is a valid constant, so this cannot happen.
 	}
 	return checker
 }
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -10,26 +10,25 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// convertExactly is a hook of mapstructure's decoder. It converts the text of
-// environment variables, overrides and quoted values to numbers and durations
-// with an error that shows the text, and refuses the conversions in which the
-// decoder would lose a part of the value without a word.
+// convertExactly is a decode hook for mapstructure. It converts the text of environment variables,
+// overrides and quoted values to numbers and durations, with an error that shows the text, and
+// rejects conversions in which the decoder would silently lose a part of the value.
 func convertExactly(from, to reflect.Value) (any, error) {
 	switch {
 	case from.Kind() == reflect.String:
 		return parseText(from.String(), to)
 	case from.Kind() == reflect.Bool && to.Kind() != reflect.Bool && to.Kind() != reflect.Interface:
-		return nil, fmt.Errorf("value %v is not %s", from.Bool(), nameOf(to.Type()))
+		return nil, fmt.Errorf("value %v is not %s", from.Bool(), describeType(to.Type()))
 	case to.Kind() == reflect.Bool && from.Kind() != reflect.Bool:
-		return nil, fmt.Errorf("value %v is not %s", from.Interface(), nameOf(to.Type()))
-	case from.CanFloat() && (to.CanInt() || to.CanUint()) && !isWhole(from.Float()):
-		return nil, fmt.Errorf("value %v is not %s", from.Float(), nameOf(to.Type()))
+		return nil, fmt.Errorf("value %v is not %s", from.Interface(), describeType(to.Type()))
+	case from.CanFloat() && (to.CanInt() || to.CanUint()) && !isInt64(from.Float()):
+		return nil, fmt.Errorf("value %v is not %s", from.Float(), describeType(to.Type()))
 	}
 	return from.Interface(), nil
 }
 
-// isWhole tells whether a number is an integer of 64 bits.
-func isWhole(number float64) bool {
+// isInt64 reports whether the number is an integer in the range of int64.
+func isInt64(number float64) bool {
 	return number == math.Trunc(number) && math.Abs(number) < math.MaxInt64
 }
 
@@ -51,13 +50,13 @@
 		return text, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("value %q is not %s", text, nameOf(to.Type()))
+		return nil, fmt.Errorf("value %q is not %s", text, describeType(to.Type()))
 	}
 	return parsed, nil
 }
 
-// nameOf returns the kind of value that a type holds, in words.
-func nameOf(kind reflect.Type) string {
+// describeType returns the kind of value that a type holds, in words for error messages.
+func describeType(kind reflect.Type) string {
 	value := reflect.Zero(kind)
 	switch {
 	case kind == durationType:
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -23,14 +23,13 @@
 	// environmentDelimiter joins the parts of a key in a variable's name, as
 	// in MERLINPADDLE_BALANCER__WORKERS.
 	environmentDelimiter = "__"
-	// fieldTag is the struct tag with a field's key.
+	// fieldTag is the struct tag that holds a field's key.
 	fieldTag = "koanf"
 )
 
-// Load reads the settings file at path and checks it. Defaults come first,
-// then the file, then the environment, then overrides of the form
-// "section.key=value". An error names the file, environment variable or
-// override that a wrong value came from, the field and the value.
+// Load reads the settings file at path and validates it. The file overrides the defaults, environment
+// variables override the file, and overrides of the form "section.key=value" override both. An error
+// names the field, its value, and the file, environment variable or override that the value came from.
 func Load(path string, overrides []string) (Settings, error) {
 	from := newOrigin(path, overrides)
 	loaded, err := read(from, overrides)
--- a/internal/settings/load_test.go
+++ b/internal/settings/load_test.go
@@ -57,17 +57,17 @@
 		{"upper case", "node: a\nBalancer: {}\n", "", faults.CodeSettingsUnknownKey, "Balancer: no setting has this name"},
 		{"unknown key of a list", "node: a\nrelay:\n  control:\n    - nme: c1\n", "", faults.CodeSettingsUnknownKey, "relay.control[0].nme"},
 		{"text for a number, with its value", "node: a\nbalancer:\n  workers: many\n", "", faults.CodeSettingsUnknownKey, "node.yaml: balancer.workers: value \"many\" is not a whole number"},
-		{"duration without a meaning, with its value", "node: a\nrelay:\n  report_interval: soon\n", "", faults.CodeSettingsUnknownKey, "relay.report_interval: value \"soon\" is not a duration with a unit"},
+		{"text for a duration, with its value", "node: a\nrelay:\n  report_interval: soon\n", "", faults.CodeSettingsUnknownKey, "relay.report_interval: value \"soon\" is not a duration with a unit"},
 		{"fraction for a whole number", "node: a\nbalancer:\n  workers: 3.7\n", "", faults.CodeSettingsUnknownKey, "balancer.workers: value 3.7 is not a whole number"},
-		{"truth for a number", "node: a\nbalancer:\n  workers: true\n", "", faults.CodeSettingsUnknownKey, "balancer.workers: value true is not a whole number"},
-		{"truth for text", "node: true\n", "", faults.CodeSettingsUnknownKey, "node: value true is not text"},
-		{"number for truth", "node: a\ncontrol:\n  join: 7\n", "", faults.CodeSettingsUnknownKey, "control.join: value 7 is not true or false"},
+		{"boolean for a number", "node: a\nbalancer:\n  workers: true\n", "", faults.CodeSettingsUnknownKey, "balancer.workers: value true is not a whole number"},
+		{"boolean for text", "node: true\n", "", faults.CodeSettingsUnknownKey, "node: value true is not text"},
+		{"number for a boolean", "node: a\ncontrol:\n  join: 7\n", "", faults.CodeSettingsUnknownKey, "control.join: value 7 is not true or false"},
 		{"number beyond 64 bits", "node: a\nbalancer:\n  cache_flows: 99999999999999999999\n", "", faults.CodeSettingsUnknownKey, "balancer.cache_flows: value 1e+20 is not a whole number"},
 		{"section for text", "node: a\nzone: {x: y}\n", "", faults.CodeSettingsUnknownKey, "node.yaml: zone: "},
 		{"number for a section", "node: a\nbalancer: 7\n", "", faults.CodeSettingsUnknownKey, "node.yaml: balancer: "},
-		{"key twice", "node: a\nnode: b\n", "", faults.CodeSettingsUnreadable, "line 2"},
-		{"more cached flows than memory", "node: a\nbalancer:\n  cache_flows: 9999999999999\n", "", faults.CodeSettingsInvalid, "balancer.cache_flows: value \"9999999999999\" breaks the rule \"max 50000000\""},
-		{"no number", "node: a\nbalancer:\n  openings_per_source: .nan\n", "", faults.CodeSettingsInvalid, "balancer.openings_per_source"},
+		{"duplicate key", "node: a\nnode: b\n", "", faults.CodeSettingsUnreadable, "line 2"},
+		{"more cached flows than the limit", "node: a\nbalancer:\n  cache_flows: 9999999999999\n", "", faults.CodeSettingsInvalid, "balancer.cache_flows: value \"9999999999999\" breaks the rule \"max 50000000\""},
+		{"not-a-number rate", "node: a\nbalancer:\n  openings_per_source: .nan\n", "", faults.CodeSettingsInvalid, "balancer.openings_per_source"},
 		{"infinite rate", "node: a\nbalancer:\n  openings_per_source: .inf\n", "", faults.CodeSettingsInvalid, "balancer.openings_per_source"},
 		{"duration without a unit", "node: a\nbalancer:\n  heartbeat_interval: 5\n", "", faults.CodeSettingsInvalid, "balancer.heartbeat_interval: value \"5ns\" breaks the rule \"min 50ms\""},
 		{"override of the wrong type", "node: a\n", "balancer.workers=x", faults.CodeSettingsUnknownKey, "override \"balancer.workers=x\": balancer.workers: value \"x\""},
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestLoadTakesTextForNumbers(t *testing.T) {
+func TestLoadConvertsTextToNumbers(t *testing.T) {
 	content := "node: a\nbalancer:\n  workers: '3'\n  openings_per_source: '1.5'\ncontrol:\n  join: 'true'\nfabric:\n  seed: 9.0\n"
 	loaded, err := Load(writeFile(t, content), []string{"fabric.addresses=127.0.0.1:1,127.0.0.1:2"})
 	require.NoError(t, err)
@@ -124,8 +124,8 @@
 	require.Equal(t, []string{"127.0.0.1:1", "127.0.0.1:2"}, loaded.Fabric.Addresses)
 }
 
-// FuzzLoad checks that every refused file has a numbered error that names the
-// file, and that every accepted one is written and read back unchanged.
+// FuzzLoad checks that the error for a rejected file has a code and names the file, and that accepted
+// settings are unchanged after they are marshalled and loaded again.
 func FuzzLoad(f *testing.F) {
 	f.Add("node: a\n")
 	f.Add("node: a\nbalancer:\n  workers: 3\n")
@@ -158,8 +158,7 @@
 	})
 }
 
-// FuzzOverride checks that no override makes Load panic or fail without a
-// code.
+// FuzzOverride checks that no override makes Load panic or return an error without a code.
 func FuzzOverride(f *testing.F) {
 	f.Add("balancer.workers=3")
 	f.Add("balancer=3")
--- a/internal/settings/marshal.go
+++ b/internal/settings/marshal.go
@@ -9,8 +9,7 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// Marshal returns the settings as YAML that Load reads back. Durations are
-// written with their unit.
+// Marshal returns the settings as YAML that Load reads back. Durations are written with a unit.
 func Marshal(chosen Settings) ([]byte, error) {
 	tree := koanf.New(keyDelimiter)
 	if err := tree.Load(structs.Provider(chosen, fieldTag), nil); err != nil {
--- a/internal/settings/origin.go
+++ b/internal/settings/origin.go
@@ -9,12 +9,11 @@
 	"github.com/go-viper/mapstructure/v2"
 )
 
-// origin knows where each value came from, for messages that name the place
-// to correct.
+// origin records where each value came from, so that error messages can name the place to correct.
 type origin struct {
 	path string
-	// environment and overrides have the variables and overrides by the key
-	// that they set.
+	// environment and overrides hold the names of variables and the texts of overrides by the key that
+	// they set.
 	environment map[string]string
 	overrides   map[string]string
 }
@@ -34,9 +33,9 @@
 	return created
 }
 
-// of returns the place that set a field, which may be the section of a key
-// that is not known. The last place that wins is named.
-func (from origin) of(field string) string {
+// placeOf returns the place that set the field, which may be the section of an unknown key. If several
+// places set it, the one that takes precedence is returned.
+func (from origin) placeOf(field string) string {
 	if override, known := from.overrides[field]; known {
 		return fmt.Sprintf("override %q", override)
 	}
@@ -46,7 +45,7 @@
 	return from.path
 }
 
-// describe returns one line for each fault that the decoder found.
+// describe returns one line for each error that the decoder found.
 func (from origin) describe(err error) []string {
 	var lines []string
 	for _, fault := range flatten(err) {
@@ -63,7 +62,7 @@
 func (from origin) describeField(fault *mapstructure.DecodeError) []string {
 	keys, isUnknown := strings.CutPrefix(fault.Unwrap().Error(), unknownKeysPrefix)
 	if !isUnknown {
-		return []string{fmt.Sprintf("%s: %s: %v", from.of(fault.Name()), fault.Name(), fault.Unwrap())}
+		return []string{fmt.Sprintf("%s: %s: %v", from.placeOf(fault.Name()), fault.Name(), fault.Unwrap())}
 	}
 	var lines []string
 	for key := range strings.SplitSeq(keys, ", ") {
@@ -71,31 +70,31 @@
 		if fault.Name() != "" {
 			field = fault.Name() + keyDelimiter + key
 		}
-		lines = append(lines, fmt.Sprintf("%s: %s: no setting has this name", from.ofUnknown(field), field))
+		lines = append(lines, fmt.Sprintf("%s: %s: no setting has this name", from.placeOfUnknown(field), field))
 	}
 	return lines
 }
 
-// unknownKeysPrefix starts the decoder's message about keys that no field has.
+// unknownKeysPrefix starts the decoder's message about keys without a field.
 const unknownKeysPrefix = "has invalid keys: "
 
-// ofUnknown returns the place that has a key which no field has. The decoder
-// names only the first part that it does not know.
-func (from origin) ofUnknown(field string) string {
+// placeOfUnknown returns the place that set a key without a field. The decoder reports such a key only
+// up to its first unknown part, so keys below it match too.
+func (from origin) placeOfUnknown(field string) string {
 	for key := range from.overrides {
 		if key == field || strings.HasPrefix(key, field+keyDelimiter) {
-			return from.of(key)
+			return from.placeOf(key)
 		}
 	}
 	for key := range from.environment {
 		if key == field || strings.HasPrefix(key, field+keyDelimiter) {
-			return from.of(key)
+			return from.placeOf(key)
 		}
 	}
 	return from.path
 }
 
-// flatten returns the single errors that err joins.
+// flatten returns the individual errors that err joins.
 func flatten(err error) []error {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
