--- a/internal/faults/codes_packet.go
+++ b/internal/faults/codes_packet.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Codes of packets and routing.
+// Codes of packets and routing; packetDefinitions has their meanings.
 const (
 	PacketTruncated          Code = 5001
 	PacketVersion            Code = 5002
@@ -26,23 +26,23 @@
 )
 
 var packetDefinitions = []Definition{
-	{Code: PacketTruncated, Name: "PacketTruncated", Meaning: "A packet ends before the lengths in its headers.", Action: "Look for a path with too small an MTU."},
+	{Code: PacketTruncated, Name: "PacketTruncated", Meaning: "A packet ends before the lengths in its headers.", Action: "Look for a network path whose MTU is too small."},
 	{Code: PacketVersion, Name: "PacketVersion", Meaning: "A packet is not Geneve version 0, or is an OAM packet.", Action: "Look for another sender on the packet port."},
 	{Code: PacketOptionMalformed, Name: "PacketOptionMalformed", Meaning: "A Geneve option has the wrong length or value.", Action: "Compare the versions of the sender and of this process."},
 	{Code: PacketOptionRepeated, Name: "PacketOptionRepeated", Meaning: "A Geneve option occurs twice.", Action: "Look for another sender on the packet port."},
-	{Code: PacketOptionUnknown, Name: "PacketOptionUnknown", Meaning: "A critical Geneve option is not known here.", Action: "Upgrade this process before those that send to it."},
-	{Code: PacketOptionMissing, Name: "PacketOptionMissing", Meaning: "A Geneve option that the kind of packet needs is absent.", Action: "Compare the versions of the sender and of this process."},
-	{Code: PacketKindUnknown, Name: "PacketKindUnknown", Meaning: "The kind of a packet is not known here.", Action: "Compare the versions of the sender and of this process."},
+	{Code: PacketOptionUnknown, Name: "PacketOptionUnknown", Meaning: "A critical Geneve option is unknown to this process.", Action: "Upgrade this process before those that send to it."},
+	{Code: PacketOptionMissing, Name: "PacketOptionMissing", Meaning: "A Geneve option that this kind of packet requires is missing.", Action: "Compare the versions of the sender and of this process."},
+	{Code: PacketKindUnknown, Name: "PacketKindUnknown", Meaning: "The kind of a packet is unknown to this process.", Action: "Compare the versions of the sender and of this process."},
 	{Code: PacketChainMalformed, Name: "PacketChainMalformed", Meaning: "The chain of targets is empty, too long, or shorter than its position.", Action: "Compare the versions of the sender and of this process."},
 	{Code: InnerPacketNotIP, Name: "InnerPacketNotIP", Meaning: "The inner packet is neither IPv4 nor IPv6.", Action: "Look for another sender on the packet port."},
 	{Code: InnerHeaderMalformed, Name: "InnerHeaderMalformed", Meaning: "An inner IP, UDP or TCP header contradicts itself.", Action: "None; callers can send such packets."},
-	{Code: InnerPacketFragmented, Name: "InnerPacketFragmented", Meaning: "The inner packet is an IP fragment, which names no flow.", Action: "Lower the callers' packet size; fragments are not forwarded."},
+	{Code: InnerPacketFragmented, Name: "InnerPacketFragmented", Meaning: "The inner packet is an IP fragment, which does not identify a flow.", Action: "Lower the callers' packet size; fragments are not forwarded."},
 	{Code: InnerTransportUnknown, Name: "InnerTransportUnknown", Meaning: "The inner packet is neither UDP nor TCP.", Action: "None; callers can send such packets."},
 	{Code: PacketTooLarge, Name: "PacketTooLarge", Meaning: "A packet does not fit into one UDP datagram with its headers.", Action: "Lower the callers' packet size."},
-	{Code: AddressFamiliesDiffer, Name: "AddressFamiliesDiffer", Meaning: "The source and destination of a flow are not of one IP version, or are not set.", Action: "Correct the virtual address or the caller's address."},
-	{Code: PacketSocket, Name: "PacketSocket", Meaning: "The UDP socket for packets could not be opened or failed.", Action: "Check the address in the settings and whether another process holds it."},
-	{Code: MachineListUnreadable, Name: "MachineListUnreadable", Meaning: "The platform's list of machines could not be read; the last list stays in use.", Action: "Check the platform's address."},
+	{Code: AddressFamiliesDiffer, Name: "AddressFamiliesDiffer", Meaning: "The source and destination of a flow have different IP versions, or are not set.", Action: "Correct the virtual address or the caller's address."},
+	{Code: PacketSocket, Name: "PacketSocket", Meaning: "The UDP socket for packets could not be opened or failed.", Action: "Check the address in the settings and whether another process uses it."},
+	{Code: MachineListUnreadable, Name: "MachineListUnreadable", Meaning: "The platform's list of machines could not be read; the previous list stays in use.", Action: "Check the platform's address."},
 	{Code: FabricControlRefused, Name: "FabricControlRefused", Meaning: "A request to the fabric's control endpoint was malformed.", Action: "Correct the request; nothing was changed.", HTTPStatus: http.StatusBadRequest},
 	{Code: VirtualAddressUnknown, Name: "VirtualAddressUnknown", Meaning: "An answer came from a virtual address that the fabric does not own.", Action: "Add the address to the fabric's settings."},
-	{Code: FabricSettingsIncomplete, Name: "FabricSettingsIncomplete", Meaning: "The fabric's settings lack a value it cannot run without.", Action: "Add the value that the message names."},
+	{Code: FabricSettingsIncomplete, Name: "FabricSettingsIncomplete", Meaning: "The fabric's settings lack a required value.", Action: "Add the value that the message names."},
 }
--- a/internal/faults/describe.go
+++ b/internal/faults/describe.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Describe returns what an operator reads about err: its code and name, the
-// cause, and what to do.
+// Describe returns a description of err for an operator: its code and name, the
+// error message, the meaning of the code, and what to do.
 func Describe(err error) string {
 	definition, known := Lookup(CodeOf(err))
 	if !known {
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -1,10 +1,11 @@
-// Package faults is the numbered catalogue of errors. Each code has one
-// meaning, one operator action and, for requests, whether the request ran.
-// docs/ERRORS.md is this table; a test keeps the two equal.
+// Package faults is the catalogue of numbered errors. Each code has a name, a
+// meaning, an action for the operator or caller and, for refused requests, whether
+// the request ran. docs/ERRORS.md is generated from the catalogue; a test keeps the
+// two equal.
 //
 // Ranges: 1000 settings and command line, 2000 storage, 3000 consensus,
 // 4000 administration and state, 5000 packets and routing, 6000 requests,
-// 7000 transport, membership and rollout, 9000 process.
+// 7000 transport, membership and rollout, 8000 direct services, 9000 process.
 package faults
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Code is the number of an error.
+// Code is the number of an error; zero means that an error has none.
 type Code int
 
-// Ran tells whether a refused request was run.
+// Ran states whether a refused request was run.
 type Ran string
 
 // The values of Ran.
@@ -31,9 +32,10 @@
 	Code    Code
 	Name    string
 	Meaning string
-	// Action is what the operator or caller does.
+	// Action is what the operator or caller should do.
 	Action string
-	// HTTPStatus is the status of an answer with this code, or zero.
+	// HTTPStatus is the status of an HTTP answer with this code, or zero if no such answer
+	// exists.
 	HTTPStatus int
 	Ran        Ran
 }
@@ -51,7 +53,7 @@
 	return code
 }
 
-// Lookup returns the definition of code.
+// Lookup returns the definition of code, and reports whether there is one.
 func Lookup(code Code) (Definition, bool) {
 	for _, definition := range Catalogue() {
 		if definition.Code == code {
@@ -61,7 +63,8 @@
 	return Definition{}, false
 }
 
-// StatusOf returns the HTTP status for err.
+// StatusOf returns the HTTP status for err, which is 500 if err has no code or its code
+// no status.
 func StatusOf(err error) int {
 	definition, known := Lookup(CodeOf(err))
 	if !known || definition.HTTPStatus == 0 {
@@ -70,7 +73,7 @@
 	return definition.HTTPStatus
 }
 
-// Catalogue returns all definitions in order of their codes.
+// Catalogue returns all definitions, grouped by the ranges of their codes.
 func Catalogue() []Definition {
 	var all []Definition
 	groups := [][]Definition{
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestNamesAreUniqueAndOfOneForm(t *testing.T) {
+func TestNamesAreUniqueCamelCase(t *testing.T) {
 	codes := make(map[string]Code)
 	for _, definition := range Catalogue() {
 		require.Regexp(t, `^([A-Z][a-z]*)+$`, definition.Name, "code %d", definition.Code)
