--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -5,66 +5,68 @@
 	"time"
 )
 
-// cause says how the flow ended.
-func (story *story) cause(lines []Line) string {
-	last := story.decisions[len(story.decisions)-1]
+// cause returns how the flow ended, in words.
+func (history *history) cause(lines []Line) string {
+	last := history.decisions[len(history.decisions)-1]
 	switch {
 	case last.Message == messageReset && last.Reason == "target_failed":
-		return "The flow was reset because its target was found dead. " + story.failure(lines)
+		return "The flow was reset because its target had failed. " + history.targetFailure(lines)
 	case last.Message == messageReset && last.Reason == "overloaded":
-		return fmt.Sprintf("The flow was refused before it opened: half of the new flows of its service and priority were expected to miss their objective or to find targets full, and the least busy one, "+
-			"target %x, had %d open requests, so an answer was expected after %s only.", last.Target, last.Open, last.Expected)
+		return fmt.Sprintf("The flow was refused before it opened: at least half of the new flows of its service and priority were expected to miss their objective or found targets saturated, and the least busy target, "+
+			"target %x, had %d open requests, so an answer was expected only after %s.", last.Target, last.Open, last.Expected)
 	case last.Message == messageReset && last.Reason == "evacuated":
-		return fmt.Sprintf("The flow was refused at once: all targets of its service are in zones that operators emptied, the latest by the order at revision %d. "+
-			"It stays so until a zone is taken back, or targets register elsewhere.", last.EvacuatedSince)
+		return fmt.Sprintf("The flow was refused at once: all targets of its service are in zones that operators evacuated, the latest by the order at revision %d. "+
+			"New flows are refused until an evacuation ends or targets register in other zones.", last.EvacuatedSince)
 	case last.Message == messageReset && last.Reason == "no_home":
-		return fmt.Sprintf("The flow was refused at once: the route %s may be served in some regions alone, and its service has no target there.", last.Route)
+		return fmt.Sprintf("The flow was refused at once: the route %s may be served in certain regions only, and its service has no target in them.", last.Route)
 	case last.Message == messageReset && last.Reason == "cold":
-		return "The flow was refused at once: all targets of its service had just started or returned, and those whose rate this balancer holds were given what they bear."
+		return "The flow was refused at once: all targets of its service had just started or returned, and those that this balancer paces were already given as many new flows as they can handle."
 	case last.Message == messageReset && last.Reason == "link_full":
-		return fmt.Sprintf("The flow was refused before it opened: the balancer's own link was full, which would have carried its request after %s only. "+
-			"The caller's next try goes to another balancer.", last.Expected)
+		return fmt.Sprintf("The flow was refused before it opened: the balancer's own link was busy and would have transmitted its request only after %s. "+
+			"The caller's next attempt reaches another balancer.", last.Expected)
 	case last.Message == messageReset:
 		return fmt.Sprintf("The flow was reset: no route has the address %s in version %d.", last.Route, last.Version)
 	case last.Message == messageDropped:
-		return droppedBecause(last)
+		return dropCause(last)
 	}
-	if failure := story.failure(lines); failure != "" {
-		return "The flow was opened, and its target died afterwards. " + failure
+	if failure := history.targetFailure(lines); failure != "" {
+		return "The flow was opened, and its target failed afterwards. " + failure
 	}
-	if late := story.lateStart(lines); late != "" {
-		return late
+	if delay := history.delayByBalancerStart(lines); delay != "" {
+		return delay
 	}
-	if copies := story.copies(); copies > 0 {
-		return fmt.Sprintf("The flow was opened at its choice %d: %s", copies+1, story.firstChoice(lines))
+	if attempt := history.highestAttempt(); attempt > 0 {
+		return fmt.Sprintf("The flow was opened at target choice %d: %s", attempt+1, history.failureOfPreviousChoice(lines))
 	}
-	if ended, at := story.balancerEnded(lines); ended {
-		return fmt.Sprintf("The flow was opened; its balancer ended at %s, so packets on the way to it were lost.", at.Format(time.RFC3339Nano))
+	if ended, at := history.balancerEnded(lines); ended {
+		return fmt.Sprintf("The flow was opened; its balancer stopped at %s, so packets in transit to it were lost.", at.Format(time.RFC3339Nano))
 	}
-	return "The flow was opened at its first choice and every decision was in order; look at the target."
+	return "The flow was opened at its first choice, and nothing went wrong at the balancer; check the target."
 }
 
-func droppedBecause(last Line) string {
+// dropCause returns why the packet was dropped, in words.
+func dropCause(last Line) string {
 	switch last.Reason {
 	case "no_table":
 		return "The balancer had just started and had no table yet."
 	case "unknown_token":
-		return "The balancer did not know the flow's token: it was behind, or the target was forgotten long ago."
+		return "The balancer did not know the flow's token: its table was out of date, or the target was removed long ago."
 	case "evacuated":
-		return "All targets of the service are in zones that operators emptied, and the balancer's table was not confirmed lately, so it said nothing."
+		return "All targets of the service are in zones that operators evacuated, and the balancer's table was not confirmed recently, so it sent no reset."
 	case "no_target":
-		return "No target of the pool took new flows."
+		return "No target of the pool accepted new flows."
 	case "no_route_stale":
-		return "The balancer had no route for the address, and its table was not confirmed lately, so it said nothing."
+		return "The balancer had no route for the address, and its table was not confirmed recently, so it sent no reset."
 	default:
 		return "The packet was dropped: " + last.Reason + "."
 	}
 }
 
-// copies returns the highest copy of the opening packet that was placed.
-func (story *story) copies() int {
+// highestAttempt returns the highest retransmission number of the opening packet that a balancer forwarded
+// to a target; zero is the first copy.
+func (history *history) highestAttempt() int {
 	highest := 0
-	for _, line := range story.decisions {
+	for _, line := range history.decisions {
 		if line.Opening && line.Message == messageOpened {
 			highest = max(highest, line.Attempt)
 		}
@@ -72,55 +74,57 @@
 	return highest
 }
 
-// lateStart tells that the flow had to wait for its balancer: the balancer had
-// started shortly before, so that former copies of the opening packet reached no
-// balancer, or the packet waited for the first table.
-func (story *story) lateStart(lines []Line) string {
-	first := story.decisions[0]
+// delayByBalancerStart returns the explanation of a flow that had to wait for its balancer, or an
+// empty text. The balancer had started shortly before, so that earlier copies of the opening packet
+// reached no balancer, or the balancer dropped the packet because it had no table yet.
+func (history *history) delayByBalancerStart(lines []Line) string {
+	first := history.decisions[0]
 	waited := first.Message == messageDropped && first.Reason == "no_table"
 	if !waited && (!first.Opening || first.Attempt == 0) {
 		return ""
 	}
 	for _, line := range lines {
 		started := line.Message == messageStarts && line.Node == first.Node
-		if !started || line.Time.After(first.Time) || first.Time.Sub(line.Time) > around {
+		if !started || line.Time.After(first.Time) || first.Time.Sub(line.Time) > eventWindow {
 			continue
 		}
 		began := line.Time.Format(time.RFC3339Nano)
 		if waited {
 			return fmt.Sprintf("The flow waited %s for the first table of its balancer, which had started at %s.",
-				story.last.Sub(story.first), began)
+				history.last.Sub(history.first), began)
 		}
-		return fmt.Sprintf("The flow was opened by copy %d of its opening packet; no balancer took the former ones, and this one had started at %s.",
+		return fmt.Sprintf("The flow was opened by retransmission %d of its opening packet; no balancer received the earlier copies, and this one had started at %s.",
 			first.Attempt, began)
 	}
 	return ""
 }
 
-// failure tells when and why one of the flow's targets was found dead.
-func (story *story) failure(lines []Line) string {
+// targetFailure returns when and why one of the flow's targets was found failed, or an empty text
+// if none was.
+func (history *history) targetFailure(lines []Line) string {
 	for _, line := range lines {
-		if line.Message == messageFailed && story.targets[line.Target] && !line.Time.Before(story.first.Add(-around)) {
-			return fmt.Sprintf("Member %s found target %x dead at %s: %s.", line.Node, line.Target, line.Time.Format(time.RFC3339Nano), line.Cause)
+		if line.Message == messageFailed && history.targets[line.Target] && !line.Time.Before(history.first.Add(-eventWindow)) {
+			return fmt.Sprintf("Member %s found target %x failed at %s: %s.", line.Node, line.Target, line.Time.Format(time.RFC3339Nano), line.Cause)
 		}
 	}
 	return ""
 }
 
-// firstChoice tells why the first choice of the opening packet did not answer.
-func (story *story) firstChoice(lines []Line) string {
+// failureOfPreviousChoice returns why the previously chosen target did not answer the opening packet.
+func (history *history) failureOfPreviousChoice(lines []Line) string {
 	for _, line := range lines {
-		if line.Message == messageProbed && story.tokens[line.Token] && story.near(line.Time) {
-			return fmt.Sprintf("the former one did not answer in time, and a probe was %s.", line.Outcome)
+		if line.Message == messageProbed && history.tokens[line.Token] && history.inWindow(line.Time) {
+			return fmt.Sprintf("the previous target did not answer in time; the result of a probe: %s.", line.Outcome)
 		}
 	}
-	return "the former one did not answer in time, because it was full, or a packet was lost, or no balancer ran where the first copy went."
+	return "the previous target did not answer in time, because it was full, a packet was lost, or the first copy was sent to a balancer that was not running."
 }
 
-func (story *story) balancerEnded(lines []Line) (bool, time.Time) {
+// balancerEnded reports whether one of the flow's balancers stopped or restarted, and when.
+func (history *history) balancerEnded(lines []Line) (bool, time.Time) {
 	for _, line := range lines {
-		restarted := line.Message == messageStarts && line.Time.After(story.first)
-		if (restarted || line.Message == messageEnds) && story.balancers[line.Node] && story.near(line.Time) {
+		restarted := line.Message == messageStarts && line.Time.After(history.first)
+		if (restarted || line.Message == messageEnds) && history.balancers[line.Node] && history.inWindow(line.Time) {
 			return true, line.Time
 		}
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds out from log lines of balancers and members what was
-// decided about one flow of a direct service, and why.
+// Package explain reconstructs from log lines of balancers and members what was decided about one
+// flow or target of a direct service, and why.
 package explain
 
 import (
@@ -16,46 +16,46 @@
 	Text string
 }
 
-// Explanation is what the lines tell about one flow.
+// Explanation is the timeline of one flow or target, and its outcome.
 type Explanation struct {
-	// Flow is the caller's address and port.
+	// Flow is the caller's address and port; empty for a target.
 	Flow   string
 	Events []Event
-	// Cause says in words how the flow ended, as far as the lines tell.
+	// Cause describes in words how the flow ended, or the latest event of the target, as far as
+	// the lines show it.
 	Cause string
 }
 
-// around is how long before and after the decisions about a flow the events of
-// its targets and balancers count.
-const around = 3 * time.Second
+// eventWindow is how long before the first and after the last decision about a flow the events of its
+// targets and balancers are taken into account.
+const eventWindow = 3 * time.Second
 
-// Flow explains what was decided about the flow of a caller, given as address
-// and port.
+// Flow explains what was decided about the flow of a caller, which is given as address and port.
 func Flow(lines []Line, caller string) Explanation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(left, right Line) int { return left.Time.Compare(right.Time) })
 	found := decisionsAbout(lines, caller)
 	explanation := Explanation{Flow: caller}
 	if len(found) == 0 {
-		explanation.Cause = unseen(lines)
+		explanation.Cause = causeWithoutDecisions(lines)
 		return explanation
 	}
-	story := newStory(found)
+	history := newHistory(found)
 	for _, line := range lines {
-		if text, tells := story.describe(line); tells {
+		if text, belongs := history.describe(line); belongs {
 			explanation.Events = append(explanation.Events, Event{At: line.Time, Node: line.Node, Text: text})
 		}
 	}
-	explanation.Cause = story.cause(lines)
+	explanation.Cause = history.cause(lines)
 	return explanation
 }
 
-// Target explains what was registered, found out and decided about one
-// incarnation of a target, given as its number.
+// Target explains what was registered, found out and decided about a target, which is given by its
+// ID. A restarted target may keep its ID, so its incarnations are not told apart.
 func Target(lines []Line, id uint64) Explanation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(left, right Line) int { return left.Time.Compare(right.Time) })
-	explanation := Explanation{Cause: "No line names the target."}
+	explanation := Explanation{Cause: "No log line names the target."}
 	flows := 0
 	for _, line := range lines {
 		if line.Target != id {
@@ -70,9 +70,9 @@
 	switch {
 	case len(explanation.Events) > 0:
 		last := explanation.Events[len(explanation.Events)-1]
-		explanation.Cause = fmt.Sprintf("The lines name %d packets that opened flows. The latest of the target itself: %s.", flows, last.Text)
+		explanation.Cause = fmt.Sprintf("The log lines name the target in %d decisions about flows. Its latest event: %s.", flows, last.Text)
 	case flows > 0:
-		explanation.Cause = fmt.Sprintf("The lines name %d packets that opened flows and nothing else of the target.", flows)
+		explanation.Cause = fmt.Sprintf("The log lines name the target in %d decisions about flows, and show no event of the target itself.", flows)
 	}
 	return explanation
 }
@@ -87,8 +87,8 @@
 	return found
 }
 
-// unseen explains a flow that no line names.
-func unseen(lines []Line) string {
+// causeWithoutDecisions returns the cause for a flow that no line names.
+func causeWithoutDecisions(lines []Line) string {
 	leftOut := uint64(0)
 	for _, line := range lines {
 		if line.Message == messageOpened || line.Message == messageReset || line.Message == messageDropped {
@@ -96,13 +96,13 @@
 		}
 	}
 	if leftOut > 0 {
-		return fmt.Sprintf("No line names the flow. %d lines about flows were left out because of the budget.", leftOut)
+		return fmt.Sprintf("No log line names the flow. %d lines about flows were left out because their rate exceeded the limit.", leftOut)
 	}
-	return "No balancer decided anything about the flow: its packets were lost on the way, or reached a balancer that did not run."
+	return "No balancer decided anything about the flow: its packets were lost in the network, or sent to a balancer that was not running."
 }
 
-// story collects what belongs to one flow.
-type story struct {
+// history holds the decisions about one flow, and the targets, tokens and balancers that they name.
+type history struct {
 	decisions   []Line
 	first, last time.Time
 	targets     map[uint64]bool
@@ -110,8 +110,8 @@
 	balancers   map[string]bool
 }
 
-func newStory(decisions []Line) *story {
-	made := &story{
+func newHistory(decisions []Line) *history {
+	created := &history{
 		decisions: decisions,
 		first:     decisions[0].Time,
 		last:      decisions[len(decisions)-1].Time,
@@ -120,34 +120,35 @@
 		balancers: make(map[string]bool),
 	}
 	for _, line := range decisions {
-		made.balancers[line.Node] = true
+		created.balancers[line.Node] = true
 		if line.Target != 0 {
-			made.targets[line.Target] = true
+			created.targets[line.Target] = true
 		}
 		if line.Token != 0 {
-			made.tokens[line.Token] = true
+			created.tokens[line.Token] = true
 		}
 	}
-	return made
+	return created
 }
 
-func (story *story) near(at time.Time) bool {
-	return !at.Before(story.first.Add(-around)) && !at.After(story.last.Add(around))
+// inWindow reports whether the time is within eventWindow of the decisions about the flow.
+func (history *history) inWindow(at time.Time) bool {
+	return !at.Before(history.first.Add(-eventWindow)) && !at.After(history.last.Add(eventWindow))
 }
 
-// describe puts a line into words; false when it does not belong to the flow.
-func (story *story) describe(line Line) (string, bool) {
+// describe describes a line in words, and reports whether it belongs to the flow.
+func (history *history) describe(line Line) (string, bool) {
 	if line.Caller != "" {
-		return describeDecision(line), line.Caller == story.decisions[0].Caller
+		return describeDecision(line), line.Caller == history.decisions[0].Caller
 	}
-	if !story.near(line.Time) && line.Message != messageFailed {
+	if !history.inWindow(line.Time) && line.Message != messageFailed {
 		return "", false
 	}
 	switch line.Message {
 	case messageStarts, messageEnds:
-		return line.Message, story.balancers[line.Node]
+		return line.Message, history.balancers[line.Node]
 	}
-	if !story.targets[line.Target] || line.Target == 0 {
+	if !history.targets[line.Target] || line.Target == 0 {
 		return "", false
 	}
 	return describeTarget(line), true
@@ -156,16 +157,16 @@
 func describeDecision(line Line) string {
 	kind := "a packet"
 	if line.Opening {
-		kind = fmt.Sprintf("opening packet, copy %d,", line.Attempt)
+		kind = fmt.Sprintf("opening packet, retransmission %d,", line.Attempt)
 	}
-	confirmed := "confirmed " + line.ConfirmedAgo + " before"
+	confirmed := "confirmed " + line.ConfirmedAgo + " earlier"
 	if line.ConfirmedAgo == neverConfirmed {
 		confirmed = "not confirmed yet"
 	}
 	text := fmt.Sprintf("%s: %s to %s; reason %s; table revision %d, version %d, %s",
 		line.Message, kind, line.Route, line.Reason, line.Revision, line.Version, confirmed)
 	if line.Target != 0 {
-		text += fmt.Sprintf("; target %x, token %d, %d requests open there, answer expected after %s",
+		text += fmt.Sprintf("; target %x, token %d, %d open requests at the target, answer expected after %s",
 			line.Target, line.Token, line.Open, line.Expected)
 	}
 	if line.Suspect != 0 {
--- a/internal/explain/lines.go
+++ b/internal/explain/lines.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Line is what explain reads of one structured log line. Fields that a line
+// Line holds the fields of one structured log line that explanations need. Fields that the line
 // does not have are zero.
 type Line struct {
 	Time    time.Time `json:"time"`
@@ -26,15 +26,16 @@
 	Token   uint64 `json:"token"`
 	Target  uint64 `json:"target"`
 	Suspect uint64 `json:"suspect"`
-	// Open is the number of requests that were open at the chosen target, and
-	// Expected how long a further one would take there.
+	// Open is the number of requests that were open at the chosen target, and Expected how long a
+	// further one would have taken there.
 	Open     int    `json:"open"`
 	Expected string `json:"expected"`
-	// EvacuatedSince is the revision of the order that emptied a zone.
+	// EvacuatedSince is the revision of the latest order to evacuate a zone.
 	EvacuatedSince uint64 `json:"evacuated_since"`
 	Revision       uint64 `json:"revision"`
 	Version        uint64 `json:"version"`
-	// ConfirmedAgo is how old the balancer's table may have been.
+	// ConfirmedAgo is how long before the decision the balancer's table was last confirmed, or
+	// neverConfirmed.
 	ConfirmedAgo string `json:"confirmed_ago"`
 
 	State    string `json:"state"`
@@ -47,7 +48,7 @@
 	LeftOut  uint64 `json:"left_out"`
 }
 
-// The messages of the lines that explain knows.
+// The messages of log lines that explanations are based on.
 const (
 	messageOpened     = "flow opened"
 	messageReset      = "flow reset"
@@ -62,17 +63,17 @@
 	messageEnds       = "process ends"
 )
 
-// neverConfirmed is the age of a table that no quorum confirmed yet.
+// neverConfirmed is the value of Line.ConfirmedAgo for a table that no quorum has confirmed yet.
 const neverConfirmed = "never"
 
-// maximumLine bounds one log line, in bytes.
-const maximumLine = 1 << 20
+// maximumLineBytes is the largest length of a log line, in bytes.
+const maximumLineBytes = 1 << 20
 
-// Read returns the structured lines of a log. Text before a line's first brace
-// is passed over, and so are lines that are not structured.
+// Read returns the structured lines of a log. It skips the text before a line's first brace, and
+// lines that are not structured.
 func Read(log io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maximumLine)
+	scanner.Buffer(nil, maximumLineBytes)
 	var lines []Line
 	for scanner.Scan() {
 		text := scanner.Bytes()
