--- a/internal/logring/core.go
+++ b/internal/logring/core.go
@@ -4,8 +4,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Core is a zap core that encodes entries as JSON lines into a ring. Entries
-// at error level or above also ask the dumper to write the ring out.
+// Core is a zap core that appends entries as JSON lines to a ring. Entries at error level or above
+// also make the dumper write the ring to a file.
 type Core struct {
 	zapcore.LevelEnabler
 	encoder zapcore.Encoder
@@ -13,7 +13,7 @@
 	dumper  *Dumper
 }
 
-// NewCore returns a core that keeps entries of at least level.
+// NewCore returns a core that keeps entries that level enables.
 func NewCore(level zapcore.LevelEnabler, ring *Ring, dumper *Dumper) *Core {
 	configuration := zapcore.EncoderConfig{
 		TimeKey:        "time",
@@ -64,5 +64,5 @@
 	return nil
 }
 
-// Sync implements zapcore.Core. The ring needs no flush.
+// Sync implements zapcore.Core. It does nothing; only the dumper writes the ring to a file.
 func (core *Core) Sync() error { return nil }
--- a/internal/logring/dumper.go
+++ b/internal/logring/dumper.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// minimumDumpInterval bounds how often one reason may write the ring, so that a
-// repeated error does not wear out the disk.
+// minimumDumpInterval is the shortest time between two dumps with the same reason, so that repeated
+// errors do not wear out the disk.
 const minimumDumpInterval = time.Minute
 
-// maximumDumpFiles bounds the ring files of one node; the oldest are removed.
+// maximumDumpFiles is the largest number of ring files of one node; older ones are removed.
 const maximumDumpFiles = 16
 
-// timeLayout is the part of a file's name that says when it was written; names
-// of one node sort by it.
+// timeLayout is the layout of the time of writing in a file's name. The names of one node's files sort
+// by it.
 const timeLayout = "20060102T150405.000"
 
-// Reason says why the ring was written; it is part of the file's name.
+// Reason is why the ring was written; it is part of the file's name.
 type Reason string
 
-// Reasons to write the ring.
+// The reasons.
 const (
 	ReasonStart  Reason = "start"
 	ReasonStop   Reason = "stop"
@@ -32,7 +32,7 @@
 	ReasonSignal Reason = "signal"
 )
 
-// Dumper writes a ring into files of one folder.
+// Dumper writes a ring to files in one folder. It is safe for concurrent use.
 type Dumper struct {
 	folder string
 	node   string
@@ -49,14 +49,14 @@
 	return &Dumper{folder: folder, node: node, ring: ring, now: now, lastDump: make(map[Reason]time.Time)}
 }
 
-// Dump writes the ring to a new file because of reason, and removes the node's
-// oldest files beyond the bound. A reason that wrote the ring within the last
-// minute writes nothing more, unless an operator asked for it.
+// Dump writes the ring to a new file, and removes the node's oldest files beyond maximumDumpFiles. It
+// does nothing if the last dump with the same reason was less than minimumDumpInterval ago, unless the
+// reason is ReasonSignal, which means that an operator requested the dump.
 func (dumper *Dumper) Dump(reason Reason) error {
 	dumper.lock.Lock()
 	defer dumper.lock.Unlock()
 	now := dumper.now()
-	if !dumper.due(reason, now) {
+	if !dumper.mayDump(reason, now) {
 		return nil
 	}
 	if err := os.MkdirAll(dumper.folder, 0o755); err != nil {
@@ -70,7 +70,8 @@
 	return dumper.removeOldest()
 }
 
-func (dumper *Dumper) due(reason Reason, now time.Time) bool {
+// mayDump reports whether the last dump with the reason is long enough ago.
+func (dumper *Dumper) mayDump(reason Reason, now time.Time) bool {
 	if reason == ReasonSignal {
 		return true
 	}
@@ -78,17 +79,17 @@
 	return !dumpedBefore || now.Sub(last) >= minimumDumpInterval
 }
 
-// filePrefix starts the names of the node's files.
+// filePrefix returns the prefix of the names of the node's files.
 func (dumper *Dumper) filePrefix() string { return "ring-" + dumper.node + "-" }
 
 func (dumper *Dumper) fileName(reason Reason, now time.Time) string {
 	return fmt.Sprintf("%s%s-%s.log", dumper.filePrefix(), now.UTC().Format(timeLayout), reason)
 }
 
-// removeOldest removes the node's oldest files beyond maximumDumpFiles, those
-// of earlier starts too.
+// removeOldest removes the node's oldest files beyond maximumDumpFiles, including files that were
+// written before the last restart.
 func (dumper *Dumper) removeOldest() error {
-	names, err := dumper.ownFiles()
+	names, err := dumper.nodeFiles()
 	if err != nil {
 		return err
 	}
@@ -101,24 +102,24 @@
 	return nil
 }
 
-// ownFiles returns the names of the node's files, the oldest first.
-func (dumper *Dumper) ownFiles() ([]string, error) {
+// nodeFiles returns the names of the node's files, oldest first.
+func (dumper *Dumper) nodeFiles() ([]string, error) {
 	entries, err := os.ReadDir(dumper.folder)
 	if err != nil {
 		return nil, err
 	}
 	var names []string
 	for _, entry := range entries {
-		if dumper.isOwn(entry.Name()) {
+		if dumper.isNodeFile(entry.Name()) {
 			names = append(names, entry.Name())
 		}
 	}
 	return names, nil
 }
 
-// isOwn tells whether a file is this node's: another node's name may begin
-// with this one's.
-func (dumper *Dumper) isOwn(name string) bool {
+// isNodeFile reports whether the file belongs to this node. The prefix alone does not show it,
+// because another node's name may begin with this node's name.
+func (dumper *Dumper) isNodeFile(name string) bool {
 	rest, found := strings.CutPrefix(name, dumper.filePrefix())
 	if !found || len(rest) < len(timeLayout) {
 		return false
--- a/internal/logring/ring.go
+++ b/internal/logring/ring.go
@@ -1,8 +1,6 @@
-// Package logring keeps the latest log lines in memory and writes them to a
-// file when something goes wrong. In ordinary running it writes nothing.
-//
-// Something went wrong means: an entry at error level or above, a panic, a
-// failed start, or a signal from the operator.
+// Package logring keeps the latest log lines in memory and writes them to a file after a failure:
+// an entry at error level or above, a panic, or a failed start or stop. A signal from the operator
+// writes them too. Otherwise it writes nothing.
 package logring
 
 import (
@@ -11,10 +9,10 @@
 	"sync"
 )
 
-// DefaultCapacity is the number of lines a ring keeps.
+// DefaultCapacity is the number of lines that a ring keeps by default.
 const DefaultCapacity = 4096
 
-// Ring is a bounded list of log lines. It may be used from many goroutines.
+// Ring is a ring buffer of log lines. It is safe for concurrent use.
 type Ring struct {
 	lock    sync.Mutex
 	lines   [][]byte
@@ -50,8 +48,8 @@
 	return append(ordered, ring.lines[:ring.next]...)
 }
 
-// WriteTo writes the kept lines, oldest first, after a line that tells how
-// many older lines were dropped.
+// WriteTo implements io.WriterTo. It writes a line with the number of dropped lines, and then the kept
+// lines, oldest first.
 func (ring *Ring) WriteTo(writer io.Writer) (int64, error) {
 	ring.lock.Lock()
 	dropped := ring.dropped
--- a/internal/logring/ring_test.go
+++ b/internal/logring/ring_test.go
@@ -25,7 +25,7 @@
 	require.Equal(t, "{\"ring\":\"start\",\"dropped\":2}\nc\nd\ne\n", output.String())
 }
 
-func TestRingIsWrittenOnlyWhenSomethingGoesWrong(t *testing.T) {
+func TestRingIsWrittenOnlyAfterErrors(t *testing.T) {
 	folder := t.TempDir()
 	now := time.Unix(1000, 0)
 	ring := New(8)
@@ -38,7 +38,7 @@
 	logger.Error("sync failed")
 	logger.Error("sync failed again")
 	files := ringFiles(t, folder)
-	require.Len(t, files, 1, "a repeated error within a minute writes once")
+	require.Len(t, files, 1, "errors within a minute write one file")
 	content, err := os.ReadFile(files[0])
 	require.NoError(t, err)
 	require.Contains(t, string(content), "ordinary")
@@ -49,8 +49,8 @@
 	require.Len(t, ringFiles(t, folder), 2)
 }
 
-// A process that runs for months, or restarts again and again, must neither
-// fill the disk nor stop telling what went wrong last.
+// A process that runs for months or restarts repeatedly must not fill the disk, and its latest
+// errors must still be written.
 func TestDumperKeepsTheNewestFilesAcrossRestarts(t *testing.T) {
 	folder := t.TempDir()
 	now := time.Unix(1000, 0)
@@ -70,7 +70,8 @@
 	require.Contains(t, string(content), newest)
 }
 
-func TestDumperLeavesOtherFilesAlone(t *testing.T) {
+// The name of node-10 begins with that of node-1, whose dumper must not remove the files of node-10.
+func TestDumperKeepsFilesOfOtherNodes(t *testing.T) {
 	folder := t.TempDir()
 	foreign := filepath.Join(folder, "ring-node-10-20250101T000000.000-error.log")
 	require.NoError(t, os.WriteFile(foreign, []byte("another node's"), 0o600))
@@ -83,7 +84,7 @@
 	require.FileExists(t, foreign)
 }
 
-func TestOperatorsSignalAlwaysWritesTheRing(t *testing.T) {
+func TestSignalAlwaysWritesTheRing(t *testing.T) {
 	folder := t.TempDir()
 	now := time.Unix(1000, 0)
 	dumper := NewDumper(folder, "node-1", New(1), func() time.Time { return now })
--- a/internal/logstream/logstream.go
+++ b/internal/logstream/logstream.go
@@ -1,9 +1,8 @@
-// Package logstream writes structured log lines to standard output without
-// ever holding up the process.
+// Package logstream writes structured log lines to standard output without blocking the process.
 //
-// Lines wait in a bounded queue; when it is full, or when one kind of line
-// (its logger and message) exceeds its budget for a second, the line is left
-// out and counted. The next line of that kind says how many were left out.
+// Lines wait in a bounded queue. A line that the full queue has no room for is lost and counted. A
+// line that exceeds the budget per second of its kind (its logger and message) is left out, and the
+// next line of the kind states in the field left_out how many were left out before it.
 package logstream
 
 import (
@@ -15,18 +14,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Options are the bounds of a stream.
+// Options are the limits of a Stream.
 type Options struct {
 	// Level is the lowest level that is written.
 	Level zapcore.Level
-	// LinesPerSecond is the budget of each kind of line.
+	// LinesPerSecond is the largest number of lines of one kind per second.
 	LinesPerSecond int
-	// QueueLines is the number of lines that may wait for the output.
+	// QueueLines is the largest number of lines that wait for the output.
 	QueueLines int
 }
 
-// maximumKinds bounds the kinds of lines that have a budget of their own;
-// further kinds share one.
+// maximumKinds is the largest number of kinds of lines with a budget of their own; further kinds share
+// one budget.
 const maximumKinds = 256
 
 // budget counts the lines of one kind in one second.
@@ -36,18 +35,19 @@
 	leftOut uint64
 }
 
-// Stream is the shared part of all cores: budgets and the queue.
+// Stream holds the queue of lines and the budgets, which all its cores share. It is safe for concurrent
+// use.
 type Stream struct {
 	options Options
 	lines   chan []byte
 
 	lock    sync.Mutex
 	budgets map[string]*budget
-	// lost counts lines that the full queue refused.
+	// lost counts the lines that found the queue full.
 	lost uint64
 }
 
-// NewStream returns a stream that holds its lines until Run writes them.
+// NewStream returns a stream that queues lines until Run writes them.
 func NewStream(options Options) *Stream {
 	return &Stream{
 		options: options,
@@ -56,7 +56,7 @@
 	}
 }
 
-// Run writes lines to output until ctx ends and the queue is empty.
+// Run writes lines to output until ctx ends, and then those that are still queued.
 func (stream *Stream) Run(ctx context.Context, output io.Writer) {
 	for {
 		select {
@@ -69,6 +69,7 @@
 	}
 }
 
+// drain writes the queued lines.
 func (stream *Stream) drain(output io.Writer) {
 	for {
 		select {
@@ -80,16 +81,16 @@
 	}
 }
 
-// Lost returns how many lines the full queue refused.
+// Lost returns the number of lines that were lost because the queue was full.
 func (stream *Stream) Lost() uint64 {
 	stream.lock.Lock()
 	defer stream.lock.Unlock()
 	return stream.lost
 }
 
-// take uses one line of the kind's budget. It returns how many lines of the
-// kind were left out before this one, and false when this one is left out.
-func (stream *Stream) take(kind string, now time.Time) (leftOut uint64, granted bool) {
+// spendBudget uses up one line of the kind's budget. It returns the number of lines of the kind
+// that were left out before this one, and reports whether the budget has room for this one.
+func (stream *Stream) spendBudget(kind string, now time.Time) (leftOut uint64, granted bool) {
 	stream.lock.Lock()
 	defer stream.lock.Unlock()
 	known := stream.budgets[kind]
@@ -116,7 +117,8 @@
 	return leftOut, true
 }
 
-func (stream *Stream) put(line []byte) {
+// enqueue queues a line, or counts it as lost if the queue is full.
+func (stream *Stream) enqueue(line []byte) {
 	select {
 	case stream.lines <- line:
 	default:
@@ -153,7 +155,7 @@
 // With implements zapcore.Core.
 func (core *Core) With(fields []zapcore.Field) zapcore.Core {
 	encoder := core.encoder.Clone()
-	for _, field := range plain(fields) {
+	for _, field := range withErrorTexts(fields) {
 		field.AddTo(encoder)
 	}
 	return &Core{stream: core.stream, encoder: encoder}
@@ -167,9 +169,9 @@
 	return checked
 }
 
-// Write implements zapcore.Core. It never waits for the output.
+// Write implements zapcore.Core. It never blocks on the output.
 func (core *Core) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	leftOut, granted := core.stream.take(entry.LoggerName+"\x00"+entry.Message, entry.Time)
+	leftOut, granted := core.stream.spendBudget(entry.LoggerName+"\x00"+entry.Message, entry.Time)
 	if !granted {
 		return nil
 	}
@@ -178,18 +180,18 @@
 			Key: "left_out", Type: zapcore.Uint64Type, Integer: int64(leftOut),
 		})
 	}
-	buffer, err := core.encoder.EncodeEntry(entry, plain(fields))
+	buffer, err := core.encoder.EncodeEntry(entry, withErrorTexts(fields))
 	if err != nil {
 		return err
 	}
-	core.stream.put(append([]byte(nil), buffer.Bytes()...))
+	core.stream.enqueue(append([]byte(nil), buffer.Bytes()...))
 	buffer.Free()
 	return nil
 }
 
-// plain returns fields with the texts of errors, without the stacks that some
-// errors carry.
-func plain(fields []zapcore.Field) []zapcore.Field {
+// withErrorTexts returns the fields with errors replaced by their texts, because zap would add the
+// stack traces that some errors carry.
+func withErrorTexts(fields []zapcore.Field) []zapcore.Field {
 	for index, field := range fields {
 		failure, isError := field.Interface.(error)
 		if field.Type != zapcore.ErrorType || !isError {
@@ -197,10 +199,10 @@
 		}
 		copied := append([]zapcore.Field(nil), fields...)
 		copied[index] = zapcore.Field{Key: field.Key, Type: zapcore.StringType, String: failure.Error()}
-		return plain(copied)
+		return withErrorTexts(copied)
 	}
 	return fields
 }
 
-// Sync implements zapcore.Core. Lines are written as they come.
+// Sync implements zapcore.Core. It does nothing; Run writes the queued lines.
 func (core *Core) Sync() error { return nil }
--- a/internal/logstream/logstream_test.go
+++ b/internal/logstream/logstream_test.go
@@ -20,7 +20,8 @@
 	return zap.New(NewCore(stream)), stream
 }
 
-func written(stream *Stream) []string {
+// runAndSplit writes the queued lines and returns them.
+func runAndSplit(stream *Stream) []string {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	var output bytes.Buffer
@@ -29,17 +30,17 @@
 	return strings.Split(strings.TrimSuffix(output.String(), "\n"), "\n")
 }
 
-func TestBudgetHoldsUnderAFloodAndCountsWhatIsLeftOut(t *testing.T) {
+func TestBudgetLimitsLinesAndCountsThoseLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		logger, stream := newLogger(Options{Level: zapcore.InfoLevel, LinesPerSecond: 5, QueueLines: 100})
 		for range 1000 {
 			logger.Info("flow opened")
 		}
 		logger.Info("leader changed")
-		require.Len(t, written(stream), 6, "each kind has a budget of its own")
+		require.Len(t, runAndSplit(stream), 6, "each kind has a budget of its own")
 		time.Sleep(time.Second)
 		logger.Info("flow opened", zap.Int("port", 7))
-		lines := written(stream)
+		lines := runAndSplit(stream)
 		require.Len(t, lines, 1)
 		var line map[string]any
 		require.NoError(t, json.Unmarshal([]byte(lines[0]), &line))
@@ -48,7 +49,8 @@
 	})
 }
 
-// blockedOutput is a standard output that nobody reads.
+// blockedOutput is an output whose writes block until released is closed, such as a pipe that is
+// not read.
 type blockedOutput struct{ released chan struct{} }
 
 func (output blockedOutput) Write(line []byte) (int, error) {
@@ -58,7 +60,7 @@
 
 var _ io.Writer = blockedOutput{}
 
-func TestBlockedOutputHoldsNothingUp(t *testing.T) {
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		logger, stream := newLogger(Options{Level: zapcore.InfoLevel, LinesPerSecond: 1000, QueueLines: 10})
 		output := blockedOutput{released: make(chan struct{})}
@@ -68,7 +70,7 @@
 		for range 500 {
 			logger.Info("flow opened")
 		}
-		require.Zero(t, time.Since(begin), "a line waits for nobody")
+		require.Zero(t, time.Since(begin), "logging does not wait for the output")
 		synctest.Wait()
 		require.GreaterOrEqual(t, stream.Lost(), uint64(488))
 		cancel()
@@ -77,11 +79,11 @@
 	})
 }
 
-func TestLevelsBelowTheLowestAreNotWritten(t *testing.T) {
+func TestLinesBelowTheLevelAreNotWritten(t *testing.T) {
 	logger, stream := newLogger(Options{Level: zapcore.WarnLevel, LinesPerSecond: 5, QueueLines: 100})
 	logger.Info("small")
 	logger.With(zap.String("peer", "a")).Warn("large")
-	lines := written(stream)
+	lines := runAndSplit(stream)
 	require.Len(t, lines, 1)
 	require.Contains(t, lines[0], `"peer":"a"`)
 }
--- a/internal/reference/config.go
+++ b/internal/reference/config.go
@@ -14,25 +14,26 @@
 
 const configHeader = `# Settings
 
-One YAML file a process. Defaults come first, then the file, then environment
-variables (MERLINPADDLE_BALANCER__WORKERS for balancer.workers), then
-` + "`--set section.key=value`" + `. Unknown keys and values that break a rule are
-refused with file, field and value; ` + "`merlinpaddle config check`" + ` tests a file
-and ` + "`merlinpaddle config print`" + ` shows what is in force. Durations carry a
-unit, as in 500ms. In rules, the bounds of durations are in nanoseconds.
+Each process has one YAML file. The file overrides the defaults, environment
+variables (MERLINPADDLE_BALANCER__WORKERS for balancer.workers) override the
+file, and ` + "`--set section.key=value`" + ` overrides both. Unknown keys and values
+that break a rule are rejected with file, field and value;
+` + "`merlinpaddle config check`" + ` checks a file and ` + "`merlinpaddle config print`" + `
+shows the settings in force. Durations have a unit, as in 500ms. In rules, the
+bounds of durations are in nanoseconds.
 
-This page is written from the code by ` + "`merlinpaddle reference config`" + `; a
+This page is generated from the code by ` + "`merlinpaddle reference config`" + `; a
 test keeps the two equal.
 
 | key | type | default | rule | meaning |
 |---|---|---|---|---|
 `
 
-// fieldComments has the doc comment of each field, by struct and field name.
+// fieldComments holds the doc comment of each field, by the names of its struct and of the field.
 type fieldComments map[string]map[string]string
 
-// Config returns the page of settings. It fails only if the settings' source
-// does not parse.
+// Config returns the reference page of settings. It fails only if the settings' source cannot be
+// parsed.
 func Config() (string, error) {
 	comments, err := readComments(settings.Source)
 	if err != nil {
--- a/internal/reference/errors.go
+++ b/internal/reference/errors.go
@@ -1,6 +1,5 @@
-// Package reference writes the reference pages that must equal the code:
-// docs/ERRORS.md and docs/CONFIG.md. Tests compare the committed pages with
-// what the package writes.
+// Package reference generates the reference pages docs/ERRORS.md and docs/CONFIG.md from the code.
+// Tests check that the committed pages are up to date.
 package reference
 
 import (
@@ -13,18 +12,18 @@
 
 const errorsHeader = `# Error codes
 
-Every error of the system has a number. This page is written from the code by
+Every error of the system has a number. This page is generated from the code by
 ` + "`merlinpaddle reference errors`" + `; a test keeps the two equal.
 
-*Ran* tells, for refused requests, whether the request was run: "no" means it
-truly was not, "unknown" means that it may have been and is never sent again by
-the system.
+*Ran* states, for refused requests, whether the request was run: "no" means that
+it was not, "unknown" means that it may have been, so the system never sends it
+again.
 
 | code | name | HTTP status | ran | meaning | what to do |
 |---|---|---|---|---|---|
 `
 
-// Errors returns the page of error codes.
+// Errors returns the reference page of error codes.
 func Errors() string {
 	var page strings.Builder
 	page.WriteString(errorsHeader)
