--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -13,12 +13,13 @@
 	"merlinpaddle/internal/faults"
 )
 
-func line(name, token, role, tenant string) string {
+// tokenLine returns an entry of a token file.
+func tokenLine(name, token, role, tenant string) string {
 	return fmt.Sprintf("  - {name: %q, sha256: %q, role: %q, tenant: %q}\n", name, Hash(token), role, tenant)
 }
 
 func TestFind(t *testing.T) {
-	tokens, err := Parse([]byte("tokens:\n" + line("alice", "a", "admin", "") + line("riga", "r", "operator", "riga")))
+	tokens, err := Parse([]byte("tokens:\n" + tokenLine("alice", "a", "admin", "") + tokenLine("riga", "r", "operator", "riga")))
 	require.NoError(t, err)
 	require.Equal(t, 2, tokens.Count())
 	alice, known := tokens.Find("a")
@@ -40,19 +41,19 @@
 	require.True(t, known)
 }
 
-func TestParseNamesWhatIsWrong(t *testing.T) {
-	good := line("x", "t", "viewer", "")
+func TestParseNamesTheInvalidEntry(t *testing.T) {
+	good := tokenLine("x", "t", "viewer", "")
 	for name, test := range map[string]struct{ content, want string }{
-		"empty":            {"", "EOF"},
-		"no YAML":          {"tokens: [", "token file"},
-		"unknown field":    {"tokens:\n  - {name: x, password: y}", "password"},
-		"no name":          {"tokens:\n" + line("", "t", "viewer", ""), "tokens[0]: name"},
-		"role":             {"tokens:\n" + good + line("y", "t", "king", ""), "tokens[1]: role"},
-		"hash":             {"tokens:\n  - {name: x, sha256: abc, role: viewer}", "sha256"},
-		"token not hashed": {"tokens:\n  - {name: x, sha256: " + strings.Repeat("z", 64) + ", role: viewer}", "sha256"},
-		"same name":        {"tokens:\n" + good + good, `"x" is used twice`},
-		"admin of one":     {"tokens:\n" + line("x", "t", "admin", "riga"), "admin token has no tenant"},
-		"too many":         {"tokens:\n" + strings.Repeat("  - {name: x}\n", MaximumTokens+1), "more than"},
+		"empty":             {"", "EOF"},
+		"not YAML":          {"tokens: [", "token file"},
+		"unknown field":     {"tokens:\n  - {name: x, password: y}", "password"},
+		"no name":           {"tokens:\n" + tokenLine("", "t", "viewer", ""), "tokens[0]: name"},
+		"role":              {"tokens:\n" + good + tokenLine("y", "t", "king", ""), "tokens[1]: role"},
+		"hash":              {"tokens:\n  - {name: x, sha256: abc, role: viewer}", "sha256"},
+		"token not hashed":  {"tokens:\n  - {name: x, sha256: " + strings.Repeat("z", 64) + ", role: viewer}", "sha256"},
+		"same name":         {"tokens:\n" + good + good, `"x" is used twice`},
+		"admin of a tenant": {"tokens:\n" + tokenLine("x", "t", "admin", "riga"), "admin token has no tenant"},
+		"too many":          {"tokens:\n" + strings.Repeat("  - {name: x}\n", MaximumTokens+1), "more than"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(test.content))
@@ -89,19 +90,19 @@
 	_, err := Open(path, zap.NewNop())
 	require.Equal(t, faults.CodeTokensInvalid, faults.CodeOf(err))
 
-	write("tokens:\n" + line("x", "old", "viewer", ""))
+	write("tokens:\n" + tokenLine("x", "old", "viewer", ""))
 	file, err := Open(path, zap.NewNop())
 	require.NoError(t, err)
 	changed, err := file.Reload()
 	require.NoError(t, err)
 	require.False(t, changed)
 
-	write("tokens:\n" + line("x", "new", "viewer", ""))
+	write("tokens:\n" + tokenLine("x", "new", "viewer", ""))
 	changed, err = file.Reload()
 	require.NoError(t, err)
 	require.True(t, changed)
 	_, known := file.Find("old")
-	require.False(t, known, "a removed token is refused")
+	require.False(t, known, "a removed token is rejected")
 	_, known = file.Find("new")
 	require.True(t, known)
 
@@ -112,7 +113,7 @@
 	_, err = file.Reload()
 	require.Error(t, err)
 	_, known = file.Find("new")
-	require.True(t, known, "a file that can not be used leaves the tokens")
+	require.True(t, known, "an invalid file leaves the tokens unchanged")
 }
 
 func TestGeneratedTokensDiffer(t *testing.T) {
--- a/internal/auth/file.go
+++ b/internal/auth/file.go
@@ -13,23 +13,23 @@
 	"merlinpaddle/internal/faults"
 )
 
-// DefaultReloadInterval is the time between looks at the token file.
+// DefaultReloadInterval is the default time between two checks of the token file for changes.
 const DefaultReloadInterval = 2 * time.Second
 
-// maximumFileBytes bounds the token file.
+// maximumFileBytes is the largest size of the token file.
 const maximumFileBytes = 4 << 20
 
-// File is a token file that is read again when it changes. A changed file that
-// can not be used leaves the tokens as they were.
+// File is a token file that is reloaded when it changes. If the changed file is invalid, the previous
+// tokens stay valid. Find is safe for concurrent use.
 type File struct {
 	path    string
 	logger  *zap.Logger
 	current atomic.Pointer[Tokens]
-	// content is that of the last look, good or bad; only Reload uses it.
+	// content is the content that Reload last read, valid or not. Only Reload uses it.
 	content []byte
 }
 
-// Open reads the token file.
+// Open reads the token file, and fails if it is invalid.
 func Open(path string, logger *zap.Logger) (*File, error) {
 	file := &File{path: path, logger: logger}
 	if _, err := file.Reload(); err != nil {
@@ -41,8 +41,8 @@
 // Find returns the identity of a token; see Tokens.Find.
 func (file *File) Find(token string) (Identity, bool) { return file.current.Load().Find(token) }
 
-// Reload reads the file if its content changed, and tells whether the tokens
-// did. It must not be called by several goroutines at once.
+// Reload reads the file and reports whether its tokens were replaced, which is the case if its content
+// changed and is valid. It must not be called concurrently.
 func (file *File) Reload() (bool, error) {
 	content, err := readBounded(file.path)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return content, nil
 }
 
-// Watch looks at the file at each interval until the context ends.
+// Watch reloads the file at each interval until ctx ends.
 func (file *File) Watch(ctx context.Context, interval time.Duration) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -93,7 +93,7 @@
 func (file *File) reloadAndLog() {
 	changed, err := file.Reload()
 	if err != nil {
-		file.logger.Warn("token file not usable; the former tokens stay", zap.String("path", file.path), zap.Error(err))
+		file.logger.Warn("token file invalid; the previous tokens stay valid", zap.String("path", file.path), zap.Error(err))
 		return
 	}
 	if changed {
--- a/internal/auth/tokens.go
+++ b/internal/auth/tokens.go
@@ -1,9 +1,9 @@
-// Package auth decides who sent a request and what they may do. Bearer tokens
-// are listed in a file by the SHA-256 of the token, with a role and, for
-// operators and viewers of one tenant, the tenant. The file is YAML or JSON.
+// Package auth authenticates requests by bearer tokens and defines what each token may do. A file in
+// YAML or JSON lists the SHA-256 hash of each token with a role and, for operators and viewers of
+// one tenant, the tenant.
 //
-// A token of at least MinimumTokenBytes random bytes has enough entropy that
-// a plain hash, without salt and stretching, gives nothing away.
+// A token of at least MinimumTokenBytes random bytes has enough entropy that its plain hash, without
+// salt and key stretching, does not reveal it.
 package auth
 
 import (
@@ -19,20 +19,20 @@
 	"merlinpaddle/internal/model"
 )
 
-// Role is what a token may do.
+// Role defines what a token may do.
 type Role string
 
 // The roles, from the weakest to the strongest.
 const (
-	// RoleViewer reads.
+	// RoleViewer may read.
 	RoleViewer Role = "viewer"
-	// RoleOperator changes services and targets.
+	// RoleOperator may also change services and targets.
 	RoleOperator Role = "operator"
-	// RoleAdmin changes templates, tenants and members, and takes backups.
+	// RoleAdmin may also change templates, tenants and members, and make backups.
 	RoleAdmin Role = "admin"
 )
 
-// rank orders the roles; zero means that the role is not known.
+// rank returns the position of the role in the order of roles; zero means that the role is unknown.
 func (role Role) rank() int {
 	switch role {
 	case RoleViewer:
@@ -45,29 +45,29 @@
 	return 0
 }
 
-// Includes tells whether the role may do what needed may do.
+// Includes reports whether the role may do what the needed role may do.
 func (role Role) Includes(needed Role) bool {
 	return role.rank() > 0 && role.rank() >= needed.rank()
 }
 
-// Identity is who sent a request.
+// Identity describes the token that a request was sent with.
 type Identity struct {
-	// Name names the token in logs and in the history of objects.
+	// Name is the name of the token in logs and in the history of objects.
 	Name string
 	Role Role
 	// Tenant limits the token to one tenant; empty means all tenants.
 	Tenant model.TenantName
 }
 
-// MayUse tells whether the identity may see objects of the tenant.
+// MayUse reports whether the identity may use objects of the tenant.
 func (identity Identity) MayUse(tenant model.TenantName) bool {
 	return identity.Tenant == "" || identity.Tenant == tenant
 }
 
-// MaximumTokens bounds the tokens of one file.
+// MaximumTokens is the largest number of tokens in one file.
 const MaximumTokens = 4096
 
-// fileContent is the token file.
+// fileContent is the content of a token file.
 type fileContent struct {
 	Tokens []fileToken `yaml:"tokens"`
 }
@@ -80,25 +80,24 @@
 	Tenant string `yaml:"tenant"`
 }
 
-// entry is one known token.
+// entry is one valid token.
 type entry struct {
 	hash     [sha256.Size]byte
 	identity Identity
 }
 
-// Tokens is a set of known tokens. It never changes.
+// Tokens is an immutable set of valid tokens.
 type Tokens struct {
 	entries []entry
 }
 
-// Hash returns the SHA-256 of a token as the token file has it.
+// Hash returns the SHA-256 of a token in hexadecimal, as the token file lists it.
 func Hash(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse reads the content of a token file. The error names the entry and
-// field that is wrong.
+// Parse parses the content of a token file. An error names the invalid entry and field.
 func Parse(content []byte) (*Tokens, error) {
 	var file fileContent
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -125,6 +124,7 @@
 	return tokens, nil
 }
 
+// check validates the entry and returns the token that it defines.
 func (line fileToken) check() (entry, error) {
 	known := entry{identity: Identity{Name: line.Name, Role: line.Role, Tenant: model.TenantName(line.Tenant)}}
 	if line.Name == "" {
@@ -134,18 +134,18 @@
 		return entry{}, fmt.Errorf("role %q is not viewer, operator or admin", line.Role)
 	}
 	if line.Role == RoleAdmin && line.Tenant != "" {
-		return entry{}, fmt.Errorf("an admin token has no tenant, because templates and members belong to all")
+		return entry{}, fmt.Errorf("an admin token has no tenant, because templates and members belong to all tenants")
 	}
 	decoded, err := hex.DecodeString(line.SHA256)
 	if err != nil || len(decoded) != sha256.Size {
-		return entry{}, fmt.Errorf("sha256 must be 64 hexadecimal digits; merlinctl token new makes one")
+		return entry{}, fmt.Errorf("sha256 must be 64 hexadecimal digits; merlinctl token new creates a token with its hash")
 	}
 	copy(known.hash[:], decoded)
 	return known, nil
 }
 
-// Find returns the identity of a token. It compares with every entry, so that
-// its time tells nothing about the entries.
+// Find returns the identity of a token, and reports whether the token is valid. It compares the
+// token with every entry in constant time, so that its duration reveals nothing about the entries.
 func (tokens *Tokens) Find(token string) (Identity, bool) {
 	sum := sha256.Sum256([]byte(token))
 	found := -1
@@ -159,5 +159,5 @@
 	return tokens.entries[found].identity, true
 }
 
-// Count returns the number of known tokens.
+// Count returns the number of tokens.
 func (tokens *Tokens) Count() int { return len(tokens.entries) }
--- a/internal/keys/authority.go
+++ b/internal/keys/authority.go
@@ -1,6 +1,6 @@
-// Package keys makes and loads the certificates of the links between the
-// system's own processes. Each process has a certificate with its name and
-// role, signed by the fabric's own authority.
+// Package keys creates and loads the certificates with which the system's processes authenticate each
+// other. Each process has a certificate with its name and role, signed by the system's own certificate
+// authority.
 package keys
 
 import (
@@ -19,12 +19,12 @@
 )
 
 const (
-	// Lifetime is the validity of authorities and certificates.
+	// Lifetime is the validity period of authorities and certificates.
 	Lifetime = 10 * 365 * 24 * time.Hour
-	// clockTolerance is how far certificates are dated back, because the
+	// clockTolerance is how far the start of a certificate's validity is dated back, because the
 	// clocks of machines differ.
 	clockTolerance = time.Hour
-	// serialBits is the size of random serial numbers.
+	// serialBits is the size of the random serial numbers in bits.
 	serialBits = 120
 
 	blockCertificate = "CERTIFICATE"
@@ -32,12 +32,12 @@
 	authorityName    = "merlinpaddle authority"
 )
 
-// Process is whom a certificate is made for.
+// Process is the process that a certificate is issued to.
 type Process struct {
 	Name model.NodeName
 	Role model.Role
-	// Addresses are the IP addresses at which the administration API of a
-	// control member is reached; other processes need none.
+	// Addresses are the IP addresses of the administration API of a control member; other
+	// processes need none.
 	Addresses []net.IP
 }
 
@@ -47,18 +47,18 @@
 	Key         []byte
 }
 
-// Authority signs the certificates of processes.
+// Authority is the certificate authority that signs the certificates of processes.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 	pair        Pair
 }
 
-// NewAuthority makes an authority with a new key.
+// NewAuthority creates an authority with a new key.
 func NewAuthority(now time.Time) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, faults.New(faults.CodeKeysInvalid, "make authority key: %v", err)
+		return nil, faults.New(faults.CodeKeysInvalid, "create authority key: %v", err)
 	}
 	template := certificateTemplate(now)
 	template.Subject = pkix.Name{CommonName: authorityName}
@@ -72,7 +72,7 @@
 	return ParseAuthority(pair)
 }
 
-// ParseAuthority reads an authority that was written before.
+// ParseAuthority parses an authority's certificate and key.
 func ParseAuthority(pair Pair) (*Authority, error) {
 	certificate, err := parseCertificate(pair.Certificate)
 	if err != nil {
@@ -96,11 +96,11 @@
 // Pair returns the authority's own certificate and key.
 func (authority *Authority) Pair() Pair { return authority.pair }
 
-// Issue makes a certificate for process.
+// Issue creates a key and a certificate for the process.
 func (authority *Authority) Issue(process Process, now time.Time) (Pair, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return Pair{}, faults.New(faults.CodeKeysInvalid, "make key: %v", err)
+		return Pair{}, faults.New(faults.CodeKeysInvalid, "create key: %v", err)
 	}
 	template := certificateTemplate(now)
 	template.Subject = pkix.Name{CommonName: string(process.Name), OrganizationalUnit: []string{string(process.Role)}}
@@ -121,7 +121,7 @@
 func sign(template, parent *x509.Certificate, key, parentKey *ecdsa.PrivateKey) (Pair, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return Pair{}, faults.New(faults.CodeKeysInvalid, "make serial number: %v", err)
+		return Pair{}, faults.New(faults.CodeKeysInvalid, "create serial number: %v", err)
 	}
 	template.SerialNumber = serial
 	der, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, parentKey)
--- a/internal/keys/folder.go
+++ b/internal/keys/folder.go
@@ -13,7 +13,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// Files of a process's key folder, and of the authority's.
+// Names of the files in a process's key folder, and of the authority's folder and its files.
 const (
 	AuthorityFile    = "authority.pem"
 	CertificateFile  = "certificate.pem"
@@ -25,8 +25,7 @@
 	fileMode   = 0o600
 )
 
-// ParseProcess reads a process in the form role=name or
-// role=name@address,address.
+// ParseProcess parses a process in the form role=name or role=name@address,address.
 func ParseProcess(text string) (Process, error) {
 	role, rest, found := strings.Cut(text, "=")
 	name, addresses, hasAddresses := strings.Cut(rest, "@")
@@ -55,8 +54,8 @@
 	return false
 }
 
-// Init writes one folder for each process below root. It makes the authority
-// first when root has none, and overwrites nothing.
+// Init writes a folder with a certificate and key below root for each process. It creates the
+// authority first if root has none. It overwrites no files.
 func Init(root string, processes []Process, now time.Time) error {
 	for _, process := range processes {
 		path := filepath.Join(root, string(process.Name), CertificateFile)
@@ -76,6 +75,7 @@
 	return nil
 }
 
+// openAuthority reads the authority below root, or creates it if there is none.
 func openAuthority(root string, now time.Time) (*Authority, error) {
 	folder := filepath.Join(root, AuthorityFolder)
 	certificate, err := os.ReadFile(filepath.Join(folder, AuthorityFile))
@@ -118,7 +118,7 @@
 	return writeFile(folder, CertificateFile, pair.Certificate)
 }
 
-// writeFile writes a new file and syncs it; keys last only once synced.
+// writeFile writes a new file and syncs it, so that keys in use survive a crash of the machine.
 func writeFile(folder, name string, content []byte) error {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return faults.New(faults.CodeKeysUnreadable, "%v", err)
--- a/internal/keys/issue.go
+++ b/internal/keys/issue.go
@@ -9,9 +9,9 @@
 	"merlinpaddle/internal/faults"
 )
 
-// IssueLoader returns a loader with a certificate that is made now and kept in
-// memory, signed by the authority that Init wrote below root. It serves
-// measurements that run many processes' links in one process.
+// IssueLoader returns a loader with a new certificate that is kept in memory only, signed by the
+// authority below root, which is created if there is none. It is used by measurements that run the
+// links of many processes in one process.
 func IssueLoader(root string, process Process, now time.Time) (*Loader, error) {
 	authority, err := openAuthority(root, now)
 	if err != nil {
@@ -27,5 +27,5 @@
 	}
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(authority.Pair().Certificate)
-	return &Loader{folder: filepath.Join(root, AuthorityFolder), process: process, fixed: true, certificate: &certificate, authority: pool}, nil
+	return &Loader{folder: filepath.Join(root, AuthorityFolder), process: process, inMemory: true, certificate: &certificate, authority: pool}, nil
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -58,12 +58,12 @@
 	require.NoError(t, err)
 	require.Equal(t, before, after)
 
-	require.NoError(t, Init(root, []Process{{Name: "agent-1", Role: model.RoleAgent}}, time.Now()), "a later process joins the same authority")
+	require.NoError(t, Init(root, []Process{{Name: "agent-1", Role: model.RoleAgent}}, time.Now()), "the existing authority signs the certificate of a process that is added later")
 	_, err = NewLoader(filepath.Join(root, "agent-1"), "agent-1", model.RoleAgent)
 	require.NoError(t, err)
 }
 
-func TestLoaderRefusesFilesOfAnother(t *testing.T) {
+func TestLoaderRefusesFilesOfAnotherProcess(t *testing.T) {
 	root := t.TempDir()
 	require.NoError(t, Init(root, []Process{{Name: "relay-1", Role: model.RoleRelay}, {Name: "relay-2", Role: model.RoleRelay}}, time.Now()))
 	other := t.TempDir()
@@ -77,11 +77,11 @@
 		role    model.Role
 		code    faults.Code
 	}{
-		{name: "own", prepare: func(*testing.T) string { return filepath.Join(root, "relay-1") }, role: model.RoleRelay},
+		{name: "valid", prepare: func(*testing.T) string { return filepath.Join(root, "relay-1") }, role: model.RoleRelay},
 		{name: "other name", prepare: func(*testing.T) string { return filepath.Join(root, "relay-2") }, role: model.RoleRelay, code: faults.CodeKeysInvalid},
 		{name: "other role", prepare: func(*testing.T) string { return filepath.Join(root, "relay-1") }, role: model.RoleControl, code: faults.CodeKeysInvalid},
 		{name: "missing", prepare: func(*testing.T) string { return filepath.Join(root, "relay-9") }, role: model.RoleRelay, code: faults.CodeKeysUnreadable},
-		{name: "out of date", prepare: func(*testing.T) string { return filepath.Join(expired, "relay-1") }, role: model.RoleRelay, code: faults.CodeKeysInvalid},
+		{name: "expired", prepare: func(*testing.T) string { return filepath.Join(expired, "relay-1") }, role: model.RoleRelay, code: faults.CodeKeysInvalid},
 		{name: "other authority", prepare: func(t *testing.T) string {
 			return copyFolder(t, filepath.Join(root, "relay-1"), map[string]string{AuthorityFile: filepath.Join(other, "relay-1", AuthorityFile)})
 		}, role: model.RoleRelay, code: faults.CodeKeysInvalid},
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestLoaderTakesChangedFilesAndKeepsGoodOnes(t *testing.T) {
+func TestLoaderReloadsChangedFilesAndKeepsValidOnes(t *testing.T) {
 	now := time.Now()
 	authority, err := NewAuthority(now)
 	require.NoError(t, err)
@@ -111,18 +111,18 @@
 
 	pair, err := authority.Issue(process, now)
 	require.NoError(t, err)
-	replace(t, folder, KeyFile, pair.Key, now.Add(time.Second))
-	replace(t, folder, CertificateFile, pair.Certificate, now.Add(2*time.Second))
+	replaceFile(t, folder, KeyFile, pair.Key, now.Add(time.Second))
+	replaceFile(t, folder, CertificateFile, pair.Certificate, now.Add(2*time.Second))
 	second := loader.Certificate().Leaf.SerialNumber
 	require.NotEqual(t, first, second)
 	require.NoError(t, loader.LastFault())
 
-	replace(t, folder, CertificateFile, []byte("nonsense"), now.Add(3*time.Second))
+	replaceFile(t, folder, CertificateFile, []byte("nonsense"), now.Add(3*time.Second))
 	require.Equal(t, second, loader.Certificate().Leaf.SerialNumber)
 	require.Equal(t, faults.CodeKeysUnreadable, faults.CodeOf(loader.LastFault()))
 }
 
-func replace(t *testing.T, folder, name string, content []byte, modified time.Time) {
+func replaceFile(t *testing.T, folder, name string, content []byte, modified time.Time) {
 	t.Helper()
 	path := filepath.Join(folder, name)
 	require.NoError(t, os.WriteFile(path, content, fileMode))
--- a/internal/keys/loader.go
+++ b/internal/keys/loader.go
@@ -12,14 +12,14 @@
 	"merlinpaddle/internal/model"
 )
 
-// Loader holds the certificate of one process and reads the files again when
-// they change. New files that cannot be used are left aside, and the earlier
-// certificate stays in use.
+// Loader holds the certificate of one process and reloads its files when they change. Changed files
+// that are invalid are ignored, and the previous certificate stays in use. A Loader is safe for
+// concurrent use.
 type Loader struct {
 	folder  string
 	process Process
-	// fixed tells that the certificate is not read from files.
-	fixed bool
+	// inMemory means that the certificate is not read from files.
+	inMemory bool
 
 	lock        sync.Mutex
 	modified    time.Time
@@ -28,11 +28,11 @@
 	lastFault   error
 }
 
-// NewLoader reads the folder and checks that its certificate is that of the
-// process with this name and role, signed by the folder's authority.
+// NewLoader reads the folder and checks that its certificate names the process's name and role and
+// is signed by the authority in the folder.
 func NewLoader(folder string, name model.NodeName, role model.Role) (*Loader, error) {
 	loader := &Loader{folder: folder, process: Process{Name: name, Role: role}}
-	modified, err := loader.newestChange()
+	modified, err := loader.latestModification()
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 	return loader, nil
 }
 
-// Certificate returns the present certificate, reading changed files first.
+// Certificate returns the current certificate, after it reloaded changed files.
 func (loader *Loader) Certificate() *tls.Certificate {
 	loader.lock.Lock()
 	defer loader.lock.Unlock()
@@ -50,7 +50,7 @@
 	return loader.certificate
 }
 
-// Authority returns the present authority, reading changed files first.
+// Authority returns the current authority, after it reloaded changed files.
 func (loader *Loader) Authority() *x509.CertPool {
 	loader.lock.Lock()
 	defer loader.lock.Unlock()
@@ -58,15 +58,15 @@
 	return loader.authority
 }
 
-// LastFault returns why the latest changed files were not taken, or nil.
+// LastFault returns why the latest changed files are not in use, or nil.
 func (loader *Loader) LastFault() error {
 	loader.lock.Lock()
 	defer loader.lock.Unlock()
 	return loader.lastFault
 }
 
-// ServerConfig returns settings for accepting connections from processes that
-// hold a certificate of the same authority.
+// ServerConfig returns a TLS configuration that accepts connections from processes with a
+// certificate of the same authority. Each connection uses the current files.
 func (loader *Loader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -81,7 +81,7 @@
 	}
 }
 
-// ClientConfig returns settings for a connection to the process named peer.
+// ClientConfig returns a TLS configuration for a connection to the process named peer.
 func (loader *Loader) ClientConfig(peer model.NodeName) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -94,11 +94,12 @@
 // PeerProcess returns the name and role in a peer's verified certificate.
 func PeerProcess(state tls.ConnectionState) (Process, error) {
 	if len(state.PeerCertificates) == 0 {
-		return Process{}, faults.New(faults.CodeKeysInvalid, "peer showed no certificate")
+		return Process{}, faults.New(faults.CodeKeysInvalid, "the peer sent no certificate")
 	}
 	return processOf(state.PeerCertificates[0])
 }
 
+// processOf returns the name and role in the certificate.
 func processOf(certificate *x509.Certificate) (Process, error) {
 	units := certificate.Subject.OrganizationalUnit
 	if len(units) != 1 || !knownRole(model.Role(units[0])) || certificate.Subject.CommonName == "" {
@@ -107,11 +108,12 @@
 	return Process{Name: model.NodeName(certificate.Subject.CommonName), Role: model.Role(units[0])}, nil
 }
 
+// refresh reloads the files if one of them changed.
 func (loader *Loader) refresh() {
-	if loader.fixed {
+	if loader.inMemory {
 		return
 	}
-	modified, err := loader.newestChange()
+	modified, err := loader.latestModification()
 	if err == nil && modified.Equal(loader.modified) {
 		return
 	}
@@ -121,7 +123,8 @@
 	loader.lastFault = err
 }
 
-func (loader *Loader) newestChange() (time.Time, error) {
+// latestModification returns the latest modification time of the files.
+func (loader *Loader) latestModification() (time.Time, error) {
 	var newest time.Time
 	for _, name := range []string{AuthorityFile, CertificateFile, KeyFile} {
 		info, err := os.Stat(filepath.Join(loader.folder, name))
