--- a/internal/explain/cause.go
+++ b/internal/explain/cause.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// highestAttempt returns the highest retransmission number of the opening packet that a balancer forwarded
-// to a target; zero is the first copy.
+// highestAttempt returns the highest retransmission number of the opening packet that a balancer
+// forwarded to a target; zero is the first copy.
 func (history *history) highestAttempt() int {
 	highest := 0
 	for _, line := range history.decisions {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -77,6 +77,7 @@
 	return explanation
 }
 
+// decisionsAbout returns the lines about packets of the caller.
 func decisionsAbout(lines []Line, caller string) []Line {
 	var found []Line
 	for _, line := range lines {
@@ -154,6 +155,7 @@
 	return describeTarget(line), true
 }
 
+// describeDecision describes the decision of a balancer about a packet, in words.
 func describeDecision(line Line) string {
 	kind := "a packet"
 	if line.Opening {
@@ -175,6 +177,7 @@
 	return text
 }
 
+// describeTarget describes an event of a target, in words.
 func describeTarget(line Line) string {
 	parts := []string{fmt.Sprintf("%s: target %x", line.Message, line.Target)}
 	for _, part := range []struct{ name, value string }{
--- a/internal/keys/folder.go
+++ b/internal/keys/folder.go
@@ -103,6 +103,7 @@
 	return authority, writeFile(folder, AuthorityFile, authority.pair.Certificate)
 }
 
+// writeProcess writes the key folder of a process below root, with a new certificate.
 func writeProcess(root string, authority *Authority, process Process, now time.Time) error {
 	pair, err := authority.Issue(process, now)
 	if err != nil {
--- a/internal/keys/loader.go
+++ b/internal/keys/loader.go
@@ -138,6 +138,8 @@
 	return newest, nil
 }
 
+// read reads and checks the files, and replaces the current certificate and authority if they are
+// valid.
 func (loader *Loader) read(modified time.Time) error {
 	authorityText, err := os.ReadFile(filepath.Join(loader.folder, AuthorityFile))
 	if err != nil {
@@ -160,6 +162,7 @@
 	return nil
 }
 
+// check verifies that the certificate is signed by the authority and names the loader's process.
 func (loader *Loader) check(leaf *x509.Certificate, authority *x509.CertPool) error {
 	options := x509.VerifyOptions{Roots: authority, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}}
 	if _, err := leaf.Verify(options); err != nil {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -30,6 +30,7 @@
 	return faults.New(faults.CodeSettingsInvalid, "%s", strings.Join(lines, "\n"))
 }
 
+// describe returns one line with the place, field, value and rule of a problem.
 func describe(from origin, problem validator.FieldError) string {
 	field := strings.TrimPrefix(problem.Namespace(), "Settings.")
 	rule := problem.Tag()
@@ -63,6 +64,7 @@
 	return checker
 }
 
+// isAddressAndPort reports whether the field's text is an IP address and a port.
 func isAddressAndPort(level validator.FieldLevel) bool {
 	host, _, err := net.SplitHostPort(level.Field().String())
 	if err != nil {
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -32,6 +32,8 @@
 	return number == math.Trunc(number) && math.Abs(number) < math.MaxInt64
 }
 
+// parseText parses the text as a value of the type of to. It returns the text itself if that type is
+// neither a number, a duration nor a boolean.
 func parseText(text string, to reflect.Value) (any, error) {
 	var parsed any
 	var err error
