--- a/internal/replica/leadership_test.go
+++ b/internal/replica/leadership_test.go
@@ -62,7 +62,7 @@
 	paused.controller.Submit([]byte("late"), func(_ []byte, err error) { answered, fault = true, err })
 	paused.controller.Reconcile(cluster.now.Add(-19 * testElectionTimeout))
 	cluster.runUntil(5*time.Second, "an answer to the write", func() bool { return answered })
-	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.OutcomeUnknown}, faults.CodeOf(fault))
+	require.Contains(t, []faults.Code{faults.NotLeader, faults.ProposalReplaced, faults.ProposalOutcomeUnknown}, faults.CodeOf(fault))
 	cluster.propose("after")
 	cluster.runUntil(5*time.Second, "equal state", cluster.converged)
 	require.Equal(t, []string{"before", "while the leader is paused", "after"}, paused.machine.commands)
@@ -81,7 +81,7 @@
 	cluster.run(2 * testElectionTimeout)
 	require.NotEqual(t, previousLeader.name, previousLeader.controller.StatusAt(cluster.now).Leader)
 	cluster.runUntil(5*time.Second, "answers to both calls", func() bool { return len(codes) == 2 })
-	require.Equal(t, []faults.Code{faults.LeadershipUnconfirmed, faults.OutcomeUnknown}, codes)
+	require.Equal(t, []faults.Code{faults.LeadershipUnconfirmed, faults.ProposalOutcomeUnknown}, codes)
 }
 
 // TestReturningMemberDoesNotDeposeLeader tests pre-vote: a member that was
@@ -172,5 +172,5 @@
 	leader.controller.Submit([]byte("queued"), record)
 	leader.controller.Stop()
 	leader.controller.Submit([]byte("too late"), record)
-	require.Equal(t, []faults.Code{faults.OutcomeUnknown, faults.MemberStopped, faults.MemberStopped}, codes)
+	require.Equal(t, []faults.Code{faults.ProposalOutcomeUnknown, faults.MemberStopped, faults.MemberStopped}, codes)
 }
