--- a/internal/faults/codes_direct.go
+++ b/internal/faults/codes_direct.go
@@ -24,12 +24,12 @@
 )
 
 var directDefinitions = []Definition{
-	{Code: ConfigurationInvalid, Name: "ConfigurationInvalid", Meaning: "A declared configuration breaks a rule; no part of it was applied.", Action: "Correct the named field and send the whole configuration again.", HTTPStatus: http.StatusUnprocessableEntity, Ran: RanNo},
+	{Code: ConfigurationInvalid, Name: "ConfigurationInvalid", Meaning: "A declared configuration breaks a rule; nothing of it was taken.", Action: "Correct the named field and send the whole configuration again.", HTTPStatus: http.StatusUnprocessableEntity, Ran: RanNo},
 	{Code: RegistrationInvalid, Name: "RegistrationInvalid", Meaning: "A target's registration lacks a field or contradicts an earlier one.", Action: "Correct the named field.", HTTPStatus: http.StatusUnprocessableEntity, Ran: RanNo},
-	{Code: QuorumUnconfirmed, Name: "QuorumUnconfirmed", Meaning: "This member has not heard from a leader with a quorum recently, so it accepts and answers no requests.", Action: "Use another member; look for a network partition or failed members.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
-	{Code: ForwardTimeout, Name: "ForwardTimeout", Meaning: "The leader did not answer in time; this member does not know whether the change is committed.", Action: "Send the same request again; it is applied at most once.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanUnknown},
-	{Code: SegmentMalformed, Name: "SegmentMalformed", Meaning: "A caller's packet is truncated or its lengths contradict each other.", Action: "None; it was dropped and counted."},
-	{Code: LogUnreadable, Name: "LogUnreadable", Meaning: "A log file cannot be read.", Action: "Name files that hold the structured log lines of the processes."},
-	{Code: ZoneOrderInvalid, Name: "ZoneOrderInvalid", Meaning: "An order to evacuate a zone, or to end its evacuation, names no zone or one whose name is too long.", Action: "Name the zone as targets state it.", HTTPStatus: http.StatusUnprocessableEntity, Ran: RanNo},
-	{Code: ZoneOrdersFull, Name: "ZoneOrdersFull", Meaning: "The largest number of zones is already evacuated; nothing was changed.", Action: "List the evacuated zones and end the evacuations that are not intended.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
+	{Code: QuorumUnconfirmed, Name: "QuorumUnconfirmed", Meaning: "This member has not heard from a leader with a quorum lately, so it takes and answers nothing.", Action: "Use another member; look for a cut or a loss of members.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
+	{Code: ForwardTimeout, Name: "ForwardTimeout", Meaning: "The leader did not answer in time; whether the change is committed is not known here.", Action: "Send the same request again; it is applied at most once.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanUnknown},
+	{Code: SegmentMalformed, Name: "SegmentMalformed", Meaning: "A caller's packet is cut short or its lengths disagree.", Action: "None; it was dropped and counted."},
+	{Code: LogUnreadable, Name: "LogUnreadable", Meaning: "A log file cannot be read.", Action: "Name files that hold the structured lines of the processes."},
+	{Code: ZoneOrderInvalid, Name: "ZoneOrderInvalid", Meaning: "An order to empty a zone, or to take it back, names no zone or one whose name is too long.", Action: "Name the zone as targets state it.", HTTPStatus: http.StatusUnprocessableEntity, Ran: RanNo},
+	{Code: ZoneOrdersFull, Name: "ZoneOrdersFull", Meaning: "As many zones are evacuated as may be at a time; nothing was changed.", Action: "List the evacuated zones and end those that are not meant.", HTTPStatus: http.StatusServiceUnavailable, Ran: RanNo},
 }
--- a/internal/faults/codes_process.go
+++ b/internal/faults/codes_process.go
@@ -10,8 +10,8 @@
 	{
 		Code:    CodeAddressInUse,
 		Name:    "AddressInUse",
-		Meaning: "A listen address could not be opened, most often because another process uses it.",
-		Action:  "Stop the other process or change the address in the settings; nothing was changed on disk.",
+		Meaning: "A listen address could not be taken, most often because another process has it.",
+		Action:  "End the other process or change the address in the settings; nothing was changed on disk.",
 	},
 	{
 		Code:    CodeTaskFailed,
--- a/internal/faults/codes_settings.go
+++ b/internal/faults/codes_settings.go
@@ -18,7 +18,7 @@
 	{
 		Code:    CodeSettingsUnknownKey,
 		Name:    "SettingsUnknownKey",
-		Meaning: "The settings have an unknown key, or a value of the wrong type.",
+		Meaning: "The settings have a key that no process knows, or a value of the wrong type.",
 		Action:  "Correct the key or value that the message names; docs/CONFIG.md lists all keys.",
 	},
 	{
