--- a/internal/gobstream/gobstream.go
+++ b/internal/gobstream/gobstream.go
@@ -17,7 +17,8 @@
 )
 
 // maxDecoders limits the cached decoders. There is one for each type of value and each numbering of
-// types that streams use, which can differ between sending processes.
+// types that streams use, which can differ between sending processes. A new decoder that would exceed
+// the limit replaces all others.
 const maxDecoders = 256
 
 // maxCachedBytes is the size of the largest value after which a decoder or encoder stays cached,
@@ -76,7 +77,7 @@
 	return cached
 }
 
-var errTruncated = errors.New("the gob stream is cut")
+var errTruncated = errors.New("the gob stream is truncated")
 
 // splitStream splits a gob stream of one value into the messages with type descriptions and the last
 // message, which holds the value.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -157,7 +157,7 @@
 				return nil
 			case <-signals:
 				if err := dumper.Dump(logring.ReasonSignal); err != nil {
-					return fmt.Errorf("write the ring: %w", err)
+					return fmt.Errorf("write the log ring: %w", err)
 				}
 			}
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -240,7 +240,7 @@
 func decode(data []byte) (content, error) {
 	var value content
 	if len(data) < len(magic)+checksumBytes || !bytes.HasPrefix(data, magic) {
-		return value, errors.New("it is too short or does not begin as a snapshot does")
+		return value, errors.New("it is too short or does not begin with the magic number of a snapshot")
 	}
 	end := len(data) - checksumBytes
 	if crc32.Checksum(data[:end], crc32cTable) != binary.LittleEndian.Uint32(data[end:]) {
@@ -251,10 +251,12 @@
 }
 
 // Load returns the newest intact snapshot, or a zero snapshot without an error when there is none.
-// The log must hold every entry after the returned snapshot, otherwise acknowledged entries would
-// be missing, and Load fails with StorageSnapshotDamaged; logBase is the index before the log's first
-// entry. A damaged or unreadable snapshot is skipped on this condition. Load fails if one that it
-// reads belongs to another group or has an unknown format version.
+// Damaged and unreadable snapshots are skipped, but Load fails if one that is newer than the intact
+// one belongs to another group or has an unknown format version.
+//
+// The log must hold every entry after the returned snapshot; logBase is the index before the log's
+// first entry. Otherwise acknowledged entries would be missing, and Load fails with
+// StorageSnapshotDamaged.
 func (store *Store) Load(logBase uint64) (raft.Snapshot, error) {
 	all, err := store.LoadAll()
 	if err != nil {
@@ -287,7 +289,7 @@
 		cause = newestFault.Error()
 	}
 	return faults.New(faults.StorageSnapshotDamaged,
-		"the log begins after entry %d but the newest sound snapshot ends at %d (%s); replace this member: remove it from the group, empty the folder and add it again",
+		"the log begins after entry %d but the newest intact snapshot ends at %d (%s); replace this member: remove it from the group, empty the folder and add it again",
 		logBase, index, cause)
 }
 
--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -59,7 +59,7 @@
 }
 
 // readFrame returns the body of the frame at the start of data, which shares data's memory, and
-// the length of the frame in bytes. It returns false unless data starts with a complete frame whose
+// the length of the frame in bytes. Valid reports whether data starts with a complete frame whose
 // checksum matches.
 func readFrame(data []byte) (body []byte, length int, valid bool) {
 	if len(data) < frameHeaderBytes || [4]byte(data[:4]) != frameMagic {
--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -146,7 +146,8 @@
 
 // acceptTornHeader records an invalid header frame as torn if a crash can explain it: it is in the
 // last segment and no valid frame follows it, as nothing is written after a header before the header
-// is synced. Otherwise it returns an error.
+// is synced. The segment must also be number 1 or follow another segment. Otherwise acceptTornHeader
+// returns an error.
 func (scan *logScan) acceptTornHeader(number uint64, data []byte, isLast bool) error {
 	if !isLast || validFrameAfter(data, 0) {
 		return damaged(number, 0, "its header is damaged")
@@ -163,7 +164,7 @@
 // follows it. Otherwise it returns an error.
 func (scan *logScan) acceptTornTail(number uint64, data []byte, offset int, isLast bool) error {
 	if !isLast || validFrameAfter(data, offset) {
-		return damaged(number, offset, "its checksum does not match and sound records follow")
+		return damaged(number, offset, "its checksum does not match and valid records follow")
 	}
 	scan.tailSize = int64(offset)
 	scan.tornBytes = int64(len(data) - offset)
@@ -184,8 +185,8 @@
 	return false
 }
 
-// damaged returns a StorageDamaged fault that names the segment, the offset and the repair: to
-// replace the member.
+// damaged returns a StorageDamaged fault that names the segment, the offset in bytes and the remedy,
+// which is to replace the member.
 func damaged(number uint64, offset int, cause string) error {
 	return faults.New(faults.StorageDamaged,
 		"log segment %s is damaged at byte %d: %s; nothing was changed; replace this member: remove it from the group, empty the folder and add it again",
@@ -243,8 +244,8 @@
 	return nil
 }
 
-// addEntry appends an entry, which replaces all entries from its index on. It reports false, and
-// adds nothing, when the index is zero or would leave a gap.
+// addEntry appends an entry, which replaces all entries from its index on. It reports whether the
+// entry was added: an entry whose index is zero or would leave a gap is not.
 func (scan *logScan) addEntry(entry raft.Entry) bool {
 	switch {
 	case entry.Index > scan.lastIndex()+1 || entry.Index == 0:
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -38,8 +38,8 @@
 	// Folder is the log's folder in the file system.
 	Folder   string
 	Identity Identity
-	// SegmentBytes is the size of a segment from which on the next batch starts a new one. Zero
-	// means DefaultSegmentBytes.
+	// SegmentBytes is the size of a segment, in bytes, at which the next batch starts a new segment.
+	// Zero means DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// truncateTail removes a torn frame and moves to the end of the last segment.
+// truncateTail removes a torn frame and seeks to the end of the last segment.
 func (log *Log) truncateTail(tornBytes int64) error {
 	if tornBytes > 0 {
 		if err := log.file.Truncate(log.size); err != nil {
