--- a/internal/board/queue.go
+++ b/internal/board/queue.go
@@ -22,8 +22,8 @@
 // Name returns the queue's name.
 func (queue *Queue[Value]) Name() string { return queue.name }
 
-// Put appends a value and notifies the watchers. If the queue is full, Put drops the value, counts
-// it and returns false: senders of messages must tolerate loss anyway.
+// Put appends a value and notifies the watchers. It reports whether the value was added: a full
+// queue drops and counts it, as senders of messages must tolerate loss anyway.
 func (queue *Queue[Value]) Put(value Value) bool {
 	queue.lock.Lock()
 	if len(queue.values) >= queue.capacity {
--- a/internal/filesystem/faulty/faulty.go
+++ b/internal/filesystem/faulty/faulty.go
@@ -34,7 +34,7 @@
 	stallPollInterval = 5 * time.Millisecond
 )
 
-// Set sets the fault of all folders that have the control file.
+// Set sets the fault of all folders whose control file is control.
 func Set(control string, fault Fault) error {
 	// The file is replaced atomically, so that no reader sees a part of it.
 	next := control + ".next"
--- a/internal/filesystem/memory/file.go
+++ b/internal/filesystem/memory/file.go
@@ -14,7 +14,8 @@
 type inode struct {
 	// current is the content that processes read.
 	current []byte
-	// synced is the content that survives a crash.
+	// synced is the content on the disk, without the pending changes. A crash applies some of these,
+	// entirely or in part.
 	synced []byte
 	// pending holds the changes since the last sync, in order.
 	pending []pendingWrite
@@ -108,8 +109,8 @@
 	offset   int64
 }
 
-// checkUsable returns an error when the handle is closed, or from an earlier epoch, or read-only
-// and write is set.
+// checkUsable returns an error if the handle is closed or from an earlier epoch, or if write is set
+// and the handle is read-only.
 func (handle *handle) checkUsable(write bool) error {
 	switch {
 	case handle.closed:
--- a/internal/filesystem/memory/memory.go
+++ b/internal/filesystem/memory/memory.go
@@ -32,7 +32,8 @@
 	folders map[string]bool
 	// names maps file names to files as running processes see them.
 	names map[string]*inode
-	// durable maps the names that survive a crash.
+	// durable maps file names to files on the disk, without unsyncedChanges. A crash applies a random
+	// number of the oldest of these.
 	durable map[string]*inode
 	// unsyncedChanges are the changes that lead from durable to names, in order.
 	unsyncedChanges []nameChange
--- a/internal/process/body.go
+++ b/internal/process/body.go
@@ -13,8 +13,9 @@
 const bodyTimeout = 5 * time.Second
 
 // SetBodyDeadline makes reads of a request's body fail after bodyTimeout. The returned function
-// removes the deadline. Callers call it only after they have read the whole body: otherwise the
-// server still reads the rest of the body before it answers, and needs the deadline.
+// removes the deadline, because handling the request may take longer than that. It must be called
+// only after the whole body has been read: otherwise the server reads the rest of the body before it
+// answers, and needs the deadline.
 func SetBodyDeadline(writer http.ResponseWriter) (done func(), err error) {
 	controller := http.NewResponseController(writer)
 	err = controller.SetReadDeadline(time.Now().Add(bodyTimeout))
--- a/internal/process/tasks.go
+++ b/internal/process/tasks.go
@@ -13,8 +13,7 @@
 )
 
 // Tasks runs the goroutines of a process. When a task fails or panics, the log ring is written and the
-// process stops: it is better that a supervisor restarts the process than that it runs on without one
-// of its parts.
+// process stops: a restart by its supervisor is better than running without one of its parts.
 type Tasks struct {
 	ctx        context.Context
 	cancel     context.CancelFunc
--- a/internal/transport/incoming.go
+++ b/internal/transport/incoming.go
@@ -61,16 +61,16 @@
 		return nil, err
 	}
 	connection := newConnection(links.options.Self, stream, newSendQueue(links.options.Metrics.countDrop), links.options.Metrics.traffic)
-	introduced, err := connection.readHello()
+	received, err := connection.readHello()
 	if err != nil {
 		return nil, err
 	}
-	peer, err := identify(stream, introduced)
+	peer, err := identify(stream, received)
 	if err == nil && !accepts(links.options.Role, peer.Role) {
 		err = faults.New(faults.CodeRoleRefused, "a process of role %s does not accept connections from role %s", links.options.Role, peer.Role)
 	}
 	if err != nil {
-		links.options.Metrics.countRefusal(introduced.Role)
+		links.options.Metrics.countRefusal(received.Role)
 		_ = connection.send(frame{Refusal: &refusal{Code: faults.CodeOf(err), Text: err.Error()}})
 		return nil, err
 	}
@@ -78,8 +78,8 @@
 	return connection, connection.sendHello(links.hello())
 }
 
-// secure returns the connection with its bytes counted and its reads and writes limited in time, and
-// with TLS if this process has keys.
+// secure wraps raw in a connection that counts bytes and sets deadlines for reads and writes. If this
+// process has keys, it also performs the TLS handshake.
 func (links *Links) secure(ctx context.Context, raw net.Conn) (net.Conn, error) {
 	metered := links.options.Metrics.meter(raw, links.options.Timing)
 	if links.options.Keys == nil {
--- a/internal/transport/links.go
+++ b/internal/transport/links.go
@@ -147,6 +147,7 @@
 	return nil
 }
 
+// start starts the links to the peers that were dialled before Run.
 func (links *Links) start(ctx context.Context) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -48,7 +48,7 @@
 	return all
 }
 
-// peer returns the address book entry by which other endpoints dial this one, with the given name.
+// peer returns the settings with which other endpoints dial this one under the given name.
 func (endpoint *endpoint) peer(name string) settings.Peer {
 	return settings.Peer{Name: name, Address: endpoint.links.Address().String()}
 }
--- a/internal/transport/outgoing.go
+++ b/internal/transport/outgoing.go
@@ -181,7 +181,7 @@
 	return delay/2 + rand.N(delay/2+1)
 }
 
-// sleep waits for delay. It returns false if ctx ends first.
+// sleep waits for delay or until ctx ends. It reports whether the delay passed.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
