--- a/internal/gobstream/gobstream.go
+++ b/internal/gobstream/gobstream.go
@@ -77,7 +77,7 @@
 	return cached
 }
 
-var errTruncated = errors.New("the gob stream is truncated")
+var errTruncated = errors.New("the gob stream is cut")
 
 // splitStream splits a gob stream of one value into the messages with type descriptions and the last
 // message, which holds the value.
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -240,7 +240,7 @@
 func decode(data []byte) (content, error) {
 	var value content
 	if len(data) < len(magic)+checksumBytes || !bytes.HasPrefix(data, magic) {
-		return value, errors.New("it is too short or does not begin with the magic number of a snapshot")
+		return value, errors.New("it is too short or does not begin as a snapshot does")
 	}
 	end := len(data) - checksumBytes
 	if crc32.Checksum(data[:end], crc32cTable) != binary.LittleEndian.Uint32(data[end:]) {
@@ -289,7 +289,7 @@
 		cause = newestFault.Error()
 	}
 	return faults.New(faults.StorageSnapshotDamaged,
-		"the log begins after entry %d but the newest intact snapshot ends at %d (%s); replace this member: remove it from the group, empty the folder and add it again",
+		"the log begins after entry %d but the newest sound snapshot ends at %d (%s); replace this member: remove it from the group, empty the folder and add it again",
 		logBase, index, cause)
 }
 
--- a/internal/wal/scan.go
+++ b/internal/wal/scan.go
@@ -164,7 +164,7 @@
 // follows it. Otherwise it returns an error.
 func (scan *logScan) acceptTornTail(number uint64, data []byte, offset int, isLast bool) error {
 	if !isLast || validFrameAfter(data, offset) {
-		return damaged(number, offset, "its checksum does not match and valid records follow")
+		return damaged(number, offset, "its checksum does not match and sound records follow")
 	}
 	scan.tailSize = int64(offset)
 	scan.tornBytes = int64(len(data) - offset)
