--- a/internal/agent/dataplane/plane.go
+++ b/internal/agent/dataplane/plane.go
@@ -86,7 +86,7 @@
 		Opening:    received.Opening,
 		Chain:      received.Chain,
 		Position:   int(received.Position),
-		PasserLoad: received.HeadLoad,
+		PasserLoad: received.PasserLoad,
 		Stage:      received.Stage,
 		Passes:     received.Passes,
 	})
@@ -129,7 +129,7 @@
 	passed.Revision = decision.Revision
 	passed.Stage = decision.Stage
 	passed.Passes = decision.Passes
-	passed.HeadLoad = decision.PasserLoad
+	passed.PasserLoad = decision.PasserLoad
 	if err := plane.options.Socket.Send(next.Agent, &passed); err != nil {
 		plane.counters.drop(DropSendFailed)
 		return
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -287,7 +287,7 @@
 		fixture.plane.Handle(opening(func(p *packet.Encapsulated) {
 			p.Flow.Protocol, p.Balancer = model.ProtocolUDP, addressOf(fixture.balancer)
 			// The alternate was asked, does not own the flow and is busier.
-			p.Stage, p.Passes, p.HeadLoad = model.StageSearch, 2, 1000
+			p.Stage, p.Passes, p.PasserLoad = model.StageSearch, 2, 1000
 			p.Chain, p.Position = []model.TargetID{otherTarget, ownTarget}, 1
 		}))
 		require.Equal(t, isOpened, receive(t, fixture.balancer).Opening)
--- a/internal/balancer/decision.go
+++ b/internal/balancer/decision.go
@@ -85,7 +85,7 @@
 	encapsulated.Position = uint8(position)
 	encapsulated.Stage = model.StageLookup
 	encapsulated.Passes = 0
-	encapsulated.HeadLoad = 0
+	encapsulated.PasserLoad = 0
 	return target, VerdictForward
 }
 
--- a/internal/bench/command/routing.go
+++ b/internal/bench/command/routing.go
@@ -103,7 +103,7 @@
 		started(run)
 		options := size.Options
 		options.Seed += uint64(run)
-		comparison, err := compare.Run(options, compare.AllWays(), flags.workers)
+		comparison, err := compare.Run(options, compare.AllAlgorithms(), flags.workers)
 		if err != nil {
 			return size, err
 		}
--- a/internal/bench/command/routing_plots.go
+++ b/internal/bench/command/routing_plots.go
@@ -20,19 +20,19 @@
 
 // plottedWays are the ways whose course is drawn; the simple ways open flows
 // by the same hashing, so one of them stands for all.
-var plottedWays = []compare.WayName{compare.WayHashing, compare.WayChain, compare.WayLeastFlows, compare.WayLeastRequests}
+var plottedWays = []compare.AlgorithmName{compare.AlgorithmHashing, compare.AlgorithmChain, compare.AlgorithmLeastFlows, compare.AlgorithmLeastRequests}
 
 // plot draws the courses of the first run.
 func (size routingSize) plot(folder string) error {
-	flows := func(point compare.CoursePoint) float64 { return point.Flows }
+	flows := func(point compare.TimelinePoint) float64 { return point.Flows }
 	if err := size.plotCourse(folder, "flows", "concurrent flows", flows); err != nil {
 		return err
 	}
-	requests := func(point compare.CoursePoint) float64 { return point.Requests }
+	requests := func(point compare.TimelinePoint) float64 { return point.Requests }
 	return size.plotCourse(folder, "requests", "requests over 30 s", requests)
 }
 
-func (size routingSize) plotCourse(folder, name, what string, figure func(compare.CoursePoint) float64) error {
+func (size routingSize) plotCourse(folder, name, what string, figure func(compare.TimelinePoint) float64) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("%s at %d targets", what, size.Targets)
 	drawing.X.Label.Text = "seconds of virtual time"
@@ -56,9 +56,9 @@
 	return nil
 }
 
-func coursePoints(result compare.Result, figure func(compare.CoursePoint) float64) plotter.XYs {
-	points := make(plotter.XYs, len(result.Course))
-	for index, point := range result.Course {
+func coursePoints(result compare.Result, figure func(compare.TimelinePoint) float64) plotter.XYs {
+	points := make(plotter.XYs, len(result.Timeline))
+	for index, point := range result.Timeline {
 		points[index].X = point.Seconds
 		points[index].Y = figure(point)
 	}
--- a/internal/packet/codec_bench_test.go
+++ b/internal/packet/codec_bench_test.go
@@ -31,7 +31,7 @@
 	return gobPacket{
 		Kind: packet.Kind, Service: packet.Service, Revision: packet.Revision, Opening: packet.Opening,
 		Chain: packet.Chain, Position: packet.Position, Stage: packet.Stage, Passes: packet.Passes,
-		Balancer: balancer, HeadLoad: packet.HeadLoad, Inner: packet.Inner,
+		Balancer: balancer, HeadLoad: packet.PasserLoad, Inner: packet.Inner,
 	}
 }
 
--- a/internal/packet/encapsulated.go
+++ b/internal/packet/encapsulated.go
@@ -49,7 +49,7 @@
 	Owner model.TargetID
 	// HeadLoad is the load of the target that passed an opening packet on, in
 	// thousandths of its capacity, for the choice of the less busy of two.
-	HeadLoad uint16
+	PasserLoad uint16
 	// Flow is the flow of the inner packet. From the balancer on its protocol
 	// is that of the service, so that every process hashes it alike; the
 	// fabric knows no services, and QUIC in its packets is ProtocolUDP. Encode
--- a/internal/packet/encoder.go
+++ b/internal/packet/encoder.go
@@ -141,7 +141,7 @@
 	data[contextProtocol] = uint8(packet.Flow.Protocol)
 	binary.BigEndian.PutUint32(data[contextService:], uint32(packet.Service))
 	binary.BigEndian.PutUint64(data[contextRevision:], uint64(packet.Revision))
-	binary.BigEndian.PutUint16(data[contextHeadLoad:], packet.HeadLoad)
+	binary.BigEndian.PutUint16(data[contextPasserLoad:], packet.PasserLoad)
 	return data
 }
 
--- a/internal/packet/options.go
+++ b/internal/packet/options.go
@@ -33,16 +33,16 @@
 
 // Layout of the context option, in bytes.
 const (
-	contextKind     = 0
-	contextFlags    = 1
-	contextPosition = 2
-	contextStage    = 3
-	contextService  = 4
-	contextRevision = 8
-	contextHeadLoad = 16
-	contextPasses   = 18
-	contextProtocol = 19
-	contextLength   = 20
+	contextKind       = 0
+	contextFlags      = 1
+	contextPosition   = 2
+	contextStage      = 3
+	contextService    = 4
+	contextRevision   = 8
+	contextPasserLoad = 16
+	contextPasses     = 18
+	contextProtocol   = 19
+	contextLength     = 20
 )
 
 // flagOpening is the bit of the context's flags for packets that may open a
@@ -130,7 +130,7 @@
 	packet.Position = data[contextPosition]
 	packet.Service = model.ServiceID(binary.BigEndian.Uint32(data[contextService:]))
 	packet.Revision = model.Revision(binary.BigEndian.Uint64(data[contextRevision:]))
-	packet.HeadLoad = binary.BigEndian.Uint16(data[contextHeadLoad:])
+	packet.PasserLoad = binary.BigEndian.Uint16(data[contextPasserLoad:])
 	return nil
 }
 
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -52,17 +52,17 @@
 
 func forwardPacket(inner []byte) Encapsulated {
 	return Encapsulated{
-		Kind:     KindForward,
-		Service:  7,
-		Revision: 1 << 40,
-		Opening:  true,
-		Chain:    []model.TargetID{11, 12, 13},
-		Position: 1,
-		Stage:    model.StageReturn,
-		Passes:   5,
-		Balancer: netip.MustParseAddrPort("127.0.0.3:6081"),
-		HeadLoad: 940,
-		Inner:    inner,
+		Kind:       KindForward,
+		Service:    7,
+		Revision:   1 << 40,
+		Opening:    true,
+		Chain:      []model.TargetID{11, 12, 13},
+		Position:   1,
+		Stage:      model.StageReturn,
+		Passes:     5,
+		Balancer:   netip.MustParseAddrPort("127.0.0.3:6081"),
+		PasserLoad: 940,
+		Inner:      inner,
 	}
 }
 
--- a/internal/routing/compare/compare.go
+++ b/internal/routing/compare/compare.go
@@ -12,7 +12,7 @@
 
 // Run runs the ways over the same flows and changes, several at a time. The
 // outcome depends on the options alone.
-func Run(options Options, ways []WayName, workers int) (Comparison, error) {
+func Run(options Options, ways []AlgorithmName, workers int) (Comparison, error) {
 	if err := options.Validate(); err != nil {
 		return Comparison{}, err
 	}
@@ -35,9 +35,9 @@
 }
 
 // Result returns the result of a way.
-func (comparison Comparison) Result(name WayName) (Result, bool) {
+func (comparison Comparison) Result(name AlgorithmName) (Result, bool) {
 	for _, result := range comparison.Results {
-		if result.Way == name {
+		if result.Algorithm == name {
 			return result, true
 		}
 	}
--- a/internal/routing/compare/compare_test.go
+++ b/internal/routing/compare/compare_test.go
@@ -21,14 +21,14 @@
 
 func TestTheChainBreaksNoFlowThatHashingBreaks(t *testing.T) {
 	for _, targets := range []int{4, 14} {
-		comparison, err := compare.Run(shortOptions(targets), compare.AllWays(), 3)
+		comparison, err := compare.Run(shortOptions(targets), compare.AllAlgorithms(), 3)
 		require.NoError(t, err)
-		chain, _ := comparison.Result(compare.WayChain)
+		chain, _ := comparison.Result(compare.AlgorithmChain)
 		require.Zero(t, chain.Broken(), "%d targets", targets)
 		require.NotZero(t, chain.BrokenOnDeadTarget, "flows on a dead target are lost by any way")
 		require.Zero(t, chain.LateOpenings)
-		for _, name := range []compare.WayName{
-			compare.WayHashing, compare.WayFlowTable, compare.WayTwoHop, compare.WayConnectionID,
+		for _, name := range []compare.AlgorithmName{
+			compare.AlgorithmHashing, compare.AlgorithmFlowTable, compare.AlgorithmTwoHop, compare.AlgorithmConnectionID,
 		} {
 			other, _ := comparison.Result(name)
 			require.NotZero(t, other.Broken(), "%s at %d targets", name, targets)
@@ -37,9 +37,9 @@
 }
 
 func TestTheSameSeedGivesTheSameResults(t *testing.T) {
-	first, err := compare.Run(shortOptions(4), compare.AllWays(), 1)
+	first, err := compare.Run(shortOptions(4), compare.AllAlgorithms(), 1)
 	require.NoError(t, err)
-	second, err := compare.Run(shortOptions(4), compare.AllWays(), 3)
+	second, err := compare.Run(shortOptions(4), compare.AllAlgorithms(), 3)
 	require.NoError(t, err)
 	require.Equal(t, first, second)
 }
@@ -59,7 +59,7 @@
 		t.Run(field, func(t *testing.T) {
 			options := shortOptions(4)
 			spoil(&options)
-			_, err := compare.Run(options, compare.AllWays(), 1)
+			_, err := compare.Run(options, compare.AllAlgorithms(), 1)
 			require.ErrorContains(t, err, field)
 		})
 	}
@@ -71,9 +71,9 @@
 		options.FlowsPerSecond = 6
 		options.WarmUp = time.Minute
 		options.ChangeInterval = 130 * time.Second
-		comparison, err := compare.Run(options, []compare.WayName{compare.WayChain}, 1)
+		comparison, err := compare.Run(options, []compare.AlgorithmName{compare.AlgorithmChain}, 1)
 		require.NoError(t, err)
-		chain, _ := comparison.Result(compare.WayChain)
+		chain, _ := comparison.Result(compare.AlgorithmChain)
 		require.LessOrEqual(t, chain.FlowsSettled.Max, 1.05, "%d targets", targets)
 		require.Zero(t, chain.Broken())
 	}
--- a/internal/routing/compare/markdown.go
+++ b/internal/routing/compare/markdown.go
@@ -23,7 +23,7 @@
 		"passes/opening | passes/packet |\n|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|\n")
 	for _, summary := range summaries {
 		fmt.Fprintf(page, "| %s | %d | %d | %d | %d | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.2f | %.3f |\n",
-			summary.Way, summary.BrokenPlanned, summary.BrokenUnplanned, summary.BrokenOnDeadTarget,
+			summary.Algorithm, summary.BrokenPlanned, summary.BrokenUnplanned, summary.BrokenOnDeadTarget,
 			summary.LateOpenings, summary.OpeningRetries, summary.BalancerBytes, summary.TargetBytes,
 			summary.TableBytes, summary.ControlDown, summary.ControlUp, summary.PassesPerOpening,
 			summary.PassesPerPacket)
@@ -37,7 +37,7 @@
 		"|---|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|--:|\n")
 	for _, summary := range summaries {
 		fmt.Fprintf(page, "| %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.1f%% | %.3f | %.3f | %.3f | %.2f | %d |\n",
-			summary.Way, summary.Flows.Median, summary.Flows.P99,
+			summary.Algorithm, summary.Flows.Median, summary.Flows.P99,
 			summary.FlowsSettled.Median, summary.FlowsSettled.P99, summary.FlowsSettled.Max,
 			100*summary.FlowsSettled.Within, summary.RequestsImbalanceMean, summary.RequestsWindowed.Median,
 			summary.RequestsMean, summary.WaitMilliseconds, summary.Shed)
@@ -54,7 +54,7 @@
 	}
 	page.WriteString("\n" + rule + "\n")
 	for _, summary := range summaries {
-		fmt.Fprintf(page, "| %s |", summary.Way)
+		fmt.Fprintf(page, "| %s |", summary.Algorithm)
 		for _, change := range summary.FlowsAfterChange {
 			fmt.Fprintf(page, " %.3f |", change.Flows)
 		}
--- a/internal/routing/compare/measure.go
+++ b/internal/routing/compare/measure.go
@@ -158,7 +158,7 @@
 
 // Result is what one way did in one run.
 type Result struct {
-	Way WayName `json:"way"`
+	Algorithm AlgorithmName `json:"way"`
 	// Opened counts connections; NotOpened those that callers gave up.
 	Opened    uint64 `json:"opened"`
 	NotOpened uint64 `json:"notOpened"`
@@ -207,11 +207,11 @@
 	ControlDown float64 `json:"controlDownPerChange"`
 	ControlUp   float64 `json:"controlUpPerChange"`
 	// Course is the imbalance of flows and requests at each second.
-	Course []CoursePoint `json:"course"`
+	Timeline []TimelinePoint `json:"course"`
 }
 
 // CoursePoint is the imbalance at one moment; that of requests is windowed.
-type CoursePoint struct {
+type TimelinePoint struct {
 	Seconds  float64 `json:"seconds"`
 	Flows    float64 `json:"flows"`
 	Requests float64 `json:"requests"`
@@ -235,7 +235,7 @@
 	run.summarizeChanges()
 	run.summarizeState()
 	for _, sample := range run.samples {
-		result.Course = append(result.Course, CoursePoint{
+		result.Timeline = append(result.Timeline, TimelinePoint{
 			Seconds:  sample.at.Seconds(),
 			Flows:    orOne(sample.flows),
 			Requests: orOne(sample.windowed),
--- a/internal/routing/compare/run.go
+++ b/internal/routing/compare/run.go
@@ -62,13 +62,13 @@
 	ended   bool
 }
 
-func newRun(options Options, plans []flowPlan, name WayName) *run {
+func newRun(options Options, plans []flowPlan, name AlgorithmName) *run {
 	created := &run{
 		options: options,
 		clock:   kernel.NewScheduler(),
 		plans:   plans,
 		open:    make(map[uint64]*flowState),
-		result:  Result{Way: name},
+		result:  Result{Algorithm: name},
 	}
 	created.loads = &loadReports{
 		run:    created,
--- a/internal/routing/compare/summary.go
+++ b/internal/routing/compare/summary.go
@@ -4,8 +4,8 @@
 
 // Summary is what one way did over several runs of the same size.
 type Summary struct {
-	Way  WayName `json:"way"`
-	Runs int     `json:"runs"`
+	Algorithm AlgorithmName `json:"way"`
+	Runs      int           `json:"runs"`
 	// Counts are totals over the runs.
 	BrokenPlanned      uint64 `json:"brokenPlanned"`
 	BrokenUnplanned    uint64 `json:"brokenUnplanned"`
@@ -41,7 +41,7 @@
 	}
 	summaries := make([]Summary, len(comparisons[0].Results))
 	for index := range summaries {
-		summaries[index].Way = comparisons[0].Results[index].Way
+		summaries[index].Algorithm = comparisons[0].Results[index].Algorithm
 		for _, comparison := range comparisons {
 			summaries[index].add(comparison.Results[index], float64(len(comparisons)))
 		}
@@ -95,13 +95,13 @@
 // of least requests that the full chain closes in a figure; NaN when there is
 // no gap or one of the three is missing.
 func GapClosed(summaries []Summary, figure func(Summary) float64) float64 {
-	found := make(map[WayName]float64, len(summaries))
+	found := make(map[AlgorithmName]float64, len(summaries))
 	for _, summary := range summaries {
-		found[summary.Way] = figure(summary)
+		found[summary.Algorithm] = figure(summary)
 	}
-	plain, hasPlain := found[WayHashing]
-	best, hasBest := found[WayLeastRequests]
-	product, hasProduct := found[WayChain]
+	plain, hasPlain := found[AlgorithmHashing]
+	best, hasBest := found[AlgorithmLeastRequests]
+	product, hasProduct := found[AlgorithmChain]
 	if !hasPlain || !hasBest || !hasProduct || plain <= best {
 		return math.NaN()
 	}
--- a/internal/routing/compare/summary_test.go
+++ b/internal/routing/compare/summary_test.go
@@ -14,9 +14,9 @@
 func TestGapClosedComparesTheChainWithBothEnds(t *testing.T) {
 	summaries := func(plain, product, best float64) []compare.Summary {
 		return []compare.Summary{
-			{Way: compare.WayHashing, RequestsMean: plain},
-			{Way: compare.WayChain, RequestsMean: product},
-			{Way: compare.WayLeastRequests, RequestsMean: best},
+			{Algorithm: compare.AlgorithmHashing, RequestsMean: plain},
+			{Algorithm: compare.AlgorithmChain, RequestsMean: product},
+			{Algorithm: compare.AlgorithmLeastRequests, RequestsMean: best},
 		}
 	}
 	require.InDelta(t, 0.75, compare.GapClosed(summaries(3, 1.5, 1), requestsMean), 1e-9)
@@ -28,7 +28,7 @@
 func TestSummarizeAddsCountsAndKeepsTheWorstQuantiles(t *testing.T) {
 	run := func(broken uint64, median, highest, after float64) compare.Comparison {
 		return compare.Comparison{Results: []compare.Result{{
-			Way:           compare.WayChain,
+			Algorithm:     compare.AlgorithmChain,
 			BrokenPlanned: broken,
 			FlowsSettled:  compare.Spread{Median: median, Max: highest},
 			Changes:       []compare.ChangeResult{{Change: compare.TargetJoin, Flows: after}},
--- a/internal/routing/compare/way.go
+++ b/internal/routing/compare/way.go
@@ -3,25 +3,25 @@
 import "merlinpaddle/internal/model"
 
 // WayName names a way of routing.
-type WayName string
+type AlgorithmName string
 
 // The ways, and the baselines that know everything without lag.
 const (
-	WayHashing       WayName = "plain consistent hashing"
-	WayFlowTable     WayName = "per-balancer flow table"
-	WayTwoHop        WayName = "two-hop chain"
-	WayConnectionID  WayName = "connection-ID routing"
-	WayChain         WayName = "full chain"
-	WayLeastFlows    WayName = "least flows, all-knowing"
-	WayLeastRequests WayName = "least requests, all-knowing"
-	WayLeastRate     WayName = "least request rate, all-knowing"
+	AlgorithmHashing       AlgorithmName = "plain consistent hashing"
+	AlgorithmFlowTable     AlgorithmName = "per-balancer flow table"
+	AlgorithmTwoHop        AlgorithmName = "two-hop chain"
+	AlgorithmConnectionID  AlgorithmName = "connection-ID routing"
+	AlgorithmChain         AlgorithmName = "full chain"
+	AlgorithmLeastFlows    AlgorithmName = "least flows, all-knowing"
+	AlgorithmLeastRequests AlgorithmName = "least requests, all-knowing"
+	AlgorithmLeastRate     AlgorithmName = "least request rate, all-knowing"
 )
 
 // AllWays returns the ways in the order of the report.
-func AllWays() []WayName {
-	return []WayName{
-		WayHashing, WayFlowTable, WayTwoHop, WayConnectionID, WayChain, WayLeastFlows, WayLeastRequests,
-		WayLeastRate,
+func AllAlgorithms() []AlgorithmName {
+	return []AlgorithmName{
+		AlgorithmHashing, AlgorithmFlowTable, AlgorithmTwoHop, AlgorithmConnectionID, AlgorithmChain, AlgorithmLeastFlows, AlgorithmLeastRequests,
+		AlgorithmLeastRate,
 	}
 }
 
@@ -78,21 +78,21 @@
 }
 
 // newWay returns the way called name.
-func newWay(run *run, name WayName) way {
+func newWay(run *run, name AlgorithmName) way {
 	switch name {
-	case WayFlowTable:
+	case AlgorithmFlowTable:
 		return newFlowTable(run)
-	case WayTwoHop:
+	case AlgorithmTwoHop:
 		return newTwoHop(run)
-	case WayConnectionID:
+	case AlgorithmConnectionID:
 		return connectionID{newHashing(run)}
-	case WayChain:
+	case AlgorithmChain:
 		return newChain(run)
-	case WayLeastFlows:
+	case AlgorithmLeastFlows:
 		return leastLoaded{hashing: newHashing(run), less: fewerFlows}
-	case WayLeastRequests:
+	case AlgorithmLeastRequests:
 		return leastLoaded{hashing: newHashing(run), less: fewerRequests}
-	case WayLeastRate:
+	case AlgorithmLeastRate:
 		return leastLoaded{hashing: newHashing(run), less: lowerRate}
 	default:
 		return newHashing(run)
