--- a/internal/packet/batch/batch_test.go
+++ b/internal/packet/batch/batch_test.go
@@ -14,9 +14,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout bounds waits for a condition; it is no measure of speed.
+// conditionTimeout is the read deadline of the test sockets. Tests do not depend on its length.
 const conditionTimeout = 20 * time.Second
 
+// openSocket returns a UDP socket at address. It skips the test if the machine has no IPv6 loopback.
 func openSocket(t *testing.T, address string) *net.UDPConn {
 	t.Helper()
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(address)))
@@ -31,7 +32,7 @@
 
 func addressOf(socket *net.UDPConn) *net.UDPAddr { return socket.LocalAddr().(*net.UDPAddr) }
 
-// readAll reads until count datagrams came, and returns them as text.
+// readAll reads batches until at least count datagrams have arrived and returns the datagrams as text.
 func readAll(t *testing.T, socket *net.UDPConn, count int) []string {
 	t.Helper()
 	reader := NewReader(socket)
@@ -39,14 +40,14 @@
 	for len(all) < count {
 		size, err := reader.Read()
 		require.NoError(t, err)
-		for place := range size {
-			all = append(all, string(reader.Datagram(place)))
+		for index := range size {
+			all = append(all, string(reader.Datagram(index)))
 		}
 	}
 	return all
 }
 
-func TestDatagramsArriveWholeAndFromTheirSender(t *testing.T) {
+func TestDatagramsKeepContentAndSenderAddress(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:0", "[::1]:0"} {
 		t.Run(address, func(t *testing.T) {
 			sender, receiver := openSocket(t, address), openSocket(t, address)
@@ -68,7 +69,7 @@
 	}
 }
 
-func TestWriterFills(t *testing.T) {
+func TestWriterIsFullAfterOneBatch(t *testing.T) {
 	sender, receiver := openSocket(t, "127.0.0.1:0"), openSocket(t, "127.0.0.1:0")
 	writer := NewWriter(sender)
 	var want []string
@@ -83,7 +84,7 @@
 	require.Equal(t, want, readAll(t, receiver, Size))
 }
 
-func TestRefusedDatagramDoesNotHoldUpOthers(t *testing.T) {
+func TestFailedDatagramDoesNotStopTheOthers(t *testing.T) {
 	tooLarge := make([]byte, 70_000)
 	cases := []struct {
 		name    string
@@ -100,13 +101,13 @@
 			sender, receiver := openSocket(t, "127.0.0.1:0"), openSocket(t, "127.0.0.1:0")
 			writer := NewWriter(sender)
 			isRefused := make(map[int]bool)
-			for _, place := range test.refused {
-				isRefused[place] = true
+			for _, index := range test.refused {
+				isRefused[index] = true
 			}
 			var want []string
-			for place := range 4 {
-				body := []byte(fmt.Sprint(place))
-				if isRefused[place] {
+			for index := range 4 {
+				body := []byte(fmt.Sprint(index))
+				if isRefused[index] {
 					body = tooLarge
 				} else {
 					want = append(want, string(body))
--- a/internal/packet/batch/drops.go
+++ b/internal/packet/batch/drops.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// dropCountBytes is the length of the kernel's count of lost datagrams.
+// dropCountBytes is the length of the kernel's count of dropped datagrams.
 const dropCountBytes = 4
 
-// controlBytes is the room for the control messages of one datagram.
-var controlBytes = unix.CmsgSpace(dropCountBytes)
+// controlMessageSpace is the space for the control message of one datagram, in bytes.
+var controlMessageSpace = unix.CmsgSpace(dropCountBytes)
 
-// ReportDrops asks the kernel to say with each datagram how many the socket
-// has lost because its receive buffer was full (SO_RXQ_OVFL, socket(7)). It
-// says nothing as long as there are none.
+// ReportDrops makes the kernel attach to each received datagram the number of datagrams that the socket
+// has dropped because its receive buffer was full (SO_RXQ_OVFL, see socket(7)). The kernel attaches
+// nothing until the first drop.
 func ReportDrops(socket *net.UDPConn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
@@ -31,18 +31,18 @@
 	return optionError
 }
 
-// droppedOf returns the count of lost datagrams in control messages, or
-// otherwise if there is none.
-func droppedOf(control []byte, otherwise uint32) uint32 {
+// parseDropCount returns the count of dropped datagrams in the control messages, or fallback if they
+// contain none.
+func parseDropCount(control []byte, fallback uint32) uint32 {
 	for len(control) >= unix.SizeofCmsghdr {
 		header, data, rest, err := unix.ParseOneSocketControlMessage(control)
 		if err != nil {
-			return otherwise
+			return fallback
 		}
 		if header.Level == unix.SOL_SOCKET && header.Type == unix.SO_RXQ_OVFL && len(data) >= dropCountBytes {
 			return binary.NativeEndian.Uint32(data)
 		}
 		control = rest
 	}
-	return otherwise
+	return fallback
 }
--- a/internal/packet/batch/writer.go
+++ b/internal/packet/batch/writer.go
@@ -8,31 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// headerCapacity is the room for a header of this system, in bytes.
+// headerCapacity is the initial capacity for the header of a datagram, in bytes.
 const headerCapacity = 256
 
-// sender is the part of *ipv4.PacketConn that a writer needs.
+// sender has the method of *ipv4.PacketConn that Writer uses.
 type sender interface {
 	WriteBatch(messages []ipv4.Message, flags int) (int, error)
 }
 
-// Outcome counts what became of the datagrams of one Flush.
+// Outcome counts the datagrams of one Flush by result.
 type Outcome struct {
-	// Sent is the number that the socket took.
+	// Sent is the number that the socket accepted.
 	Sent int
-	// Failed is the number that the socket refused, for example because they
-	// are too large.
+	// Failed is the number that the socket rejected, for example because they are too large.
 	Failed int
-	// Overflowed is the number that were dropped because the socket's send
-	// buffer, or the queue of the network device, was full.
+	// Overflowed is the number that were dropped because the socket's send buffer, or the queue of
+	// the network device, was full.
 	Overflowed int
 }
 
-// Writer collects datagrams and sends them in one call. It belongs to one
-// goroutine; several writers may share a socket.
+// Writer collects datagrams and sends them in one call. It is not safe for concurrent use, but several
+// writers may share a socket.
 //
-// A datagram has a header, which the writer stores, and a body, which stays
-// where it is: forwarding a packet copies none of the caller's bytes.
+// A datagram consists of a header in memory of the writer and a body in memory of the caller, so that
+// forwarding a packet does not copy the inner packet.
 type Writer struct {
 	sender   sender
 	messages []ipv4.Message
@@ -40,7 +39,7 @@
 	count    int
 }
 
-// NewWriter returns a writer to a socket of either IP version.
+// NewWriter returns a writer to socket, which may be an IPv4 or IPv6 socket.
 func NewWriter(socket *net.UDPConn) *Writer {
 	return newWriter(ipv4.NewPacketConn(socket))
 }
@@ -51,18 +50,19 @@
 		messages: make([]ipv4.Message, Size),
 		headers:  make([][]byte, Size),
 	}
-	for place := range writer.messages {
-		writer.headers[place] = make([]byte, 0, headerCapacity)
-		writer.messages[place].Buffers = make([][]byte, 2)
+	for index := range writer.messages {
+		writer.headers[index] = make([]byte, 0, headerCapacity)
+		writer.messages[index].Buffers = make([][]byte, 2)
 	}
 	return writer
 }
 
-// Header returns empty memory for the header of the next datagram. The writer
-// must not be full.
+// Header returns an empty slice with capacity for the header of the next datagram; append the header to
+// it and pass the result to Put. The writer must not be full.
 func (writer *Writer) Header() []byte { return writer.headers[writer.count][:0] }
 
-// Put adds a datagram. The body must stay as it is until Flush.
+// Put adds a datagram to the batch. The writer must not be full, and body must not be modified before
+// Flush.
 func (writer *Writer) Put(header, body []byte, destination *net.UDPAddr) {
 	message := &writer.messages[writer.count]
 	writer.headers[writer.count] = header
@@ -72,37 +72,38 @@
 	writer.count++
 }
 
-// Full tells whether the writer must be flushed before the next datagram.
+// Full reports whether the batch is full, so that Flush must be called before the next Put.
 func (writer *Writer) Full() bool { return writer.count == len(writer.messages) }
 
-// Flush sends the collected datagrams and tells what became of them. A refused
-// datagram does not hold up the others. Flush never waits: when there is no
-// room for more it drops the rest, because a packet path that waits for its
-// socket loses the packets that arrive meanwhile instead, uncounted.
+// Flush sends the collected datagrams and returns how many were sent, failed and dropped. It skips a
+// datagram that the socket rejects and sends the others. Flush never waits: if the send buffer is full,
+// it drops the remaining datagrams. A packet path that waited for its socket would instead lose the
+// packets that arrive meanwhile, without counting them.
 func (writer *Writer) Flush() Outcome {
 	var outcome Outcome
-	waiting := writer.messages[:writer.count]
+	pending := writer.messages[:writer.count]
 	writer.count = 0
-	for len(waiting) > 0 {
-		count, err := writer.sender.WriteBatch(waiting, unix.MSG_DONTWAIT)
-		if isFull(err) {
-			outcome.Overflowed += len(waiting)
+	for len(pending) > 0 {
+		count, err := writer.sender.WriteBatch(pending, unix.MSG_DONTWAIT)
+		if isBufferFull(err) {
+			outcome.Overflowed += len(pending)
 			return outcome
 		}
 		if err != nil || count <= 0 {
-			// The call reports the fault of the first datagram it could not
-			// send, and only when it sent none before.
+			// The call returns an error only if it could not send the first datagram. After a
+			// partial success the error comes with the next call.
 			outcome.Failed++
-			waiting = waiting[1:]
+			pending = pending[1:]
 			continue
 		}
 		outcome.Sent += count
-		waiting = waiting[count:]
+		pending = pending[count:]
 	}
 	return outcome
 }
 
-// isFull tells whether an error of sending means that there is no room now.
-func isFull(err error) bool {
+// isBufferFull reports whether a send error means that the send buffer of the socket or the queue of the
+// network device is full.
+func isBufferFull(err error) bool {
 	return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.ENOBUFS)
 }
--- a/internal/packet/contract_test.go
+++ b/internal/packet/contract_test.go
@@ -12,8 +12,9 @@
 	"merlinpaddle/internal/model"
 )
 
-// validDatagrams are one datagram of each kind, protocol and IP version.
-func validDatagrams(t testing.TB) map[string][]byte {
+// encodedDatagrams returns valid datagrams by name: each kind of packet with IPv4 and IPv6, and forwarded
+// packets with each protocol.
+func encodedDatagrams(t testing.TB) map[string][]byte {
 	t.Helper()
 	datagrams := make(map[string][]byte)
 	add := func(name string, packet Encapsulated) {
@@ -37,8 +38,10 @@
 	return datagrams
 }
 
+// TestDatagramTruncatedAtEveryByte checks that every proper prefix of a valid datagram is rejected as
+// truncated.
 func TestDatagramTruncatedAtEveryByte(t *testing.T) {
-	for name, data := range validDatagrams(t) {
+	for name, data := range encodedDatagrams(t) {
 		for length := range data {
 			_, err := Decode(data[:length])
 			if faults.CodeOf(err) != faults.PacketTruncated {
@@ -48,14 +51,14 @@
 	}
 }
 
-// Each bit of each datagram is changed in turn. The packet is refused with a
-// code of the packet range, or means something that can be encoded again.
+// TestDatagramWithEveryBitChanged inverts each bit of each datagram in turn. The datagram must be
+// rejected with a code of the packet range, or decode to a packet that can be encoded again.
 func TestDatagramWithEveryBitChanged(t *testing.T) {
-	for name, data := range validDatagrams(t) {
+	for name, data := range encodedDatagrams(t) {
 		for bit := range 8 * len(data) {
-			changed := append([]byte(nil), data...)
-			changed[bit/8] ^= 1 << (bit % 8)
-			decoded, err := Decode(changed)
+			mutated := append([]byte(nil), data...)
+			mutated[bit/8] ^= 1 << (bit % 8)
+			decoded, err := Decode(mutated)
 			if err == nil {
 				_, err = Encode(decoded)
 			}
@@ -66,19 +69,18 @@
 	}
 }
 
-// extended returns the inner IPv6 packet with an extension header in front of
-// its UDP header.
-func extended(t testing.TB, kind layers.IPProtocol) []byte {
+// withIPv6Extension returns an inner IPv6 packet with an extension header before its UDP header.
+func withIPv6Extension(t testing.TB, extension layers.IPProtocol) []byte {
 	t.Helper()
 	inner := BuildInnerUDP(flowIPv6, []byte("payload"))
 	header := []byte{inner[6], 0, 1, 4, 0, 0, 0, 0} // PadN
-	inner[6] = uint8(kind)
+	inner[6] = uint8(extension)
 	changed := append(append(append([]byte(nil), inner[:40]...), header...), inner[40:]...)
 	binary.BigEndian.PutUint16(changed[4:], uint16(len(changed)-40))
 	return changed
 }
 
-// withIPv4Options returns the inner IPv4 packet with options in its header.
+// withIPv4Options returns an inner IPv4 packet with an option in its header.
 func withIPv4Options(t testing.TB) []byte {
 	t.Helper()
 	network := &layers.IPv4{
@@ -97,8 +99,8 @@
 	return buffer.Bytes()
 }
 
-// What callers may send beyond plain datagrams and segments. A code of zero
-// means that the packet is taken, with the flow of its addresses and ports.
+// TestUnusualInnerPackets decodes inner packets other than plain datagrams and segments. A code of zero
+// means that the packet must be accepted, with the flow of its addresses and ports.
 func TestUnusualInnerPackets(t *testing.T) {
 	jumbogram := BuildInnerUDP(flowIPv6, []byte("payload"))
 	binary.BigEndian.PutUint16(jumbogram[4:], 0)
@@ -119,10 +121,10 @@
 		{"empty UDP over IPv4", BuildInnerUDP(flowIPv4, nil), 0},
 		{"empty UDP over IPv6", BuildInnerUDP(flowIPv6, nil), 0},
 		{"largest UDP payload", largest, 0},
-		{"IPv6 hop-by-hop options", extended(t, layers.IPProtocolIPv6HopByHop), faults.PacketInnerTransport},
-		{"IPv6 destination options", extended(t, layers.IPProtocolIPv6Destination), faults.PacketInnerTransport},
-		{"IPv6 routing header", extended(t, layers.IPProtocolIPv6Routing), faults.PacketInnerTransport},
-		{"IPv6 fragment header", extended(t, layers.IPProtocolIPv6Fragment), faults.PacketInnerFragment},
+		{"IPv6 hop-by-hop options", withIPv6Extension(t, layers.IPProtocolIPv6HopByHop), faults.PacketInnerTransport},
+		{"IPv6 destination options", withIPv6Extension(t, layers.IPProtocolIPv6Destination), faults.PacketInnerTransport},
+		{"IPv6 routing header", withIPv6Extension(t, layers.IPProtocolIPv6Routing), faults.PacketInnerTransport},
+		{"IPv6 fragment header", withIPv6Extension(t, layers.IPProtocolIPv6Fragment), faults.PacketInnerFragment},
 		{"IPv6 jumbogram", jumbogram, faults.PacketInnerHeader},
 		{"SCTP", sctp, faults.PacketInnerTransport},
 		{"ICMPv6", icmp6, faults.PacketInnerTransport},
@@ -148,8 +150,9 @@
 	}
 }
 
-// Addresses that look alike in one notation are other flows in another.
-func TestFlowsOfMappedAddressesStayApart(t *testing.T) {
+// TestIPv4MappedAddressesAreADifferentFlow checks that IPv4-mapped IPv6 addresses are not converted to
+// IPv4: the flow must differ from that of the IPv4 addresses.
+func TestIPv4MappedAddressesAreADifferentFlow(t *testing.T) {
 	mapped := model.FiveTuple{
 		Protocol:    model.ProtocolUDP,
 		Source:      netip.MustParseAddrPort("[::ffff:127.0.0.9]:40000"),
--- a/internal/packet/decode_test.go
+++ b/internal/packet/decode_test.go
@@ -11,8 +11,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// encodeLayers returns a Geneve packet with the given options, for packets
-// that Encode refuses to make.
+// encodeLayers serializes header and inner without the checks of Encode, for packets that Encode rejects.
 func encodeLayers(t *testing.T, header layers.Geneve, inner []byte) []byte {
 	t.Helper()
 	buffer := gopacket.NewSerializeBuffer()
@@ -23,18 +22,21 @@
 	return buffer.Bytes()
 }
 
+// contextOption returns a context option with kind and zero in all other fields.
 func contextOption(kind Kind) *layers.GeneveOption {
 	data := make([]byte, contextLength)
 	data[contextKind] = uint8(kind)
 	return &layers.GeneveOption{Class: optionClass, Type: optionContext, Data: data}
 }
 
+// stageOption returns the context option of an ingress packet with stage.
 func stageOption(stage uint8) *layers.GeneveOption {
 	option := contextOption(KindIngress)
 	option.Data[contextStage] = stage
 	return option
 }
 
+// ingressWith returns an ingress packet with options after its context option.
 func ingressWith(t *testing.T, options ...*layers.GeneveOption) []byte {
 	t.Helper()
 	all := append([]*layers.GeneveOption{contextOption(KindIngress)}, options...)
@@ -64,7 +66,7 @@
 	option := func(kind uint8, length int) *layers.GeneveOption {
 		return &layers.GeneveOption{Class: optionClass, Type: kind, Data: make([]byte, length)}
 	}
-	kindless := layers.Geneve{Protocol: layers.EthernetTypeIPv4}
+	withoutContext := layers.Geneve{Protocol: layers.EthernetTypeIPv4}
 	cases := []struct {
 		name string
 		data []byte
@@ -72,19 +74,19 @@
 	}{
 		{"empty", nil, faults.PacketTruncated},
 		{"shorter than the header", valid()[:7], faults.PacketTruncated},
-		{"cut in the options", valid()[:20], faults.PacketTruncated},
-		{"cut in the inner packet", valid()[:len(valid())-1], faults.PacketTruncated},
+		{"truncated in the options", valid()[:20], faults.PacketTruncated},
+		{"truncated in the inner packet", valid()[:len(valid())-1], faults.PacketTruncated},
 		{"no inner packet", ingress(layers.EthernetTypeIPv4, nil), faults.PacketTruncated},
 		{"later version", changed(func(data []byte) []byte { data[0] |= 0x40; return data }), faults.PacketVersion},
 		{"OAM packet", changed(func(data []byte) []byte { data[1] |= 0x80; return data }), faults.PacketVersion},
 		{"longest options", append([]byte{0x3f, 0, 8, 0, 0, 0, 0, 0}, make([]byte, 400)...), faults.PacketOption},
 		{"last option overruns the options", changed(func(data []byte) []byte { data[0]--; return data }), faults.PacketOption},
-		{"no context", encodeLayers(t, kindless, inner), faults.PacketOptionMissing},
+		{"no context", encodeLayers(t, withoutContext, inner), faults.PacketOptionMissing},
 		{"context twice", ingressWith(t, contextOption(KindIngress)), faults.PacketOptionRepeated},
-		{"context of wrong length", ingressWith(t, option(optionContext, 8)), faults.PacketOptionRepeated},
+		{"second context of wrong length", ingressWith(t, option(optionContext, 8)), faults.PacketOptionRepeated},
 		{"kind zero", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{contextOption(0)}}, inner), faults.PacketKind},
-		{"stage unknown", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{stageOption(4)}}, inner), faults.PacketOption},
-		{"kind unknown", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{contextOption(5)}}, inner), faults.PacketKind},
+		{"unknown stage", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{stageOption(4)}}, inner), faults.PacketOption},
+		{"unknown kind", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{contextOption(5)}}, inner), faults.PacketKind},
 		{"forward without chain", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{contextOption(KindForward)}}, inner), faults.PacketChain},
 		{"hint without owner", encodeLayers(t, layers.Geneve{Options: []*layers.GeneveOption{contextOption(KindHint)}}, inner), faults.PacketOptionMissing},
 		{"chain of zero targets", ingressWith(t, option(optionChain, 0)), faults.PacketChain},
@@ -97,8 +99,8 @@
 		{"unknown critical option", ingressWith(t, option(0xff, 4)), faults.PacketOptionUnknown},
 		{"critical option of another class", ingressWith(t, &layers.GeneveOption{Class: 1, Type: 0x80, Data: make([]byte, 4)}), faults.PacketOptionUnknown},
 		{"inner packet is Ethernet", ingress(layers.EthernetTypeTransparentEthernetBridging, inner), faults.PacketInnerProtocol},
-		{"IPv6 said to be IPv4", ingress(layers.EthernetTypeIPv4, inner6), faults.PacketInnerHeader},
-		{"IPv4 said to be IPv6", ingress(layers.EthernetTypeIPv6, append(append([]byte(nil), inner...), make([]byte, 20)...)), faults.PacketInnerHeader},
+		{"IPv6 declared as IPv4", ingress(layers.EthernetTypeIPv4, inner6), faults.PacketInnerHeader},
+		{"IPv4 declared as IPv6", ingress(layers.EthernetTypeIPv6, append(append([]byte(nil), inner...), make([]byte, 20)...)), faults.PacketInnerHeader},
 		{"IPv4 header too short", changedInner(func(inner []byte) { inner[0] = 0x44 }), faults.PacketInnerHeader},
 		{"IPv4 length below the header", changedInner(func(inner []byte) { binary.BigEndian.PutUint16(inner[2:], 19) }), faults.PacketInnerHeader},
 		{"IPv4 length beyond the packet", changedInner(func(inner []byte) { binary.BigEndian.PutUint16(inner[2:], 200) }), faults.PacketTruncated},
@@ -108,7 +110,7 @@
 		{"UDP length below the header", changedInner(func(inner []byte) { binary.BigEndian.PutUint16(inner[24:], 7) }), faults.PacketInnerHeader},
 		{"UDP length zero", changedInner(func(inner []byte) { binary.BigEndian.PutUint16(inner[24:], 0) }), faults.PacketInnerHeader},
 		{"UDP length beyond the packet", changedInner(func(inner []byte) { binary.BigEndian.PutUint16(inner[24:], 99) }), faults.PacketTruncated},
-		{"TCP header cut short", changedInner(func(inner []byte) { inner[9] = 6 }), faults.PacketTruncated},
+		{"truncated TCP header", changedInner(func(inner []byte) { inner[9] = 6 }), faults.PacketTruncated},
 		{"IPv6 fragment", ingress(layers.EthernetTypeIPv6, func() []byte {
 			copied := append([]byte(nil), inner6...)
 			copied[6] = uint8(layers.IPProtocolIPv6Fragment)
@@ -135,7 +137,7 @@
 	}
 }
 
-func TestDecodeDropsBytesBehindTheInnerPacket(t *testing.T) {
+func TestDecodeDropsBytesAfterTheInnerPacket(t *testing.T) {
 	inner := BuildInnerUDP(flowIPv4, []byte("x"))
 	data, err := Encode(Encapsulated{Kind: KindIngress, Inner: append(append([]byte(nil), inner...), 1, 2, 3)})
 	if err != nil {
@@ -147,8 +149,8 @@
 	}
 }
 
-// FuzzDecode checks that no input makes Decode panic or return a packet that
-// it would not encode again to an equal one.
+// FuzzDecode checks that no input makes Decode panic, that errors have a code, and that a decoded packet
+// has the same flow, kind and inner packet after it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, flow := range []model.FiveTuple{flowIPv4, flowIPv6} {
 		for _, packet := range []Encapsulated{
--- a/internal/packet/decoder.go
+++ b/internal/packet/decoder.go
@@ -11,29 +11,30 @@
 // Sizes of the Geneve header, in bytes.
 const (
 	geneveHeaderLength = 8
-	// maximumOptionBytes bounds the options that a packet may carry. The
-	// layer of gopacket counts offsets in 8 bits, so more would wrap around.
+	// maximumOptionBytes is the maximum total length of a packet's options. The Geneve layer of
+	// gopacket keeps option offsets in 8 bits, which would overflow with longer options.
 	maximumOptionBytes = 240
 )
 
-// Decoder decodes packets into a caller's Encapsulated without allocating for
-// the inner packet. It belongs to one goroutine.
+// Decoder decodes packets into an Encapsulated of the caller. It reuses its layers, so that decoding
+// the inner packet does not allocate. It is not safe for concurrent use.
 type Decoder struct {
-	geneve layers.Geneve
-	ipv4   layers.IPv4
-	ipv6   layers.IPv6
-	udp    layers.UDP
-	tcp    layers.TCP
-	notes  truncation
+	geneve   layers.Geneve
+	ipv4     layers.IPv4
+	ipv6     layers.IPv6
+	udp      layers.UDP
+	tcp      layers.TCP
+	feedback decodeFeedback
 }
 
-// truncation is the feedback that gopacket's layers give.
-type truncation struct{ truncated bool }
+// decodeFeedback records whether a layer of gopacket found its data truncated.
+type decodeFeedback struct{ truncated bool }
 
 // SetTruncated implements gopacket.DecodeFeedback.
-func (notes *truncation) SetTruncated() { notes.truncated = true }
+func (feedback *decodeFeedback) SetTruncated() { feedback.truncated = true }
 
-// Decode returns the packet in data. The result shares memory with data.
+// Decode returns the packet that data encodes. The result shares memory with data. Errors are those of
+// Decoder.Decode.
 func Decode(data []byte) (Encapsulated, error) {
 	var decoder Decoder
 	var packet Encapsulated
@@ -43,12 +44,12 @@
 	return packet, nil
 }
 
-// Decode overwrites packet with what data holds; packet.Chain's memory is used
-// again. The result shares memory with data. After an error the content of
-// packet is not stated. The error has a code of the 5000 range.
+// Decode overwrites packet with the packet that data encodes and reuses the memory of packet.Chain.
+// The result shares memory with data. After an error the content of packet is unspecified. Errors
+// have a code in the 5000 range (faults.Packet...).
 func (decoder *Decoder) Decode(data []byte, packet *Encapsulated) error {
 	*packet = Encapsulated{Chain: packet.Chain[:0]}
-	decoder.notes.truncated = false
+	decoder.feedback.truncated = false
 	if err := decoder.decodeGeneve(data, packet); err != nil {
 		return err
 	}
@@ -65,7 +66,7 @@
 	if int(data[0]&0x3f)*4 > maximumOptionBytes {
 		return errOption
 	}
-	if err := decoder.geneve.DecodeFromBytes(data, &decoder.notes); err != nil {
+	if err := decoder.geneve.DecodeFromBytes(data, &decoder.feedback); err != nil {
 		return errTruncated
 	}
 	if decoder.geneve.Version != 0 || decoder.geneve.OAMPacket {
@@ -83,8 +84,8 @@
 	return nil
 }
 
-// optionBytes returns the sum of the options' own lengths, which a hostile
-// last option can make larger than the header says.
+// optionBytes returns the sum of the lengths that the options state. The last option of a malformed
+// packet may state a length that exceeds the option length in the Geneve header.
 func (decoder *Decoder) optionBytes() int {
 	total := 0
 	for _, option := range decoder.geneve.Options {
@@ -106,10 +107,10 @@
 
 func (decoder *Decoder) decodeIPv4(packet *Encapsulated) error {
 	header := &decoder.ipv4
-	if err := header.DecodeFromBytes(packet.Inner, &decoder.notes); err != nil {
+	if err := header.DecodeFromBytes(packet.Inner, &decoder.feedback); err != nil {
 		return decoder.innerError()
 	}
-	if decoder.notes.truncated {
+	if decoder.feedback.truncated {
 		return errTruncated
 	}
 	if header.Version != 4 {
@@ -124,10 +125,10 @@
 
 func (decoder *Decoder) decodeIPv6(packet *Encapsulated) error {
 	header := &decoder.ipv6
-	if err := header.DecodeFromBytes(packet.Inner, &decoder.notes); err != nil {
+	if err := header.DecodeFromBytes(packet.Inner, &decoder.feedback); err != nil {
 		return decoder.innerError()
 	}
-	if decoder.notes.truncated {
+	if decoder.feedback.truncated {
 		return errTruncated
 	}
 	if header.Version != 6 {
@@ -153,14 +154,14 @@
 
 func (decoder *Decoder) decodeUDP(packet *Encapsulated, source, destination, segment []byte) error {
 	header := &decoder.udp
-	if err := header.DecodeFromBytes(segment, &decoder.notes); err != nil {
+	if err := header.DecodeFromBytes(segment, &decoder.feedback); err != nil {
 		return decoder.innerError()
 	}
-	if decoder.notes.truncated {
+	if decoder.feedback.truncated {
 		return errTruncated
 	}
 	if header.Length == 0 {
-		// gopacket takes a length of zero as a jumbogram; none fits here.
+		// gopacket accepts a length of zero as a jumbogram, which is larger than any packet here.
 		return errInnerHeader
 	}
 	protocol, err := flowProtocol(packet.Flow.Protocol, model.ProtocolUDP)
@@ -169,8 +170,8 @@
 	}
 	packet.Flow = model.FiveTuple{
 		Protocol:    protocol,
-		Source:      addressOf(source, uint16(header.SrcPort)),
-		Destination: addressOf(destination, uint16(header.DstPort)),
+		Source:      addrPort(source, uint16(header.SrcPort)),
+		Destination: addrPort(destination, uint16(header.DstPort)),
 	}
 	packet.Payload = header.Payload
 	return nil
@@ -178,10 +179,10 @@
 
 func (decoder *Decoder) decodeTCP(packet *Encapsulated, source, destination, segment []byte) error {
 	header := &decoder.tcp
-	if err := header.DecodeFromBytes(segment, &decoder.notes); err != nil {
+	if err := header.DecodeFromBytes(segment, &decoder.feedback); err != nil {
 		return decoder.innerError()
 	}
-	if decoder.notes.truncated {
+	if decoder.feedback.truncated {
 		return errTruncated
 	}
 	protocol, err := flowProtocol(packet.Flow.Protocol, model.ProtocolTCP)
@@ -190,21 +191,22 @@
 	}
 	packet.Flow = model.FiveTuple{
 		Protocol:    protocol,
-		Source:      addressOf(source, uint16(header.SrcPort)),
-		Destination: addressOf(destination, uint16(header.DstPort)),
+		Source:      addrPort(source, uint16(header.SrcPort)),
+		Destination: addrPort(destination, uint16(header.DstPort)),
 	}
 	packet.Payload = segment
 	return nil
 }
 
+// innerError returns the error for an inner header that gopacket failed to decode.
 func (decoder *Decoder) innerError() error {
-	if decoder.notes.truncated {
+	if decoder.feedback.truncated {
 		return errTruncated
 	}
 	return errInnerHeader
 }
 
-func addressOf(address []byte, port uint16) netip.AddrPort {
+func addrPort(address []byte, port uint16) netip.AddrPort {
 	parsed, _ := netip.AddrFromSlice(address)
 	return netip.AddrPortFrom(parsed, port)
 }
--- a/internal/packet/encapsulated.go
+++ b/internal/packet/encapsulated.go
@@ -1,6 +1,6 @@
-// Package packet encodes and decodes the Geneve (RFC 8926) packets that carry
-// callers' packets between fabric, balancers and agents. The caller's own IP
-// and transport headers stay inside.
+// Package packet encodes and decodes the Geneve packets (RFC 8926) that carry callers' packets
+// between the fabric, balancers and agents. The inner packet keeps the caller's IP and transport
+// headers.
 package packet
 
 import (
@@ -9,23 +9,23 @@
 	"merlinpaddle/internal/model"
 )
 
-// Kind tells what an encapsulated packet is for.
+// Kind is the purpose of an encapsulated packet.
 type Kind uint8
 
 // The kinds of packets.
 const (
 	// KindIngress is a caller's packet from the fabric to a balancer.
 	KindIngress Kind = iota + 1
-	// KindForward is a caller's packet on its way along a chain of targets.
+	// KindForward is a caller's packet from a balancer or an agent to the next target of its chain.
 	KindForward
-	// KindHint tells a balancer which target owns a flow.
+	// KindHint informs a balancer which target owns a flow.
 	KindHint
-	// KindReturn is an answer from an agent to the fabric.
+	// KindReturn is a response packet from an agent to the fabric.
 	KindReturn
 )
 
-// MaximumChain is the largest number of targets in a packet's chain: head,
-// alternate and every earlier target.
+// MaximumChain is the maximum number of targets in a packet's chain: the head, the alternate and all
+// earlier targets.
 const MaximumChain = 2 + model.MaximumEarlierTargets
 
 // Encapsulated is one decoded packet.
@@ -33,31 +33,31 @@
 	Kind     Kind
 	Service  model.ServiceID
 	Revision model.Revision
-	// Opening tells that the packet may open a flow.
+	// Opening reports whether the packet may open a flow.
 	Opening bool
-	// Chain lists the targets to try in order; Position is the present one.
+	// Chain lists the targets that may own the flow, in the order in which the packet visits them.
+	// Position is the index of the target to which the packet is sent now.
 	Chain    []model.TargetID
 	Position uint8
-	// Stage tells how far the decision about an opening packet has come.
+	// Stage is how far the decision about an opening packet has come.
 	Stage model.Stage
-	// Passes counts how often an agent passed the packet on; a packet from a
-	// balancer has zero.
+	// Passes is the number of times that agents forwarded the packet. It is zero in a packet from a
+	// balancer.
 	Passes uint8
-	// Balancer is where a hint for the flow goes.
+	// Balancer is the address to which an agent sends a hint about the flow.
 	Balancer netip.AddrPort
-	// Owner is the target that owns the flow, in hints.
+	// Owner is the target that owns the flow. It is set in hints only.
 	Owner model.TargetID
-	// HeadLoad is the load of the target that passed an opening packet on, in
-	// thousandths of its capacity, for the choice of the less busy of two.
+	// PasserLoad is the load of a target that forwarded an opening packet, in thousandths of its
+	// capacity. The receiver compares it with its own load to choose the less loaded of two targets;
+	// steering.Input.PasserLoad says which target's load it is. Zero means none.
 	PasserLoad uint16
-	// Flow is the flow of the inner packet. From the balancer on its protocol
-	// is that of the service, so that every process hashes it alike; the
-	// fabric knows no services, and QUIC in its packets is ProtocolUDP. Encode
-	// takes only the protocol from here, the rest from Inner.
+	// Flow is the flow of the inner packet. A balancer sets its protocol to that of the service, so
+	// that all later receivers hash the flow alike. The fabric does not know services; in its packets
+	// QUIC is ProtocolUDP. Encode uses only the protocol of Flow; the addresses come from Inner.
 	Flow model.FiveTuple
-	// Inner is the caller's packet with its IP header.
+	// Inner is the inner IP packet, with its header.
 	Inner []byte
-	// Payload is the part of Inner behind the UDP header, or the whole TCP
-	// segment.
+	// Payload is the part of Inner after the UDP header, or the TCP segment with its header.
 	Payload []byte
 }
--- a/internal/packet/encoder.go
+++ b/internal/packet/encoder.go
@@ -12,11 +12,10 @@
 // MaximumDatagram is the largest UDP payload over IPv4, in bytes.
 const MaximumDatagram = 65507
 
-// serializeOptions make gopacket fill in lengths and checksums.
+// serializeOptions makes gopacket fill in lengths and checksums.
 var serializeOptions = gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
 
-// Encoder encodes packets with memory that it uses again. It belongs to one
-// goroutine.
+// Encoder encodes packets and reuses its memory between them. It is not safe for concurrent use.
 type Encoder struct {
 	buffer  gopacket.SerializeBuffer
 	geneve  layers.Geneve
@@ -28,23 +27,23 @@
 	owner    [targetLength]byte
 }
 
-// NewEncoder returns an encoder.
+// NewEncoder returns an encoder whose buffer has room for the longest header.
 func NewEncoder() *Encoder {
 	encoder := &Encoder{buffer: gopacket.NewSerializeBufferExpectedSize(geneveHeaderLength+maximumOptionBytes, 0)}
 	encoder.geneve.Options = make([]*layers.GeneveOption, 0, maximumOptions)
 	return encoder
 }
 
-// Encode returns the datagram of packet. The inner packet must be set, but for
-// hints, whose inner packet is made from Flow when it is not.
+// Encode returns the datagram that encodes packet. packet.Inner must be set, except in a hint: there an
+// empty UDP packet of Flow is used when Inner is empty.
 func Encode(packet Encapsulated) ([]byte, error) {
 	return NewEncoder().Append(nil, &packet)
 }
 
-// Append appends the datagram of packet to destination and returns the longer
-// slice. It allocates only when destination is too short.
+// Append appends the datagram that encodes packet to destination and returns the extended slice. It
+// allocates only if destination has too little capacity, or for a hint without an inner packet.
 func (encoder *Encoder) Append(destination []byte, packet *Encapsulated) ([]byte, error) {
-	inner, err := innerOf(packet)
+	inner, err := innerPacket(packet)
 	if err != nil {
 		return destination, err
 	}
@@ -55,9 +54,9 @@
 	return append(destination, inner...), nil
 }
 
-// AppendHeader appends the part of the datagram that comes before
-// packet.Inner, which must be set, so that a sender can gather both parts
-// without a copy of the inner packet.
+// AppendHeader appends the part of the datagram before packet.Inner to destination and returns the
+// extended slice. packet.Inner must be set. A sender can pass the header and the inner packet to the
+// socket as two buffers, without copying the inner packet.
 func (encoder *Encoder) AppendHeader(destination []byte, packet *Encapsulated) ([]byte, error) {
 	if len(packet.Inner) == 0 {
 		return destination, errTruncated
@@ -85,9 +84,9 @@
 	return append(destination, header...), nil
 }
 
-// innerOf returns the inner packet. A hint without one gets a header alone,
-// which names its flow.
-func innerOf(packet *Encapsulated) ([]byte, error) {
+// innerPacket returns the inner packet to encode. For a hint without one it builds an empty UDP packet
+// whose headers identify the flow.
+func innerPacket(packet *Encapsulated) ([]byte, error) {
 	if len(packet.Inner) > 0 {
 		return packet.Inner, nil
 	}
@@ -97,6 +96,7 @@
 	return buildInner(packet.Flow, nil)
 }
 
+// setLayer fills the Geneve layer with the protocol of inner and the options of packet.
 func (encoder *Encoder) setLayer(packet *Encapsulated, inner []byte) error {
 	switch inner[0] >> 4 {
 	case 4:
--- a/internal/packet/inner.go
+++ b/internal/packet/inner.go
@@ -10,19 +10,21 @@
 	"merlinpaddle/internal/model"
 )
 
-// innerHopLimit is the hop limit of inner packets that this system makes.
+// innerHopLimit is the hop limit (IPv6) or TTL (IPv4) of inner packets that InnerBuilder builds.
 const innerHopLimit = 64
 
-// Largest inner UDP payloads that still fit into one datagram, in bytes, with
-// Geneve, its options, IPv6 and UDP headers.
+// Limits of the inner payload, in bytes.
 const (
+	// innerHeaderAllowance is the length of a Geneve header with the longest options, an IPv6 header
+	// (40) and a UDP header (8).
 	innerHeaderAllowance = geneveHeaderLength + maximumOptionBytes + 40 + 8
-	MaximumPayload       = MaximumDatagram - innerHeaderAllowance
+	// MaximumPayload is the maximum inner UDP payload that fits into one datagram with these headers.
+	MaximumPayload = MaximumDatagram - innerHeaderAllowance
 )
 
-// BuildInnerUDP returns an IP packet with a UDP datagram of flow, with right
-// lengths and checksums. It returns nil when the flow's addresses are unset or
-// of two IP versions, or when payload is longer than MaximumPayload.
+// BuildInnerUDP returns an IP packet that contains a UDP datagram of flow, with correct lengths and
+// checksums. It returns nil if the addresses of flow are unset or of different IP versions, or if
+// payload is longer than MaximumPayload.
 func BuildInnerUDP(flow model.FiveTuple, payload []byte) []byte {
 	built, err := buildInner(flow, payload)
 	if err != nil {
@@ -40,8 +42,8 @@
 	return append([]byte(nil), built...), nil
 }
 
-// InnerBuilder makes inner packets with memory that it uses again. It belongs
-// to one goroutine.
+// InnerBuilder builds inner packets and reuses its memory between them. It is not safe for concurrent
+// use.
 type InnerBuilder struct {
 	buffer gopacket.SerializeBuffer
 	ipv4   layers.IPv4
@@ -49,28 +51,28 @@
 	udp    layers.UDP
 }
 
-// NewInnerBuilder returns a builder.
+// NewInnerBuilder returns a builder with an empty buffer.
 func NewInnerBuilder() *InnerBuilder {
 	return &InnerBuilder{buffer: gopacket.NewSerializeBuffer()}
 }
 
-// UDP returns the IP packet of a UDP datagram of flow. The result is valid
-// until the next call. The protocol of flow is not looked at: QUIC is UDP.
+// UDP returns an IP packet that contains a UDP datagram of flow. The result is valid until the next call
+// of a method of builder. The protocol of flow is ignored, because QUIC flows use UDP too.
 func (builder *InnerBuilder) UDP(flow model.FiveTuple, payload []byte) ([]byte, error) {
 	builder.udp.SrcPort = layers.UDPPort(flow.Source.Port())
 	builder.udp.DstPort = layers.UDPPort(flow.Destination.Port())
 	return builder.build(flow, layers.IPProtocolUDP, &builder.udp, payload)
 }
 
-// TCP returns the IP packet of a TCP segment of flow, whose ports are written
-// into header. The result is valid until the next call.
+// TCP returns an IP packet that contains a TCP segment of flow. It writes the ports of flow into header.
+// The result is valid until the next call of a method of builder.
 func (builder *InnerBuilder) TCP(flow model.FiveTuple, header *layers.TCP, payload []byte) ([]byte, error) {
 	header.SrcPort = layers.TCPPort(flow.Source.Port())
 	header.DstPort = layers.TCPPort(flow.Destination.Port())
 	return builder.build(flow, layers.IPProtocolTCP, header, payload)
 }
 
-// transportLayer is a transport header that can be written with its checksum.
+// transportLayer is a transport header that can be serialized with its checksum.
 type transportLayer interface {
 	gopacket.SerializableLayer
 	SetNetworkLayerForChecksum(gopacket.NetworkLayer) error
@@ -96,7 +98,7 @@
 	return builder.buffer.Bytes(), nil
 }
 
-// networkLayer is an IP header that can be written.
+// networkLayer is an IP header that can be serialized.
 type networkLayer interface {
 	gopacket.SerializableLayer
 	gopacket.NetworkLayer
@@ -118,6 +120,6 @@
 		}
 		return &builder.ipv6, nil
 	default:
-		return nil, faults.New(faults.PacketAddressFamily, "flow from %s to %s is not of one IP version", source, destination)
+		return nil, faults.New(faults.PacketAddressFamily, "addresses %s and %s of the flow are unset or of different IP versions", source, destination)
 	}
 }
--- a/internal/packet/opening.go
+++ b/internal/packet/opening.go
@@ -6,7 +6,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// Positions and bits of the TCP header (RFC 9293, section 3.1).
+// Lengths, offsets and flag bits of the TCP header (RFC 9293, section 3.1).
 const (
 	tcpHeaderLength = 20
 	tcpFlagsOffset  = 13
@@ -14,9 +14,10 @@
 	tcpFlagACK      = 0x10
 )
 
-// Bits and versions of the QUIC long header (RFC 9000, section 17.2; RFC 9369,
-// section 3.2).
+// Bits and versions of the QUIC long header (RFC 9000, section 17.2; RFC 9369, section 3.2).
 const (
+	// quicLongHeaderLength is the length of the shortest long header, in bytes: the first byte, the
+	// version, and the lengths of two empty connection IDs.
 	quicLongHeaderLength = 7
 	quicLongHeader       = 0x80
 	quicTypeMask         = 0x30
@@ -24,12 +25,13 @@
 	quicInitialVersion2  = 0x10
 	quicVersion1         = 0x00000001
 	quicVersion2         = 0x6b3343cf
-	quicVersionNone      = 0
+	// quicVersionNone is the version field of Version Negotiation packets.
+	quicVersionNone = 0
 )
 
-// IsOpening tells whether a caller's packet may open a flow: a TCP segment
-// with SYN and without ACK, a QUIC Initial, or any plain UDP datagram. Payload
-// is the TCP segment with its header, or the UDP payload.
+// IsOpening reports whether a caller's packet may open a flow: a TCP segment with SYN and without ACK, a
+// QUIC Initial packet, a QUIC packet with a long header of an unknown version, or any plain UDP
+// datagram. payload is the TCP segment with its header, or the UDP payload.
 func IsOpening(protocol model.Protocol, payload []byte) bool {
 	switch protocol {
 	case model.ProtocolTCP:
@@ -50,8 +52,8 @@
 	return segment[tcpFlagsOffset]&(tcpFlagSYN|tcpFlagACK) == tcpFlagSYN
 }
 
-// isOpeningQUIC takes a long header of a version it does not know as opening:
-// the target answers it with Version Negotiation.
+// isOpeningQUIC reports whether datagram is a QUIC Initial packet, or has a long header of an unknown
+// version. The target responds to the latter with a Version Negotiation packet.
 func isOpeningQUIC(datagram []byte) bool {
 	if len(datagram) < quicLongHeaderLength || datagram[0]&quicLongHeader == 0 {
 		return false
--- a/internal/packet/options.go
+++ b/internal/packet/options.go
@@ -10,28 +10,27 @@
 	"merlinpaddle/internal/model"
 )
 
-// optionClass is the Geneve option class of this project. RFC 8926, section
-// 6.2, leaves 0xFF00 to 0xFFFF to experimental use.
+// optionClass is the Geneve option class of this project. RFC 8926, section 6.2, reserves 0xFF00 to
+// 0xFFFF for experimental use.
 const optionClass uint16 = 0xFF4D
 
-// criticalOption is the bit of an option's type that forbids a receiver to
-// skip the option when it does not know it (RFC 8926, section 3.5).
+// criticalOption is the bit of an option's type with which a receiver that does not know the option must
+// drop the packet instead of skipping the option (RFC 8926, section 3.5).
 const criticalOption uint8 = 0x80
 
 // Types of options within optionClass.
 const (
-	// optionContext has kind, flags, position, stage, service, revision, head
-	// load, passes and the service's protocol.
+	// optionContext holds the fixed-length fields, see contextKind.
 	optionContext = criticalOption | 1
-	// optionChain has the target IDs of the chain, 4 bytes each.
+	// optionChain holds the target IDs of the chain, 4 bytes each.
 	optionChain = criticalOption | 2
-	// optionBalancer has the balancer's address for hints.
+	// optionBalancer holds the balancer's address and port to which hints are sent.
 	optionBalancer uint8 = 3
-	// optionOwner has the ID of the target that owns the flow.
+	// optionOwner holds the ID of the target that owns the flow.
 	optionOwner = criticalOption | 4
 )
 
-// Layout of the context option, in bytes.
+// Offsets of the fields of the context option, and its length, in bytes.
 const (
 	contextKind       = 0
 	contextFlags      = 1
@@ -45,11 +44,11 @@
 	contextLength     = 20
 )
 
-// flagOpening is the bit of the context's flags for packets that may open a
-// flow.
+// flagOpening is the bit of the context option's flags that marks packets which may open a flow.
 const flagOpening uint8 = 1
 
-// Layout of the balancer option, in bytes. The address takes 4 or 16.
+// Offsets of the fields of the balancer option, and its lengths, in bytes. The address has 4 or 16
+// bytes.
 const (
 	balancerPort       = 0
 	balancerAddress    = 4
@@ -60,28 +59,28 @@
 // targetLength is the length of one target ID in an option, in bytes.
 const targetLength = 4
 
-// maximumOptions is the number of options in one packet.
+// maximumOptions is the maximum number of options that Encoder writes into one packet.
 const maximumOptions = 4
 
-// Errors of decoding. They are made once: a decoder meets hostile packets at
-// line rate and must not spend an allocation on each.
+// Errors of decoding. They are allocated once, because malformed packets may arrive at line rate and
+// must not cost an allocation each.
 var (
 	errTruncated      = faults.New(faults.PacketTruncated, "packet is shorter than its headers say")
 	errVersion        = faults.New(faults.PacketVersion, "not a Geneve version 0 data packet")
 	errOption         = faults.New(faults.PacketOption, "Geneve option has a wrong length or value")
 	errOptionRepeated = faults.New(faults.PacketOptionRepeated, "Geneve option occurs twice")
-	errOptionUnknown  = faults.New(faults.PacketOptionUnknown, "critical Geneve option is not known")
-	errOptionMissing  = faults.New(faults.PacketOptionMissing, "Geneve option that this kind of packet needs is absent")
-	errKind           = faults.New(faults.PacketKind, "kind of packet is not known")
+	errOptionUnknown  = faults.New(faults.PacketOptionUnknown, "unknown critical Geneve option")
+	errOptionMissing  = faults.New(faults.PacketOptionMissing, "Geneve option that this kind of packet requires is missing")
+	errKind           = faults.New(faults.PacketKind, "unknown kind of packet")
 	errChain          = faults.New(faults.PacketChain, "chain is empty, too long, or shorter than its position")
 	errInnerProtocol  = faults.New(faults.PacketInnerProtocol, "inner packet is neither IPv4 nor IPv6")
-	errInnerHeader    = faults.New(faults.PacketInnerHeader, "inner header contradicts itself")
+	errInnerHeader    = faults.New(faults.PacketInnerHeader, "inner header is inconsistent")
 	errInnerFragment  = faults.New(faults.PacketInnerFragment, "inner packet is a fragment")
 	errInnerTransport = faults.New(faults.PacketInnerTransport, "inner packet is neither UDP nor TCP")
 )
 
-// readOption writes the content of one option into packet. Options of other
-// classes, and unknown ones of this class, are skipped unless critical.
+// readOption decodes one option into packet. Options of other classes and unknown options of this class
+// are skipped, unless they are critical: then an error is returned.
 func readOption(option *layers.GeneveOption, packet *Encapsulated) error {
 	if option.Class != optionClass {
 		return skipOption(option.Type)
@@ -134,7 +133,7 @@
 	return nil
 }
 
-// readChain appends to packet.Chain, which the decoder has emptied.
+// readChain appends the targets to packet.Chain, which Decoder.Decode has emptied before.
 func readChain(data []byte, packet *Encapsulated) error {
 	if len(packet.Chain) != 0 {
 		return errOptionRepeated
@@ -179,20 +178,22 @@
 	return nil
 }
 
-// flowProtocol returns the protocol of a flow: that of the wire, or QUIC over
-// UDP when the sender knew that the service speaks it.
-func flowProtocol(stated, wire model.Protocol) (model.Protocol, error) {
+// flowProtocol returns the protocol of a flow. wire is the transport protocol of the inner packet.
+// declared is the protocol in the context option, or zero if the sender did not set it; it may be
+// ProtocolQUIC over UDP. A declared protocol that contradicts wire is an error.
+func flowProtocol(declared, wire model.Protocol) (model.Protocol, error) {
 	switch {
-	case stated == 0, stated == wire:
+	case declared == 0, declared == wire:
 		return wire, nil
-	case stated == model.ProtocolQUIC && wire == model.ProtocolUDP:
-		return stated, nil
+	case declared == model.ProtocolQUIC && wire == model.ProtocolUDP:
+		return declared, nil
 	default:
 		return 0, errOption
 	}
 }
 
-// checkKind tells whether packet has what its kind needs.
+// checkKind returns an error if the kind of packet is unknown or packet lacks an option that its kind
+// requires.
 func checkKind(packet *Encapsulated) error {
 	switch packet.Kind {
 	case KindIngress, KindReturn:
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -28,7 +28,7 @@
 	}
 )
 
-// buildInnerTCP returns an IP packet with a TCP segment of flow.
+// buildInnerTCP returns an IP packet that contains a TCP segment of flow.
 func buildInnerTCP(t testing.TB, flow model.FiveTuple, header layers.TCP, payload []byte) []byte {
 	t.Helper()
 	header.SrcPort = layers.TCPPort(flow.Source.Port())
@@ -50,6 +50,8 @@
 	return buffer.Bytes()
 }
 
+// forwardPacket returns a forwarded packet around inner, with all fields of that kind set except the
+// declared protocol.
 func forwardPacket(inner []byte) Encapsulated {
 	return Encapsulated{
 		Kind:       KindForward,
@@ -124,7 +126,7 @@
 	}
 }
 
-func TestHintWithoutInnerNamesItsFlow(t *testing.T) {
+func TestHintWithoutInnerPacketCarriesItsFlow(t *testing.T) {
 	data, err := Encode(Encapsulated{Kind: KindHint, Service: 7, Owner: 3, Flow: flowIPv6})
 	if err != nil {
 		t.Fatal(err)
@@ -134,32 +136,32 @@
 		t.Fatal(err)
 	}
 	if decoded.Flow != flowIPv6 || decoded.Owner != 3 {
-		t.Errorf("hint names flow %v of target %d", decoded.Flow, decoded.Owner)
+		t.Errorf("hint has flow %v and owner %d", decoded.Flow, decoded.Owner)
 	}
 }
 
-func TestStatedProtocol(t *testing.T) {
+func TestDeclaredProtocol(t *testing.T) {
 	udp := BuildInnerUDP(flowIPv4, []byte("x"))
 	tcp := buildInnerTCP(t, flowIPv4, layers.TCP{SYN: true}, nil)
 	cases := []struct {
-		name   string
-		inner  []byte
-		stated model.Protocol
-		want   model.Protocol
-		code   faults.Code
+		name     string
+		inner    []byte
+		declared model.Protocol
+		want     model.Protocol
+		code     faults.Code
 	}{
-		{"UDP not stated", udp, 0, model.ProtocolUDP, 0},
+		{"UDP not declared", udp, 0, model.ProtocolUDP, 0},
 		{"UDP", udp, model.ProtocolUDP, model.ProtocolUDP, 0},
 		{"QUIC over UDP", udp, model.ProtocolQUIC, model.ProtocolQUIC, 0},
-		{"TCP not stated", tcp, 0, model.ProtocolTCP, 0},
+		{"TCP not declared", tcp, 0, model.ProtocolTCP, 0},
 		{"TCP", tcp, model.ProtocolTCP, model.ProtocolTCP, 0},
-		{"UDP said to be TCP", udp, model.ProtocolTCP, 0, faults.PacketOption},
-		{"TCP said to be QUIC", tcp, model.ProtocolQUIC, 0, faults.PacketOption},
+		{"UDP declared as TCP", udp, model.ProtocolTCP, 0, faults.PacketOption},
+		{"TCP declared as QUIC", tcp, model.ProtocolQUIC, 0, faults.PacketOption},
 		{"unknown protocol", udp, 77, 0, faults.PacketOption},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			data, err := Encode(Encapsulated{Kind: KindIngress, Flow: model.FiveTuple{Protocol: test.stated}, Inner: test.inner})
+			data, err := Encode(Encapsulated{Kind: KindIngress, Flow: model.FiveTuple{Protocol: test.declared}, Inner: test.inner})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -171,7 +173,7 @@
 	}
 }
 
-func TestDecoderForgetsThePacketBefore(t *testing.T) {
+func TestDecoderClearsThePreviousPacket(t *testing.T) {
 	var decoder Decoder
 	var decoded Encapsulated
 	first, _ := Encode(forwardPacket(BuildInnerUDP(flowIPv4, []byte("one"))))
@@ -201,7 +203,7 @@
 		{"no kind", Encapsulated{Inner: inner}, faults.PacketOptionMissing},
 		{"unknown kind", Encapsulated{Kind: 9, Inner: inner}, faults.PacketKind},
 		{"forward without chain", Encapsulated{Kind: KindForward, Inner: inner}, faults.PacketChain},
-		{"position behind the chain", Encapsulated{Kind: KindForward, Chain: []model.TargetID{1}, Position: 1, Inner: inner}, faults.PacketChain},
+		{"position beyond the chain", Encapsulated{Kind: KindForward, Chain: []model.TargetID{1}, Position: 1, Inner: inner}, faults.PacketChain},
 		{"chain too long", Encapsulated{Kind: KindForward, Chain: make([]model.TargetID, MaximumChain+1), Inner: inner}, faults.PacketChain},
 		{"hint without owner", Encapsulated{Kind: KindHint, Flow: flowIPv4}, faults.PacketOptionMissing},
 		{"hint without flow", Encapsulated{Kind: KindHint, Owner: 1}, faults.PacketAddressFamily},
@@ -220,7 +222,7 @@
 	}
 }
 
-func TestBuildInnerUDPHasRightLengthsAndChecksums(t *testing.T) {
+func TestBuildInnerUDPSetsLengthsAndChecksums(t *testing.T) {
 	for _, flow := range []model.FiveTuple{flowIPv4, flowIPv6} {
 		for _, size := range []int{0, 1, 2, 1199, 1200} {
 			inner := BuildInnerUDP(flow, bytes.Repeat([]byte{0xa5}, size))
@@ -237,13 +239,13 @@
 				t.Errorf("%v of %d bytes: error %v, checksum mismatches %v, layer error %v", flow, size, err, mismatches, parsed.ErrorLayer())
 			}
 			if got := len(parsed.TransportLayer().LayerPayload()); got != size {
-				t.Errorf("%v of %d bytes carries %d", flow, size, got)
+				t.Errorf("%v of %d bytes has a payload of %d", flow, size, got)
 			}
 		}
 	}
 }
 
-func TestInnerBuilderMakesTheSegmentsOfGopacket(t *testing.T) {
+func TestInnerBuilderTCPMatchesGopacket(t *testing.T) {
 	for _, flow := range []model.FiveTuple{flowIPv4, flowIPv6} {
 		header := layers.TCP{ACK: true, Seq: 9, Ack: 11, Window: 100}
 		built, err := NewInnerBuilder().TCP(flow, &header, []byte("receipt"))
@@ -252,7 +254,8 @@
 		}
 		want := buildInnerTCP(t, flow, layers.TCP{ACK: true, Seq: 9, Ack: 11, Window: 100}, []byte("receipt"))
 		if flow == flowIPv4 {
-			// The builder forbids fragments, which the test's packet allows.
+			// The builder sets the don't-fragment bit, which buildInnerTCP does not. Clear it and
+			// use the checksum of the packet without it.
 			built[6] &^= 0x40
 			copy(built[10:12], want[10:12])
 		}
@@ -262,12 +265,12 @@
 	}
 }
 
-func TestBuildInnerUDPRefuses(t *testing.T) {
+func TestBuildInnerUDPRejectsInvalidInput(t *testing.T) {
 	if BuildInnerUDP(flowIPv4, make([]byte, MaximumPayload+1)) != nil {
-		t.Error("a payload that fits no datagram was accepted")
+		t.Error("a payload longer than MaximumPayload was accepted")
 	}
 	if BuildInnerUDP(flowIPv4, make([]byte, MaximumPayload)) == nil {
-		t.Error("the largest payload was refused")
+		t.Error("a payload of MaximumPayload bytes was rejected")
 	}
 	if BuildInnerUDP(model.FiveTuple{}, nil) != nil {
 		t.Error("a flow without addresses was accepted")
@@ -292,7 +295,7 @@
 		{"TCP SYN ACK", model.ProtocolTCP, segment(layers.TCP{SYN: true, ACK: true}), false},
 		{"TCP ACK", model.ProtocolTCP, segment(layers.TCP{ACK: true}), false},
 		{"TCP RST", model.ProtocolTCP, segment(layers.TCP{RST: true}), false},
-		{"TCP header cut short", model.ProtocolTCP, make([]byte, 13), false},
+		{"truncated TCP header", model.ProtocolTCP, make([]byte, 13), false},
 		{"QUIC Initial version 1", model.ProtocolQUIC, long(0xc0, 0, 0, 0, 1), true},
 		{"QUIC 0-RTT version 1", model.ProtocolQUIC, long(0xd0, 0, 0, 0, 1), false},
 		{"QUIC Handshake version 1", model.ProtocolQUIC, long(0xe0, 0, 0, 0, 1), false},
@@ -302,7 +305,7 @@
 		{"QUIC Version Negotiation", model.ProtocolQUIC, long(0x80, 0, 0, 0, 0), false},
 		{"QUIC of an unknown version", model.ProtocolQUIC, long(0xe0, 0xba, 0xba, 0xba, 0xba), true},
 		{"QUIC short header", model.ProtocolQUIC, long(0x40, 0, 0, 0, 1), false},
-		{"QUIC header cut short", model.ProtocolQUIC, []byte{0xc0, 0, 0}, false},
+		{"truncated QUIC header", model.ProtocolQUIC, []byte{0xc0, 0, 0}, false},
 		{"QUIC empty", model.ProtocolQUIC, nil, false},
 		{"plain UDP", model.ProtocolUDP, nil, true},
 		{"no protocol", 0, []byte("x"), false},
--- a/internal/standin/listen/listen.go
+++ b/internal/standin/listen/listen.go
@@ -1,4 +1,5 @@
-// Package listen runs the HTTP servers of stand-ins as tasks of a process.
+// Package listen runs the HTTP servers of stand-ins (substitutes for external systems) as tasks of a
+// process.
 package listen
 
 import (
@@ -13,13 +14,16 @@
 	"merlinpaddle/internal/process"
 )
 
-// Limits of a stand-in's HTTP server.
+// Timeouts of a stand-in's HTTP server.
 const (
+	// headerTimeout is the maximum time to read the headers of a request.
 	headerTimeout = 5 * time.Second
-	stopTimeout   = 5 * time.Second
+	// stopTimeout is the maximum time that requests in progress get to finish when the server stops.
+	stopTimeout = 5 * time.Second
 )
 
-// HTTP opens address and serves handler as a task until the process stops.
+// HTTP listens on the TCP address and serves handler in a task called name until the process stops. It
+// returns an error if it cannot listen on address.
 func HTTP(tasks *process.Tasks, name, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -37,7 +41,7 @@
 	return nil
 }
 
-// shutDown lets requests in progress end, and cuts those that take too long.
+// shutDown waits for requests in progress and closes their connections after stopTimeout.
 func shutDown(server *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
