--- a/internal/routing/compare/chain.go
+++ b/internal/routing/compare/chain.go
@@ -12,29 +12,33 @@
 )
 
 const (
+	// comparedService is the only service of a comparison.
 	comparedService = model.ServiceID(1)
-	// reportInterval is the time between two reports of empty buckets, and
-	// between two passes that end idle flows.
+	// reportInterval is the time between two reports of empty buckets, and between two expiries of
+	// idle state at the targets.
 	reportInterval = 2 * time.Second
-	// assignmentBytes is the memory of one remembered assignment, as
-	// BenchmarkOwnersMemory of package flow measures it.
+	// assignmentBytes is the memory of one recorded assignment, in bytes, as measured by
+	// BenchmarkOwnersMemory in package flow.
 	assignmentBytes = 126
 )
 
-// chain is the product's way: bucket tables of package routing, owners of
-// package flow, decisions of package steering.
-type chain struct {
-	run     *run
-	rollout *rollout[*model.Configuration]
-	caches  map[int]*flow.Cache
-	agents  map[model.TargetID]*chainAgent
-	down    *byteCounter
-	up      *byteCounter
+// fullChain is the algorithm of the product. It runs the packages routing (bucket tables), flow (owned
+// flows, caches of balancers) and steering (decisions of agents).
+type fullChain struct {
+	run            *run
+	configurations *propagation[*model.Configuration]
+	// caches has the flow cache of each balancer by its number.
+	caches map[int]*flow.Cache
+	// agents has the agents of live targets.
+	agents      map[model.TargetID]*chainAgent
+	deltaBytes  *byteCounter
+	reportBytes *byteCounter
 }
 
-// chainAgent is the agent of one target.
+// chainAgent is the agent of one target. It provides steering with the configuration that the agent has
+// applied.
 type chainAgent struct {
-	way      *chain
+	chain    *fullChain
 	target   model.TargetID
 	owners   *flow.OwnedFlows
 	steering *steering.Steering
@@ -42,32 +46,32 @@
 
 // Current implements steering.Configurations.
 func (agent *chainAgent) Current() *model.Configuration {
-	return agent.way.rollout.at(agentOf(agent.target))
+	return agent.chain.configurations.appliedBy(agentID(agent.target))
 }
 
-func newChain(run *run) *chain {
-	way := &chain{
-		run:    run,
-		caches: make(map[int]*flow.Cache),
-		agents: make(map[model.TargetID]*chainAgent),
-		down:   newByteCounter(),
-		up:     newByteCounter(),
+func newFullChain(run *run) *fullChain {
+	chain := &fullChain{
+		run:         run,
+		caches:      make(map[int]*flow.Cache),
+		agents:      make(map[model.TargetID]*chainAgent),
+		deltaBytes:  newByteCounter(),
+		reportBytes: newByteCounter(),
 	}
-	way.rollout = newRollout(run, way.firstConfiguration())
+	chain.configurations = newPropagation(run, chain.initialConfiguration())
 	for _, balancer := range run.balancers {
-		way.caches[balancer.number] = flow.NewCache(tableCapacity)
+		chain.caches[balancer.number] = flow.NewCache(tableCapacity)
 	}
 	for _, target := range run.targets {
-		way.targetJoined(target.id)
+		chain.targetJoined(target.id)
 	}
 	run.clock.Every(reportInterval, func() bool {
-		way.maintain()
+		chain.maintain()
 		return true
 	})
-	return way
+	return chain
 }
 
-func (way *chain) firstConfiguration() *model.Configuration {
+func (chain *fullChain) initialConfiguration() *model.Configuration {
 	configuration := model.NewConfiguration()
 	configuration.Revision = 1
 	configuration.Services[comparedService] = model.Service{
@@ -76,7 +80,7 @@
 		Address:  serviceAddress,
 		Limits:   model.DefaultLimits(),
 	}
-	targets := way.targets()
+	targets := chain.targets()
 	for _, target := range targets {
 		configuration.Targets[target.ID] = target
 	}
@@ -85,115 +89,117 @@
 	return configuration
 }
 
-// targets returns the targets as control has committed them.
-func (way *chain) targets() []model.Target {
-	targets := make([]model.Target, len(way.run.targets))
-	for index, target := range way.run.targets {
+// targets returns the targets with the phases that control has committed.
+func (chain *fullChain) targets() []model.Target {
+	targets := make([]model.Target, len(chain.run.targets))
+	for index, target := range chain.run.targets {
 		targets[index] = model.Target{ID: target.id, Service: comparedService, Phase: target.phase}
 	}
 	return targets
 }
 
-func (way *chain) targetJoined(target model.TargetID) {
-	agent := &chainAgent{way: way, target: target}
+func (chain *fullChain) targetJoined(target model.TargetID) {
+	agent := &chainAgent{chain: chain, target: target}
 	agent.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: comparedService, Target: target})
 	agent.steering = steering.New(steering.Options{
 		Target:         target,
 		Configurations: agent,
 		OwnedFlows:     agent.owners,
-		Load:           func() model.TargetLoad { return way.run.target(target).load(way.run.options.Slots) },
-		Started:        way.run.clock.Now(),
+		Load:           func() model.TargetLoad { return chain.run.target(target).load(chain.run.options.Slots) },
+		Started:        chain.run.clock.Now(),
 	})
-	way.agents[target] = agent
-	way.rollout.join(agentOf(target))
+	chain.agents[target] = agent
+	chain.configurations.join(agentID(target))
 }
 
-func (way *chain) targetDied(target model.TargetID) { delete(way.agents, target) }
+func (chain *fullChain) targetDied(target model.TargetID) { delete(chain.agents, target) }
 
-func (way *chain) balancerJoined(balancer *balancerNode) {
-	way.rollout.join(balancerOf(balancer))
-	way.caches[balancer.number] = flow.NewCache(tableCapacity)
+func (chain *fullChain) balancerJoined(balancer *balancerNode) {
+	chain.configurations.join(balancerID(balancer))
+	chain.caches[balancer.number] = flow.NewCache(tableCapacity)
 }
 
-func (way *chain) targetsChanged() {
-	current := way.rollout.newest
-	targets := way.targets()
+func (chain *fullChain) targetsChanged() {
+	current := chain.configurations.newest
+	targets := chain.targets()
 	next := current.Revision + 1
 	rows := routing.Rebalance(current.Buckets[comparedService], targets, next)
-	way.commit(changedTargets(current, targets), rows)
+	chain.commit(changedTargets(current, targets), rows)
 }
 
+// changedTargets returns the targets that differ from those in current or are missing there.
 func changedTargets(current *model.Configuration, targets []model.Target) []model.Target {
 	return slices.DeleteFunc(slices.Clone(targets), func(target model.Target) bool {
 		return current.Targets[target.ID] == target
 	})
 }
 
-// commit publishes the next revision.
-func (way *chain) commit(targets []model.Target, rows []model.Bucket) {
-	current := way.rollout.newest
+// commit publishes the next revision, which has the given targets and rows in place of the previous ones.
+func (chain *fullChain) commit(targets []model.Target, rows []model.Bucket) {
+	current := chain.configurations.newest
 	delta := model.Delta{From: current.Revision, To: current.Revision + 1, Targets: targets}
 	if len(rows) > 0 {
 		delta.Buckets = []model.BucketChange{{Service: comparedService, Rows: rows}}
 	}
 	next, err := current.Apply(delta)
 	if err != nil {
-		panic("compare: a delta of the newest revision: " + err.Error())
+		panic("compare: apply a delta to the newest revision: " + err.Error())
 	}
-	way.down.add(delta)
-	way.rollout.publish(next)
+	chain.deltaBytes.add(delta)
+	chain.configurations.publish(next)
 }
 
-// maintain ends idle state and gives control the reports of empty buckets.
-func (way *chain) maintain() {
-	current := way.rollout.newest
+// maintain expires idle state at the targets, collects their reports of empty buckets, and commits the rows
+// from which control removes the reported earlier targets.
+func (chain *fullChain) maintain() {
+	current := chain.configurations.newest
 	table := current.Buckets[comparedService]
 	var reports []model.BucketEmpty
-	for _, target := range way.run.targets {
-		agent, alive := way.agents[target.id]
+	for _, target := range chain.run.targets {
+		agent, alive := chain.agents[target.id]
 		if !alive {
 			continue
 		}
-		agent.owners.Expire(way.run.clock.Now())
+		agent.owners.Expire(chain.run.clock.Now())
 		reports = append(reports, agent.steering.Empty(current.Revision)...)
 	}
 	if len(reports) == 0 {
 		return
 	}
-	way.up.add(reports)
+	chain.reportBytes.add(reports)
 	after := table.Clone()
 	rows := routing.RemoveEarlierTargets(table, reports)
 	for _, row := range rows {
 		after.Set(row)
 	}
-	rows = mergeRows(rows, routing.Rebalance(after, way.targets(), current.Revision+1))
+	rows = mergeRows(rows, routing.Rebalance(after, chain.targets(), current.Revision+1))
 	if len(rows) > 0 {
-		way.commit(nil, rows)
+		chain.commit(nil, rows)
 	}
 }
 
-// mergeRows returns the rows of both, with later ones in place of former ones.
-func mergeRows(former, later []model.Bucket) []model.Bucket {
+// mergeRows returns the rows of both lists. A row of later replaces the row of the same bucket in previous.
+func mergeRows(previous, later []model.Bucket) []model.Bucket {
 	replaced := make(map[model.BucketIndex]bool, len(later))
 	for _, row := range later {
 		replaced[row.Index] = true
 	}
-	kept := slices.DeleteFunc(former, func(row model.Bucket) bool { return replaced[row.Index] })
+	kept := slices.DeleteFunc(previous, func(row model.Bucket) bool { return replaced[row.Index] })
 	return append(kept, later...)
 }
 
-func (way *chain) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
-	input, cache := way.forward(balancer, flow, opening)
+func (chain *fullChain) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
+	input, cache := chain.balancerInput(balancer, flow, opening)
 	if len(input.Chain) == 0 {
 		return outcome{verdict: verdictLost}
 	}
 	target := input.Chain[input.Position]
 	for {
-		agent, alive := way.agents[target]
+		agent, alive := chain.agents[target]
 		if !alive {
 			return outcome{verdict: verdictLost, passes: int(input.Passes)}
 		}
-		decision := agent.steering.Decide(way.run.clock.Now(), input)
+		decision := agent.steering.Decide(chain.run.clock.Now(), input)
 		switch decision.Action {
 		case steering.ActionDeliver:
 			if decision.Hint {
@@ -201,7 +207,7 @@
 			}
 			return outcome{verdict: verdictDelivered, target: target, passes: int(input.Passes)}
 		case steering.ActionForward:
-			input = passed(input, decision)
+			input = forwardedInput(input, decision)
 			target = decision.Next
 		case steering.ActionReset:
 			return outcome{verdict: verdictReset, target: target, passes: int(input.Passes)}
@@ -211,11 +217,11 @@
 	}
 }
 
-// forward is what the balancer does with a packet.
-func (way *chain) forward(balancer *balancerNode, flow *flowState, opening bool) (steering.Input, *flow.Cache) {
-	configuration := way.rollout.at(balancerOf(balancer))
+// balancerInput returns the packet as the balancer forwards it, and the flow cache of the balancer.
+func (chain *fullChain) balancerInput(balancer *balancerNode, flow *flowState, opening bool) (steering.Input, *flow.Cache) {
+	configuration := chain.configurations.appliedBy(balancerID(balancer))
 	table := configuration.Buckets[comparedService]
-	cache := way.caches[balancer.number]
+	cache := chain.caches[balancer.number]
 	bucket := table.Bucket(routing.BucketOf(flow.hash, table.Count()))
 	input := steering.Input{
 		Flow:     flow.tuple,
@@ -230,7 +236,8 @@
 	return input, cache
 }
 
-func passed(input steering.Input, decision steering.Decision) steering.Input {
+// forwardedInput returns the packet as an agent forwards it after decision.
+func forwardedInput(input steering.Input, decision steering.Decision) steering.Input {
 	input.Chain = decision.Chain
 	input.Position = decision.Position
 	input.Revision = decision.Revision
@@ -240,13 +247,13 @@
 	return input
 }
 
-// closed also takes the flow out of the caches, so that the state counts open
-// flows only; a balancer keeps ended ones until their room is needed.
-func (way *chain) closed(flow *flowState) {
-	for _, cache := range way.caches {
+// flowClosed also removes the flow from the caches of the balancers, so that StateBytes covers open flows
+// only. A real balancer keeps closed flows until it needs their cache entries.
+func (chain *fullChain) flowClosed(flow *flowState) {
+	for _, cache := range chain.caches {
 		cache.Remove(flow.hash, flow.tuple)
 	}
-	agent, alive := way.agents[flow.owner]
+	agent, alive := chain.agents[flow.owner]
 	if !alive {
 		return
 	}
@@ -254,19 +261,19 @@
 	agent.owners.Close(routing.BucketOf(flow.hash, table.Count()), flow.tuple)
 }
 
-func (way *chain) state() StateBytes {
+func (chain *fullChain) state() StateBytes {
 	assignments := 0
-	for _, agent := range way.agents {
+	for _, agent := range chain.agents {
 		assignments += agent.owners.AssignmentCount()
 	}
 	return StateBytes{
-		Balancers: cacheBytes(way.run, way.caches),
+		Balancers: cacheBytes(chain.run, chain.caches),
 		Targets:   float64(assignments) * assignmentBytes,
-		Table:     tableBytes(way.rollout.newest),
+		Table:     tableBytes(chain.configurations.newest),
 	}
 }
 
-// tableBytes returns the memory of the rows of targets and buckets.
+// tableBytes returns the memory of the configuration's targets and buckets, in bytes.
 func tableBytes(configuration *model.Configuration) float64 {
 	table := configuration.Buckets[comparedService]
 	earlier := 0
@@ -278,6 +285,8 @@
 	return size + float64(earlier)*float64(reflect.TypeFor[model.EarlierTarget]().Size())
 }
 
-func (way *chain) controlBytes() (down, up uint64) { return way.down.total, way.up.total }
+func (chain *fullChain) controlBytes() (down, up uint64) {
+	return chain.deltaBytes.total, chain.reportBytes.total
+}
 
 var _ steering.Configurations = (*chainAgent)(nil)
--- a/internal/routing/compare/change.go
+++ b/internal/routing/compare/change.go
@@ -6,21 +6,19 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// ChangeKind is one thing that happens during a comparison.
+// ChangeKind is a kind of event during a comparison.
 type ChangeKind string
 
-// The changes. A join adds a new balancer or target; a drain or death hits one
-// that was there at the start.
+// The kinds of changes. A join adds a new balancer or target. A drain or death affects one that exists.
 const (
 	BalancerDeath ChangeKind = "balancer death"
 	BalancerJoin  ChangeKind = "balancer join"
 	TargetJoin    ChangeKind = "target join"
 	TargetDrain   ChangeKind = "target drain"
 	TargetDeath   ChangeKind = "target death"
-	// ReportsFreeze stops the load reports of every other target at their
-	// present values.
+	// ReportsFreeze freezes the load reports of every second serving target at their current values.
 	ReportsFreeze ChangeKind = "reports freeze"
-	// ReportsLie makes one target report that it has no load.
+	// ReportsLie makes one target report zero load.
 	ReportsLie ChangeKind = "reports lie"
 )
 
@@ -31,16 +29,16 @@
 	}
 }
 
-// isUnplanned tells whether the change is a fault.
+// isUnplanned reports whether the change is a fault rather than an operation.
 func (kind ChangeKind) isUnplanned() bool {
 	return kind == BalancerDeath || kind == TargetDeath || kind == ReportsFreeze || kind == ReportsLie
 }
 
-// deathDetection is the time from the death of a target to the configuration
-// change that says so.
+// deathDetection is the time from the death of a target to the change of the configuration that marks it
+// as dead.
 const deathDetection = 3 * time.Second
 
-// scheduleChanges plans the changes of a run.
+// scheduleChanges schedules the changes of a run, the first after the warm-up.
 func (run *run) scheduleChanges() {
 	for index, kind := range run.options.Changes {
 		at := run.options.WarmUp + time.Duration(index)*run.options.ChangeInterval
@@ -48,6 +46,7 @@
 	}
 }
 
+// change records and applies a change now.
 func (run *run) change(kind ChangeKind) {
 	run.changes = append(run.changes, appliedChange{kind: kind, at: run.clock.Elapsed()})
 	switch kind {
@@ -64,10 +63,11 @@
 	case ReportsFreeze:
 		run.loads.freeze()
 	case ReportsLie:
-		run.loads.lie(run.firstServing())
+		run.loads.reportNoLoad(run.firstServing())
 	}
 }
 
+// killBalancer stops the first balancer. Its state is lost.
 func (run *run) killBalancer() {
 	run.balancers[0].alive = false
 	run.listAliveBalancers()
@@ -75,23 +75,24 @@
 
 func (run *run) joinBalancer() {
 	run.addBalancer()
-	run.way.balancerJoined(run.balancers[len(run.balancers)-1])
+	run.algorithm.balancerJoined(run.balancers[len(run.balancers)-1])
 }
 
 func (run *run) joinTarget() {
 	run.addTarget()
-	run.way.targetsChanged()
+	run.algorithm.targetsChanged()
 }
 
-// drainTarget drains the second target that serves.
+// drainTarget drains the second serving target.
 func (run *run) drainTarget() {
 	target := run.serving()[1]
 	target.phase = phaseDraining
 	target.drainedAt = run.clock.Now()
-	run.way.targetsChanged()
+	run.algorithm.targetsChanged()
 }
 
-// killTarget kills the first target that serves; control finds out later.
+// killTarget kills the first serving target and breaks its flows. Control detects the death after
+// deathDetection.
 func (run *run) killTarget() {
 	target := run.serving()[0]
 	target.dead = true
@@ -99,9 +100,9 @@
 	for _, flow := range run.flowsOf(target) {
 		run.breakFlow(flow, true)
 	}
-	run.way.targetDied(target.id)
+	run.algorithm.targetDied(target.id)
 	run.clock.After(deathDetection, func() {
 		target.phase = phaseDead
-		run.way.targetsChanged()
+		run.algorithm.targetsChanged()
 	})
 }
--- a/internal/routing/compare/compare.go
+++ b/internal/routing/compare/compare.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sync/errgroup"
 
-// Comparison is the outcome of all ways over the same flows.
+// Comparison has the results of all algorithms for the same flows.
 type Comparison struct {
 	Seed    uint64   `json:"seed"`
 	Targets int      `json:"targets"`
@@ -10,9 +10,9 @@
 	Results []Result `json:"results"`
 }
 
-// Run runs the ways over the same flows and changes, several at a time. The
-// outcome depends on the options alone.
-func Run(options Options, ways []AlgorithmName, workers int) (Comparison, error) {
+// Run runs each algorithm with the same flows and changes, at most workers at a time. The results depend
+// only on options and algorithms, not on workers.
+func Run(options Options, algorithms []AlgorithmName, workers int) (Comparison, error) {
 	if err := options.Validate(); err != nil {
 		return Comparison{}, err
 	}
@@ -21,11 +21,11 @@
 		Seed:    options.Seed,
 		Targets: options.Targets,
 		Flows:   len(plans),
-		Results: make([]Result, len(ways)),
+		Results: make([]Result, len(algorithms)),
 	}
 	var group errgroup.Group
 	group.SetLimit(max(1, workers))
-	for index, name := range ways {
+	for index, name := range algorithms {
 		group.Go(func() error {
 			comparison.Results[index] = newRun(options, plans, name).execute()
 			return nil
@@ -34,7 +34,7 @@
 	return comparison, group.Wait()
 }
 
-// Result returns the result of a way.
+// Result returns the result of the algorithm called name, and whether there is one.
 func (comparison Comparison) Result(name AlgorithmName) (Result, bool) {
 	for _, result := range comparison.Results {
 		if result.Algorithm == name {
--- a/internal/routing/compare/compare_test.go
+++ b/internal/routing/compare/compare_test.go
@@ -9,7 +9,7 @@
 	"merlinpaddle/internal/routing/compare"
 )
 
-// shortOptions is a comparison that is small enough for every test run.
+// shortOptions returns options of a comparison that is short enough for every test run.
 func shortOptions(targets int) compare.Options {
 	options := compare.DefaultOptions(1, targets)
 	options.FlowsPerSecond = 4
@@ -19,13 +19,15 @@
 	return options
 }
 
-func TestTheChainBreaksNoFlowThatHashingBreaks(t *testing.T) {
+// TestOnlyTheFullChainBreaksNoFlows checks that the full chain breaks no flow whose target lives, while
+// the same flows and changes break some with every other algorithm that does not know everything.
+func TestOnlyTheFullChainBreaksNoFlows(t *testing.T) {
 	for _, targets := range []int{4, 14} {
 		comparison, err := compare.Run(shortOptions(targets), compare.AllAlgorithms(), 3)
 		require.NoError(t, err)
 		chain, _ := comparison.Result(compare.AlgorithmChain)
 		require.Zero(t, chain.Broken(), "%d targets", targets)
-		require.NotZero(t, chain.BrokenOnDeadTarget, "flows on a dead target are lost by any way")
+		require.NotZero(t, chain.BrokenOnDeadTarget, "flows of a dead target break with every algorithm")
 		require.Zero(t, chain.LateOpenings)
 		for _, name := range []compare.AlgorithmName{
 			compare.AlgorithmHashing, compare.AlgorithmFlowTable, compare.AlgorithmTwoHop, compare.AlgorithmConnectionID,
@@ -36,7 +38,7 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameResults(t *testing.T) {
+func TestSameSeedGivesSameResults(t *testing.T) {
 	first, err := compare.Run(shortOptions(4), compare.AllAlgorithms(), 1)
 	require.NoError(t, err)
 	second, err := compare.Run(shortOptions(4), compare.AllAlgorithms(), 3)
@@ -44,7 +46,7 @@
 	require.Equal(t, first, second)
 }
 
-func TestOptionsNameTheFieldThatIsWrong(t *testing.T) {
+func TestValidateNamesTheInvalidField(t *testing.T) {
 	tests := map[string]func(*compare.Options){
 		"targets":         func(options *compare.Options) { options.Targets = 1 },
 		"balancers":       func(options *compare.Options) { options.Balancers = 1 },
@@ -55,17 +57,17 @@
 		"service time":    func(options *compare.Options) { options.ServiceTime = 0 },
 		"change interval": func(options *compare.Options) { options.ChangeInterval = options.SettledAfter },
 	}
-	for field, spoil := range tests {
+	for field, invalidate := range tests {
 		t.Run(field, func(t *testing.T) {
 			options := shortOptions(4)
-			spoil(&options)
+			invalidate(&options)
 			_, err := compare.Run(options, compare.AllAlgorithms(), 1)
 			require.ErrorContains(t, err, field)
 		})
 	}
 }
 
-func TestFlowsStayBalancedOnceAChangeIsTwoMinutesOld(t *testing.T) {
+func TestFlowsAreBalancedTwoMinutesAfterAChange(t *testing.T) {
 	for _, targets := range []int{4, 14} {
 		options := compare.DefaultOptions(1, targets)
 		options.FlowsPerSecond = 6
--- a/internal/routing/compare/doc.go
+++ b/internal/routing/compare/doc.go
@@ -1,14 +1,12 @@
-// Package compare runs several ways of routing packets to the targets of their
-// flows over the same flows and the same changes, on virtual time, and measures
-// broken flows, imbalance, state and control traffic.
+// Package compare runs several routing algorithms with the same flows and the same changes, in virtual
+// time, and measures broken flows, imbalance, state and control traffic.
 //
-// The ways are plain consistent hashing, a flow table at each balancer, a
-// two-hop chain, connection-ID routing, and the product's own chain, which is
-// made of the packages routing, flow and steering themselves. Two all-knowing
-// placements without lag and without faults serve as baselines of imbalance.
+// The algorithms are plain consistent hashing, a flow table at each balancer, a two-hop chain,
+// connection-ID routing, and the full chain of the product, which runs the packages routing, flow and
+// steering themselves. Three baselines for the imbalance place each flow with full knowledge, without
+// lag and without faults.
 //
-// What the model leaves out: a packet and its passes take no time, so races
-// between copies of a packet are not covered here but by merlinsim; the fabric
-// loses nothing; a back end is a first-come-first-served queue before its
-// slots.
+// The model has these simplifications: Sending and forwarding a packet take no time, so races between
+// copies of a packet do not occur (merlinsim covers them). The fabric loses no packets. A back end is a
+// first-come-first-served queue with a limited number of slots.
 package compare
--- a/internal/routing/compare/hashing.go
+++ b/internal/routing/compare/hashing.go
@@ -13,21 +13,23 @@
 	"merlinpaddle/internal/routing"
 )
 
+// hashOf returns the hash of a flow, which all algorithms use.
 func hashOf(tuple model.FiveTuple) uint64 { return routing.FlowHash(tuple) }
 
+// sortFlows sorts flows by number, so that iterating over a map does not affect the results.
 func sortFlows(flows []*flowState) {
 	slices.SortFunc(flows, func(left, right *flowState) int {
 		return cmp.Compare(left.plan.number, right.plan.number)
 	})
 }
 
-// members are the targets that may take new flows, as of one revision.
+// members has the targets that may open new flows, as of one revision.
 type members struct {
 	serving []model.TargetID
 }
 
-// choose returns the target with the highest random weight for a hash. That is
-// consistent hashing with an even share for every target.
+// choose returns the target with the highest weight for hash (rendezvous hashing). This is consistent
+// hashing in which all targets have equal shares. It returns zero if there is no serving target.
 func (members members) choose(hash uint64) model.TargetID {
 	var best model.TargetID
 	var bestWeight uint64
@@ -46,7 +48,7 @@
 	return xxhash.Sum64(key[:])
 }
 
-// membership returns the members that control has committed.
+// membership returns the targets whose committed phase is serving.
 func (run *run) membership() members {
 	var current members
 	for _, target := range run.targets {
@@ -57,22 +59,23 @@
 	return current
 }
 
-// hashing is plain consistent hashing. The other simple ways build on it.
+// hashing is plain consistent hashing. All other algorithms except fullChain embed it.
 type hashing struct {
-	run     *run
-	rollout *rollout[members]
-	counter *byteCounter
+	run         *run
+	memberships *propagation[members]
+	counter     *byteCounter
 }
 
 func newHashing(run *run) *hashing {
-	return &hashing{run: run, rollout: newRollout(run, run.membership()), counter: newByteCounter()}
+	return &hashing{run: run, memberships: newPropagation(run, run.membership()), counter: newByteCounter()}
 }
 
 func (hashing *hashing) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
-	return hashing.deliver(hashing.rollout.at(balancerOf(balancer)).choose(flow.hash), flow, opening)
+	return hashing.deliver(hashing.memberships.appliedBy(balancerID(balancer)).choose(flow.hash), flow, opening)
 }
 
-// deliver is what a target without further knowledge does with a packet.
+// deliver returns the result of a packet at a target that knows only its own flows: the target accepts
+// opening packets and packets of flows that it owns, and resets all others.
 func (hashing *hashing) deliver(target model.TargetID, flow *flowState, opening bool) outcome {
 	switch {
 	case !hashing.run.isLive(target):
@@ -84,14 +87,15 @@
 	}
 }
 
-func (hashing *hashing) closed(*flowState) {}
+func (hashing *hashing) flowClosed(*flowState) {}
 
 func (hashing *hashing) targetsChanged() {
 	hashing.counter.add(hashing.run.targetRecord())
-	hashing.rollout.publish(hashing.run.membership())
+	hashing.memberships.publish(hashing.run.membership())
 }
 
-// targetRecord is the row of a target that a change sends to each node.
+// targetRecord returns a target as a change of the targets sends it to each node. Only its encoded size
+// matters.
 func (run *run) targetRecord() model.Target {
 	return model.Target{ID: model.TargetID(len(run.targets)), Service: comparedService, Phase: phaseServing, Agent: serviceAddress}
 }
@@ -101,7 +105,7 @@
 func (hashing *hashing) targetDied(model.TargetID) {}
 
 func (hashing *hashing) balancerJoined(balancer *balancerNode) {
-	hashing.rollout.join(balancerOf(balancer))
+	hashing.memberships.join(balancerID(balancer))
 }
 
 func (hashing *hashing) state() StateBytes {
@@ -110,65 +114,65 @@
 
 func (hashing *hashing) controlBytes() (down, up uint64) { return hashing.counter.total, 0 }
 
-// connectionID is hashing for opening packets; later packets of QUIC flows
-// carry their owner in the connection ID that the owner issued.
+// connectionID uses hashing for opening packets and for TCP. Later packets of QUIC flows go to their owner,
+// whose ID is part of the connection ID that the owner issued.
 type connectionID struct{ *hashing }
 
-func (way connectionID) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
+func (connectionID connectionID) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
 	if !opening && flow.plan.quic {
-		return way.deliver(flow.owner, flow, false)
+		return connectionID.deliver(flow.owner, flow, false)
 	}
-	return way.hashing.route(balancer, flow, opening)
+	return connectionID.hashing.route(balancer, flow, opening)
 }
 
-// flowTable is hashing with a table of flows at each balancer. Balancers do
-// not share their tables.
+// flowTable is hashing with a flow table at each balancer, which overrides the hash. Balancers do not share
+// their tables.
 type flowTable struct {
 	*hashing
 	tables map[int]*flow.Cache
 }
 
-// tableCapacity is the number of flows that a balancer's table holds.
+// tableCapacity is the capacity of a balancer's flow table, in flows.
 const tableCapacity = 1 << 17
 
 func newFlowTable(run *run) *flowTable {
-	way := &flowTable{hashing: newHashing(run), tables: make(map[int]*flow.Cache)}
+	flowTable := &flowTable{hashing: newHashing(run), tables: make(map[int]*flow.Cache)}
 	for _, balancer := range run.balancers {
-		way.tables[balancer.number] = flow.NewCache(tableCapacity)
+		flowTable.tables[balancer.number] = flow.NewCache(tableCapacity)
 	}
-	return way
+	return flowTable
 }
 
-func (way *flowTable) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
-	table := way.tables[balancer.number]
-	if target, known := table.Lookup(flow.hash, flow.tuple); known && way.run.target(target).phase != phaseDead {
-		return way.deliver(target, flow, opening)
+func (flowTable *flowTable) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
+	table := flowTable.tables[balancer.number]
+	if target, known := table.Lookup(flow.hash, flow.tuple); known && flowTable.run.target(target).phase != phaseDead {
+		return flowTable.deliver(target, flow, opening)
 	}
-	target := way.rollout.at(balancerOf(balancer)).choose(flow.hash)
+	target := flowTable.memberships.appliedBy(balancerID(balancer)).choose(flow.hash)
 	table.Insert(flow.hash, flow.tuple, target)
-	return way.deliver(target, flow, opening)
+	return flowTable.deliver(target, flow, opening)
 }
 
-// closed forgets a flow at every balancer, as if each had seen its end.
-func (way *flowTable) closed(flow *flowState) {
-	for _, table := range way.tables {
+// flowClosed removes the flow from the tables of all balancers, as if each had seen the flow close.
+func (flowTable *flowTable) flowClosed(flow *flowState) {
+	for _, table := range flowTable.tables {
 		table.Remove(flow.hash, flow.tuple)
 	}
 }
 
-func (way *flowTable) balancerJoined(balancer *balancerNode) {
-	way.hashing.balancerJoined(balancer)
-	way.tables[balancer.number] = flow.NewCache(tableCapacity)
+func (flowTable *flowTable) balancerJoined(balancer *balancerNode) {
+	flowTable.hashing.balancerJoined(balancer)
+	flowTable.tables[balancer.number] = flow.NewCache(tableCapacity)
 }
 
-func (way *flowTable) state() StateBytes {
-	state := way.hashing.state()
-	state.Balancers = cacheBytes(way.run, way.tables)
+func (flowTable *flowTable) state() StateBytes {
+	state := flowTable.hashing.state()
+	state.Balancers = cacheBytes(flowTable.run, flowTable.tables)
 	return state
 }
 
-// cacheBytes returns the memory that the caches of the live balancers need for
-// the flows that they hold.
+// cacheBytes returns the memory, in bytes, of the flows in the caches of the live balancers. Each flow counts
+// with its share of a cache's memory, so that unused capacity does not count.
 func cacheBytes(run *run, caches map[int]*flow.Cache) float64 {
 	total := 0.0
 	for _, balancer := range run.alive {
--- a/internal/routing/compare/markdown.go
+++ b/internal/routing/compare/markdown.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Markdown returns the tables of one size.
+// Markdown returns the result tables of the comparisons with one number of targets.
 func Markdown(targets int, summaries []Summary) string {
 	var page strings.Builder
 	fmt.Fprintf(&page, "### %d targets\n\n", targets)
@@ -17,6 +17,7 @@
 	return page.String()
 }
 
+// writeBroken writes broken flows, retries, state, control traffic and passes.
 func writeBroken(page *strings.Builder, summaries []Summary) {
 	page.WriteString("| way | broken, planned | broken, unplanned | lost with their target | late at a drain | " +
 		"repeated openings | balancer B/flow | target B/flow | table B | control B/change down | up | " +
@@ -31,6 +32,7 @@
 	page.WriteString("\n")
 }
 
+// writeBalance writes the imbalance of flows and requests, and the waits of requests.
 func writeBalance(page *strings.Builder, summaries []Summary) {
 	page.WriteString("| way | flows median | p99 | settled median | settled p99 | settled max | settled at most 1.05 | " +
 		"requests max/mean | over 30 s | requests at a target | wait ms | shed |\n" +
@@ -45,6 +47,7 @@
 	page.WriteString("\n")
 }
 
+// writeChanges writes the imbalance of flows after each change.
 func writeChanges(page *strings.Builder, summaries []Summary) {
 	page.WriteString("Imbalance of flows two minutes after a change, highest of the runs:\n\n| way |")
 	rule := "|---|"
@@ -63,12 +66,13 @@
 	page.WriteString("\n")
 }
 
-// gapFigure is a figure of requests in which the gap is measured.
+// gapFigure is a figure about requests whose gap between two algorithms is reported.
 type gapFigure struct {
 	name   string
 	figure func(Summary) float64
 }
 
+// writeGap writes the part of the gap that the full chain closes (GapClosed) in each gapFigure.
 func writeGap(page *strings.Builder, summaries []Summary) {
 	figures := []gapFigure{
 		{"requests running and waiting at a target", func(summary Summary) float64 { return summary.RequestsMean }},
--- a/internal/routing/compare/measure.go
+++ b/internal/routing/compare/measure.go
@@ -6,26 +6,29 @@
 	"time"
 )
 
-// sample is what was seen at one second.
+// sample is a measurement of the serving targets, taken every second.
 type sample struct {
-	at       time.Duration
+	// at is the virtual time since the start of the run.
+	at time.Duration
+	// flows and requests are the imbalance of open flows, and of running and waiting requests.
 	flows    float64
 	requests float64
-	// windowed is the imbalance of the mean requests of the latest samples.
+	// windowed is the imbalance of the targets' mean numbers of requests over the latest
+	// windowSamples samples.
 	windowed float64
-	// inSystem is the mean number of requests that run and wait at a target.
+	// inSystem is the mean number of running and waiting requests at a target.
 	inSystem float64
 }
 
-// windowSamples is the number of samples over which the windowed imbalance of
-// requests averages: a back end runs few requests at once, so that a single
-// sample is mostly chance.
+// windowSamples is the number of samples over which the windowed imbalance of requests averages. A back
+// end runs few requests at once, so a single sample is mostly noise.
 const windowSamples = 30
 
-// takeSample records the imbalance of the serving targets.
+// takeSample records the imbalance of the serving targets and the state of the algorithm. During the
+// warm-up it only fills the window of requests.
 func (run *run) takeSample() {
 	for _, target := range run.targets {
-		target.remember()
+		target.recordRequests()
 	}
 	if run.clock.Elapsed() < run.options.WarmUp {
 		return
@@ -46,11 +49,11 @@
 		windowed: imbalance(windowed),
 		inSystem: mean(requests),
 	})
-	run.state.add(run.way.state(), len(run.open))
+	run.state.add(run.algorithm.state(), len(run.open))
 }
 
-// remember keeps the present number of requests for the windowed imbalance.
-func (target *targetNode) remember() {
+// recordRequests records the current number of requests for the windowed imbalance.
+func (target *targetNode) recordRequests() {
 	if target.requests == nil {
 		return
 	}
@@ -58,7 +61,7 @@
 	target.next = (target.next + 1) % windowSamples
 }
 
-// imbalance returns the maximum over the mean, or NaN when all are zero.
+// imbalance returns the ratio of the maximum to the mean, or NaN if all values are zero.
 func imbalance(values []float64) float64 {
 	average := mean(values)
 	if average == 0 {
@@ -75,7 +78,7 @@
 	return total / float64(len(values))
 }
 
-// waitStatistics sums up the time that requests waited for a slot.
+// waitStatistics sums the times that requests waited for a slot.
 type waitStatistics struct {
 	count int
 	total time.Duration
@@ -93,7 +96,8 @@
 	return statistics.total / time.Duration(statistics.count)
 }
 
-// stateStatistics averages the state of a way over the samples.
+// stateStatistics sums the state of an algorithm over the samples. balancers and targets are bytes for each
+// open flow, table is bytes.
 type stateStatistics struct {
 	samples   int
 	balancers float64
@@ -111,19 +115,20 @@
 	statistics.table += state.Table
 }
 
-// Spread gives quantiles of an imbalance over samples.
+// Spread has quantiles of an imbalance over samples.
 type Spread struct {
 	Median float64 `json:"median"`
 	P99    float64 `json:"p99"`
 	Max    float64 `json:"max"`
-	// Within is the part of the samples that are at most goalFlows.
+	// Within is the fraction of the samples that are at most flowImbalanceGoal.
 	Within float64 `json:"within"`
 }
 
-// goalFlows is the highest imbalance of concurrent flows that is wanted once a
-// change has settled.
-const goalFlows = 1.05
+// flowImbalanceGoal is the maximum imbalance of concurrent flows that is acceptable once a change has
+// settled.
+const flowImbalanceGoal = 1.05
 
+// spreadOf returns the spread of values, ignoring NaN. It modifies values.
 func spreadOf(values []float64) Spread {
 	values = slices.DeleteFunc(values, math.IsNaN)
 	if len(values) == 0 {
@@ -132,7 +137,7 @@
 	slices.Sort(values)
 	within := 0
 	for _, value := range values {
-		if value <= goalFlows {
+		if value <= flowImbalanceGoal {
 			within++
 		}
 	}
@@ -144,128 +149,129 @@
 	}
 }
 
-func quantile(sorted []float64, part float64) float64 {
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+func quantile(sorted []float64, fraction float64) float64 {
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
 
-// ChangeResult is what happened around one change.
+// ChangeResult is the measurement after one change.
 type ChangeResult struct {
 	Change ChangeKind `json:"change"`
-	// Flows is the imbalance of concurrent flows when the change is as old as
-	// the settling time.
+	// Flows is the imbalance of concurrent flows when Options.SettledAfter has passed since the change.
 	Flows float64 `json:"flows"`
 }
 
-// Result is what one way did in one run.
+// Result is the result of one algorithm in one run.
 type Result struct {
 	Algorithm AlgorithmName `json:"way"`
-	// Opened counts connections; NotOpened those that callers gave up.
+	// Opened counts connections that opened, and NotOpened those that callers gave up.
 	Opened    uint64 `json:"opened"`
 	NotOpened uint64 `json:"notOpened"`
 	Packets   uint64 `json:"packets"`
 	Requests  uint64 `json:"requests"`
-	// Shed counts requests that a full queue refused.
+	// Shed counts requests that were rejected because the target's queue was full.
 	Shed uint64 `json:"shed"`
-	// BrokenPlanned and BrokenUnplanned count the flows that ended before
-	// their time after a planned or an unplanned change, although their target
-	// lived. BrokenOnDeadTarget counts those that died with their target.
+	// BrokenPlanned and BrokenUnplanned count the flows that broke although their target lived, by
+	// whether the latest change was planned. BrokenOnDeadTarget counts the flows that broke because
+	// their target died.
 	BrokenPlanned      uint64 `json:"brokenPlanned"`
 	BrokenUnplanned    uint64 `json:"brokenUnplanned"`
 	BrokenOnDeadTarget uint64 `json:"brokenOnDeadTarget"`
-	// LateOpenings counts flows that a draining target took more than three
-	// seconds after its drain.
+	// LateOpenings counts flows that a draining target opened more than three seconds after its drain
+	// started.
 	LateOpenings uint64 `json:"lateOpenings"`
-	// OpeningRetries and PacketRetries count packets that callers repeated
-	// because they were lost.
+	// OpeningRetries counts opening packets that were lost or reset. PacketRetries counts later packets
+	// that were lost and sent again.
 	OpeningRetries uint64 `json:"openingRetries"`
 	PacketRetries  uint64 `json:"packetRetries"`
-	// OpeningPasses and Passes count passes between targets.
+	// OpeningPasses and Passes count how often targets forwarded opening packets and later packets.
 	OpeningPasses uint64 `json:"openingPasses"`
 	Passes        uint64 `json:"passes"`
-	// Flows is the imbalance of concurrent flows over all samples, and
-	// FlowsSettled that over the samples whose last change had settled.
+	// Flows is the imbalance of concurrent flows over all samples. FlowsSettled covers only the samples
+	// with no change within Options.SettledAfter before them.
 	Flows        Spread `json:"flows"`
 	FlowsSettled Spread `json:"flowsSettled"`
-	// Requests running and waiting: imbalance of single samples, of means over
-	// windowSamples, and mean number at a target.
+	// RequestsSpread is the imbalance of running and waiting requests over all samples, and
+	// RequestsSettled that over the settled samples. RequestsWindowed is the imbalance of means over
+	// windowSamples samples. RequestsMean is the mean number of requests at a target.
 	RequestsSpread   Spread  `json:"requestsImbalance"`
 	RequestsSettled  Spread  `json:"requestsSettled"`
 	RequestsWindowed Spread  `json:"requestsWindowed"`
 	RequestsMean     float64 `json:"requestsMean"`
-	// RequestsImbalanceMean is the mean over all samples.
+	// RequestsImbalanceMean is the mean of the requests' imbalance over all samples.
 	RequestsImbalanceMean float64 `json:"requestsImbalanceMean"`
-	// WaitMilliseconds is the mean wait of a request for a slot.
+	// WaitMilliseconds is the mean time that a request waits for a slot.
 	WaitMilliseconds float64        `json:"waitMilliseconds"`
 	Changes          []ChangeResult `json:"changes"`
-	// BalancerBytes and TargetBytes are the bytes of state for each open flow
-	// in all balancers and all targets; TableBytes is one node's table.
+	// BalancerBytes and TargetBytes are the bytes of state for each open flow, summed over all balancers
+	// and over all targets. TableBytes is the size of one node's table.
 	BalancerBytes float64 `json:"balancerBytesPerFlow"`
 	TargetBytes   float64 `json:"targetBytesPerFlow"`
 	TableBytes    float64 `json:"tableBytes"`
-	// ControlDown and ControlUp are the control bytes for each change of the
-	// targets: received by each node, and reported by all targets together.
+	// ControlDown and ControlUp are the bytes of control traffic for each change of the targets:
+	// received by each node, and reported by all targets together.
 	ControlDown float64 `json:"controlDownPerChange"`
 	ControlUp   float64 `json:"controlUpPerChange"`
-	// Course is the imbalance of flows and requests at each second.
+	// Timeline is the imbalance of flows and requests at each sample.
 	Timeline []TimelinePoint `json:"course"`
 }
 
-// CoursePoint is the imbalance at one moment; that of requests is windowed.
+// TimelinePoint is the imbalance at one time. The imbalance of requests is windowed, see windowSamples.
 type TimelinePoint struct {
 	Seconds  float64 `json:"seconds"`
 	Flows    float64 `json:"flows"`
 	Requests float64 `json:"requests"`
 }
 
-// Broken returns the flows that broke although their target lived.
+// Broken returns the number of flows that broke although their target lived.
 func (result Result) Broken() uint64 { return result.BrokenPlanned + result.BrokenUnplanned }
 
-// summarize fills in the figures that come from samples.
+// summarize fills in the figures of the result that are derived from samples.
 func (run *run) summarize() {
 	result := &run.result
-	isAny := func(sample) bool { return true }
-	result.Flows = spreadOf(run.values(isAny, flowsOf))
-	result.FlowsSettled = spreadOf(run.values(run.isSettled, flowsOf))
-	result.RequestsSpread = spreadOf(run.values(isAny, requestsOf))
-	result.RequestsSettled = spreadOf(run.values(run.isSettled, requestsOf))
-	result.RequestsWindowed = spreadOf(run.values(isAny, func(sample sample) float64 { return sample.windowed }))
-	result.RequestsMean = mean(run.values(isAny, func(sample sample) float64 { return sample.inSystem }))
-	result.RequestsImbalanceMean = mean(slices.DeleteFunc(run.values(isAny, requestsOf), math.IsNaN))
+	allSamples := func(sample) bool { return true }
+	result.Flows = spreadOf(run.values(allSamples, flowImbalance))
+	result.FlowsSettled = spreadOf(run.values(run.isSettled, flowImbalance))
+	result.RequestsSpread = spreadOf(run.values(allSamples, requestImbalance))
+	result.RequestsSettled = spreadOf(run.values(run.isSettled, requestImbalance))
+	result.RequestsWindowed = spreadOf(run.values(allSamples, func(sample sample) float64 { return sample.windowed }))
+	result.RequestsMean = mean(run.values(allSamples, func(sample sample) float64 { return sample.inSystem }))
+	result.RequestsImbalanceMean = mean(slices.DeleteFunc(run.values(allSamples, requestImbalance), math.IsNaN))
 	result.WaitMilliseconds = float64(run.waits.mean()) / float64(time.Millisecond)
 	run.summarizeChanges()
 	run.summarizeState()
 	for _, sample := range run.samples {
 		result.Timeline = append(result.Timeline, TimelinePoint{
 			Seconds:  sample.at.Seconds(),
-			Flows:    orOne(sample.flows),
-			Requests: orOne(sample.windowed),
+			Flows:    replaceNaN(sample.flows),
+			Requests: replaceNaN(sample.windowed),
 		})
 	}
 }
 
-// orOne replaces the imbalance of nothing.
-func orOne(imbalance float64) float64 {
+// replaceNaN returns imbalance, or 1 if it is NaN because all values were zero.
+func replaceNaN(imbalance float64) float64 {
 	if math.IsNaN(imbalance) {
 		return 1
 	}
 	return imbalance
 }
 
-func flowsOf(sample sample) float64 { return sample.flows }
+func flowImbalance(sample sample) float64 { return sample.flows }
 
-func requestsOf(sample sample) float64 { return sample.requests }
+func requestImbalance(sample sample) float64 { return sample.requests }
 
-func (run *run) values(wanted func(sample) bool, figure func(sample) float64) []float64 {
+// values returns a figure of each sample that include selects.
+func (run *run) values(include func(sample) bool, figure func(sample) float64) []float64 {
 	var values []float64
 	for _, sample := range run.samples {
-		if wanted(sample) {
+		if include(sample) {
 			values = append(values, figure(sample))
 		}
 	}
 	return values
 }
 
-// isSettled tells whether the last change before the sample had settled.
+// isSettled reports whether no change happened within Options.SettledAfter before the sample.
 func (run *run) isSettled(sample sample) bool {
 	for _, change := range run.changes {
 		age := sample.at - change.at
@@ -292,13 +298,13 @@
 	run.result.BalancerBytes = run.state.balancers / samples
 	run.result.TargetBytes = run.state.targets / samples
 	run.result.TableBytes = run.state.table / samples
-	down, up := run.way.controlBytes()
+	down, up := run.algorithm.controlBytes()
 	changes := float64(max(1, run.targetChanges()))
 	run.result.ControlDown = float64(down) / changes
 	run.result.ControlUp = float64(up) / changes
 }
 
-// targetChanges counts the changes that concern targets.
+// targetChanges returns the number of changes so far that change the configured targets.
 func (run *run) targetChanges() int {
 	count := 0
 	for _, change := range run.changes {
--- a/internal/routing/compare/options.go
+++ b/internal/routing/compare/options.go
@@ -5,41 +5,39 @@
 	"time"
 )
 
-// Options sizes one comparison.
+// Options has the parameters of one comparison.
 type Options struct {
-	// Seed decides every random choice.
+	// Seed determines all random choices.
 	Seed uint64
 	// Targets is the number of targets at the start.
 	Targets int
 	// Balancers is the number of balancers at the start.
 	Balancers int
-	// FlowsPerSecond is the number of new flows a second for each target of
-	// the start.
+	// FlowsPerSecond is the number of new flows a second for each target of the initial Targets.
 	FlowsPerSecond float64
-	// Utilization is the part of the slots of the targets at the start that
-	// the offered requests need.
+	// Utilization is the fraction of the slots of the initial targets that the offered requests
+	// occupy on average.
 	Utilization float64
-	// QUICShare is the part of the flows that are QUIC; the rest is TCP.
+	// QUICShare is the fraction of the flows that are QUIC; the others are TCP.
 	QUICShare float64
-	// Slots and Queue are the requests that run and wait at a target at most.
+	// Slots and Queue are the maximum numbers of requests that run and wait at a target.
 	Slots int
 	Queue int
-	// ServiceTime is the mean time that a request holds a slot.
+	// ServiceTime is the mean time that a request occupies a slot.
 	ServiceTime time.Duration
-	// ReportLag is the age of the load reports that agents see.
+	// ReportLag is the age at which load reports are delivered.
 	ReportLag time.Duration
-	// WarmUp passes before the first change and is not measured.
+	// WarmUp is the time before the first change. No samples are taken in it, but events are counted.
 	WarmUp time.Duration
 	// ChangeInterval is the time between two changes.
 	ChangeInterval time.Duration
-	// SettledAfter is the age of a change from which on imbalance counts as
-	// settled.
+	// SettledAfter is the time after a change from which on the imbalance counts as settled.
 	SettledAfter time.Duration
-	// Changes are what happens, in order, one at each interval.
+	// Changes are the changes in order, one at each ChangeInterval.
 	Changes []ChangeKind
 }
 
-// DefaultOptions returns the comparison that docs/design/routing.md states.
+// DefaultOptions returns the options of the comparison that docs/design/routing.md describes.
 func DefaultOptions(seed uint64, targets int) Options {
 	return Options{
 		Seed:           seed,
@@ -59,7 +57,7 @@
 	}
 }
 
-// Validate names the first field that has no useful value.
+// Validate returns an error that names the first field with an invalid value, or nil.
 func (options Options) Validate() error {
 	switch {
 	case options.Targets < 2 || options.Targets > maximumTargets:
@@ -82,10 +80,10 @@
 	return nil
 }
 
-// maximumTargets bounds the size of a comparison.
+// maximumTargets is the maximum number of initial targets.
 const maximumTargets = 200
 
-// duration returns the length of the run.
+// duration returns the virtual duration of a run: the warm-up and one interval for each change.
 func (options Options) duration() time.Duration {
 	return options.WarmUp + time.Duration(len(options.Changes))*options.ChangeInterval
 }
--- a/internal/routing/compare/run.go
+++ b/internal/routing/compare/run.go
@@ -8,55 +8,58 @@
 )
 
 const (
-	// retryInterval is the time after which a caller repeats a packet that was
-	// lost.
+	// retryInterval is the time after which a caller retries a packet that was lost, or opens a
+	// connection again after its flow broke.
 	retryInterval = time.Second
-	// maximumRetries is the number of repetitions after which a caller gives
-	// up.
+	// maximumRetries is the number of retries of a packet after which a caller gives up.
 	maximumRetries = 15
-	// lateOpening is the time after a drain from which on a new flow at the
-	// target counts as late.
-	lateOpening = 3 * time.Second
+	// lateOpeningAfter is the time after the start of a drain from which on a new flow at the target
+	// counts as late.
+	lateOpeningAfter = 3 * time.Second
 )
 
-// run is one way at work.
+// run is the simulation of one algorithm.
 type run struct {
-	options Options
-	clock   *kernel.Scheduler
-	plans   []flowPlan
-	way     way
-	targets []*targetNode
-	// balancers are all that ever started; alive are those that get packets.
+	options   Options
+	clock     *kernel.Scheduler
+	plans     []flowPlan
+	algorithm algorithm
+	targets   []*targetNode
+	// balancers has all balancers that ever started, alive those that receive packets.
 	balancers []*balancerNode
 	alive     []*balancerNode
-	open      map[uint64]*flowState
-	loads     *loadReports
-	changes   []appliedChange
-	samples   []sample
-	waits     waitStatistics
-	state     stateStatistics
-	result    Result
+	// open has the open flows by the number of their plan.
+	open    map[uint64]*flowState
+	loads   *loadReports
+	changes []appliedChange
+	samples []sample
+	waits   waitStatistics
+	state   stateStatistics
+	result  Result
 }
 
-// appliedChange is a change that happened.
+// appliedChange is a change that was applied, with its time since the start of the run.
 type appliedChange struct {
 	kind ChangeKind
 	at   time.Duration
 }
 
-// balancerNode is one balancer; ways keep their own state of it by its number.
+// balancerNode is one balancer. Algorithms keep their own state of it by its number.
 type balancerNode struct {
 	number int
 	alive  bool
 }
 
-// flowState is one flow during a run.
+// flowState is one connection of a planned flow. A flow that breaks gets a new connection.
 type flowState struct {
-	plan    flowPlan
-	tuple   model.FiveTuple
-	hash    uint64
-	owner   model.TargetID
+	plan  flowPlan
+	tuple model.FiveTuple
+	hash  uint64
+	// owner is the target that opened the flow.
+	owner model.TargetID
+	// attempt is the number of earlier connections of the planned flow.
 	attempt uint32
+	// packets is the number of packets sent after the opening, including retries.
 	packets uint32
 	endsAt  time.Time
 	ended   bool
@@ -71,9 +74,9 @@
 		result:  Result{Algorithm: name},
 	}
 	created.loads = &loadReports{
-		run:    created,
-		seen:   make(map[model.TargetID]model.TargetLoad),
-		frozen: make(map[model.TargetID]bool),
+		run:       created,
+		delivered: make(map[model.TargetID]model.TargetLoad),
+		frozen:    make(map[model.TargetID]bool),
 	}
 	for range options.Balancers {
 		created.addBalancer()
@@ -81,7 +84,7 @@
 	for range options.Targets {
 		created.targets = append(created.targets, created.newTarget())
 	}
-	created.way = newWay(created, name)
+	created.algorithm = newAlgorithm(created, name)
 	return created
 }
 
@@ -96,7 +99,7 @@
 func (run *run) addTarget() {
 	target := run.newTarget()
 	run.targets = append(run.targets, target)
-	run.way.targetJoined(target.id)
+	run.algorithm.targetJoined(target.id)
 }
 
 func (run *run) addBalancer() {
@@ -115,10 +118,10 @@
 
 func (run *run) target(id model.TargetID) *targetNode { return run.targets[id-1] }
 
-// isLive tells whether packets to the target arrive.
+// isLive reports whether id is a target whose machine is not dead.
 func (run *run) isLive(id model.TargetID) bool { return id != 0 && !run.target(id).dead }
 
-// serving returns the targets that truly take new flows.
+// serving returns the live targets whose phase is serving.
 func (run *run) serving() []*targetNode {
 	var serving []*targetNode
 	for _, target := range run.targets {
@@ -131,7 +134,7 @@
 
 func (run *run) firstServing() model.TargetID { return run.serving()[0].id }
 
-// execute runs the whole comparison of one way.
+// execute simulates the flows and changes with the algorithm and returns the result.
 func (run *run) execute() Result {
 	run.scheduleNextArrival(0)
 	run.scheduleChanges()
@@ -145,8 +148,8 @@
 	return run.result
 }
 
-// scheduleNextArrival keeps one arrival ahead, so that the event queue stays
-// short.
+// scheduleNextArrival schedules the arrival of the flow at index and, when it has arrived, the next one.
+// Only one arrival is scheduled at a time, which keeps the event queue short.
 func (run *run) scheduleNextArrival(index int) {
 	if index >= len(run.plans) {
 		return
@@ -158,45 +161,49 @@
 	})
 }
 
-// startFlow opens the attempt-th connection of a flow, which ends at endsAt.
+// startFlow opens a connection of a flow, which ends at endsAt. attempt is zero for the first connection and
+// increases with each new one after the flow broke.
 func (run *run) startFlow(plan flowPlan, attempt uint32, endsAt time.Time) {
 	flow := &flowState{plan: plan, attempt: attempt, endsAt: endsAt, tuple: tupleOf(plan.number, attempt)}
 	flow.hash = hashOf(flow.tuple)
 	run.tryOpening(flow, 0)
 }
 
+// tryOpening sends an opening packet. Unless it is delivered, tryOpening retries after retryInterval, until
+// maximumRetries is exceeded or the flow's end is reached.
 func (run *run) tryOpening(flow *flowState, retries int) {
 	if retries > maximumRetries || !run.clock.Now().Before(flow.endsAt) {
 		run.result.NotOpened++
 		return
 	}
-	end := run.way.route(run.pickBalancer(flow), flow, true)
-	if end.verdict != verdictDelivered {
+	routed := run.algorithm.route(run.pickBalancer(flow), flow, true)
+	if routed.verdict != verdictDelivered {
 		run.result.OpeningRetries++
 		run.clock.After(retryInterval, func() { run.tryOpening(flow, retries+1) })
 		return
 	}
-	run.countOpening(flow, end)
+	run.countOpening(flow, routed)
 	run.clock.At(flow.endsAt, func() { run.endFlow(flow) })
 	run.scheduleRequest(flow)
 }
 
-func (run *run) countOpening(flow *flowState, end outcome) {
-	flow.owner = end.target
-	target := run.target(end.target)
+// countOpening records that the target of routed opened the flow.
+func (run *run) countOpening(flow *flowState, routed outcome) {
+	flow.owner = routed.target
+	target := run.target(routed.target)
 	target.flows++
 	target.rate += flow.plan.rate
 	run.open[flow.plan.number] = flow
 	run.result.Opened++
-	run.result.OpeningPasses += uint64(end.passes)
-	late := target.phase == phaseDraining && run.clock.Now().Sub(target.drainedAt) > lateOpening
+	run.result.OpeningPasses += uint64(routed.passes)
+	late := target.phase == phaseDraining && run.clock.Now().Sub(target.drainedAt) > lateOpeningAfter
 	if late {
 		run.result.LateOpenings++
 	}
 }
 
-// scheduleRequest plans the next packet of a flow: a request, or a packet that
-// keeps the flow alive when the request is far away.
+// scheduleRequest schedules the next packet of a flow: a request, or a keep-alive packet if the next request
+// is more than keepAlive away.
 func (run *run) scheduleRequest(flow *flowState) {
 	gap := exponential(run.draw(flow.plan.number, flow.packets, drawGap), 1/flow.plan.rate)
 	isRequest := gap <= keepAlive
@@ -209,21 +216,23 @@
 	})
 }
 
-// sendPacket sends a packet of an open flow through any balancer.
+// sendPacket sends a packet of an open flow through a random live balancer. A lost packet is sent again up to
+// maximumRetries times. The flow breaks when that fails too, when the packet is reset, and when a target
+// other than the owner accepts it.
 func (run *run) sendPacket(flow *flowState, isRequest bool, retries int) {
 	if flow.ended {
 		return
 	}
-	end := run.way.route(run.pickBalancer(flow), flow, false)
+	routed := run.algorithm.route(run.pickBalancer(flow), flow, false)
 	run.result.Packets++
-	run.result.Passes += uint64(end.passes)
+	run.result.Passes += uint64(routed.passes)
 	switch {
-	case end.verdict == verdictDelivered && end.target == flow.owner:
+	case routed.verdict == verdictDelivered && routed.target == flow.owner:
 		if isRequest {
 			run.result.Requests++
-			run.target(flow.owner).requests.arrive(run.serviceTime(flow))
+			run.target(flow.owner).requests.admit(run.serviceTime(flow))
 		}
-	case end.verdict == verdictLost && retries < maximumRetries:
+	case routed.verdict == verdictLost && retries < maximumRetries:
 		run.result.PacketRetries++
 		flow.packets++
 		run.clock.After(retryInterval, func() { run.sendPacket(flow, isRequest, retries+1) })
@@ -232,6 +241,7 @@
 	}
 }
 
+// serviceTime draws the time that the current request of the flow occupies a slot.
 func (run *run) serviceTime(flow *flowState) time.Duration {
 	return exponential(run.draw(flow.plan.number, flow.packets, drawService), run.options.ServiceTime.Seconds())
 }
@@ -254,11 +264,10 @@
 	target.flows--
 	target.rate -= flow.plan.rate
 	delete(run.open, flow.plan.number)
-	run.way.closed(flow)
+	run.algorithm.flowClosed(flow)
 }
 
-// breakFlow ends a flow before its time; its caller connects again for the
-// rest of it.
+// breakFlow ends a flow early. Its caller opens a new connection for the remaining lifetime.
 func (run *run) breakFlow(flow *flowState, onDeadTarget bool) {
 	run.close(flow)
 	run.countBroken(onDeadTarget)
@@ -269,7 +278,8 @@
 	})
 }
 
-// countBroken files a broken flow under the latest change.
+// countBroken counts a broken flow, by whether its target died or, if not, whether the latest change was
+// planned.
 func (run *run) countBroken(onDeadTarget bool) {
 	switch {
 	case onDeadTarget:
@@ -281,7 +291,7 @@
 	}
 }
 
-// flowsOf returns the open flows of a target in the order of their numbers.
+// flowsOf returns the open flows of a target, sorted by number.
 func (run *run) flowsOf(target *targetNode) []*flowState {
 	var flows []*flowState
 	for _, flow := range run.open {
--- a/internal/routing/compare/summary.go
+++ b/internal/routing/compare/summary.go
@@ -2,23 +2,24 @@
 
 import "math"
 
-// Summary is what one way did over several runs of the same size.
+// Summary summarizes the results of one algorithm in several runs with the same number of targets.
 type Summary struct {
 	Algorithm AlgorithmName `json:"way"`
 	Runs      int           `json:"runs"`
-	// Counts are totals over the runs.
+	// The counts are totals over the runs. Result explains them.
 	BrokenPlanned      uint64 `json:"brokenPlanned"`
 	BrokenUnplanned    uint64 `json:"brokenUnplanned"`
 	BrokenOnDeadTarget uint64 `json:"brokenOnDeadTarget"`
 	LateOpenings       uint64 `json:"lateOpenings"`
 	OpeningRetries     uint64 `json:"openingRetries"`
 	Shed               uint64 `json:"shed"`
-	// Medians are means over the runs; other quantiles are the highest of any
-	// run.
+	// In the spreads, Median and Within are means over the runs, and P99 and Max are maxima over the
+	// runs.
 	Flows            Spread `json:"flows"`
 	FlowsSettled     Spread `json:"flowsSettled"`
 	RequestsWindowed Spread `json:"requestsWindowed"`
-	// The rest are means over the runs; Result explains them.
+	// The following are means over the runs. Result explains them; PassesPerOpening and PassesPerPacket
+	// are passes divided by opened connections and by later packets.
 	RequestsImbalanceMean float64 `json:"requestsImbalanceMean"`
 	RequestsMean          float64 `json:"requestsMean"`
 	WaitMilliseconds      float64 `json:"waitMilliseconds"`
@@ -29,12 +30,12 @@
 	ControlUp             float64 `json:"controlUpPerChange"`
 	PassesPerOpening      float64 `json:"passesPerOpening"`
 	PassesPerPacket       float64 `json:"passesPerPacket"`
-	// FlowsAfterChange is the highest imbalance of flows in any run when the
-	// change was as old as the settling time, in the order of the changes.
+	// FlowsAfterChange has the changes in order. Its Flows are maxima over the runs.
 	FlowsAfterChange []ChangeResult `json:"flowsAfterChange"`
 }
 
-// Summarize sums up several comparisons of one size.
+// Summarize returns one summary for each algorithm over several comparisons with the same number of targets
+// and the same algorithms.
 func Summarize(comparisons []Comparison) []Summary {
 	if len(comparisons) == 0 {
 		return nil
@@ -49,6 +50,7 @@
 	return summaries
 }
 
+// add adds the result of one of the runs.
 func (summary *Summary) add(result Result, runs float64) {
 	summary.Runs++
 	summary.BrokenPlanned += result.BrokenPlanned
@@ -83,7 +85,7 @@
 	}
 }
 
-// merge adds a run's spread.
+// merge adds the spread of one of the runs.
 func (spread *Spread) merge(other Spread, runs float64) {
 	spread.Median += other.Median / runs
 	spread.Within += other.Within / runs
@@ -91,17 +93,17 @@
 	spread.Max = max(spread.Max, other.Max)
 }
 
-// GapClosed returns the part of the gap between plain hashing and the baseline
-// of least requests that the full chain closes in a figure; NaN when there is
-// no gap or one of the three is missing.
+// GapClosed returns the fraction of the gap between plain hashing and the least-requests baseline that the full
+// chain closes in figure. It is negative if the full chain is worse than plain hashing, and NaN if plain
+// hashing is not worse than the baseline or if one of the three algorithms is missing.
 func GapClosed(summaries []Summary, figure func(Summary) float64) float64 {
-	found := make(map[AlgorithmName]float64, len(summaries))
+	figures := make(map[AlgorithmName]float64, len(summaries))
 	for _, summary := range summaries {
-		found[summary.Algorithm] = figure(summary)
+		figures[summary.Algorithm] = figure(summary)
 	}
-	plain, hasPlain := found[AlgorithmHashing]
-	best, hasBest := found[AlgorithmLeastRequests]
-	product, hasProduct := found[AlgorithmChain]
+	plain, hasPlain := figures[AlgorithmHashing]
+	best, hasBest := figures[AlgorithmLeastRequests]
+	product, hasProduct := figures[AlgorithmChain]
 	if !hasPlain || !hasBest || !hasProduct || plain <= best {
 		return math.NaN()
 	}
--- a/internal/routing/compare/summary_test.go
+++ b/internal/routing/compare/summary_test.go
@@ -9,9 +9,10 @@
 	"merlinpaddle/internal/routing/compare"
 )
 
+// requestsMean is the figure that the tests compare.
 func requestsMean(summary compare.Summary) float64 { return summary.RequestsMean }
 
-func TestGapClosedComparesTheChainWithBothEnds(t *testing.T) {
+func TestGapClosed(t *testing.T) {
 	summaries := func(plain, product, best float64) []compare.Summary {
 		return []compare.Summary{
 			{Algorithm: compare.AlgorithmHashing, RequestsMean: plain},
@@ -25,7 +26,7 @@
 	require.True(t, math.IsNaN(compare.GapClosed(summaries(3, 2, 1)[:2], requestsMean)), "no baseline")
 }
 
-func TestSummarizeAddsCountsAndKeepsTheWorstQuantiles(t *testing.T) {
+func TestSummarizeAddsCountsAndKeepsTheHighestQuantiles(t *testing.T) {
 	run := func(broken uint64, median, highest, after float64) compare.Comparison {
 		return compare.Comparison{Results: []compare.Result{{
 			Algorithm:     compare.AlgorithmChain,
--- a/internal/routing/compare/target.go
+++ b/internal/routing/compare/target.go
@@ -12,26 +12,29 @@
 	phaseDead     = model.PhaseDead
 )
 
-// targetNode is one target with the queue of its back end.
+// targetNode is one target with the request queue of its back end.
 type targetNode struct {
 	id    model.TargetID
 	phase model.TargetPhase
-	// dead tells that the machine is dead, whether control knows it or not.
-	dead      bool
+	// dead reports whether the machine is dead, whether control has detected it or not.
+	dead bool
+	// drainedAt is the time at which the drain started.
 	drainedAt time.Time
-	flows     int
+	// flows is the number of open flows.
+	flows int
 	// rate is the sum of the request rates of the open flows.
 	rate     float64
 	requests *requestQueue
-	// recent has the number of requests at the latest samples, in a ring.
+	// recent is a ring buffer of the number of requests at the latest samples. next is the index of the
+	// oldest sample.
 	recent [windowSamples]float64
 	next   int
 }
 
-// takesFlows tells whether the target counts among the serving targets.
+// takesFlows reports whether the target is alive and its phase is serving.
 func (target *targetNode) takesFlows() bool { return target.phase == phaseServing && !target.dead }
 
-// load returns the target's true load.
+// load returns the target's current load, which its report may contradict.
 func (target *targetNode) load(slots int) model.TargetLoad {
 	load := model.TargetLoad{Target: target.id, Flows: uint32(target.flows), Slots: uint32(slots), Healthy: true}
 	if target.requests != nil {
@@ -48,14 +51,15 @@
 	waiting []waitingRequest
 }
 
+// waitingRequest is a request before it gets a slot.
 type waitingRequest struct {
-	arrived time.Time
-	needs   time.Duration
+	arrived     time.Time
+	serviceTime time.Duration
 }
 
-// arrive starts, queues or sheds a request that needs a slot for so long.
-func (queue *requestQueue) arrive(needs time.Duration) {
-	request := waitingRequest{arrived: queue.run.clock.Now(), needs: needs}
+// admit starts or queues a request that occupies a slot for serviceTime, or sheds it if the queue is full.
+func (queue *requestQueue) admit(serviceTime time.Duration) {
+	request := waitingRequest{arrived: queue.run.clock.Now(), serviceTime: serviceTime}
 	switch {
 	case queue.running < queue.run.options.Slots:
 		queue.start(request)
@@ -69,7 +73,7 @@
 func (queue *requestQueue) start(request waitingRequest) {
 	queue.running++
 	queue.run.waits.add(queue.run.clock.Now().Sub(request.arrived))
-	queue.run.clock.After(request.needs, queue.finish)
+	queue.run.clock.After(request.serviceTime, queue.finish)
 }
 
 func (queue *requestQueue) finish() {
@@ -82,16 +86,20 @@
 	queue.start(next)
 }
 
-// loadReports are the load reports that agents see: late, frozen or wrong.
+// loadReports simulates the load reports of targets, which may be delayed, frozen or wrong. None of the
+// algorithms reads them: agents of the full chain use the current load of their own target.
 type loadReports struct {
-	run     *run
-	history [][]model.TargetLoad
-	seen    map[model.TargetID]model.TargetLoad
-	frozen  map[model.TargetID]bool
-	liar    model.TargetID
+	run       *run
+	history   [][]model.TargetLoad
+	delivered map[model.TargetID]model.TargetLoad
+	// frozen has the targets whose reports are not delivered any more.
+	frozen map[model.TargetID]bool
+	// zeroReporter is the target whose reports state zero load, or zero.
+	zeroReporter model.TargetID
 }
 
-// record takes the true loads and shows those that are old enough.
+// record records the current loads and delivers those that are Options.ReportLag old. It is called every
+// second.
 func (reports *loadReports) record() {
 	loads := make([]model.TargetLoad, 0, len(reports.run.targets))
 	for _, target := range reports.run.targets {
@@ -105,28 +113,30 @@
 		return
 	}
 	for _, load := range reports.history[0] {
-		reports.show(load)
+		reports.deliver(load)
 	}
 	reports.history = reports.history[1:]
 }
 
-func (reports *loadReports) show(load model.TargetLoad) {
+// deliver stores a report unless the target's reports are frozen. The report of zeroReporter is changed to zero
+// load.
+func (reports *loadReports) deliver(load model.TargetLoad) {
 	if reports.frozen[load.Target] {
 		return
 	}
-	if load.Target == reports.liar {
+	if load.Target == reports.zeroReporter {
 		load.Flows, load.Running, load.Waiting = 0, 0, 0
 	}
-	reports.seen[load.Target] = load
+	reports.delivered[load.Target] = load
 }
 
-// Load implements steering.Loads.
+// Load returns the latest delivered report of a target, and whether there is one.
 func (reports *loadReports) Load(target model.TargetID) (model.TargetLoad, bool) {
-	load, known := reports.seen[target]
+	load, known := reports.delivered[target]
 	return load, known
 }
 
-// freeze stops the reports of every other target.
+// freeze stops the delivery of reports of every second serving target.
 func (reports *loadReports) freeze() {
 	for index, target := range reports.run.serving() {
 		if index%2 == 1 {
@@ -135,7 +145,8 @@
 	}
 }
 
-func (reports *loadReports) lie(target model.TargetID) {
-	reports.liar = target
+// reportNoLoad makes the reports of target state zero load from now on.
+func (reports *loadReports) reportNoLoad(target model.TargetID) {
+	reports.zeroReporter = target
 	delete(reports.frozen, target)
 }
--- a/internal/routing/compare/twohop.go
+++ b/internal/routing/compare/twohop.go
@@ -7,29 +7,32 @@
 	"merlinpaddle/internal/routing"
 )
 
-// hop is one bucket of a two-hop chain: its target and the one before it.
+// hop is one bucket of twoHop. Former is the head before Head, or zero. targetsChanged counts the bytes of hops
+// in gob encoding, which writes the names of the type and its fields.
 type hop struct {
 	Bucket model.BucketIndex
 	Head   model.TargetID
 	Former model.TargetID
 }
 
-// twoHop is a chain of two: balancers keep no flows; a head that does not own
-// a flow passes the packet to the former head, which passes on nothing.
+// twoHop is an algorithm with chains of two targets. Balancers keep no flow state. A head that does not own a
+// flow forwards the packet to the bucket's former head, which forwards nothing.
 type twoHop struct {
 	*hashing
-	rollout *rollout[[]hop]
+	// tables has the buckets, in place of the memberships of hashing.
+	tables *propagation[[]hop]
 }
 
 func newTwoHop(run *run) *twoHop {
-	way := &twoHop{hashing: newHashing(run)}
+	twoHop := &twoHop{hashing: newHashing(run)}
 	first := make([]hop, max(routing.MinimumBuckets, model.BucketsPerTarget*run.options.Targets))
-	way.rollout = newRollout(run, way.moved(first, run.membership()))
-	return way
+	twoHop.tables = newPropagation(run, twoHop.assignHeads(first, run.membership()))
+	return twoHop
 }
 
-// moved returns the buckets for the members and counts what changes.
-func (way *twoHop) moved(before []hop, current members) []hop {
+// assignHeads returns the buckets with the heads that current chooses. Where the head changes, the previous one
+// becomes Former.
+func (twoHop *twoHop) assignHeads(before []hop, current members) []hop {
 	after := slices.Clone(before)
 	for index := range after {
 		bucket := &after[index]
@@ -42,39 +45,41 @@
 	return after
 }
 
-func (way *twoHop) targetsChanged() {
-	before := way.rollout.newest
-	after := way.moved(before, way.run.membership())
+func (twoHop *twoHop) targetsChanged() {
+	before := twoHop.tables.newest
+	after := twoHop.assignHeads(before, twoHop.run.membership())
 	var changed []hop
 	for index := range after {
 		if after[index] != before[index] {
 			changed = append(changed, after[index])
 		}
 	}
-	way.counter.add(way.run.targetRecord())
-	way.counter.add(changed)
-	way.rollout.publish(after)
+	twoHop.counter.add(twoHop.run.targetRecord())
+	twoHop.counter.add(changed)
+	twoHop.tables.publish(after)
 }
 
-func (way *twoHop) balancerJoined(balancer *balancerNode) { way.rollout.join(balancerOf(balancer)) }
+func (twoHop *twoHop) balancerJoined(balancer *balancerNode) {
+	twoHop.tables.join(balancerID(balancer))
+}
 
-func (way *twoHop) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
-	buckets := way.rollout.at(balancerOf(balancer))
+func (twoHop *twoHop) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
+	buckets := twoHop.tables.appliedBy(balancerID(balancer))
 	bucket := buckets[routing.BucketOf(flow.hash, len(buckets))]
-	first := way.deliver(bucket.Head, flow, opening)
+	first := twoHop.deliver(bucket.Head, flow, opening)
 	if first.verdict != verdictReset || bucket.Former == 0 {
 		return first
 	}
-	second := way.deliver(bucket.Former, flow, false)
+	second := twoHop.deliver(bucket.Former, flow, false)
 	second.passes = 1
 	return second
 }
 
-// hopBytes is the size of a bucket in memory: two targets.
+// hopBytes is the memory of a bucket in a table, in bytes: two target IDs.
 const hopBytes = 8
 
-func (way *twoHop) state() StateBytes {
-	state := way.hashing.state()
-	state.Table += float64(len(way.rollout.newest)) * hopBytes
+func (twoHop *twoHop) state() StateBytes {
+	state := twoHop.hashing.state()
+	state.Table += float64(len(twoHop.tables.newest)) * hopBytes
 	return state
 }
--- a/internal/routing/compare/way.go
+++ b/internal/routing/compare/way.go
@@ -2,10 +2,10 @@
 
 import "merlinpaddle/internal/model"
 
-// WayName names a way of routing.
+// AlgorithmName is the name of a routing algorithm, as results and plots contain it.
 type AlgorithmName string
 
-// The ways, and the baselines that know everything without lag.
+// The algorithms, and the baselines that have full knowledge without lag.
 const (
 	AlgorithmHashing       AlgorithmName = "plain consistent hashing"
 	AlgorithmFlowTable     AlgorithmName = "per-balancer flow table"
@@ -17,7 +17,7 @@
 	AlgorithmLeastRate     AlgorithmName = "least request rate, all-knowing"
 )
 
-// AllWays returns the ways in the order of the report.
+// AllAlgorithms returns the algorithms and baselines in the order of the report.
 func AllAlgorithms() []AlgorithmName {
 	return []AlgorithmName{
 		AlgorithmHashing, AlgorithmFlowTable, AlgorithmTwoHop, AlgorithmConnectionID, AlgorithmChain, AlgorithmLeastFlows, AlgorithmLeastRequests,
@@ -25,60 +25,62 @@
 	}
 }
 
-// verdict tells what became of a packet.
+// verdict is the result of routing a packet.
 type verdict uint8
 
+// The verdicts.
 const (
 	// verdictDelivered is a packet that reached a target that accepted it.
 	verdictDelivered verdict = iota + 1
-	// verdictReset is a packet that a target answered with a reset.
+	// verdictReset is a packet to which a target responded with a reset.
 	verdictReset
 	// verdictLost is a packet that reached no live target.
 	verdictLost
 )
 
-// outcome is the end of one packet's way.
+// outcome is the result of routing one packet.
 type outcome struct {
 	verdict verdict
-	target  model.TargetID
-	// passes is how often a target passed the packet on.
+	// target is the last target that received the packet; it may be unset if the packet was lost.
+	target model.TargetID
+	// passes is the number of times that targets forwarded the packet.
 	passes int
 }
 
-// way is one way of routing under comparison.
-type way interface {
-	// route takes a packet from a balancer to where it ends. An opening packet
-	// that is delivered opens the flow at that target.
+// algorithm is one routing algorithm of the comparison.
+type algorithm interface {
+	// route routes a packet of flow from balancer to the target that accepts or resets it. An opening
+	// packet that is delivered opens the flow at that target.
 	route(balancer *balancerNode, flow *flowState, opening bool) outcome
-	// closed tells that a flow ended at its owner.
-	closed(flow *flowState)
-	// targetsChanged tells that control committed a change of the targets.
+	// flowClosed is called when a flow has ended at its owner.
+	flowClosed(flow *flowState)
+	// targetsChanged is called when control has committed a change of the targets.
 	targetsChanged()
-	// targetJoined tells that a target's machine started.
+	// targetJoined is called when the machine of a new target has started.
 	targetJoined(target model.TargetID)
-	// targetDied tells that a target lost all its state.
+	// targetDied is called when a target has died and lost all its state.
 	targetDied(target model.TargetID)
-	// balancerJoined tells that a balancer started with empty state.
+	// balancerJoined is called when a balancer has started with empty state.
 	balancerJoined(balancer *balancerNode)
-	// state returns the present state in bytes.
+	// state returns the memory of the current state.
 	state() StateBytes
-	// controlBytes returns the bytes that every balancer received so far, and
-	// those that targets reported upwards.
+	// controlBytes returns the bytes of control traffic so far: down is what each node received, up is
+	// what all targets together reported to control.
 	controlBytes() (down, up uint64)
 }
 
-// StateBytes is the memory that a way needs at one moment, in bytes.
+// StateBytes is the memory that an algorithm needs at one time, in bytes.
 type StateBytes struct {
-	// Balancers is what all balancers keep for flows.
+	// Balancers is the memory for flows in all balancers.
 	Balancers float64 `json:"balancers"`
-	// Targets is what all targets keep for flows beyond their own connections.
+	// Targets is the memory for flows in all targets, in addition to that for their connections.
 	Targets float64 `json:"targets"`
-	// Table is what one node keeps for the service whatever its flows.
+	// Table is the memory of one node for the service that does not depend on its flows.
 	Table float64 `json:"table"`
 }
 
-// newWay returns the way called name.
-func newWay(run *run, name AlgorithmName) way {
+// newAlgorithm returns the algorithm called name. An unknown name gives plain consistent hashing.
+func newAlgorithm(run *run, name AlgorithmName) algorithm {
 	switch name {
 	case AlgorithmFlowTable:
 		return newFlowTable(run)
@@ -87,7 +89,7 @@
 	case AlgorithmConnectionID:
 		return connectionID{newHashing(run)}
 	case AlgorithmChain:
-		return newChain(run)
+		return newFullChain(run)
 	case AlgorithmLeastFlows:
 		return leastLoaded{hashing: newHashing(run), less: fewerFlows}
 	case AlgorithmLeastRequests:
