--- a/internal/packet/batch/batch_test.go
+++ b/internal/packet/batch/batch_test.go
@@ -32,7 +32,8 @@
 
 func addressOf(socket *net.UDPConn) *net.UDPAddr { return socket.LocalAddr().(*net.UDPAddr) }
 
-// readAll reads batches until at least count datagrams have arrived and returns the datagrams as text.
+// readAll reads batches until at least count datagrams have arrived and returns the datagrams as
+// text.
 func readAll(t *testing.T, socket *net.UDPConn, count int) []string {
 	t.Helper()
 	reader := NewReader(socket)
--- a/internal/packet/batch/drops.go
+++ b/internal/packet/batch/drops.go
@@ -13,9 +13,9 @@
 // controlMessageSpace is the space for the control message of one datagram, in bytes.
 var controlMessageSpace = unix.CmsgSpace(dropCountBytes)
 
-// ReportDrops makes the kernel attach to each received datagram the number of datagrams that the socket
-// has dropped because its receive buffer was full (SO_RXQ_OVFL, see socket(7)). The kernel attaches
-// nothing until the first drop.
+// ReportDrops makes the kernel attach to each received datagram the number of datagrams that the
+// socket has dropped because its receive buffer was full (SO_RXQ_OVFL, see socket(7)). The kernel
+// attaches nothing until the first drop.
 func ReportDrops(socket *net.UDPConn) error {
 	raw, err := socket.SyscallConn()
 	if err != nil {
--- a/internal/packet/batch/overload_test.go
+++ b/internal/packet/batch/overload_test.go
@@ -75,8 +75,8 @@
 	for range 400 {
 		send()
 	}
-	// The kernel reports drops with a datagram that it accepted after them, so the test sends another
-	// one before each read until all datagrams are accounted for.
+	// The kernel reports drops with a datagram that it accepted after them, so the test sends
+	// another one before each read until all datagrams are accounted for.
 	for reader.Dropped() == 0 || read+int(reader.Dropped()) != sent {
 		send()
 		count, err := reader.Read()
--- a/internal/packet/batch/reader.go
+++ b/internal/packet/batch/reader.go
@@ -1,6 +1,6 @@
-// Package batch receives and sends datagrams in batches. A system call costs more than all other work on
-// a packet, so the packet path receives the datagrams that have arrived with one call (recvmmsg) and
-// sends the resulting ones with another (sendmmsg), through golang.org/x/net/ipv4.
+// Package batch receives and sends datagrams in batches. A system call costs more than all other
+// work on a packet, so the packet path receives the datagrams that have arrived with one call
+// (recvmmsg) and sends the resulting ones with another (sendmmsg), through golang.org/x/net/ipv4.
 package batch
 
 import (
@@ -10,15 +10,15 @@
 	"golang.org/x/net/ipv4"
 )
 
-// Size is the maximum number of datagrams in one batch. A larger batch saves little more and makes its
-// last packet wait longer until the packets before it are processed.
+// Size is the maximum number of datagrams in one batch. A larger batch saves little more and makes
+// its last packet wait longer until the packets before it are processed.
 const Size = 32
 
 // maximumDatagram is the length of a receive buffer. It holds the largest datagram over loopback.
 const maximumDatagram = 1 << 16
 
-// Reader receives batches from one socket. It is not safe for concurrent use, but several readers may
-// share a socket.
+// Reader receives batches from one socket. It is not safe for concurrent use, but several readers
+// may share a socket.
 type Reader struct {
 	connection *ipv4.PacketConn
 	messages   []ipv4.Message
@@ -36,9 +36,9 @@
 	return reader
 }
 
-// Read waits for at least one datagram and returns the number of datagrams received. It overwrites the
-// datagrams of the previous batch. On an error it returns zero; the error is net.ErrClosed if the socket
-// was closed.
+// Read waits for at least one datagram and returns the number of datagrams received. It overwrites
+// the datagrams of the previous batch. On an error it returns zero; the error is net.ErrClosed if
+// the socket was closed.
 func (reader *Reader) Read() (int, error) {
 	count, err := reader.connection.ReadBatch(reader.messages, 0)
 	if err != nil {
@@ -51,9 +51,9 @@
 	return count, nil
 }
 
-// Dropped returns the number of datagrams that the socket has dropped since it was opened because its
-// receive buffer was full, as of the latest batch. The count belongs to the socket, so that all its
-// readers share it, and wraps around. It stays zero unless ReportDrops was called.
+// Dropped returns the number of datagrams that the socket has dropped since it was opened because
+// its receive buffer was full, as of the latest batch. The count belongs to the socket, so that all
+// its readers share it, and wraps around. It stays zero unless ReportDrops was called.
 func (reader *Reader) Dropped() uint32 { return reader.dropped }
 
 // Datagram returns the datagram at index of the latest batch. It is valid until the next Read.
--- a/internal/packet/batch/writer.go
+++ b/internal/packet/batch/writer.go
@@ -27,11 +27,11 @@
 	Overflowed int
 }
 
-// Writer collects datagrams and sends them in one call. It is not safe for concurrent use, but several
-// writers may share a socket.
+// Writer collects datagrams and sends them in one call. It is not safe for concurrent use, but
+// several writers may share a socket.
 //
-// A datagram consists of a header in memory of the writer and a body in memory of the caller, so that
-// forwarding a packet does not copy the inner packet.
+// A datagram consists of a header in memory of the writer and a body in memory of the caller, so
+// that forwarding a packet does not copy the inner packet.
 type Writer struct {
 	sender   sender
 	messages []ipv4.Message
@@ -57,12 +57,12 @@
 	return writer
 }
 
-// Header returns an empty slice with capacity for the header of the next datagram; append the header to
-// it and pass the result to Put. The writer must not be full.
+// Header returns an empty slice with capacity for the header of the next datagram; append the
+// header to it and pass the result to Put. The writer must not be full.
 func (writer *Writer) Header() []byte { return writer.headers[writer.count][:0] }
 
-// Put adds a datagram to the batch. The writer must not be full, and body must not be modified before
-// Flush.
+// Put adds a datagram to the batch. The writer must not be full, and body must not be modified
+// before Flush.
 func (writer *Writer) Put(header, body []byte, destination *net.UDPAddr) {
 	message := &writer.messages[writer.count]
 	writer.headers[writer.count] = header
@@ -75,10 +75,10 @@
 // Full reports whether the batch is full, so that Flush must be called before the next Put.
 func (writer *Writer) Full() bool { return writer.count == len(writer.messages) }
 
-// Flush sends the collected datagrams and returns how many were sent, failed and dropped. It skips a
-// datagram that the socket rejects and sends the others. Flush never waits: if the send buffer is full,
-// it drops the remaining datagrams. A packet path that waited for its socket would instead lose the
-// packets that arrive meanwhile, without counting them.
+// Flush sends the collected datagrams and returns how many were sent, failed and dropped. It skips
+// a datagram that the socket rejects and sends the others. Flush never waits: if the send buffer is
+// full, it drops the remaining datagrams. A packet path that waited for its socket would instead
+// lose the packets that arrive meanwhile, without counting them.
 func (writer *Writer) Flush() Outcome {
 	var outcome Outcome
 	pending := writer.messages[:writer.count]
@@ -102,8 +102,8 @@
 	return outcome
 }
 
-// isBufferFull reports whether a send error means that the send buffer of the socket or the queue of the
-// network device is full.
+// isBufferFull reports whether a send error means that the send buffer of the socket or the queue
+// of the network device is full.
 func isBufferFull(err error) bool {
 	return errors.Is(err, unix.EAGAIN) || errors.Is(err, unix.ENOBUFS)
 }
--- a/internal/packet/codec_bench_test.go
+++ b/internal/packet/codec_bench_test.go
@@ -11,8 +11,8 @@
 // benchmarkPayload has the size of a full QUIC packet, 1200 bytes.
 var benchmarkPayload = bytes.Repeat([]byte{0x43}, 1200)
 
-// gobPacket has the fields of a packet, for encoding it with gob instead of Geneve. gob writes the field
-// names, so that renaming one changes the measured overhead.
+// gobPacket has the fields of a packet, for encoding it with gob instead of Geneve. gob writes the
+// field names, so that renaming one changes the measured overhead.
 type gobPacket struct {
 	Kind     Kind
 	Service  model.ServiceID
@@ -38,8 +38,9 @@
 
 // BenchmarkCodec encodes and decodes a forwarded packet with Geneve and, for comparison, with gob.
 // "gob_per_packet" uses one gob stream for each datagram, because datagrams may be lost.
-// "gob_one_stream" uses one stream for all datagrams; that is not possible with datagrams, but it shows
-// the cost of gob's type description. "overhead-B" is the number of bytes beyond the inner packet.
+// "gob_one_stream" uses one stream for all datagrams; that is not possible with datagrams, but it
+// shows the cost of gob's type description. "overhead-B" is the number of bytes beyond the inner
+// packet.
 func BenchmarkCodec(b *testing.B) {
 	packet := forwardPacket(BuildInnerUDP(flowIPv4, benchmarkPayload))
 	b.Run("geneve", func(b *testing.B) { benchmarkGeneve(b, packet) })
--- a/internal/packet/contract_test.go
+++ b/internal/packet/contract_test.go
@@ -12,8 +12,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// encodedDatagrams returns valid datagrams by name: each kind of packet with IPv4 and IPv6, and forwarded
-// packets with each protocol.
+// encodedDatagrams returns valid datagrams by name: each kind of packet with IPv4 and IPv6, and
+// forwarded packets with each protocol.
 func encodedDatagrams(t testing.TB) map[string][]byte {
 	t.Helper()
 	datagrams := make(map[string][]byte)
@@ -38,8 +38,8 @@
 	return datagrams
 }
 
-// TestDatagramTruncatedAtEveryByte checks that every proper prefix of a valid datagram is rejected as
-// truncated.
+// TestDatagramTruncatedAtEveryByte checks that every proper prefix of a valid datagram is rejected
+// as truncated.
 func TestDatagramTruncatedAtEveryByte(t *testing.T) {
 	for name, data := range encodedDatagrams(t) {
 		for length := range data {
@@ -99,8 +99,8 @@
 	return buffer.Bytes()
 }
 
-// TestUnusualInnerPackets decodes inner packets other than plain datagrams and segments. A code of zero
-// means that the packet must be accepted, with the flow of its addresses and ports.
+// TestUnusualInnerPackets decodes inner packets other than plain datagrams and segments. A code of
+// zero means that the packet must be accepted, with the flow of its addresses and ports.
 func TestUnusualInnerPackets(t *testing.T) {
 	jumbogram := BuildInnerUDP(flowIPv6, []byte("payload"))
 	binary.BigEndian.PutUint16(jumbogram[4:], 0)
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestIPv4MappedAddressesAreADifferentFlow checks that IPv4-mapped IPv6 addresses are not converted to
-// IPv4: the flow must differ from that of the IPv4 addresses.
+// TestIPv4MappedAddressesAreADifferentFlow checks that IPv4-mapped IPv6 addresses are not converted
+// to IPv4: the flow must differ from that of the IPv4 addresses.
 func TestIPv4MappedAddressesAreADifferentFlow(t *testing.T) {
 	mapped := model.FiveTuple{
 		Protocol:    model.ProtocolUDP,
--- a/internal/packet/decode_test.go
+++ b/internal/packet/decode_test.go
@@ -11,7 +11,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// encodeLayers serializes header and inner without the checks of Encode, for packets that Encode rejects.
+// encodeLayers serializes header and inner without the checks of Encode, for packets that Encode
+// rejects.
 func encodeLayers(t *testing.T, header layers.Geneve, inner []byte) []byte {
 	t.Helper()
 	buffer := gopacket.NewSerializeBuffer()
@@ -149,8 +150,8 @@
 	}
 }
 
-// FuzzDecode checks that no input makes Decode panic, that errors have a code, and that a decoded packet
-// has the same flow, kind and inner packet after it is encoded and decoded again.
+// FuzzDecode checks that no input makes Decode panic, that errors have a code, and that a decoded
+// packet has the same flow, kind and inner packet after it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	for _, flow := range []model.FiveTuple{flowIPv4, flowIPv6} {
 		for _, packet := range []Encapsulated{
--- a/internal/packet/decoder.go
+++ b/internal/packet/decoder.go
@@ -33,8 +33,8 @@
 // SetTruncated implements gopacket.DecodeFeedback.
 func (feedback *decodeFeedback) SetTruncated() { feedback.truncated = true }
 
-// Decode returns the packet that data encodes. The result shares memory with data. Errors are those of
-// Decoder.Decode.
+// Decode returns the packet that data encodes. The result shares memory with data. Errors are those
+// of Decoder.Decode.
 func Decode(data []byte) (Encapsulated, error) {
 	var decoder Decoder
 	var packet Encapsulated
--- a/internal/packet/encapsulated.go
+++ b/internal/packet/encapsulated.go
@@ -53,8 +53,9 @@
 	// steering.Input.PasserLoad says which target's load it is. Zero means none.
 	PasserLoad uint16
 	// Flow is the flow of the inner packet. A balancer sets its protocol to that of the service, so
-	// that all later receivers hash the flow alike. The fabric does not know services; in its packets
-	// QUIC is ProtocolUDP. Encode uses only the protocol of Flow; the addresses come from Inner.
+	// that all later receivers hash the flow alike. The fabric does not know services; in its
+	// packets QUIC is ProtocolUDP. Encode uses only the protocol of Flow; the addresses come from
+	// Inner.
 	Flow model.FiveTuple
 	// Inner is the inner IP packet, with its header.
 	Inner []byte
--- a/internal/packet/encoder.go
+++ b/internal/packet/encoder.go
@@ -34,8 +34,8 @@
 	return encoder
 }
 
-// Encode returns the datagram that encodes packet. packet.Inner must be set, except in a hint: there an
-// empty UDP packet of Flow is used when Inner is empty.
+// Encode returns the datagram that encodes packet. packet.Inner must be set, except in a hint:
+// there an empty UDP packet of Flow is used when Inner is empty.
 func Encode(packet Encapsulated) ([]byte, error) {
 	return NewEncoder().Append(nil, &packet)
 }
@@ -84,8 +84,8 @@
 	return append(destination, header...), nil
 }
 
-// innerPacket returns the inner packet to encode. For a hint without one it builds an empty UDP packet
-// whose headers identify the flow.
+// innerPacket returns the inner packet to encode. For a hint without one it builds an empty UDP
+// packet whose headers identify the flow.
 func innerPacket(packet *Encapsulated) ([]byte, error) {
 	if len(packet.Inner) > 0 {
 		return packet.Inner, nil
--- a/internal/packet/inner.go
+++ b/internal/packet/inner.go
@@ -18,7 +18,8 @@
 	// innerHeaderAllowance is the length of a Geneve header with the longest options, an IPv6 header
 	// (40) and a UDP header (8).
 	innerHeaderAllowance = geneveHeaderLength + maximumOptionBytes + 40 + 8
-	// MaximumPayload is the maximum inner UDP payload that fits into one datagram with these headers.
+	// MaximumPayload is the maximum inner UDP payload that fits into one datagram with these
+	// headers.
 	MaximumPayload = MaximumDatagram - innerHeaderAllowance
 )
 
@@ -42,8 +43,8 @@
 	return append([]byte(nil), built...), nil
 }
 
-// InnerBuilder builds inner packets and reuses its memory between them. It is not safe for concurrent
-// use.
+// InnerBuilder builds inner packets and reuses its memory between them. It is not safe for
+// concurrent use.
 type InnerBuilder struct {
 	buffer gopacket.SerializeBuffer
 	ipv4   layers.IPv4
@@ -56,16 +57,16 @@
 	return &InnerBuilder{buffer: gopacket.NewSerializeBuffer()}
 }
 
-// UDP returns an IP packet that contains a UDP datagram of flow. The result is valid until the next call
-// of a method of builder. The protocol of flow is ignored, because QUIC flows use UDP too.
+// UDP returns an IP packet that contains a UDP datagram of flow. The result is valid until the next
+// call of a method of builder. The protocol of flow is ignored, because QUIC flows use UDP too.
 func (builder *InnerBuilder) UDP(flow model.FiveTuple, payload []byte) ([]byte, error) {
 	builder.udp.SrcPort = layers.UDPPort(flow.Source.Port())
 	builder.udp.DstPort = layers.UDPPort(flow.Destination.Port())
 	return builder.build(flow, layers.IPProtocolUDP, &builder.udp, payload)
 }
 
-// TCP returns an IP packet that contains a TCP segment of flow. It writes the ports of flow into header.
-// The result is valid until the next call of a method of builder.
+// TCP returns an IP packet that contains a TCP segment of flow. It writes the ports of flow into
+// header. The result is valid until the next call of a method of builder.
 func (builder *InnerBuilder) TCP(flow model.FiveTuple, header *layers.TCP, payload []byte) ([]byte, error) {
 	header.SrcPort = layers.TCPPort(flow.Source.Port())
 	header.DstPort = layers.TCPPort(flow.Destination.Port())
--- a/internal/packet/opening.go
+++ b/internal/packet/opening.go
@@ -29,9 +29,9 @@
 	quicVersionNone = 0
 )
 
-// IsOpening reports whether a caller's packet may open a flow: a TCP segment with SYN and without ACK, a
-// QUIC Initial packet, a QUIC packet with a long header of an unknown version, or any plain UDP
-// datagram. payload is the TCP segment with its header, or the UDP payload.
+// IsOpening reports whether a caller's packet may open a flow: a TCP segment with SYN and without
+// ACK, a QUIC Initial packet, a QUIC packet with a long header of an unknown version, or any plain
+// UDP datagram. payload is the TCP segment with its header, or the UDP payload.
 func IsOpening(protocol model.Protocol, payload []byte) bool {
 	switch protocol {
 	case model.ProtocolTCP:
@@ -52,8 +52,8 @@
 	return segment[tcpFlagsOffset]&(tcpFlagSYN|tcpFlagACK) == tcpFlagSYN
 }
 
-// isOpeningQUIC reports whether datagram is a QUIC Initial packet, or has a long header of an unknown
-// version. The target responds to the latter with a Version Negotiation packet.
+// isOpeningQUIC reports whether datagram is a QUIC Initial packet, or has a long header of an
+// unknown version. The target responds to the latter with a Version Negotiation packet.
 func isOpeningQUIC(datagram []byte) bool {
 	if len(datagram) < quicLongHeaderLength || datagram[0]&quicLongHeader == 0 {
 		return false
--- a/internal/packet/options.go
+++ b/internal/packet/options.go
@@ -14,8 +14,8 @@
 // 0xFFFF for experimental use.
 const optionClass uint16 = 0xFF4D
 
-// criticalOption is the bit of an option's type with which a receiver that does not know the option must
-// drop the packet instead of skipping the option (RFC 8926, section 3.5).
+// criticalOption is the bit of an option's type with which a receiver that does not know the option
+// must drop the packet instead of skipping the option (RFC 8926, section 3.5).
 const criticalOption uint8 = 0x80
 
 // Types of options within optionClass.
@@ -79,8 +79,8 @@
 	errInnerTransport = faults.New(faults.PacketInnerTransport, "inner packet is neither UDP nor TCP")
 )
 
-// readOption decodes one option into packet. Options of other classes and unknown options of this class
-// are skipped, unless they are critical: then an error is returned.
+// readOption decodes one option into packet. Options of other classes and unknown options of this
+// class are skipped, unless they are critical: then an error is returned.
 func readOption(option *layers.GeneveOption, packet *Encapsulated) error {
 	if option.Class != optionClass {
 		return skipOption(option.Type)
@@ -192,8 +192,8 @@
 	}
 }
 
-// checkKind returns an error if the kind of packet is unknown or packet lacks an option that its kind
-// requires.
+// checkKind returns an error if the kind of packet is unknown or packet lacks an option that its
+// kind requires.
 func checkKind(packet *Encapsulated) error {
 	switch packet.Kind {
 	case KindIngress, KindReturn:
--- a/internal/routing/compare/algorithm.go
+++ b/internal/routing/compare/algorithm.go
@@ -49,8 +49,8 @@
 
 // algorithm is one routing algorithm of the comparison.
 type algorithm interface {
-	// route routes a packet of flow from balancer to the target that accepts or resets it. An opening
-	// packet that is delivered opens the flow at that target.
+	// route routes a packet of flow from balancer to the target that accepts or resets it. An
+	// opening packet that is delivered opens the flow at that target.
 	route(balancer *balancerNode, flow *flowState, opening bool) outcome
 	// flowClosed is called when a flow has ended at its owner.
 	flowClosed(flow *flowState)
@@ -64,8 +64,8 @@
 	balancerJoined(balancer *balancerNode)
 	// state returns the memory of the current state.
 	state() StateBytes
-	// controlBytes returns the bytes of control traffic so far: down is what each node received, up is
-	// what all targets together reported to control.
+	// controlBytes returns the bytes of control traffic so far: down is what each node received, up
+	// is what all targets together reported to control.
 	controlBytes() (down, up uint64)
 }
 
--- a/internal/routing/compare/chain.go
+++ b/internal/routing/compare/chain.go
@@ -22,8 +22,8 @@
 	assignmentBytes = 126
 )
 
-// fullChain is the algorithm of the product. It runs the packages routing (bucket tables), flow (owned
-// flows, caches of balancers) and steering (decisions of agents).
+// fullChain is the algorithm of the product. It runs the packages routing (bucket tables), flow
+// (owned flows, caches of balancers) and steering (decisions of agents).
 type fullChain struct {
 	run            *run
 	configurations *propagation[*model.Configuration]
@@ -35,8 +35,8 @@
 	reportBytes *byteCounter
 }
 
-// chainAgent is the agent of one target. It provides steering with the configuration that the agent has
-// applied.
+// chainAgent is the agent of one target. It provides steering with the configuration that the agent
+// has applied.
 type chainAgent struct {
 	chain    *fullChain
 	target   model.TargetID
@@ -134,7 +134,8 @@
 	})
 }
 
-// commit publishes the next revision, which has the given targets and rows in place of the previous ones.
+// commit publishes the next revision, which has the given targets and rows in place of the previous
+// ones.
 func (chain *fullChain) commit(targets []model.Target, rows []model.Bucket) {
 	current := chain.configurations.newest
 	delta := model.Delta{From: current.Revision, To: current.Revision + 1, Targets: targets}
@@ -149,8 +150,8 @@
 	chain.configurations.publish(next)
 }
 
-// maintain expires idle state at the targets, collects their reports of empty buckets, and commits the rows
-// from which control removes the reported earlier targets.
+// maintain expires idle state at the targets, collects their reports of empty buckets, and commits
+// the rows from which control removes the reported earlier targets.
 func (chain *fullChain) maintain() {
 	current := chain.configurations.newest
 	table := current.Buckets[comparedService]
@@ -178,7 +179,8 @@
 	}
 }
 
-// mergeRows returns the rows of both lists. A row of later replaces the row of the same bucket in previous.
+// mergeRows returns the rows of both lists. A row of later replaces the row of the same bucket in
+// previous.
 func mergeRows(previous, later []model.Bucket) []model.Bucket {
 	replaced := make(map[model.BucketIndex]bool, len(later))
 	for _, row := range later {
@@ -247,8 +249,8 @@
 	return input
 }
 
-// flowClosed also removes the flow from the caches of the balancers, so that StateBytes covers open flows
-// only. A real balancer keeps closed flows until it needs their cache entries.
+// flowClosed also removes the flow from the caches of the balancers, so that StateBytes covers open
+// flows only. A real balancer keeps closed flows until it needs their cache entries.
 func (chain *fullChain) flowClosed(flow *flowState) {
 	for _, cache := range chain.caches {
 		cache.Remove(flow.hash, flow.tuple)
--- a/internal/routing/compare/change.go
+++ b/internal/routing/compare/change.go
@@ -9,7 +9,8 @@
 // ChangeKind is a kind of event during a comparison.
 type ChangeKind string
 
-// The kinds of changes. A join adds a new balancer or target. A drain or death affects one that exists.
+// The kinds of changes. A join adds a new balancer or target. A drain or death affects one that
+// exists.
 const (
 	BalancerDeath ChangeKind = "balancer death"
 	BalancerJoin  ChangeKind = "balancer join"
@@ -34,8 +35,8 @@
 	return kind == BalancerDeath || kind == TargetDeath || kind == ReportsFreeze || kind == ReportsLie
 }
 
-// deathDetection is the time from the death of a target to the change of the configuration that marks it
-// as dead.
+// deathDetection is the time from the death of a target to the change of the configuration that
+// marks it as dead.
 const deathDetection = 3 * time.Second
 
 // scheduleChanges schedules the changes of a run, the first after the warm-up.
--- a/internal/routing/compare/compare.go
+++ b/internal/routing/compare/compare.go
@@ -10,8 +10,8 @@
 	Results []Result `json:"results"`
 }
 
-// Run runs each algorithm with the same flows and changes, at most workers at a time. The results depend
-// only on options and algorithms, not on workers.
+// Run runs each algorithm with the same flows and changes, at most workers at a time. The results
+// depend only on options and algorithms, not on workers.
 func Run(options Options, algorithms []AlgorithmName, workers int) (Comparison, error) {
 	if err := options.Validate(); err != nil {
 		return Comparison{}, err
--- a/internal/routing/compare/compare_test.go
+++ b/internal/routing/compare/compare_test.go
@@ -19,8 +19,8 @@
 	return options
 }
 
-// TestOnlyTheFullChainBreaksNoFlows checks that the full chain breaks no flow whose target lives, while
-// the same flows and changes break some with every other algorithm that does not know everything.
+// TestOnlyTheFullChainBreaksNoFlows checks that the full chain breaks no flow whose target lives,
+// while with the same flows and changes every other algorithm without full knowledge breaks some.
 func TestOnlyTheFullChainBreaksNoFlows(t *testing.T) {
 	for _, targets := range []int{4, 14} {
 		comparison, err := compare.Run(shortOptions(targets), compare.AllAlgorithms(), 3)
--- a/internal/routing/compare/hashing.go
+++ b/internal/routing/compare/hashing.go
@@ -28,8 +28,9 @@
 	serving []model.TargetID
 }
 
-// choose returns the target with the highest weight for hash (rendezvous hashing). This is consistent
-// hashing in which all targets have equal shares. It returns zero if there is no serving target.
+// choose returns the target with the highest weight for hash (rendezvous hashing). This is
+// consistent hashing in which all targets have equal shares. It returns zero if there is no serving
+// target.
 func (members members) choose(hash uint64) model.TargetID {
 	var best model.TargetID
 	var bestWeight uint64
@@ -74,8 +75,8 @@
 	return hashing.deliver(hashing.memberships.appliedBy(balancerID(balancer)).choose(flow.hash), flow, opening)
 }
 
-// deliver returns the result of a packet at a target that knows only its own flows: the target accepts
-// opening packets and packets of flows that it owns, and resets all others.
+// deliver returns the result of a packet at a target that knows only its own flows: the target
+// accepts opening packets and packets of flows that it owns, and resets all others.
 func (hashing *hashing) deliver(target model.TargetID, flow *flowState, opening bool) outcome {
 	switch {
 	case !hashing.run.isLive(target):
@@ -94,8 +95,8 @@
 	hashing.memberships.publish(hashing.run.membership())
 }
 
-// targetRecord returns a target as a change of the targets sends it to each node. Only its encoded size
-// matters.
+// targetRecord returns a target as a change of the targets sends it to each node. Only its encoded
+// size matters.
 func (run *run) targetRecord() model.Target {
 	return model.Target{ID: model.TargetID(len(run.targets)), Service: comparedService, Phase: phaseServing, Agent: serviceAddress}
 }
@@ -114,8 +115,8 @@
 
 func (hashing *hashing) controlBytes() (down, up uint64) { return hashing.counter.total, 0 }
 
-// connectionID uses hashing for opening packets and for TCP. Later packets of QUIC flows go to their owner,
-// whose ID is part of the connection ID that the owner issued.
+// connectionID uses hashing for opening packets and for TCP. Later packets of QUIC flows go to
+// their owner, whose ID is part of the connection ID that the owner issued.
 type connectionID struct{ *hashing }
 
 func (connectionID connectionID) route(balancer *balancerNode, flow *flowState, opening bool) outcome {
@@ -125,8 +126,8 @@
 	return connectionID.hashing.route(balancer, flow, opening)
 }
 
-// flowTable is hashing with a flow table at each balancer, which overrides the hash. Balancers do not share
-// their tables.
+// flowTable is hashing with a flow table at each balancer, which overrides the hash. Balancers do
+// not share their tables.
 type flowTable struct {
 	*hashing
 	tables map[int]*flow.Cache
@@ -171,8 +172,8 @@
 	return state
 }
 
-// cacheBytes returns the memory, in bytes, of the flows in the caches of the live balancers. Each flow counts
-// with its share of a cache's memory, so that unused capacity does not count.
+// cacheBytes returns the memory, in bytes, of the flows in the caches of the live balancers. Each
+// flow counts with its share of a cache's memory, so that unused capacity does not count.
 func cacheBytes(run *run, caches map[int]*flow.Cache) float64 {
 	total := 0.0
 	for _, balancer := range run.alive {
--- a/internal/routing/compare/leastloaded.go
+++ b/internal/routing/compare/leastloaded.go
@@ -1,7 +1,7 @@
 package compare
 
-// leastLoaded is a baseline with full knowledge: it knows the owner of each flow and the current load of each
-// target without lag, and opens a flow at the target with the least load.
+// leastLoaded is a baseline with full knowledge: it knows the owner of each flow and the current
+// load of each target without lag, and opens a flow at the target with the least load.
 type leastLoaded struct {
 	*hashing
 	// less reports whether left has less load than right.
@@ -25,8 +25,8 @@
 // fewerFlows reports whether left has fewer open flows than right.
 func fewerFlows(left, right *targetNode) bool { return left.flows < right.flows }
 
-// fewerRequests reports whether left has fewer running and waiting requests than right, or fewer open flows
-// if they have equally many.
+// fewerRequests reports whether left has fewer running and waiting requests than right, or fewer
+// open flows if they have equally many.
 func fewerRequests(left, right *targetNode) bool {
 	if difference := left.requests.total() - right.requests.total(); difference != 0 {
 		return difference < 0
@@ -34,8 +34,8 @@
 	return left.flows < right.flows
 }
 
-// lowerRate reports whether the open flows of left send fewer requests a second than those of right. Outside
-// a model these rates are unknown.
+// lowerRate reports whether the open flows of left send fewer requests a second than those of
+// right. Outside a model these rates are unknown.
 func lowerRate(left, right *targetNode) bool { return left.rate < right.rate }
 
 // total returns the number of running and waiting requests.
--- a/internal/routing/compare/measure.go
+++ b/internal/routing/compare/measure.go
@@ -20,8 +20,8 @@
 	inSystem float64
 }
 
-// windowSamples is the number of samples over which the windowed imbalance of requests averages. A back
-// end runs few requests at once, so a single sample is mostly noise.
+// windowSamples is the number of samples over which the windowed imbalance of requests averages. A
+// back end runs few requests at once, so a single sample is mostly noise.
 const windowSamples = 30
 
 // takeSample records the imbalance of the serving targets and the state of the algorithm. During the
@@ -96,8 +96,8 @@
 	return statistics.total / time.Duration(statistics.count)
 }
 
-// stateStatistics sums the state of an algorithm over the samples. balancers and targets are bytes for each
-// open flow, table is bytes.
+// stateStatistics sums the state of an algorithm over the samples. balancers and targets are bytes
+// for each open flow, table is bytes.
 type stateStatistics struct {
 	samples   int
 	balancers float64
@@ -124,8 +124,8 @@
 	Within float64 `json:"within"`
 }
 
-// flowImbalanceGoal is the maximum imbalance of concurrent flows that is acceptable once a change has
-// settled.
+// flowImbalanceGoal is the maximum imbalance of concurrent flows that is acceptable once a change
+// has settled.
 const flowImbalanceGoal = 1.05
 
 // spreadOf returns the spread of values, ignoring NaN. It modifies values.
@@ -156,7 +156,8 @@
 // ChangeResult is the measurement after one change.
 type ChangeResult struct {
 	Change ChangeKind `json:"change"`
-	// Flows is the imbalance of concurrent flows when Options.SettledAfter has passed since the change.
+	// Flows is the imbalance of concurrent flows when Options.SettledAfter has passed since the
+	// change.
 	Flows float64 `json:"flows"`
 }
 
@@ -176,18 +177,18 @@
 	BrokenPlanned      uint64 `json:"brokenPlanned"`
 	BrokenUnplanned    uint64 `json:"brokenUnplanned"`
 	BrokenOnDeadTarget uint64 `json:"brokenOnDeadTarget"`
-	// LateOpenings counts flows that a draining target opened more than three seconds after its drain
-	// started.
+	// LateOpenings counts flows that a draining target opened more than three seconds after its
+	// drain started.
 	LateOpenings uint64 `json:"lateOpenings"`
-	// OpeningRetries counts opening packets that were lost or reset. PacketRetries counts later packets
-	// that were lost and sent again.
+	// OpeningRetries counts opening packets that were lost or reset. PacketRetries counts later
+	// packets that were lost and sent again.
 	OpeningRetries uint64 `json:"openingRetries"`
 	PacketRetries  uint64 `json:"packetRetries"`
 	// OpeningPasses and Passes count how often targets forwarded opening packets and later packets.
 	OpeningPasses uint64 `json:"openingPasses"`
 	Passes        uint64 `json:"passes"`
-	// Flows is the imbalance of concurrent flows over all samples. FlowsSettled covers only the samples
-	// with no change within Options.SettledAfter before them.
+	// Flows is the imbalance of concurrent flows over all samples. FlowsSettled covers only the
+	// samples with no change within Options.SettledAfter before them.
 	Flows        Spread `json:"flows"`
 	FlowsSettled Spread `json:"flowsSettled"`
 	// RequestsSpread is the imbalance of running and waiting requests over all samples, and
@@ -202,8 +203,8 @@
 	// WaitMilliseconds is the mean time that a request waits for a slot.
 	WaitMilliseconds float64        `json:"waitMilliseconds"`
 	Changes          []ChangeResult `json:"changes"`
-	// BalancerBytes and TargetBytes are the bytes of state for each open flow, summed over all balancers
-	// and over all targets. TableBytes is the size of one node's table.
+	// BalancerBytes and TargetBytes are the bytes of state for each open flow, summed over all
+	// balancers and over all targets. TableBytes is the size of one node's table.
 	BalancerBytes float64 `json:"balancerBytesPerFlow"`
 	TargetBytes   float64 `json:"targetBytesPerFlow"`
 	TableBytes    float64 `json:"tableBytes"`
@@ -215,7 +216,8 @@
 	Timeline []TimelinePoint `json:"course"`
 }
 
-// TimelinePoint is the imbalance at one time. The imbalance of requests is windowed, see windowSamples.
+// TimelinePoint is the imbalance at one time. The imbalance of requests is windowed, see
+// windowSamples.
 type TimelinePoint struct {
 	Seconds  float64 `json:"seconds"`
 	Flows    float64 `json:"flows"`
--- a/internal/routing/compare/options.go
+++ b/internal/routing/compare/options.go
@@ -27,7 +27,8 @@
 	ServiceTime time.Duration
 	// ReportLag is the age at which load reports are delivered.
 	ReportLag time.Duration
-	// WarmUp is the time before the first change. No samples are taken in it, but events are counted.
+	// WarmUp is the time before the first change. No samples are taken in it, but events are
+	// counted.
 	WarmUp time.Duration
 	// ChangeInterval is the time between two changes.
 	ChangeInterval time.Duration
--- a/internal/routing/compare/propagation.go
+++ b/internal/routing/compare/propagation.go
@@ -12,13 +12,14 @@
 	// uniformly distributed and differ between nodes and changes.
 	shortestDelay = 100 * time.Millisecond
 	longestDelay  = 2 * time.Second
-	// stragglerEvery and stragglerDelay model slow balancers: on average one in stragglerEvery changes
-	// at a balancer is delayed by stragglerDelay more.
+	// stragglerEvery and stragglerDelay model slow balancers: on average one in stragglerEvery
+	// changes at a balancer is delayed by stragglerDelay more.
 	stragglerEvery = 8
 	stragglerDelay = 8 * time.Second
 )
 
-// nodeID identifies a balancer or an agent. number is the balancer's number or the agent's target ID.
+// nodeID identifies a balancer or an agent. number is the balancer's number or the agent's target
+// ID.
 type nodeID struct {
 	isAgent bool
 	number  int
@@ -28,8 +29,8 @@
 
 func agentID(target model.TargetID) nodeID { return nodeID{isAgent: true, number: int(target)} }
 
-// propagation delivers published values to the nodes, each after its own delay. A node never returns to an
-// older value.
+// propagation delivers published values to the nodes, each after its own delay. A node never
+// returns to an older value.
 type propagation[Value any] struct {
 	run      *run
 	revision uint32
@@ -112,7 +113,8 @@
 	return len(data), nil
 }
 
-// add counts the bytes of one value. It panics if gob cannot encode it, which is a programming error.
+// add counts the bytes of one value. It panics if gob cannot encode it, which is a programming
+// error.
 func (counter *byteCounter) add(value any) {
 	if err := counter.encoder.Encode(value); err != nil {
 		panic("compare: encode a control message: " + err.Error())
--- a/internal/routing/compare/run.go
+++ b/internal/routing/compare/run.go
@@ -125,7 +125,7 @@
 func (run *run) serving() []*targetNode {
 	var serving []*targetNode
 	for _, target := range run.targets {
-		if target.takesFlows() {
+		if target.isServing() {
 			serving = append(serving, target)
 		}
 	}
@@ -148,8 +148,8 @@
 	return run.result
 }
 
-// scheduleNextArrival schedules the arrival of the flow at index and, when it has arrived, the next one.
-// Only one arrival is scheduled at a time, which keeps the event queue short.
+// scheduleNextArrival schedules the arrival of the flow at index and, when it has arrived, the next
+// one. Only one arrival is scheduled at a time, which keeps the event queue short.
 func (run *run) scheduleNextArrival(index int) {
 	if index >= len(run.plans) {
 		return
@@ -161,16 +161,16 @@
 	})
 }
 
-// startFlow opens a connection of a flow, which ends at endsAt. attempt is zero for the first connection and
-// increases with each new one after the flow broke.
+// startFlow opens a connection of a flow, which ends at endsAt. attempt is zero for the first
+// connection and increases with each new one after the flow broke.
 func (run *run) startFlow(plan flowPlan, attempt uint32, endsAt time.Time) {
 	flow := &flowState{plan: plan, attempt: attempt, endsAt: endsAt, tuple: tupleOf(plan.number, attempt)}
 	flow.hash = hashOf(flow.tuple)
 	run.tryOpening(flow, 0)
 }
 
-// tryOpening sends an opening packet. Unless it is delivered, tryOpening retries after retryInterval, until
-// maximumRetries is exceeded or the flow's end is reached.
+// tryOpening sends an opening packet. Unless it is delivered, tryOpening retries after
+// retryInterval, until maximumRetries is exceeded or the flow's end is reached.
 func (run *run) tryOpening(flow *flowState, retries int) {
 	if retries > maximumRetries || !run.clock.Now().Before(flow.endsAt) {
 		run.result.NotOpened++
@@ -202,8 +202,8 @@
 	}
 }
 
-// scheduleRequest schedules the next packet of a flow: a request, or a keep-alive packet if the next request
-// is more than keepAlive away.
+// scheduleRequest schedules the next packet of a flow: a request, or a keep-alive packet if the
+// next request is more than keepAlive away.
 func (run *run) scheduleRequest(flow *flowState) {
 	gap := exponential(run.draw(flow.plan.number, flow.packets, drawGap), 1/flow.plan.rate)
 	isRequest := gap <= keepAlive
@@ -216,9 +216,9 @@
 	})
 }
 
-// sendPacket sends a packet of an open flow through a random live balancer. A lost packet is sent again up to
-// maximumRetries times. The flow breaks when that fails too, when the packet is reset, and when a target
-// other than the owner accepts it.
+// sendPacket sends a packet of an open flow through a random live balancer. A lost packet is sent
+// again up to maximumRetries times. The flow breaks when that fails too, when the packet is reset,
+// and when a target other than the owner accepts it.
 func (run *run) sendPacket(flow *flowState, isRequest bool, retries int) {
 	if flow.ended {
 		return
@@ -246,6 +246,7 @@
 	return exponential(run.draw(flow.plan.number, flow.packets, drawService), run.options.ServiceTime.Seconds())
 }
 
+// pickBalancer draws the live balancer that receives the next packet of the flow.
 func (run *run) pickBalancer(flow *flowState) *balancerNode {
 	number := run.draw(flow.plan.number, flow.packets, drawBalancer)
 	return run.alive[number%uint64(len(run.alive))]
@@ -258,6 +259,7 @@
 	run.close(flow)
 }
 
+// close ends an open flow at its owner.
 func (run *run) close(flow *flowState) {
 	flow.ended = true
 	target := run.target(flow.owner)
@@ -278,8 +280,8 @@
 	})
 }
 
-// countBroken counts a broken flow, by whether its target died or, if not, whether the latest change was
-// planned.
+// countBroken counts a broken flow, by whether its target died or, if not, whether the latest
+// change was planned.
 func (run *run) countBroken(onDeadTarget bool) {
 	switch {
 	case onDeadTarget:
--- a/internal/routing/compare/summary.go
+++ b/internal/routing/compare/summary.go
@@ -18,8 +18,8 @@
 	Flows            Spread `json:"flows"`
 	FlowsSettled     Spread `json:"flowsSettled"`
 	RequestsWindowed Spread `json:"requestsWindowed"`
-	// The following are means over the runs. Result explains them; PassesPerOpening and PassesPerPacket
-	// are passes divided by opened connections and by later packets.
+	// The following are means over the runs. Result explains them; PassesPerOpening and
+	// PassesPerPacket are passes divided by opened connections and by later packets.
 	RequestsImbalanceMean float64 `json:"requestsImbalanceMean"`
 	RequestsMean          float64 `json:"requestsMean"`
 	WaitMilliseconds      float64 `json:"waitMilliseconds"`
@@ -34,8 +34,8 @@
 	FlowsAfterChange []ChangeResult `json:"flowsAfterChange"`
 }
 
-// Summarize returns one summary for each algorithm over several comparisons with the same number of targets
-// and the same algorithms.
+// Summarize returns one summary for each algorithm over several comparisons with the same number of
+// targets and the same algorithms.
 func Summarize(comparisons []Comparison) []Summary {
 	if len(comparisons) == 0 {
 		return nil
@@ -93,9 +93,10 @@
 	spread.Max = max(spread.Max, other.Max)
 }
 
-// GapClosed returns the fraction of the gap between plain hashing and the least-requests baseline that the full
-// chain closes in figure. It is negative if the full chain is worse than plain hashing, and NaN if plain
-// hashing is not worse than the baseline or if one of the three algorithms is missing.
+// GapClosed returns the fraction of the gap between plain hashing and the least-requests baseline
+// that the full chain closes in figure. It is negative if the full chain is worse than plain
+// hashing, and NaN if plain hashing is not worse than the baseline or if one of the three
+// algorithms is missing.
 func GapClosed(summaries []Summary, figure func(Summary) float64) float64 {
 	figures := make(map[AlgorithmName]float64, len(summaries))
 	for _, summary := range summaries {
--- a/internal/routing/compare/target.go
+++ b/internal/routing/compare/target.go
@@ -25,14 +25,14 @@
 	// rate is the sum of the request rates of the open flows.
 	rate     float64
 	requests *requestQueue
-	// recent is a ring buffer of the number of requests at the latest samples. next is the index of the
-	// oldest sample.
+	// recent is a ring buffer of the number of requests at the latest samples. next is the index of
+	// the oldest sample.
 	recent [windowSamples]float64
 	next   int
 }
 
-// takesFlows reports whether the target is alive and its phase is serving.
-func (target *targetNode) takesFlows() bool { return target.phase == phaseServing && !target.dead }
+// isServing reports whether the target is alive and its phase is serving.
+func (target *targetNode) isServing() bool { return target.phase == phaseServing && !target.dead }
 
 // load returns the target's current load, which its report may contradict.
 func (target *targetNode) load(slots int) model.TargetLoad {
@@ -57,7 +57,8 @@
 	serviceTime time.Duration
 }
 
-// admit starts or queues a request that occupies a slot for serviceTime, or sheds it if the queue is full.
+// admit starts or queues a request that occupies a slot for serviceTime, or sheds it if the queue
+// is full.
 func (queue *requestQueue) admit(serviceTime time.Duration) {
 	request := waitingRequest{arrived: queue.run.clock.Now(), serviceTime: serviceTime}
 	switch {
@@ -86,8 +87,8 @@
 	queue.start(next)
 }
 
-// loadReports simulates the load reports of targets, which may be delayed, frozen or wrong. None of the
-// algorithms reads them: agents of the full chain use the current load of their own target.
+// loadReports simulates the load reports of targets, which may be delayed, frozen or wrong. None of
+// the algorithms reads them: agents of the full chain use the current load of their own target.
 type loadReports struct {
 	run       *run
 	history   [][]model.TargetLoad
@@ -98,8 +99,8 @@
 	zeroReporter model.TargetID
 }
 
-// record records the current loads and delivers those that are Options.ReportLag old. It is called every
-// second.
+// record records the current loads and delivers those that are Options.ReportLag old. It is called
+// every second.
 func (reports *loadReports) record() {
 	loads := make([]model.TargetLoad, 0, len(reports.run.targets))
 	for _, target := range reports.run.targets {
@@ -118,8 +119,8 @@
 	reports.history = reports.history[1:]
 }
 
-// deliver stores a report unless the target's reports are frozen. The report of zeroReporter is changed to zero
-// load.
+// deliver stores a report unless the target's reports are frozen. The report of zeroReporter is
+// changed to zero load.
 func (reports *loadReports) deliver(load model.TargetLoad) {
 	if reports.frozen[load.Target] {
 		return
--- a/internal/routing/compare/twohop.go
+++ b/internal/routing/compare/twohop.go
@@ -7,16 +7,16 @@
 	"merlinpaddle/internal/routing"
 )
 
-// hop is one bucket of twoHop. Former is the head before Head, or zero. targetsChanged counts the bytes of hops
-// in gob encoding, which writes the names of the type and its fields.
+// hop is one bucket of twoHop. Former is the head before Head, or zero. targetsChanged counts the
+// bytes of hops in gob encoding, which writes the names of the type and its fields.
 type hop struct {
 	Bucket model.BucketIndex
 	Head   model.TargetID
 	Former model.TargetID
 }
 
-// twoHop is an algorithm with chains of two targets. Balancers keep no flow state. A head that does not own a
-// flow forwards the packet to the bucket's former head, which forwards nothing.
+// twoHop is an algorithm with chains of two targets. Balancers keep no flow state. A head that does
+// not own a flow forwards the packet to the bucket's former head, which forwards nothing.
 type twoHop struct {
 	*hashing
 	// tables has the buckets, in place of the memberships of hashing.
@@ -30,8 +30,8 @@
 	return twoHop
 }
 
-// assignHeads returns the buckets with the heads that current chooses. Where the head changes, the previous one
-// becomes Former.
+// assignHeads returns the buckets with the heads that current chooses. Where the head changes, the
+// previous one becomes Former.
 func (twoHop *twoHop) assignHeads(before []hop, current members) []hop {
 	after := slices.Clone(before)
 	for index := range after {
--- a/internal/routing/compare/workload.go
+++ b/internal/routing/compare/workload.go
@@ -70,8 +70,8 @@
 	return plans
 }
 
-// lowestRate returns the lowest request rate of a flow, in requests a second, with which the mean utilization
-// of the slots is Options.Utilization.
+// lowestRate returns the lowest request rate of a flow, in requests a second, with which the mean
+// utilization of the slots is Options.Utilization.
 func (options Options) lowestRate() float64 {
 	requests := options.Utilization * float64(options.Slots) / options.ServiceTime.Seconds()
 	meanLifetime := lifetimeMinimum.Seconds() * paretoMean(lifetimeShape, lifetimeMaximum.Seconds()/lifetimeMinimum.Seconds())
@@ -79,8 +79,8 @@
 	return requests / flows / paretoMean(rateShape, rateRange)
 }
 
-// draw returns a random number that depends only on the seed, a flow (or a node), a count and a purpose, so
-// that it is the same with every algorithm.
+// draw returns a random number that depends only on the seed, a flow (or a node), a count and a
+// purpose, so that it is the same with every algorithm.
 func (run *run) draw(flow uint64, count uint32, purpose byte) uint64 {
 	var key [21]byte
 	binary.BigEndian.PutUint64(key[0:], run.options.Seed)
@@ -98,7 +98,8 @@
 	drawDelay
 )
 
-// exponential maps a random number to an exponentially distributed duration with the given mean in seconds.
+// exponential maps a random number to an exponentially distributed duration with the given mean in
+// seconds.
 func exponential(number uint64, mean float64) time.Duration {
 	return time.Duration(-math.Log(1-uniform(number)) * mean * float64(time.Second))
 }
@@ -109,8 +110,8 @@
 // attemptsPerFlow is the number of five-tuples that the connections of one flow use in turn.
 const attemptsPerFlow = 8
 
-// tupleOf returns the five-tuple of a connection of a flow. All five-tuples have the protocol of the one
-// service, TCP; whether a flow is QUIC is part of its plan.
+// tupleOf returns the five-tuple of a connection of a flow. All five-tuples have the protocol of
+// the one service, TCP; whether a flow is QUIC is part of its plan.
 func tupleOf(flow uint64, attempt uint32) model.FiveTuple {
 	serial := flow*attemptsPerFlow + uint64(attempt%attemptsPerFlow)
 	caller := serial / portsPerAddress
--- a/internal/standin/listen/listen.go
+++ b/internal/standin/listen/listen.go
@@ -22,8 +22,8 @@
 	stopTimeout = 5 * time.Second
 )
 
-// HTTP listens on the TCP address and serves handler in a task called name until the process stops. It
-// returns an error if it cannot listen on address.
+// HTTP listens on the TCP address and serves handler in a task called name until the process stops.
+// It returns an error if it cannot listen on address.
 func HTTP(tasks *process.Tasks, name, address string, handler http.Handler) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
