--- a/internal/agent/dataplane/plane.go
+++ b/internal/agent/dataplane/plane.go
@@ -88,7 +88,7 @@
 		Opening:    received.Opening,
 		Chain:      received.Chain,
 		Position:   int(received.Position),
-		PasserLoad: received.HeadLoad,
+		PasserLoad: received.PasserLoad,
 		Stage:      received.Stage,
 		Passes:     received.Passes,
 	})
@@ -131,7 +131,7 @@
 	forwarded.Revision = decision.Revision
 	forwarded.Stage = decision.Stage
 	forwarded.Passes = decision.Passes
-	forwarded.HeadLoad = decision.PasserLoad
+	forwarded.PasserLoad = decision.PasserLoad
 	if err := plane.options.Socket.Send(next.Agent, &forwarded); err != nil {
 		plane.counters.countDrop(DropSendFailed)
 		return
--- a/internal/agent/dataplane/plane_test.go
+++ b/internal/agent/dataplane/plane_test.go
@@ -288,7 +288,7 @@
 		fixture.plane.Handle(openingPacket(func(p *packet.Encapsulated) {
 			p.Flow.Protocol, p.Balancer = model.ProtocolUDP, addressOf(fixture.balancer)
 			// The search found no owner at the alternate, which has a higher load.
-			p.Stage, p.Passes, p.HeadLoad = model.StageSearch, 2, 1000
+			p.Stage, p.Passes, p.PasserLoad = model.StageSearch, 2, 1000
 			p.Chain, p.Position = []model.TargetID{otherTarget, ownTarget}, 1
 		}))
 		require.Equal(t, opened, receive(t, fixture.balancer).Opening)
