--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -142,7 +142,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		packed = encoder.Describe(packed)
+		packed = encoder.WithDescriptions(packed)
 		b.Run("encode", func(b *testing.B) {
 			for b.Loop() {
 				if _, err := encoder.Encode(update); err != nil {
@@ -214,7 +214,7 @@
 	for _, flows := range []int{800, 3200, 12_800, 51_200} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
 			before := heapBytes()
-			owners := flow.NewOwners(flow.OwnersOptions{Service: 1, Target: 1})
+			owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: 1, Target: 1})
 			now := time.Now()
 			open := func(number int) model.BucketIndex {
 				bucket := model.BucketIndex(number % buckets)
--- a/internal/direct/balancernode/module.go
+++ b/internal/direct/balancernode/module.go
@@ -1,9 +1,9 @@
 // Package balancernode is the fx module of a balancer of direct services.
 //
-// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Publisher, *renewal.Relay,
-// *outcome.Tracker, *requests.Watcher, *load.Book, *load.Exchange, *transfer.Admission,
-// *forwarder.Suspects and *forwarder.Forwarder. It includes transport.Module, and requires a
-// forwarder.Codec in addition to what the process base provides.
+// It provides model.Role, *steer.Table, *feed.Subscriber, *feed.Replica, *feed.Publisher,
+// *feed.ReportRelay, *renewal.Relay, *outcome.Tracker, *requests.Watcher, *load.Counter,
+// *transfer.Admission, *forwarder.Suspects and *forwarder.Forwarder. It includes the module of package
+// transport, and requires a forwarder.Codec in addition to what the process base provides.
 package balancernode
 
 import (
@@ -68,17 +68,17 @@
 	)
 }
 
-func newTable(config settings.Settings, book *load.Counter) *steer.Table {
+func newTable(config settings.Settings, loadCounter *load.Counter) *steer.Table {
 	options := steer.DefaultOptions()
 	options.Self = model.NodeName(config.Node)
 	options.Zone = config.Zone
 	options.Regions = regionsOf(config.Direct.Zones)
-	options.LocalZoneWeight = config.Direct.NearWeight
-	options.SpilloverCandidates = config.Direct.SpillCandidates
+	options.LocalZoneWeight = config.Direct.LocalZoneWeight
+	options.SpilloverCandidates = config.Direct.SpilloverCandidates
 	options.Candidates = config.Direct.LoadCandidates
-	options.MaxOccupancy = config.Direct.LoadCrowd
+	options.MaxOccupancy = config.Direct.MaxOccupancy
 	options.MaxObjectiveShare = config.Direct.LoadAdmission
-	options.Loads = book
+	options.Loads = loadCounter
 	return steer.NewTable(options)
 }
 
@@ -107,7 +107,7 @@
 	return config.Listen != "" && config.Direct.PeerFollowers > 0
 }
 
-// changeListeners are called for each update that changed the table.
+// changeListeners holds the functions that are called for each update that changed the table.
 type changeListeners struct {
 	functions []func(changes directory.Changes, from model.NodeName)
 }
@@ -145,16 +145,16 @@
 
 func provideReplica(table *steer.Table, subscriber *feed.Subscriber, listeners *changeListeners) *feed.Replica {
 	replica := feed.NewReplica(table, subscriber)
-	listeners.add(func(changes directory.Changes, _ model.NodeName) { replica.Took(changes) })
+	listeners.add(func(changes directory.Changes, _ model.NodeName) { replica.Record(changes) })
 	return replica
 }
 
 func providePublisher(config settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, replica *feed.Replica) *feed.Publisher {
-	return feed.NewPublisher(feed.PublisherOptions{Limit: config.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
+	return feed.NewPublisher(feed.PublisherOptions{MaxFollowers: config.Direct.PeerFollowers}, mailbox, dispatcher, replica, replica)
 }
 
-func provideReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, subscriber *feed.Subscriber) *feed.Reports {
-	return feed.NewReports(mailbox, dispatcher, subscriber.Following)
+func provideReports(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, subscriber *feed.Subscriber) *feed.ReportRelay {
+	return feed.NewReportRelay(mailbox, dispatcher, subscriber.Following)
 }
 
 func provideRelay(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, table *steer.Table, subscriber *feed.Subscriber) *renewal.Relay {
@@ -165,8 +165,8 @@
 	return outcome.NewTracker(mailbox, subscriber.Following)
 }
 
-func provideWatcher(tracker *outcome.Tracker, book *load.Counter) *requests.Watcher {
-	watcher := requests.NewWatcher(tracker, book)
+func provideWatcher(tracker *outcome.Tracker, loadCounter *load.Counter) *requests.Watcher {
+	watcher := requests.NewWatcher(tracker, loadCounter)
 	watcher.ObserveAnswers(tracker)
 	return watcher
 }
@@ -213,7 +213,7 @@
 	Subscriber *feed.Subscriber
 	Table      *steer.Table
 	Publisher  *feed.Publisher
-	Reports    *feed.Reports
+	Reports    *feed.ReportRelay
 	Relay      *renewal.Relay
 	Tracker    *outcome.Tracker
 	Watcher    *requests.Watcher
@@ -224,7 +224,8 @@
 	Reloads    *process.Reloads
 }
 
-// registerTasks connects the components and makes the lifecycle start them and drain the balancer.
+// registerTasks connects the components and registers lifecycle hooks that start them, and that drain
+// the balancer on stop.
 func registerTasks(deps dependencies) {
 	deps.Readiness.Set(readinessPart, false)
 	deps.Metrics.egressCounts = deps.Forwarder.Counts
--- a/internal/direct/member/module.go
+++ b/internal/direct/member/module.go
@@ -74,7 +74,7 @@
 		fx.Provide(
 			directory.New,
 			newHistograms,
-			process.ProvideFolder,
+			process.ProvideDataFolder,
 			provideReplica,
 			replica.NewNode,
 			registrar.NewRenewalTable,
@@ -141,13 +141,13 @@
 }
 
 func providePublisher(chosen settings.Settings, mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher, state *directory.Directory, group *replica.Controller) *feed.Publisher {
-	return feed.NewPublisher(feed.PublisherOptions{Limit: chosen.Direct.Followers, TellsMembers: true},
+	return feed.NewPublisher(feed.PublisherOptions{MaxFollowers: chosen.Direct.Followers, IsMember: true},
 		mailbox, dispatcher, state, memberSource{group: group})
 }
 
 func provideReconfigure(chosen settings.Settings, group *replica.Controller, logger *zap.Logger) *reconfigure.Controller {
 	options := reconfigure.DefaultOptions(chosen.Direct.ToleratedLosses)
-	options.ToleratesZone = chosen.Direct.ToleratedZones > 0
+	options.ToleratesZoneLoss = chosen.Direct.ToleratedZones > 0
 	return reconfigure.New(options, group, logger.Named("membership"))
 }
 
@@ -222,6 +222,8 @@
 				})
 			}
 		},
-		func(ctx context.Context) { params.Node.HandOver(ctx, leadershipTransferTimeout, params.Logger) },
+		func(ctx context.Context) {
+			params.Node.HandOverLeadership(ctx, leadershipTransferTimeout, params.Logger)
+		},
 	))
 }
--- a/internal/direct/registrar/batch_test.go
+++ b/internal/direct/registrar/batch_test.go
@@ -10,9 +10,9 @@
 	"merlinpaddle/internal/faults"
 )
 
-// TestManyTargetsThatStartTogether checks that the number of proposals grows with the number of
+// TestTargetsThatStartTogetherAreBatched checks that the number of proposals grows with the number of
 // batches, not of targets.
-func TestManyTargetsThatStartTogether(t *testing.T) {
+func TestTargetsThatStartTogetherAreBatched(t *testing.T) {
 	const targets = 2000
 	harness := newHarness(t)
 	completed := 0
@@ -122,5 +122,5 @@
 	var outcome error
 	proposed := &batch{registrations: []*registration{{done: func(_ directory.Token, err error) { outcome = err }}}}
 	proposed.complete(directory.Result{Token: 5}, nil)
-	require.Equal(t, faults.OutcomeUnknown, faults.CodeOf(outcome))
+	require.Equal(t, faults.ProposalOutcomeUnknown, faults.CodeOf(outcome))
 }
--- a/internal/direct/registrar/registrar_test.go
+++ b/internal/direct/registrar/registrar_test.go
@@ -213,7 +213,7 @@
 		{"leader does not answer", func(harness *harness) { harness.group.unresponsive = true }, faults.ForwardTimeout},
 		{"no leader", func(harness *harness) { harness.group.status.Leader = "" }, faults.QuorumUnconfirmed},
 		{"member does not lead", func(harness *harness) { harness.group.err = faults.New(faults.NotLeader, "no") }, faults.QuorumUnconfirmed},
-		{"outcome unknown", func(harness *harness) { harness.group.err = faults.New(faults.OutcomeUnknown, "no") }, faults.OutcomeUnknown},
+		{"outcome unknown", func(harness *harness) { harness.group.err = faults.New(faults.ProposalOutcomeUnknown, "no") }, faults.ProposalOutcomeUnknown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -403,7 +403,7 @@
 	return target
 }
 
-func TestFailedTargetIsRemovedAfterItsFlows(t *testing.T) {
+func TestFailedTargetIsRemovedAfterTheLongestFlow(t *testing.T) {
 	harness := newHarness(t)
 	require.NoError(t, harness.register(readyTarget(1, 1)))
 	harness.reportVerdict("one", 1, feed.VerdictRefused)
--- a/internal/faults/codes_administration.go
+++ b/internal/faults/codes_administration.go
@@ -6,16 +6,16 @@
 const (
 	// CodeMalformedRequest: the request could not be read.
 	CodeMalformedRequest Code = 4001
-	// CodeUnauthenticated: no token, or one that is not known.
+	// CodeUnauthenticated: the request has no token, or an unknown one.
 	CodeUnauthenticated Code = 4002
 	// CodeForbidden: the token's role or tenant does not allow the request.
 	CodeForbidden Code = 4003
 	// CodeNotFound: the named object does not exist.
 	CodeNotFound Code = 4004
-	// CodeRevisionMismatch: the object changed since the revision that the change
+	// CodeRevisionMismatch: the object changed after the revision that the change
 	// is based on.
 	CodeRevisionMismatch Code = 4005
-	// CodeRevisionRequired: the change does not say which revision it is based on.
+	// CodeRevisionRequired: the change does not name the revision that it is based on.
 	CodeRevisionRequired Code = 4006
 	// CodeIdempotencyKeyRequired: the change has no usable Idempotency-Key.
 	CodeIdempotencyKeyRequired Code = 4007
@@ -25,21 +25,21 @@
 	CodeConflict Code = 4009
 	// CodeInvalidField: a field has a value that is not allowed.
 	CodeInvalidField Code = 4010
-	// CodeQuotaExceeded: the change would exceed a quota or a table's bound.
+	// CodeQuotaExceeded: the change would exceed a quota or a limit of a table.
 	CodeQuotaExceeded Code = 4011
 	// CodeRateLimited: the token made too many requests.
 	CodeRateLimited Code = 4012
-	// CodeBodyTooLarge: the request body is larger than the bound.
+	// CodeBodyTooLarge: the request body is larger than the limit.
 	CodeBodyTooLarge Code = 4013
-	// CodeUnsupportedMediaType: the request body is not of a known type.
+	// CodeUnsupportedMediaType: the request body's media type is not supported.
 	CodeUnsupportedMediaType Code = 4014
 	// CodeOutcomeUnknown: the change may or may not have been committed.
 	CodeOutcomeUnknown Code = 4016
 	// CodeReadUnconfirmed: leadership was not confirmed for a read in time.
 	CodeReadUnconfirmed Code = 4017
-	// CodeGroupNotEmpty: a backup is restored into an empty group only.
+	// CodeGroupNotEmpty: a backup can be restored into an empty group only.
 	CodeGroupNotEmpty Code = 4018
-	// CodeSnapshotInvalid: the backup is damaged or of an unknown version.
+	// CodeSnapshotInvalid: the backup is damaged or has an unknown version.
 	CodeSnapshotInvalid Code = 4019
 	// CodeUnknownCommand: the log holds a command that this version cannot run.
 	CodeUnknownCommand Code = 4020
@@ -49,7 +49,7 @@
 	CodeNotInForce Code = 4022
 	// CodeTokensInvalid: the token file cannot be used.
 	CodeTokensInvalid Code = 4023
-	// CodeInternalFault: the member failed in a way it has no better code for.
+	// CodeInternalFault: the member failed in a way that has no code of its own.
 	CodeInternalFault Code = 4024
 	// CodeMemberUnreachable: no control member could be reached.
 	CodeMemberUnreachable Code = 4025
--- a/internal/faults/codes_direct.go
+++ b/internal/faults/codes_direct.go
@@ -9,7 +9,7 @@
 	ConfigurationInvalid Code = 8001
 	// RegistrationInvalid: a target's registration breaks a rule.
 	RegistrationInvalid Code = 8002
-	// QuorumUnconfirmed: this member has not heard of a quorum lately.
+	// QuorumUnconfirmed: this member has not heard from a leader with a quorum recently.
 	QuorumUnconfirmed Code = 8003
 	// ForwardTimeout: the leader did not answer a forwarded request in time.
 	ForwardTimeout Code = 8004
@@ -17,9 +17,9 @@
 	SegmentMalformed Code = 8005
 	// LogUnreadable: a log file cannot be read.
 	LogUnreadable Code = 8006
-	// ZoneOrderInvalid: an order for a zone names none.
+	// ZoneOrderInvalid: an order to evacuate a zone, or to end its evacuation, names no valid zone.
 	ZoneOrderInvalid Code = 8007
-	// ZoneOrdersFull: as many zones are evacuated as may be.
+	// ZoneOrdersFull: the largest number of zones is already evacuated.
 	ZoneOrdersFull Code = 8008
 )
 
--- a/internal/faults/codes_process.go
+++ b/internal/faults/codes_process.go
@@ -1,6 +1,6 @@
 package faults
 
-// Codes of the process base.
+// Codes of running a process.
 const (
 	CodeAddressInUse Code = 9001
 	CodeTaskFailed   Code = 9002
--- a/internal/faults/codes_request.go
+++ b/internal/faults/codes_request.go
@@ -4,40 +4,39 @@
 
 // Codes of refused and failed requests.
 const (
-	// RequestQueueFull: the target's queue has no place.
+	// RequestQueueFull: the target's queue is full.
 	RequestQueueFull Code = 6001
 	// RequestDeadlineTooShort: the expected wait exceeds the deadline.
 	RequestDeadlineTooShort Code = 6002
 	// RequestDeadlinePassed: the deadline passed while the request waited.
 	RequestDeadlinePassed Code = 6003
-	// RequestDisplaced: a request of more weight took the place in the queue.
+	// RequestDisplaced: a request of more weight took its place in the queue.
 	RequestDisplaced Code = 6004
-	// RequestTooManyFeeds: the target holds as many connections as it may.
+	// RequestTooManyFeeds: the target has reached its limit of open feeds.
 	RequestTooManyFeeds Code = 6005
-	// RequestDraining: the target leaves and starts nothing new. 6006 is not
-	// used.
+	// RequestDraining: the target is draining and starts no new requests. Code
+	// 6006 is not used.
 	RequestDraining Code = 6007
 	// RequestHeaderInvalid: a header field that the agent reads is malformed.
 	RequestHeaderInvalid Code = 6008
 	// RequestBodyTooLarge: the stated body length is over the limit.
 	RequestBodyTooLarge Code = 6009
-	// RequestBodyOverLimit: the body grew over the limit while it was passed
-	// on.
+	// RequestBodyOverLimit: the body exceeded the limit while it was forwarded.
 	RequestBodyOverLimit Code = 6010
 	// RequestBodyIncomplete: the caller's body ended early.
 	RequestBodyIncomplete Code = 6011
 	// RequestBodyRejected: the body could not be read before the request was
 	// run.
 	RequestBodyRejected Code = 6012
-	// RequestCanceled: the caller went away before the request was run.
+	// RequestCanceled: the caller cancelled the request or disconnected before it
+	// was run.
 	RequestCanceled Code = 6013
 
 	// BackendUnhealthy: the circuit breaker keeps requests from the back end.
 	BackendUnhealthy Code = 6020
 	// BackendUnreachable: no connection to the back end could be opened.
 	BackendUnreachable Code = 6021
-	// BackendShed: the back end refused the request and says that it did not
-	// run.
+	// BackendShed: the back end shed the request and states that it did not run.
 	BackendShed Code = 6022
 	// BackendShedUnknown: the back end answered 503 without saying whether
 	// the request ran.
@@ -48,7 +47,8 @@
 	BackendAnswerMismatched Code = 6025
 	// BackendAnswerShort: the answer ended early.
 	BackendAnswerShort Code = 6026
-	// BackendAnswerUnframed: the answer's end cannot be told from a cut.
+	// BackendAnswerUnframed: the answer has no framing, so its end cannot be told
+	// from a lost connection.
 	BackendAnswerUnframed Code = 6027
 	// BackendConnectionLost: the connection broke before the answer came.
 	BackendConnectionLost Code = 6028
@@ -65,18 +65,18 @@
 	ClaimUnknownOutcome Code = 6042
 	// ClaimKeyReused: the key was used with another request.
 	ClaimKeyReused Code = 6043
-	// ClaimGrantExpired: the grant ran out before the request was started.
+	// ClaimGrantExpired: the grant expired before the request was started.
 	ClaimGrantExpired Code = 6044
-	// ClaimOutcomeOmitted: the first attempt ran and its answer was too large
-	// to be kept.
+	// ClaimOutcomeOmitted: the first attempt was answered, and its answer was too
+	// large to be stored.
 	ClaimOutcomeOmitted Code = 6045
 
 	// AgentCertificate: the agent's certificate cannot be used.
 	AgentCertificate Code = 6060
 	// AgentSettings: the agent's settings lack what the role needs.
 	AgentSettings Code = 6061
-	// AgentStopGrace: requests or flows were open when the time to stop was
-	// over.
+	// AgentStopGrace: requests or flows were still open when agent.stop_grace
+	// ended.
 	AgentStopGrace Code = 6062
 )
 
--- a/internal/faults/codes_storage.go
+++ b/internal/faults/codes_storage.go
@@ -8,7 +8,7 @@
 	StorageForeign Code = 2002
 	// StorageLocked: another process uses the folder.
 	StorageLocked Code = 2003
-	// StorageStopped: an earlier write or sync failed.
+	// StorageStopped: the log stopped because an earlier write or sync failed.
 	StorageStopped Code = 2004
 	// StorageFull: the disk is full.
 	StorageFull Code = 2005
@@ -19,15 +19,15 @@
 	StorageSnapshotDamaged Code = 2007
 	// StorageVersion: the files were written by an unknown format version.
 	StorageVersion Code = 2008
-	// StorageUnusable: the folder cannot be read or made.
+	// StorageUnusable: the folder or a file in it cannot be opened or created.
 	StorageUnusable Code = 2009
-	// StorageLostEntries: entries that the member acknowledged are gone.
+	// StorageLostEntries: entries that the member acknowledged are missing.
 	StorageLostEntries Code = 2010
 	// StorageIncomplete: part of the member's files is missing.
 	StorageIncomplete Code = 2011
 )
 
-// replaceMember is the mend for a disk that can no longer be trusted.
+// replaceMember is the operator's action for a disk whose content is no longer reliable.
 const replaceMember = "Keep a copy of the folder, remove the member from the group, empty the folder and add the member again; it returns under a new ID and catches up from the others."
 
 var storageDefinitions = []Definition{
--- a/internal/rollout/receiver.go
+++ b/internal/rollout/receiver.go
@@ -2,17 +2,17 @@
 
 import "merlinpaddle/internal/model"
 
-// Progress is what an update did to a receiver.
-type Progress struct {
-	// Advanced tells that the configuration changed.
-	Advanced bool
-	// Resync tells that the update did not continue the configuration, so
-	// that the receiver must ask again.
+// ApplyResult is the result of applying an update to a receiver.
+type ApplyResult struct {
+	// Changed means that the configuration changed.
+	Changed bool
+	// Resync means that a delta does not continue the configuration, so the deltas that follow the
+	// configuration's revision must be requested.
 	Resync bool
 }
 
-// Receiver applies updates in order to a working configuration. It never goes
-// back to a lower revision. It is used by one controller.
+// Receiver applies updates in order to a working configuration, and never returns to a lower
+// revision. It is not safe for concurrent use.
 type Receiver struct {
 	current *model.Configuration
 	history *History
@@ -27,48 +27,50 @@
 // Current returns the working configuration, which must not be written.
 func (receiver *Receiver) Current() *model.Configuration { return receiver.current }
 
-// DeltasSince returns the deltas from revision to the working configuration.
+// DeltasSince returns the deltas that lead from revision to the working configuration, and whether
+// the history has all of them.
 func (receiver *Receiver) DeltasSince(revision model.Revision) ([]model.Delta, bool) {
 	return receiver.history.Since(revision)
 }
 
-// Snapshot takes a whole configuration. One of a lower revision is ignored.
-// One of the same revision replaces the working configuration only when the
-// digests differ, which repairs a node that went wrong.
-func (receiver *Receiver) Snapshot(snapshot *model.Configuration) Progress {
+// ApplySnapshot replaces the working configuration by a full snapshot. A snapshot of a lower
+// revision is ignored. One of the same revision is applied only if the digests differ, which
+// repairs a node whose configuration is wrong.
+func (receiver *Receiver) ApplySnapshot(snapshot *model.Configuration) ApplyResult {
 	if snapshot.Revision < receiver.current.Revision {
-		return Progress{}
+		return ApplyResult{}
 	}
 	if snapshot.Revision == receiver.current.Revision && snapshot.Digest() == recomputedDigest(receiver.current) {
-		return Progress{}
+		return ApplyResult{}
 	}
-	receiver.current = complete(snapshot)
+	receiver.current = withEmptyMaps(snapshot)
 	receiver.history.Reset()
-	return Progress{Advanced: true}
+	return ApplyResult{Changed: true}
 }
 
-// Deltas applies deltas in order. Those that are already applied are skipped;
-// one that starts later than the working configuration asks for a resync.
-func (receiver *Receiver) Deltas(deltas []model.Delta) Progress {
-	var progress Progress
+// ApplyDeltas applies deltas in order. It skips those that are already applied, and stops with
+// Resync set at one that does not continue the working configuration.
+func (receiver *Receiver) ApplyDeltas(deltas []model.Delta) ApplyResult {
+	var result ApplyResult
 	for _, delta := range deltas {
 		if delta.To <= receiver.current.Revision {
 			continue
 		}
 		next, err := receiver.current.Apply(delta)
 		if err != nil {
-			progress.Resync = true
-			return progress
+			result.Resync = true
+			return result
 		}
 		receiver.current = next
 		receiver.history.Append(delta)
-		progress.Advanced = true
+		result.Changed = true
 	}
-	return progress
+	return result
 }
 
-// complete restores the empty maps that the codec leaves out.
-func complete(configuration *model.Configuration) *model.Configuration {
+// withEmptyMaps returns a sealed copy of a decoded configuration, in which empty maps replace the
+// nil ones that the codec leaves.
+func withEmptyMaps(configuration *model.Configuration) *model.Configuration {
 	completed := *configuration
 	empty := model.NewConfiguration()
 	if completed.Services == nil {
@@ -84,7 +86,7 @@
 	return &completed
 }
 
-// recomputedDigest returns the digest from every row, without the sum that the
+// recomputedDigest returns the digest computed from every row, without the sum that a sealed
 // configuration keeps.
 func recomputedDigest(configuration *model.Configuration) uint64 {
 	unsealed := model.Configuration{
