--- a/internal/auth/tokens.go
+++ b/internal/auth/tokens.go
@@ -110,38 +110,38 @@
 	}
 	tokens := &Tokens{}
 	names := make(map[string]bool)
-	for index, line := range file.Tokens {
-		known, err := line.check()
+	for index, listed := range file.Tokens {
+		valid, err := listed.check()
 		if err != nil {
 			return nil, faults.New(faults.CodeTokensInvalid, "token file: tokens[%d]: %v", index, err)
 		}
-		if names[line.Name] {
-			return nil, faults.New(faults.CodeTokensInvalid, "token file: tokens[%d]: name %q is used twice", index, line.Name)
+		if names[listed.Name] {
+			return nil, faults.New(faults.CodeTokensInvalid, "token file: tokens[%d]: name %q is used twice", index, listed.Name)
 		}
-		names[line.Name] = true
-		tokens.entries = append(tokens.entries, known)
+		names[listed.Name] = true
+		tokens.entries = append(tokens.entries, valid)
 	}
 	return tokens, nil
 }
 
 // check validates the entry and returns the token that it defines.
-func (line fileToken) check() (entry, error) {
-	known := entry{identity: Identity{Name: line.Name, Role: line.Role, Tenant: model.TenantName(line.Tenant)}}
-	if line.Name == "" {
+func (listed fileToken) check() (entry, error) {
+	valid := entry{identity: Identity{Name: listed.Name, Role: listed.Role, Tenant: model.TenantName(listed.Tenant)}}
+	if listed.Name == "" {
 		return entry{}, fmt.Errorf("name is missing")
 	}
-	if line.Role.rank() == 0 {
-		return entry{}, fmt.Errorf("role %q is not viewer, operator or admin", line.Role)
+	if listed.Role.rank() == 0 {
+		return entry{}, fmt.Errorf("role %q is not viewer, operator or admin", listed.Role)
 	}
-	if line.Role == RoleAdmin && line.Tenant != "" {
+	if listed.Role == RoleAdmin && listed.Tenant != "" {
 		return entry{}, fmt.Errorf("an admin token has no tenant, because templates and members belong to all tenants")
 	}
-	decoded, err := hex.DecodeString(line.SHA256)
+	decoded, err := hex.DecodeString(listed.SHA256)
 	if err != nil || len(decoded) != sha256.Size {
 		return entry{}, fmt.Errorf("sha256 must be 64 hexadecimal digits; merlinctl token new creates a token with its hash")
 	}
-	copy(known.hash[:], decoded)
-	return known, nil
+	copy(valid.hash[:], decoded)
+	return valid, nil
 }
 
 // Find returns the identity of a token, and reports whether the token is valid. It compares the
--- a/internal/logstream/logstream.go
+++ b/internal/logstream/logstream.go
@@ -93,27 +93,27 @@
 func (stream *Stream) spendBudget(kind string, now time.Time) (leftOut uint64, granted bool) {
 	stream.lock.Lock()
 	defer stream.lock.Unlock()
-	known := stream.budgets[kind]
-	if known == nil {
+	kindBudget := stream.budgets[kind]
+	if kindBudget == nil {
 		if len(stream.budgets) >= maximumKinds {
 			kind = ""
 		}
-		if known = stream.budgets[kind]; known == nil {
-			known = &budget{}
-			stream.budgets[kind] = known
+		if kindBudget = stream.budgets[kind]; kindBudget == nil {
+			kindBudget = &budget{}
+			stream.budgets[kind] = kindBudget
 		}
 	}
-	if second := now.Unix(); known.second != second {
-		known.second = second
-		known.written = 0
+	if second := now.Unix(); kindBudget.second != second {
+		kindBudget.second = second
+		kindBudget.written = 0
 	}
-	if known.written >= stream.options.LinesPerSecond {
-		known.leftOut++
+	if kindBudget.written >= stream.options.LinesPerSecond {
+		kindBudget.leftOut++
 		return 0, false
 	}
-	known.written++
-	leftOut = known.leftOut
-	known.leftOut = 0
+	kindBudget.written++
+	leftOut = kindBudget.leftOut
+	kindBudget.leftOut = 0
 	return leftOut, true
 }
 
--- a/internal/reference/config.go
+++ b/internal/reference/config.go
@@ -92,18 +92,18 @@
 	}
 }
 
-func isSection(kind reflect.Type) bool { return kind.Kind() == reflect.Struct }
+func isSection(fieldType reflect.Type) bool { return fieldType.Kind() == reflect.Struct }
 
-func typeName(kind reflect.Type) string {
+func typeName(fieldType reflect.Type) string {
 	switch {
-	case kind == reflect.TypeFor[time.Duration]():
+	case fieldType == reflect.TypeFor[time.Duration]():
 		return "duration"
-	case kind.Kind() == reflect.Slice:
-		return "list of " + typeName(kind.Elem())
-	case kind.Kind() == reflect.Struct:
-		return strings.ToLower(kind.Name())
+	case fieldType.Kind() == reflect.Slice:
+		return "list of " + typeName(fieldType.Elem())
+	case fieldType.Kind() == reflect.Struct:
+		return strings.ToLower(fieldType.Name())
 	default:
-		return kind.Kind().String()
+		return fieldType.Kind().String()
 	}
 }
 
--- a/internal/settings/convert.go
+++ b/internal/settings/convert.go
@@ -58,18 +58,18 @@
 }
 
 // describeType returns the kind of value that a type holds, in words for error messages.
-func describeType(kind reflect.Type) string {
-	value := reflect.Zero(kind)
+func describeType(valueType reflect.Type) string {
+	value := reflect.Zero(valueType)
 	switch {
-	case kind == durationType:
+	case valueType == durationType:
 		return "a duration with a unit, such as 250ms or 2s"
 	case value.CanInt(), value.CanUint():
 		return "a whole number"
 	case value.CanFloat():
 		return "a number"
-	case kind.Kind() == reflect.Bool:
+	case valueType.Kind() == reflect.Bool:
 		return "true or false"
-	case kind.Kind() == reflect.String:
+	case valueType.Kind() == reflect.String:
 		return "text"
 	default:
 		return "a section or list"
