--- a/internal/explain/lines.go
+++ b/internal/explain/lines.go
@@ -10,8 +10,8 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Line holds the fields of one structured log line that explanations need. Fields that the line
-// does not have are zero.
+// Line holds fields of one structured log line about a flow, a target or a process. Fields that the
+// line does not have are zero.
 type Line struct {
 	Time    time.Time `json:"time"`
 	Logger  string    `json:"logger"`
@@ -48,7 +48,8 @@
 	LeftOut  uint64 `json:"left_out"`
 }
 
-// The messages of log lines that explanations are based on.
+// The messages of the log lines about flows, targets and processes. Explanations evaluate some of
+// them; the others, about targets, appear in the timeline only.
 const (
 	messageOpened     = "flow opened"
 	messageReset      = "flow reset"
--- a/internal/faults/codes_process.go
+++ b/internal/faults/codes_process.go
@@ -1,6 +1,6 @@
 package faults
 
-// Codes of running a process.
+// Codes of running a process; processDefinitions has their meanings.
 const (
 	CodeAddressInUse Code = 9001
 	CodeTaskFailed   Code = 9002
--- a/internal/faults/codes_settings.go
+++ b/internal/faults/codes_settings.go
@@ -1,6 +1,6 @@
 package faults
 
-// Codes of settings files and the command line.
+// Codes of settings files and the command line; settingsDefinitions has their meanings.
 const (
 	CodeSettingsUnreadable Code = 1001
 	CodeSettingsUnknownKey Code = 1002
--- a/internal/faults/codes_transport.go
+++ b/internal/faults/codes_transport.go
@@ -1,6 +1,7 @@
 package faults
 
-// Codes of links between processes, keys, membership and rollout.
+// Codes of links between processes, keys, membership and rollout; transportDefinitions has their
+// meanings.
 const (
 	CodeKeysUnreadable   Code = 7001
 	CodeKeysInvalid      Code = 7002
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -64,10 +64,10 @@
 	// sequence and interpacket gap (IEEE 802.3). If it is too small, calls of many small
 	// datagrams overrun the link behind the balancer's own queue.
 	LinkOverhead int `koanf:"link_overhead" validate:"min=28,max=512"`
-	// LinkAdmission is the share of its route's latency objective within which the link has to
-	// transmit a new flow's long request, after the requests that are already open. A flow that
-	// would take longer is refused, so that its caller's next attempt reaches another balancer.
-	// Zero admits all flows.
+	// LinkAdmission is the share of a route's latency objective within which the link has to
+	// transmit the long request (such as an upload) of a new flow, after the requests that are
+	// already open. A flow that would take longer is refused, so that its caller's next attempt
+	// reaches another balancer. Zero admits all flows.
 	LinkAdmission float64 `koanf:"link_admission" validate:"min=0,max=10"`
 	// Followers is the largest number of balancers that a member sends the feed to; further
 	// balancers follow other balancers.
@@ -86,14 +86,14 @@
 	// LoadCandidates is the number of targets among which the least busy one gets a new flow; 1
 	// chooses by hash alone.
 	LoadCandidates int `koanf:"load_candidates" validate:"min=1,max=8"`
-	// LoadAdmission is the share of its route's latency objective that the first request of a
+	// LoadAdmission is the share of a route's latency objective that the first request of a
 	// new flow may be expected to take. While a service is congested, a flow that would take
 	// longer is refused. Zero admits all flows.
 	LoadAdmission float64 `koanf:"load_admission" validate:"min=0,max=10"`
 	// MaxOccupancy is the number of requests per slot that a target may hold before new flows
 	// on routes of the most urgent priority are refused; lower priorities have lower limits.
 	// Targets queue a few requests and reject the others regardless of their priority, so the
-	// value should be the most that they hold. Zero means no limit.
+	// value should be the largest number per slot that they hold. Zero means no limit.
 	MaxOccupancy float64 `koanf:"load_crowd" validate:"min=0,max=1000"`
 	// LoadInterval is the shortest time between two reports of open requests, which balancers
 	// send to each other or, in a large system, to members and back. Zero disables the reports.
@@ -244,7 +244,7 @@
 	StopGrace time.Duration `koanf:"stop_grace" validate:"min=0"`
 	// HealthPath is the path of the back end's health report; empty disables health requests.
 	HealthPath string `koanf:"health_path" validate:"omitempty,startswith=/"`
-	// HealthInterval is the time between two health reports.
+	// HealthInterval is the time between two requests for the health report.
 	HealthInterval time.Duration `koanf:"health_interval" validate:"min=50000000"`
 }
 
@@ -283,8 +283,8 @@
 type Backend struct {
 	// Listen is the HTTP/1.1 address.
 	Listen string `koanf:"listen" validate:"omitempty,hostport"`
-	// Ledger is the file to which the back end appends one line for each request that it starts
-	// and ends.
+	// Ledger is the file to which the back end appends a line when it starts a request and
+	// another one when the request ends.
 	Ledger string `koanf:"ledger"`
 	// Slots is the number of requests that the back end runs at once; further requests are
 	// shed.
@@ -295,7 +295,7 @@
 	Protocol string `koanf:"protocol" validate:"omitempty,oneof=http udp"`
 	// FeedInterval is the time between two updates of a feed.
 	FeedInterval time.Duration `koanf:"feed_interval" validate:"min=1000000"`
-	// ColdStart is how long calls take longer than usual after the start.
+	// ColdStart is how long after its start the back end is slower than usual.
 	ColdStart time.Duration `koanf:"cold_start"`
 	// Misbehavior names the faults that the back end shows on purpose: late, crossed, short,
 	// doubled, shed, health_frozen, load_frozen, wrong.
