--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -124,8 +124,8 @@
 	SilentAfter time.Duration `koanf:"silent_after" validate:"min=500000000"`
 	// RenewalInterval is the time between two renewals of a target.
 	RenewalInterval time.Duration `koanf:"renewal_interval" validate:"min=10000000"`
-	// FlowLife is the longest lifetime of a flow; the token of a failed target is kept that
-	// long.
+	// FlowLife is the longest lifetime of a flow; the token of a failed target is kept slightly
+	// longer.
 	FlowLife time.Duration `koanf:"flow_life" validate:"min=1000000000"`
 	// AnswerWithin is the longest time in which a member answers a call.
 	AnswerWithin time.Duration `koanf:"answer_within" validate:"min=10000000"`
