--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -51,7 +51,7 @@
 func newBalancer(world *World, name string, zone model.ZoneName) *balancer {
 	created := &balancer{world: world}
 	created.process = world.host.Add(endpoint(name, zone), balancerInterval, created.build)
-	created.process.After(func(time.Time) { world.checks.balancerRan(created) })
+	created.process.AfterRun(func(time.Time) { world.checks.balancerRan(created) })
 	world.skew(created.process)
 	return created
 }
@@ -77,7 +77,7 @@
 	options.Self = mailbox.Self
 	book := load.NewCounter()
 	options.Loads = book
-	balancer.world.options.Parts.Choice(&options)
+	balancer.world.options.Parts.SteerOptions(&options)
 	balancer.table = steer.NewTable(options)
 	var replica *feed.Replica
 	subscriber := feed.NewSubscriber(feed.SubscriberOptions{
@@ -116,7 +116,7 @@
 	sizes := transfer.NewSizes()
 	balancer.watcher.ObserveSizes(sizes)
 	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkAdmission}
-	world.options.Parts.Transfers(&options)
+	world.options.Parts.TransferOptions(&options)
 	return transfer.NewAdmission(options, sizes, balancer.watcher.EachOpen)
 }
 
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -141,7 +141,7 @@
 		checks.violate(checker.InvariantInForce, "%s refused a packet to %s, which every version has", balancer.process.Name, packet.flow.service)
 	}
 	if packet.opening && decision.Action == steer.Reset {
-		world.run.Trace.Tell(string(balancer.process.Name), "refuses", func() string { return refusalText(packet, decision) })
+		world.run.Trace.NotifyObserver(string(balancer.process.Name), "refuses", func() string { return refusalText(packet, decision) })
 	}
 	if !world.calm() || !packet.opening || world.Now().Sub(balancer.startedAt) < settleTime {
 		return
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -54,7 +54,7 @@
 		bootstrap: bootstrap,
 	}
 	created.process = world.host.Add(endpoint(name, zone), memberInterval, created.build)
-	created.process.After(func(time.Time) { created.observe() })
+	created.process.AfterRun(func(time.Time) { created.observe() })
 	world.skew(created.process)
 	return created
 }
@@ -75,7 +75,7 @@
 		SnapshotEvery:        40,
 		SegmentBytes:         16 << 10,
 		Seed:                 seed,
-	}, world.options.Parts.Disk(member.disk), mailbox, dispatcher, world.options.Parts.Machine(member.Directory))
+	}, world.options.Parts.Disk(member.disk), mailbox, dispatcher, world.options.Parts.StateMachine(member.Directory))
 	if err != nil {
 		world.checks.storageRefused(member, err)
 		return kernel.Program{Mailbox: mailbox}
@@ -96,7 +96,7 @@
 		Interval: loadInterval, Members: memberSource{member: member}.Members,
 		Capacities: directory.NewCapacityIndex(member.Directory),
 	}
-	world.options.Parts.Collecting(&collecting)
+	world.options.Parts.CollectorOptions(&collecting)
 	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
 	keeper := reconfigure.New(reconfigure.DefaultOptions(world.options.ToleratedLosses), group, zap.NewNop())
 	return kernel.Program{
--- a/internal/sim/directworld/operator.go
+++ b/internal/sim/directworld/operator.go
@@ -47,12 +47,12 @@
 // varied returns a configuration with a few idle routes that differ by draw.
 func (operator *operator) varied(version uint64) *declared.Configuration {
 	configuration := operator.base(version)
-	for range operator.random.Below(6) {
-		port := uint16(2000 + operator.random.Below(30))
+	for range operator.random.IntN(6) {
+		port := uint16(2000 + operator.random.IntN(30))
 		address := netip.AddrPortFrom(routeFeed.Addr(), port)
 		configuration.Routes = append(configuration.Routes, declared.Route{
 			Name: address.String(), Address: address, Kind: declared.KindSafe,
-			Timeout: time.Duration(1+operator.random.Below(5)) * time.Second,
+			Timeout: time.Duration(1+operator.random.IntN(5)) * time.Second,
 			Pool:    []declared.PoolPart{{Service: serviceLedger, Weight: 1}},
 		})
 	}
@@ -82,13 +82,13 @@
 
 // Declare sends one more version, drawn anew, until it is acknowledged.
 func (operator *operator) Declare() {
-	operator.version += 1 + uint64(operator.random.Below(3))
+	operator.version += 1 + uint64(operator.random.IntN(3))
 	operator.declare(operator.varied(operator.version))
 }
 
 // Race sends two configurations under one version to two members at once.
 func (operator *operator) Race() {
-	operator.version += 1 + uint64(operator.random.Below(3))
+	operator.version += 1 + uint64(operator.random.IntN(3))
 	operator.declare(operator.varied(operator.version))
 	operator.declare(operator.varied(operator.version))
 }
@@ -97,7 +97,7 @@
 func (operator *operator) DeclareInvalid() {
 	operator.version++
 	invalid := operator.varied(operator.version)
-	switch operator.random.Below(4) {
+	switch operator.random.IntN(4) {
 	case 0:
 		invalid.Routes[0].Timeout = 0
 	case 1:
@@ -122,7 +122,7 @@
 
 func (operator *operator) declare(next *declared.Configuration) {
 	operator.world.checks.sent(next)
-	operator.send(next, 30, operator.random.Below(len(operator.world.members)))
+	operator.send(next, 30, operator.random.IntN(len(operator.world.members)))
 }
 
 // send calls members in turn until one acknowledges.
@@ -151,7 +151,7 @@
 	var held *declared.Configuration
 	world.call(operator.endpoint(), member,
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			world.options.Parts.Read(member, now, deadline, func(read *declared.Configuration, err error) {
+			world.options.Parts.ReadConfiguration(member, now, deadline, func(read *declared.Configuration, err error) {
 				held = read
 				done(err)
 			})
@@ -170,7 +170,7 @@
 		if !working || operator.world.stopped {
 			return false
 		}
-		switch operator.random.Below(8) {
+		switch operator.random.IntN(8) {
 		case 0:
 			operator.Race()
 		case 1:
--- a/internal/sim/directworld/stories_control.go
+++ b/internal/sim/directworld/stories_control.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		downFor := world.random.Between(100*time.Millisecond, 4*time.Second)
-		switch world.random.Below(3) {
+		switch world.random.IntN(3) {
 		case 0:
 			leader.Kill()
 			world.after(downFor, leader.Start)
@@ -42,7 +42,7 @@
 func (world *World) cut(member *Member, duration time.Duration) {
 	name := member.process.Name
 	var heals []func()
-	kind := world.random.Below(4)
+	kind := world.random.IntN(4)
 	switch kind {
 	case 0:
 		heals = append(heals, world.control.Isolate(name))
@@ -157,8 +157,8 @@
 func fiveMembers(world *World) {
 	world.RunFor(4 * time.Second)
 	for range 3 {
-		first := world.random.Below(len(world.members))
-		second := (first + 1 + world.random.Below(len(world.members)-1)) % len(world.members)
+		first := world.random.IntN(len(world.members))
+		second := (first + 1 + world.random.IntN(len(world.members)-1)) % len(world.members)
 		for _, place := range []int{first, second} {
 			member := world.members[place]
 			member.PowerOff()
--- a/internal/sim/directworld/stories_zones.go
+++ b/internal/sim/directworld/stories_zones.go
@@ -24,7 +24,7 @@
 // acknowledged, and calls acknowledged then.
 func (operator *operator) order(zone model.ZoneName, end bool, acknowledged func()) {
 	operator.world.checks.zones.sent(zone)
-	operator.sendOrder(zone, end, orderTries, operator.random.Below(len(operator.world.members)), acknowledged)
+	operator.sendOrder(zone, end, orderTries, operator.random.IntN(len(operator.world.members)), acknowledged)
 }
 
 func (operator *operator) sendOrder(zone model.ZoneName, end bool, tries, place int, acknowledged func()) {
--- a/internal/sim/directworld/target.go
+++ b/internal/sim/directworld/target.go
@@ -81,7 +81,7 @@
 		flows:   make(map[*flow]bool),
 		hung:    make(map[*flow]int),
 		slots:   slots{taken: make(map[*flow]bool)},
-		member:  world.random.Below(len(world.members)),
+		member:  world.random.IntN(len(world.members)),
 	}
 	world.targets = append(world.targets, added)
 	world.byAddress[address] = added
--- a/internal/sim/directworld/world.go
+++ b/internal/sim/directworld/world.go
@@ -28,19 +28,19 @@
 	// Decide decides about a packet at a balancer.
 	Decide func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision
 	// Transfers changes how balancers admit long requests to their links.
-	Transfers func(options *transfer.Options)
+	TransferOptions func(options *transfer.Options)
 	// Choice changes how balancers choose targets and admit flows.
-	Choice func(options *steer.Options)
+	SteerOptions func(options *steer.Options)
 	// Collecting changes how members add up the load of targets.
-	Collecting func(options *load.CollectorOptions)
+	CollectorOptions func(options *load.CollectorOptions)
 	// Machine wraps the replicated state of a member.
-	Machine func(standard replica.StateMachine) replica.StateMachine
+	StateMachine func(standard replica.StateMachine) replica.StateMachine
 	// Disk wraps a member's disk.
 	Disk func(standard filesystem.FileSystem) filesystem.FileSystem
 	// Messages sees every control message before it is sent; nil changes none.
-	Messages kernel.MessageFilter
+	MessageFilter kernel.MessageFilter
 	// Read answers an operator's read at a member.
-	Read func(member *Member, now, deadline time.Time, done func(*declared.Configuration, error))
+	ReadConfiguration func(member *Member, now, deadline time.Time, done func(*declared.Configuration, error))
 }
 
 // StandardParts returns the product's own parts.
@@ -49,12 +49,12 @@
 		Decide: func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
 			return table.Decide(segment, now)
 		},
-		Transfers:  func(*transfer.Options) {},
-		Choice:     func(*steer.Options) {},
-		Collecting: func(*load.CollectorOptions) {},
-		Machine:    func(standard replica.StateMachine) replica.StateMachine { return standard },
-		Disk:       func(standard filesystem.FileSystem) filesystem.FileSystem { return standard },
-		Read: func(member *Member, now, deadline time.Time, done func(*declared.Configuration, error)) {
+		TransferOptions:  func(*transfer.Options) {},
+		SteerOptions:     func(*steer.Options) {},
+		CollectorOptions: func(*load.CollectorOptions) {},
+		StateMachine:     func(standard replica.StateMachine) replica.StateMachine { return standard },
+		Disk:             func(standard filesystem.FileSystem) filesystem.FileSystem { return standard },
+		ReadConfiguration: func(member *Member, now, deadline time.Time, done func(*declared.Configuration, error)) {
 			member.Registrar.Configuration(now, deadline, done)
 		},
 	}
@@ -159,8 +159,8 @@
 		host:      kernel.NewHost(run.Scheduler, control, run.Trace),
 		byAddress: make(map[netip.AddrPort]*target),
 	}
-	if options.Parts.Messages != nil {
-		world.host.SetFilter(options.Parts.Messages)
+	if options.Parts.MessageFilter != nil {
+		world.host.SetFilter(options.Parts.MessageFilter)
 	}
 	world.checks = newChecks(world)
 	world.callers = newCallers(world)
@@ -223,7 +223,7 @@
 	}
 	process.SetClock(kernel.Clock{
 		Offset: world.random.Between(-time.Hour, time.Hour),
-		Drift:  (float64(world.random.Below(2001)) - 1000) / 100_000,
+		Drift:  (float64(world.random.IntN(2001)) - 1000) / 100_000,
 	})
 }
 
--- a/internal/sim/kernel/kernel_test.go
+++ b/internal/sim/kernel/kernel_test.go
@@ -85,18 +85,18 @@
 
 // echo answers each message and counts its runs.
 type echo struct {
-	mailbox *protocol.Mailbox
-	got     []string
-	times   []time.Time
+	mailbox  *protocol.Mailbox
+	received []string
+	runTimes []time.Time
 }
 
 func (*echo) Name() string { return "echo" }
 
 func (controller *echo) Reconcile(now time.Time) {
-	controller.times = append(controller.times, now)
+	controller.runTimes = append(controller.runTimes, now)
 	for _, envelope := range controller.mailbox.Inbox.Drain() {
 		text := envelope.Message.(string)
-		controller.got = append(controller.got, text)
+		controller.received = append(controller.received, text)
 		if text == "ping" {
 			controller.mailbox.Send(envelope.From, "pong")
 		}
@@ -123,8 +123,8 @@
 	host, echoes := newEchoHost(1)
 	echoes["a"].mailbox.Send("b", "ping")
 	host.Scheduler.RunFor(time.Second)
-	require.Equal(t, []string{"ping"}, echoes["b"].got)
-	require.Equal(t, []string{"pong"}, echoes["a"].got)
+	require.Equal(t, []string{"ping"}, echoes["b"].received)
+	require.Equal(t, []string{"pong"}, echoes["a"].received)
 }
 
 func TestFrozenProcessSendsItsOldMessagesWhenItThaws(t *testing.T) {
@@ -135,12 +135,12 @@
 	host.Scheduler.RunFor(handlingDelay + handlingDelay/2)
 	host.Process("a").Freeze()
 	host.Scheduler.RunFor(10 * time.Second)
-	require.Empty(t, echoes["b"].got)
-	runs := len(echoes["a"].times)
+	require.Empty(t, echoes["b"].received)
+	runs := len(echoes["a"].runTimes)
 	host.Process("a").Thaw()
 	host.Scheduler.RunFor(50 * time.Millisecond)
-	require.Equal(t, []string{"ping"}, echoes["b"].got)
-	require.Greater(t, len(echoes["a"].times), runs)
+	require.Equal(t, []string{"ping"}, echoes["b"].received)
+	require.Greater(t, len(echoes["a"].runTimes), runs)
 }
 
 func TestKilledProcessLosesWhatItHadNotSent(t *testing.T) {
@@ -151,7 +151,7 @@
 	host.Process("a").Kill()
 	host.Process("a").Start()
 	host.Scheduler.RunFor(time.Second)
-	require.Empty(t, echoes["b"].got)
+	require.Empty(t, echoes["b"].received)
 	require.EqualValues(t, 2, host.Process("a").Incarnation())
 }
 
@@ -160,12 +160,12 @@
 	process := host.Process("a")
 	process.SetClock(Clock{Offset: time.Hour, Drift: 0.5})
 	host.Scheduler.RunFor(10 * time.Second)
-	last := echoes["a"].times[len(echoes["a"].times)-1]
+	last := echoes["a"].runTimes[len(echoes["a"].runTimes)-1]
 	require.WithinDuration(t, Epoch.Add(10*time.Second), last, time.Second)
 	process.Kill()
 	process.Start()
 	host.Scheduler.RunFor(10 * time.Second)
-	last = echoes["a"].times[len(echoes["a"].times)-1]
+	last = echoes["a"].runTimes[len(echoes["a"].runTimes)-1]
 	require.WithinDuration(t, Epoch.Add(time.Hour+30*time.Second), last, time.Second)
 }
 
@@ -177,11 +177,11 @@
 	second.Add("b", "x", "")
 	second.Add("a", "x", "")
 	require.NotEqual(t, first.Digest(), second.Digest())
-	for index := range 3 * keptEvents {
+	for index := range 3 * maxLatestEvents {
 		first.Addf("a", "n", "%d", index)
 	}
 	latest := first.Latest()
-	require.Len(t, latest, keptEvents)
-	require.Equal(t, "179", latest[keptEvents-1].Detail)
+	require.Len(t, latest, maxLatestEvents)
+	require.Equal(t, "179", latest[maxLatestEvents-1].Detail)
 	require.Equal(t, "120", latest[0].Detail)
 }
--- a/internal/sim/kernel/network.go
+++ b/internal/sim/kernel/network.go
@@ -40,7 +40,7 @@
 	processCuts map[direction]int
 	zoneCuts    map[direction]int
 	isolated    map[model.NodeName]int
-	slow        map[model.NodeName]time.Duration
+	delays      map[model.NodeName]time.Duration
 	sent        uint64
 	lost        uint64
 }
@@ -54,7 +54,7 @@
 		processCuts: make(map[direction]int),
 		zoneCuts:    make(map[direction]int),
 		isolated:    make(map[model.NodeName]int),
-		slow:        make(map[model.NodeName]time.Duration),
+		delays:      make(map[model.NodeName]time.Duration),
 	}
 }
 
@@ -101,9 +101,9 @@
 }
 
 // Slow adds a delay to all that a process sends and receives.
-func (network *Network) Slow(name model.NodeName, delay time.Duration) (heal func()) {
-	network.slow[name] += delay
-	return func() { network.slow[name] -= delay }
+func (network *Network) AddDelay(name model.NodeName, delay time.Duration) (heal func()) {
+	network.delays[name] += delay
+	return func() { network.delays[name] -= delay }
 }
 
 func addCut[Key comparable](cuts map[Key]int, key Key) (heal func()) {
@@ -150,7 +150,7 @@
 		return
 	}
 	delay := network.latency(from.Zone, to.Zone)
-	delay += network.slow[from.Name] + network.slow[to.Name]
+	delay += network.delays[from.Name] + network.delays[to.Name]
 	delay += network.random.Between(0, network.faults.Jitter)
 	network.scheduler.After(delay, func() {
 		if network.Reachable(from, to) {
--- a/internal/sim/kernel/process.go
+++ b/internal/sim/kernel/process.go
@@ -44,18 +44,18 @@
 	Endpoint
 	Interval time.Duration
 
-	host        *Host
-	build       Build
-	clock       Clock
-	nextClock   Clock
-	program     Program
-	incarnation model.Incarnation
-	running     bool
-	frozen      bool
-	slowness    time.Duration
-	woken       bool
-	unsent      []protocol.Envelope
-	after       func(now time.Time)
+	host         *Host
+	build        Build
+	clock        Clock
+	nextClock    Clock
+	program      Program
+	incarnation  model.Incarnation
+	running      bool
+	frozen       bool
+	runDelay     time.Duration
+	runScheduled bool
+	unsent       []protocol.Envelope
+	afterRun     func(now time.Time)
 }
 
 // Host owns the processes of a run and moves messages between them.
@@ -119,7 +119,7 @@
 func (process *Process) LocalNow() time.Time { return process.clock.Read(process.host.Scheduler.Now()) }
 
 // After calls observe after each run of the controllers.
-func (process *Process) After(observe func(now time.Time)) { process.after = observe }
+func (process *Process) AfterRun(observe func(now time.Time)) { process.afterRun = observe }
 
 // Running tells whether the process is alive, frozen or not.
 func (process *Process) Running() bool { return process.running }
@@ -141,7 +141,7 @@
 	process.incarnation++
 	process.running = true
 	process.frozen = false
-	process.woken = false
+	process.runScheduled = false
 	process.unsent = nil
 	process.clock = process.nextClock
 	process.trace("start", process.clock.Offset.String())
@@ -183,7 +183,7 @@
 }
 
 // SetSlowness adds a delay before each run of the controllers.
-func (process *Process) SetSlowness(delay time.Duration) { process.slowness = delay }
+func (process *Process) SetRunDelay(delay time.Duration) { process.runDelay = delay }
 
 func (process *Process) tick(life model.Incarnation) {
 	if !process.running || process.incarnation != life {
@@ -195,14 +195,14 @@
 
 // Wake schedules a run of the controllers soon.
 func (process *Process) Wake() {
-	if process.woken || !process.running {
+	if process.runScheduled || !process.running {
 		return
 	}
-	process.woken = true
+	process.runScheduled = true
 	life := process.incarnation
-	process.host.Scheduler.After(handlingDelay+process.slowness, func() {
+	process.host.Scheduler.After(handlingDelay+process.runDelay, func() {
 		if process.running && process.incarnation == life {
-			process.woken = false
+			process.runScheduled = false
 			process.run()
 		}
 	})
@@ -219,15 +219,15 @@
 			return
 		}
 	}
-	process.collect()
-	if process.after != nil {
-		process.after(process.host.Scheduler.Now())
+	process.collectOutbox()
+	if process.afterRun != nil {
+		process.afterRun(process.host.Scheduler.Now())
 	}
 }
 
 // collect takes the outbox. The messages leave a little later, so that a
 // freeze or a kill can fall between the decision and its sending.
-func (process *Process) collect() {
+func (process *Process) collectOutbox() {
 	envelopes := process.program.Mailbox.Outbox.Drain()
 	if len(envelopes) == 0 {
 		return
@@ -264,11 +264,11 @@
 		if receiver == nil {
 			continue
 		}
-		host.post(sender, receiver, one)
+		host.transmit(sender, receiver, one)
 	}
 }
 
-func (host *Host) post(sender, receiver *Process, envelope protocol.Envelope) {
+func (host *Host) transmit(sender, receiver *Process, envelope protocol.Envelope) {
 	enter := func() {
 		host.Network.Send(sender.Endpoint, receiver.Endpoint, func() { receiver.receive(envelope) })
 	}
--- a/internal/sim/kernel/random.go
+++ b/internal/sim/kernel/random.go
@@ -23,7 +23,7 @@
 func (random *Random) Uint64() uint64 { return random.source.Uint64() }
 
 // Below returns a number of [0, bound); zero when bound is not positive.
-func (random *Random) Below(bound int) int {
+func (random *Random) IntN(bound int) int {
 	if bound <= 0 {
 		return 0
 	}
@@ -62,4 +62,4 @@
 }
 
 // Pick returns one item; items must not be empty.
-func Pick[Item any](random *Random, items []Item) Item { return items[random.Below(len(items))] }
+func Pick[Item any](random *Random, items []Item) Item { return items[random.IntN(len(items))] }
--- a/internal/sim/kernel/trace.go
+++ b/internal/sim/kernel/trace.go
@@ -9,7 +9,7 @@
 )
 
 // keptEvents is the number of latest events that a trace keeps for reports.
-const keptEvents = 60
+const maxLatestEvents = 60
 
 // Event is one step of a run that the digest covers.
 type Event struct {
@@ -60,7 +60,7 @@
 
 // Tell shows an event to the observer alone. It serves steps that are frequent under load,
 // which would push all others out of a report.
-func (trace *Trace) Tell(source, kind string, detail func() string) {
+func (trace *Trace) NotifyObserver(source, kind string, detail func() string) {
 	if trace.observer != nil {
 		trace.observer(Event{At: trace.scheduler.Elapsed(), Source: source, Kind: kind, Detail: detail()})
 	}
@@ -92,12 +92,12 @@
 }
 
 func (trace *Trace) keep(event Event) {
-	if len(trace.latest) < keptEvents {
+	if len(trace.latest) < maxLatestEvents {
 		trace.latest = append(trace.latest, event)
 		return
 	}
 	trace.latest[trace.next] = event
-	trace.next = (trace.next + 1) % keptEvents
+	trace.next = (trace.next + 1) % maxLatestEvents
 }
 
 // Digest returns the checksum of all events so far.
--- a/internal/sim/mutant/direct.go
+++ b/internal/sim/mutant/direct.go
@@ -27,7 +27,7 @@
 // balancers.
 func directUpdates(change func(update *feed.Update)) Change {
 	return func(_ *sim.Run, parts *world.Parts) {
-		parts.Direct.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
+		parts.Direct.MessageFilter = func(envelope protocol.Envelope) []protocol.Envelope {
 			if update, isUpdate := envelope.Message.(feed.Update); isUpdate {
 				update.Changes.Targets = append([]directory.TargetEntry(nil), update.Changes.Targets...)
 				change(&update)
@@ -40,7 +40,7 @@
 
 // directChoice returns a variant that changes how balancers choose targets.
 func directChoice(change func(options *steer.Options)) Change {
-	return func(_ *sim.Run, parts *world.Parts) { parts.Direct.Choice = change }
+	return func(_ *sim.Run, parts *world.Parts) { parts.Direct.SteerOptions = change }
 }
 
 // directTargets returns a variant that changes each target in updates on their way to
@@ -62,7 +62,7 @@
 			Expect: []checker.Invariant{checker.InvariantLinearizable},
 			Story:  storyOf("direct-core-cuts"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
-				parts.Direct.Read = func(member *directworld.Member, _, _ time.Time, done func(*declared.Configuration, error)) {
+				parts.Direct.ReadConfiguration = func(member *directworld.Member, _, _ time.Time, done func(*declared.Configuration, error)) {
 					done(member.Directory.Configuration(), nil)
 				}
 			},
@@ -199,7 +199,7 @@
 			Expect: []checker.Invariant{checker.InvariantTimely},
 			Story:  storyOf("direct-large-overload"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
-				parts.Direct.Collecting = func(options *load.CollectorOptions) { options.Interval = 0 }
+				parts.Direct.CollectorOptions = func(options *load.CollectorOptions) { options.Interval = 0 }
 			},
 		},
 		{
@@ -208,7 +208,7 @@
 			Expect: []checker.Invariant{checker.InvariantTimely},
 			Story:  storyOf("direct-full-links"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
-				parts.Direct.Transfers = func(options *transfer.Options) { options.ObjectiveShare = 0 }
+				parts.Direct.TransferOptions = func(options *transfer.Options) { options.ObjectiveShare = 0 }
 			},
 		},
 		{
@@ -233,7 +233,7 @@
 			Expect: []checker.Invariant{checker.InvariantProgress},
 			Story:  storyOf("direct-erring-targets"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
-				parts.Direct.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
+				parts.Direct.MessageFilter = func(envelope protocol.Envelope) []protocol.Envelope {
 					if report, isReport := envelope.Message.(feed.OutcomeReport); isReport {
 						report.Counts = slices.Clone(report.Counts)
 						for index := range report.Counts {
--- a/internal/sim/mutant/story_control.go
+++ b/internal/sim/mutant/story_control.go
@@ -116,7 +116,7 @@
 	return controlStory("slow-elections", func(world *world.World, random *kernel.Random) {
 		members := world.Members()
 		for _, member := range members {
-			world.Network().Slow(member.Name, messageDelay)
+			world.Network().AddDelay(member.Name, messageDelay)
 		}
 		for range 8 {
 			leader, leads := world.AwaitLeader(leaderTime)
--- a/internal/sim/scenario/chaos.go
+++ b/internal/sim/scenario/chaos.go
@@ -144,7 +144,7 @@
 
 // pick returns a process; each role is as likely as the others.
 func (chaos *chaos) pick() *kernel.Process {
-	switch chaos.random.Below(4) {
+	switch chaos.random.IntN(4) {
 	case 0:
 		return kernel.Pick(chaos.random, chaos.Members())
 	case 1:
@@ -190,10 +190,10 @@
 
 func (chaos *chaos) slow() (end func()) {
 	process := chaos.pick()
-	process.SetSlowness(chaos.random.Between(10*time.Millisecond, 300*time.Millisecond))
-	heal := chaos.Network().Slow(process.Name, chaos.random.Between(0, 100*time.Millisecond))
+	process.SetRunDelay(chaos.random.Between(10*time.Millisecond, 300*time.Millisecond))
+	heal := chaos.Network().AddDelay(process.Name, chaos.random.Between(0, 100*time.Millisecond))
 	return func() {
-		process.SetSlowness(0)
+		process.SetRunDelay(0)
 		heal()
 	}
 }
@@ -226,7 +226,7 @@
 }
 
 func (chaos *chaos) failSync() (end func()) {
-	index := chaos.random.Below(len(chaos.Members()))
+	index := chaos.random.IntN(len(chaos.Members()))
 	chaos.FailSyncs(index, 1)
 	return chaos.Members()[index].Start
 }
@@ -252,7 +252,7 @@
 }
 
 func (chaos *chaos) drain() (end func()) {
-	service := chaos.random.Below(2)
+	service := chaos.random.IntN(2)
 	name := kernel.Pick(chaos.random, chaos.Targets(service))
 	chaos.operator.Drain(service, name)
 	return func() { chaos.operator.Undrain(service, name) }
@@ -264,7 +264,7 @@
 
 // replaceBalancer lets a balancer leave as planned and a new one join.
 func (chaos *chaos) replaceBalancer() (end func()) {
-	index := chaos.random.Below(len(chaos.Balancers()))
+	index := chaos.random.IntN(len(chaos.Balancers()))
 	process := chaos.Balancers()[index]
 	chaos.Delist(index)
 	chaos.pause(2*time.Second, 3*time.Second)
@@ -277,7 +277,7 @@
 
 // removeTarget takes a target out of its service's parameters and back.
 func (chaos *chaos) removeTarget() (end func()) {
-	service := chaos.random.Below(2)
+	service := chaos.random.IntN(2)
 	name := kernel.Pick(chaos.random, chaos.Targets(service))
 	chaos.operator.RemoveTarget(service, name)
 	return func() { chaos.operator.AddTarget(service, name) }
--- a/internal/sim/scenario/control.go
+++ b/internal/sim/scenario/control.go
@@ -91,7 +91,7 @@
 		}
 		process := world.Members()[leader]
 		away := random.Between(time.Second, longerThanTimeouts)
-		switch random.Below(3) {
+		switch random.IntN(3) {
 		case 0:
 			process.Kill()
 			world.Run().Scheduler.RunFor(away)
@@ -118,7 +118,7 @@
 			continue
 		}
 		// At least one way is cut to each of the others.
-		direction := random.Below(3)
+		direction := random.IntN(3)
 		if direction != 0 {
 			heals = append(heals, world.Network().CutOneWay(lost.Name, other.Name))
 		}
@@ -185,6 +185,6 @@
 func skewedClock(random *kernel.Random) kernel.Clock {
 	return kernel.Clock{
 		Offset: random.Between(-10*time.Minute, 10*time.Minute),
-		Drift:  float64(random.Below(200)-100) / 10_000,
+		Drift:  float64(random.IntN(200)-100) / 10_000,
 	}
 }
--- a/internal/sim/scenario/drain.go
+++ b/internal/sim/scenario/drain.go
@@ -79,7 +79,7 @@
 	operator := world.NewOperator("drainer")
 	drained := 0
 	for range 3 {
-		service := random.Below(2)
+		service := random.IntN(2)
 		name := kernel.Pick(random, world.Targets(service))
 		if operator.Drain(service, name) {
 			drained++
@@ -98,7 +98,7 @@
 	const rounds = 10
 	drained := make([]int, 2)
 	for range rounds {
-		service := random.Below(2)
+		service := random.IntN(2)
 		name := kernel.Pick(random, world.Targets(service))
 		if operator.Drain(service, name) {
 			drained[service]++
@@ -126,7 +126,7 @@
 
 // restartTarget drains a target and restarts it once it is empty.
 func restartTarget(world *world.World, operator *world.Operator, random *kernel.Random) bool {
-	service := random.Below(2)
+	service := random.IntN(2)
 	name := kernel.Pick(random, world.Targets(service))
 	operator.Drain(service, name)
 	empty := world.Await(drainLimit, func() bool { return world.Idle(name) })
@@ -149,7 +149,7 @@
 
 // restartMember stops a control member as planned: a leader hands over first.
 func restartMember(world *world.World, random *kernel.Random) {
-	index := random.Below(len(world.Members()))
+	index := random.IntN(len(world.Members()))
 	world.StopMember(index)
 	world.Run().Scheduler.RunFor(random.Between(100*time.Millisecond, 2*time.Second))
 	world.Members()[index].Start()
@@ -159,7 +159,7 @@
 func unevenRollout(world *world.World, random *kernel.Random) {
 	operator := world.NewOperator("drainer")
 	for range 5 {
-		service := random.Below(2)
+		service := random.IntN(2)
 		name := kernel.Pick(random, world.Targets(service))
 		operator.Drain(service, name)
 		world.Run().Scheduler.RunFor(random.Between(0, 3*time.Second))
@@ -170,7 +170,7 @@
 
 func addressReuse(world *world.World, random *kernel.Random) {
 	operator := world.NewOperator("tenant")
-	index := random.Below(2)
+	index := random.IntN(2)
 	var heals []func()
 	for _, balancer := range world.Balancers() {
 		if random.Chance(0.4) {
--- a/internal/sim/scenario/partition.go
+++ b/internal/sim/scenario/partition.go
@@ -77,10 +77,10 @@
 // receive, or both.
 func agentPartition(world *world.World, random *kernel.Random) {
 	for range 3 {
-		name := kernel.Pick(random, world.Targets(random.Below(2)))
+		name := kernel.Pick(random, world.Targets(random.IntN(2)))
 		world.MayLoseFlows(name)
 		var heals []func()
-		direction := random.Below(3)
+		direction := random.IntN(3)
 		if direction != 0 {
 			heals = append(heals, cutFromRelays(world, world.Target(name)))
 		}
@@ -99,7 +99,7 @@
 	for range 3 {
 		balancer := kernel.Pick(random, world.Balancers())
 		balancer.Kill()
-		name := kernel.Pick(random, world.Targets(random.Below(2)))
+		name := kernel.Pick(random, world.Targets(random.IntN(2)))
 		world.KillTarget(name)
 		world.Run().Scheduler.RunFor(random.Between(time.Second, 8*time.Second))
 		balancer.Start()
--- a/internal/sim/scenario/requests.go
+++ b/internal/sim/scenario/requests.go
@@ -80,7 +80,7 @@
 
 func claimFailover(world *world.World, random *kernel.Random) {
 	for range 4 {
-		switch random.Below(4) {
+		switch random.IntN(4) {
 		case 0:
 			restartKilledTarget(world, random, 2*time.Second)
 		case 1:
@@ -137,7 +137,7 @@
 
 func agentPause(world *world.World, random *kernel.Random) {
 	for range 3 {
-		name := kernel.Pick(random, world.Targets(random.Below(2)))
+		name := kernel.Pick(random, world.Targets(random.IntN(2)))
 		if random.Chance(0.4) {
 			world.KillTarget(name)
 			world.Target(name).SetClock(skewedClock(random))
--- a/internal/sim/scenario/rollout.go
+++ b/internal/sim/scenario/rollout.go
@@ -52,7 +52,7 @@
 	for range 5 {
 		relay := kernel.Pick(random, world.Relays())
 		away := random.Between(time.Second, 9*time.Second)
-		switch random.Below(4) {
+		switch random.IntN(4) {
 		case 0:
 			relay.Kill()
 			world.Run().Scheduler.RunFor(away)
@@ -62,7 +62,7 @@
 			world.Run().Scheduler.RunFor(away)
 			relay.Thaw()
 		case 2:
-			heal := cutFromControl(world, relay, random.Below(3))
+			heal := cutFromControl(world, relay, random.IntN(3))
 			world.Run().Scheduler.RunFor(away)
 			heal()
 		default:
--- a/internal/sim/scenario/storage.go
+++ b/internal/sim/scenario/storage.go
@@ -64,7 +64,7 @@
 
 func corruptLog(world *world.World, random *kernel.Random) {
 	world.Run().Scheduler.RunFor(5 * time.Second)
-	index := random.Below(len(world.Members()))
+	index := random.IntN(len(world.Members()))
 	process := world.Members()[index]
 	process.Kill()
 	if !world.CorruptLog(index, random) {
@@ -92,12 +92,12 @@
 func lostDisk(world *world.World, random *kernel.Random) {
 	world.Run().Scheduler.RunFor(random.Between(2*time.Second, 6*time.Second))
 	members := world.Members()
-	first := random.Below(len(members))
+	first := random.IntN(len(members))
 	members[first].Kill()
 	world.Run().Scheduler.RunFor(random.Between(0, 3*time.Second))
 	replaceMember(world, first)
 	// The second member is lost for good, right after the repair.
-	second := (first + 1 + random.Below(len(members)-1)) % len(members)
+	second := (first + 1 + random.IntN(len(members)-1)) % len(members)
 	members[second].Kill()
 	world.WipeDisk(second)
 	world.Run().Scheduler.RunFor(10 * time.Second)
--- a/internal/sim/scenario/traffic.go
+++ b/internal/sim/scenario/traffic.go
@@ -97,7 +97,7 @@
 
 // replaceBalancer stops a balancer as planned and starts it again, empty.
 func replaceBalancer(world *world.World, random *kernel.Random) {
-	index := random.Below(len(world.Balancers()))
+	index := random.IntN(len(world.Balancers()))
 	process := world.Balancers()[index]
 	world.Delist(index)
 	// The platform's list is late; the process stops after it.
@@ -112,7 +112,7 @@
 // drainAndRestart drains a target, waits until it is empty, restarts it and
 // takes it back.
 func drainAndRestart(world *world.World, operator *world.Operator, random *kernel.Random) {
-	service := random.Below(2)
+	service := random.IntN(2)
 	name := kernel.Pick(random, world.Targets(service))
 	operator.Drain(service, name)
 	if !world.Await(drainLimit, func() bool { return world.Idle(name) }) {
@@ -147,9 +147,9 @@
 // busyTarget returns a target that holds flows, if a few tries find one.
 func busyTarget(world *world.World, random *kernel.Random) model.NodeName {
 	const tries = 8
-	name := kernel.Pick(random, world.Targets(random.Below(2)))
+	name := kernel.Pick(random, world.Targets(random.IntN(2)))
 	for try := 1; try < tries && world.Idle(name); try++ {
-		name = kernel.Pick(random, world.Targets(random.Below(2)))
+		name = kernel.Pick(random, world.Targets(random.IntN(2)))
 	}
 	return name
 }
--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -69,7 +69,7 @@
 func newAgent(world *World, name model.NodeName, zone model.ZoneName) *agent {
 	created := &agent{world: world}
 	created.process = world.host.Add(kernel.Endpoint{Name: name, Zone: zone}, nodeInterval, created.build)
-	created.process.After(func(time.Time) { created.observe() })
+	created.process.AfterRun(func(time.Time) { created.observe() })
 	return created
 }
 
--- a/internal/sim/world/balancer.go
+++ b/internal/sim/world/balancer.go
@@ -41,7 +41,7 @@
 	created := &balancer{world: world, listed: true}
 	endpoint := kernel.Endpoint{Name: name, Zone: zone}
 	created.process = world.host.Add(endpoint, nodeInterval, created.build)
-	created.process.After(func(time.Time) { created.observe() })
+	created.process.AfterRun(func(time.Time) { created.observe() })
 	return created
 }
 
--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -154,7 +154,7 @@
 		id: id,
 		tuple: model.FiveTuple{
 			Protocol:    service.protocol,
-			Source:      netip.AddrPortFrom(source, uint16(1024+callers.random.Below(64000)/64*64+int(id&63))),
+			Source:      netip.AddrPortFrom(source, uint16(1024+callers.random.IntN(64000)/64*64+int(id&63))),
 			Destination: service.address,
 		},
 		service:  service,
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	// The first half of the log is never a torn tail.
-	offset := int64(random.Below(int(size / 2)))
+	offset := int64(random.IntN(int(size / 2)))
 	world.run.Trace.Addf(string(member.process.Name), "corrupt", "%s at %d", name, offset)
 	return member.disk.Corrupt(name, offset) == nil
 }
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -43,7 +43,7 @@
 	random := world.run.Random("disk/" + string(name))
 	created := &member{world: world, disk: memory.New(random.Uint64()), snapshotEvery: world.options.SnapshotEvery}
 	created.process = world.host.Add(kernel.Endpoint{Name: name, Zone: zone}, memberInterval, created.build)
-	created.process.After(func(time.Time) { created.observe() })
+	created.process.AfterRun(func(time.Time) { created.observe() })
 	return created
 }
 
