--- a/internal/sim/kernel/kernel_test.go
+++ b/internal/sim/kernel/kernel_test.go
@@ -35,16 +35,16 @@
 	first := Endpoint{Name: "first", Zone: "zone-1"}
 	second := Endpoint{Name: "second", Zone: "zone-2"}
 	table := []struct {
-		name    string
-		cut     func(*Network) func()
-		there   bool
-		back    bool
-		healed  bool
-		faulted LinkFaults
+		name          string
+		cut           func(*Network) func()
+		firstToSecond bool
+		secondToFirst bool
+		healed        bool
+		faulted       LinkFaults
 	}{
-		{name: "none", cut: func(*Network) func() { return func() {} }, there: true, back: true},
-		{name: "one way", cut: func(n *Network) func() { return n.CutOneWay("first", "second") }, back: true},
-		{name: "zone one way", cut: func(n *Network) func() { return n.CutZonesOneWay("zone-1", "zone-2") }, back: true},
+		{name: "none", cut: func(*Network) func() { return func() {} }, firstToSecond: true, secondToFirst: true},
+		{name: "one way", cut: func(n *Network) func() { return n.CutOneWay("first", "second") }, secondToFirst: true},
+		{name: "zone one way", cut: func(n *Network) func() { return n.CutZonesOneWay("zone-1", "zone-2") }, secondToFirst: true},
 		{name: "zone", cut: func(n *Network) func() { return n.CutZone("zone-1", []model.ZoneName{"zone-1", "zone-2"}) }},
 		{name: "isolated", cut: func(n *Network) func() { return n.Isolate("second") }},
 	}
@@ -53,8 +53,8 @@
 			scheduler := NewScheduler()
 			network := NewNetwork(scheduler, NewRandom(1, "network"), constantLatency)
 			heal := row.cut(network)
-			require.Equal(t, row.there, arrives(scheduler, network, first, second))
-			require.Equal(t, row.back, arrives(scheduler, network, second, first))
+			require.Equal(t, row.firstToSecond, arrives(scheduler, network, first, second))
+			require.Equal(t, row.secondToFirst, arrives(scheduler, network, second, first))
 			heal()
 			heal()
 			require.True(t, arrives(scheduler, network, first, second))
@@ -83,7 +83,7 @@
 	require.InDelta(t, sends*1.3*0.8, count, sends/10)
 }
 
-// echo answers each message and counts its runs.
+// echo is a controller that answers each ping with a pong and records its messages and run times.
 type echo struct {
 	mailbox  *protocol.Mailbox
 	received []string
@@ -131,7 +131,7 @@
 	host, echoes := newEchoHost(1)
 	host.Scheduler.RunFor(time.Second)
 	echoes["a"].mailbox.Send("b", "ping")
-	// The run that takes the outbox is over, its sending is not.
+	// The controllers ran and the outbox was drained, but its messages are not sent yet.
 	host.Scheduler.RunFor(handlingDelay + handlingDelay/2)
 	host.Process("a").Freeze()
 	host.Scheduler.RunFor(10 * time.Second)
--- a/internal/sim/kernel/network.go
+++ b/internal/sim/kernel/network.go
@@ -6,32 +6,34 @@
 	"merlinpaddle/internal/model"
 )
 
-// LinkFaults is what goes wrong on the network besides cuts. Probabilities
-// are for each message or packet.
+// LinkFaults configures the faults of the network's links other than cuts. Loss and Duplication
+// are probabilities for each message or packet.
 type LinkFaults struct {
 	Loss        float64
 	Duplication float64
-	// Jitter is the largest extra delay; it reorders what is close in time.
+	// Jitter bounds the random extra delay of each copy. Copies sent within that time of each
+	// other may be reordered.
 	Jitter time.Duration
 }
 
-// Latency gives the one-way delay between two zones.
+// Latency returns the one-way delay between two zones.
 type Latency func(from, to model.ZoneName) time.Duration
 
-// Endpoint is one end of the network.
+// Endpoint is a sender or receiver on the network.
 type Endpoint struct {
 	Name model.NodeName
 	Zone model.ZoneName
 }
 
-// direction is one way between two names.
+// direction is an ordered pair of process names or of zone names.
 type direction struct {
 	from string
 	to   string
 }
 
-// Network carries closures between endpoints: what arrives is a call at the
-// receiver. It knows cuts by process and by zone, each for one direction.
+// Network carries closures between endpoints; delivering one calls it. Cuts between processes or
+// between zones drop traffic in one direction. Overlapping cuts are counted, so a link recovers
+// once all of them have healed.
 type Network struct {
 	scheduler   *Scheduler
 	random      *Random
@@ -45,7 +47,7 @@
 	lost        uint64
 }
 
-// NewNetwork returns a network without faults.
+// NewNetwork returns a network without faults or cuts.
 func NewNetwork(scheduler *Scheduler, random *Random, latency Latency) *Network {
 	return &Network{
 		scheduler:   scheduler,
@@ -58,8 +60,8 @@
 	}
 }
 
-// Sibling returns a network that shares cuts and slow processes with this one
-// and has random numbers and faults of its own.
+// Sibling returns a network that shares cuts and added delays with this one but has its own
+// random stream, link faults and counters.
 func (network *Network) Sibling(random *Random, faults LinkFaults) *Network {
 	sibling := *network
 	sibling.random = random
@@ -67,20 +69,20 @@
 	return &sibling
 }
 
-// SetFaults replaces the faults of all links.
+// SetFaults sets the faults of all links.
 func (network *Network) SetFaults(faults LinkFaults) { network.faults = faults }
 
-// CutOneWay drops what from sends to to until the returned function is called.
+// CutOneWay drops what process from sends to process to until heal is called.
 func (network *Network) CutOneWay(from, to model.NodeName) (heal func()) {
 	return addCut(network.processCuts, direction{string(from), string(to)})
 }
 
-// CutZonesOneWay drops what zone from sends to zone to.
+// CutZonesOneWay drops what zone from sends to zone to until heal is called.
 func (network *Network) CutZonesOneWay(from, to model.ZoneName) (heal func()) {
 	return addCut(network.zoneCuts, direction{string(from), string(to)})
 }
 
-// CutZone separates a zone from all others, both ways; zones lists them.
+// CutZone cuts zone off from all other zones in zones, both ways, until heal is called.
 func (network *Network) CutZone(zone model.ZoneName, zones []model.ZoneName) (heal func()) {
 	var heals []func()
 	for _, other := range zones {
@@ -95,17 +97,19 @@
 	}
 }
 
-// Isolate separates a process from all others, both ways.
+// Isolate cuts a process off from all others, both ways, until heal is called.
 func (network *Network) Isolate(name model.NodeName) (heal func()) {
 	return addCut(network.isolated, name)
 }
 
-// Slow adds a delay to all that a process sends and receives.
+// AddDelay adds delay to everything that a process sends or receives until heal is called. Unlike the
+// heal of a cut, this one must be called only once.
 func (network *Network) AddDelay(name model.NodeName, delay time.Duration) (heal func()) {
 	network.delays[name] += delay
 	return func() { network.delays[name] -= delay }
 }
 
+// addCut counts one more cut of key. The returned heal removes it once, however often it is called.
 func addCut[Key comparable](cuts map[Key]int, key Key) (heal func()) {
 	cuts[key]++
 	healed := false
@@ -117,7 +121,7 @@
 	}
 }
 
-// Reachable tells whether the network passes anything from from to to.
+// Reachable reports whether no cut blocks the way from from to to. A process always reaches itself.
 func (network *Network) Reachable(from, to Endpoint) bool {
 	if from.Name == to.Name {
 		return true
@@ -131,8 +135,8 @@
 	return network.zoneCuts[direction{string(from.Zone), string(to.Zone)}] == 0
 }
 
-// Send calls deliver at the receiver after the link's delay, once, twice or
-// never. A cut that begins while something is under way also stops it.
+// Send calls deliver after the link's delay: once, twice when duplicated, or never when lost. A cut
+// that begins while a copy is in transit also drops it.
 func (network *Network) Send(from, to Endpoint, deliver func()) {
 	network.sent++
 	copies := 1
@@ -161,7 +165,7 @@
 	})
 }
 
-// Counters returns how many messages were sent and how many were lost.
+// Counters returns the number of sent messages and the number of lost copies.
 func (network *Network) Counters() (sent, lost uint64) { return network.sent, network.lost }
 
 // Faults returns the faults of all links.
--- a/internal/sim/kernel/process.go
+++ b/internal/sim/kernel/process.go
@@ -11,35 +11,36 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// handlingDelay is the time from a message's arrival to the controllers' run.
+// handlingDelay is the time from the arrival of a message to the run of the controllers, and from
+// that run to the sending of its messages.
 const handlingDelay = 50 * time.Microsecond
 
-// Clock is a process's own clock: it is off by Offset and runs fast or slow.
+// Clock is the local clock of a process. It differs from virtual time by Offset and Drift.
 type Clock struct {
 	Offset time.Duration
-	// Drift is the gain in seconds for each second of virtual time.
+	// Drift is the gain in seconds per second of virtual time; it is negative for a slow clock.
 	Drift float64
 }
 
-// Read returns what the clock shows at a virtual time.
+// Read returns the clock's time at virtual time now.
 func (clock Clock) Read(now time.Time) time.Time {
 	elapsed := now.Sub(Epoch)
 	return now.Add(clock.Offset + time.Duration(float64(elapsed)*clock.Drift))
 }
 
-// Program is one life of a process: its mailbox and controllers in the order
+// Program is what one incarnation of a process runs: its mailbox and its controllers, in the order
 // in which they run.
 type Program struct {
 	Mailbox     *protocol.Mailbox
 	Controllers []board.Controller
-	// Stop runs when the life ends as planned or not; it may be nil.
+	// Stop is called when the process is killed. It may be nil.
 	Stop func()
 }
 
-// Build makes the program of a new life.
+// Build returns the program of a new incarnation.
 type Build func(mailbox *protocol.Mailbox, incarnation model.Incarnation) Program
 
-// Process hosts one program after another, with faults.
+// Process runs one program per incarnation and can be killed, frozen and slowed down.
 type Process struct {
 	Endpoint
 	Interval time.Duration
@@ -58,7 +59,7 @@
 	afterRun     func(now time.Time)
 }
 
-// Host owns the processes of a run and moves messages between them.
+// Host owns the processes of a run and passes messages between them.
 type Host struct {
 	Scheduler *Scheduler
 	Network   *Network
@@ -69,12 +70,11 @@
 	delay     MessageDelay
 }
 
-// MessageDelay returns how long a message is held back before it enters the
-// network.
+// MessageDelay returns the extra delay of a message before it enters the network.
 type MessageDelay func(envelope protocol.Envelope) time.Duration
 
-// MessageFilter sees each message before it enters the network and returns
-// the messages to send in its place.
+// MessageFilter is called with each message before it enters the network and returns the messages
+// to send in its place.
 type MessageFilter func(envelope protocol.Envelope) []protocol.Envelope
 
 // NewHost returns a host without processes.
@@ -87,13 +87,13 @@
 	}
 }
 
-// SetFilter installs a filter for all messages.
+// SetFilter sets the filter for all messages.
 func (host *Host) SetFilter(filter MessageFilter) { host.filter = filter }
 
-// SetDelay installs a delay for all messages.
+// SetDelay sets the delay for all messages.
 func (host *Host) SetDelay(delay MessageDelay) { host.delay = delay }
 
-// Add registers a stopped process.
+// Add adds a stopped process, which runs its controllers at each interval and after each message.
 func (host *Host) Add(endpoint Endpoint, interval time.Duration, build Build) *Process {
 	process := &Process{Endpoint: endpoint, Interval: interval, host: host, build: build}
 	host.processes[endpoint.Name] = process
@@ -101,39 +101,39 @@
 	return process
 }
 
-// Process returns the process called name, or nil.
+// Process returns the process with this name, or nil.
 func (host *Host) Process(name model.NodeName) *Process { return host.processes[name] }
 
 // Processes returns all processes in the order in which they were added.
 func (host *Host) Processes() []*Process { return host.order }
 
-// SetClock gives the process another clock from its next start on. The clock
-// of a running process never jumps: programs measure times by the monotonic
-// clock of their machine, which only runs fast or slow.
+// SetClock sets the clock that the process uses from its next start. The clock of a running process
+// never jumps: programs measure time by the monotonic clock of their machine, which may drift but
+// does not jump.
 func (process *Process) SetClock(clock Clock) { process.nextClock = clock }
 
 // Clock returns the process's clock.
 func (process *Process) Clock() Clock { return process.clock }
 
-// LocalNow returns what the process's clock shows.
+// LocalNow returns the present time of the process's clock.
 func (process *Process) LocalNow() time.Time { return process.clock.Read(process.host.Scheduler.Now()) }
 
-// After calls observe after each run of the controllers.
+// AfterRun sets the function that is called with the virtual time after each run of the controllers.
 func (process *Process) AfterRun(observe func(now time.Time)) { process.afterRun = observe }
 
-// Running tells whether the process is alive, frozen or not.
+// Running reports whether the process is started and not killed; it may be frozen.
 func (process *Process) Running() bool { return process.running }
 
-// Active tells whether the process is alive and not frozen.
+// Active reports whether the process is running and not frozen.
 func (process *Process) Active() bool { return process.running && !process.frozen }
 
-// Frozen tells whether the process is frozen.
+// Frozen reports whether the process is frozen.
 func (process *Process) Frozen() bool { return process.frozen }
 
-// Incarnation returns the number of the present life, from one.
+// Incarnation returns the number of starts so far; the first incarnation is 1.
 func (process *Process) Incarnation() model.Incarnation { return process.incarnation }
 
-// Start begins a new life.
+// Start begins a new incarnation. It does nothing while the process runs.
 func (process *Process) Start() {
 	if process.running {
 		return
@@ -149,7 +149,7 @@
 	process.tick(process.incarnation)
 }
 
-// Kill ends the life at once; messages not yet sent are lost.
+// Kill ends the incarnation at once. Messages that were not yet sent are lost.
 func (process *Process) Kill() {
 	if !process.running {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// Freeze stops the process without ending it. Messages that it had not yet
-// sent leave when it thaws, however old they are by then.
+// Freeze suspends the process without ending it. Messages that it had not yet sent are sent when it
+// thaws, however old they are by then.
 func (process *Process) Freeze() {
 	if process.Active() {
 		process.frozen = true
@@ -172,7 +172,7 @@
 	}
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (process *Process) Thaw() {
 	if process.running && process.frozen {
 		process.frozen = false
@@ -182,26 +182,27 @@
 	}
 }
 
-// SetSlowness adds a delay before each run of the controllers.
+// SetRunDelay sets an extra delay before each run of the controllers.
 func (process *Process) SetRunDelay(delay time.Duration) { process.runDelay = delay }
 
-func (process *Process) tick(life model.Incarnation) {
-	if !process.running || process.incarnation != life {
+// tick wakes the process at each interval until its incarnation ends.
+func (process *Process) tick(incarnation model.Incarnation) {
+	if !process.running || process.incarnation != incarnation {
 		return
 	}
 	process.Wake()
-	process.host.Scheduler.After(process.Interval, func() { process.tick(life) })
+	process.host.Scheduler.After(process.Interval, func() { process.tick(incarnation) })
 }
 
-// Wake schedules a run of the controllers soon.
+// Wake schedules a run of the controllers unless one is already scheduled.
 func (process *Process) Wake() {
 	if process.runScheduled || !process.running {
 		return
 	}
 	process.runScheduled = true
-	life := process.incarnation
+	incarnation := process.incarnation
 	process.host.Scheduler.After(handlingDelay+process.runDelay, func() {
-		if process.running && process.incarnation == life {
+		if process.running && process.incarnation == incarnation {
 			process.runScheduled = false
 			process.run()
 		}
@@ -225,22 +226,23 @@
 	}
 }
 
-// collect takes the outbox. The messages leave a little later, so that a
-// freeze or a kill can fall between the decision and its sending.
+// collectOutbox drains the outbox. The messages are sent after handlingDelay, so that a freeze or a
+// kill can occur between a decision and its sending.
 func (process *Process) collectOutbox() {
 	envelopes := process.program.Mailbox.Outbox.Drain()
 	if len(envelopes) == 0 {
 		return
 	}
 	process.unsent = append(process.unsent, envelopes...)
-	life := process.incarnation
+	incarnation := process.incarnation
 	process.host.Scheduler.After(handlingDelay, func() {
-		if process.Active() && process.incarnation == life {
+		if process.Active() && process.incarnation == incarnation {
 			process.flush()
 		}
 	})
 }
 
+// flush sends the collected messages.
 func (process *Process) flush() {
 	envelopes := process.unsent
 	process.unsent = nil
@@ -253,21 +255,24 @@
 	process.host.Trace.Add(string(process.Name), kind, detail)
 }
 
+// send passes a message through the filter and transmits the resulting messages. Messages to unknown
+// processes are dropped.
 func (host *Host) send(sender *Process, envelope protocol.Envelope) {
 	envelope.From = sender.Name
 	envelopes := []protocol.Envelope{envelope}
 	if host.filter != nil {
 		envelopes = host.filter(envelope)
 	}
-	for _, one := range envelopes {
-		receiver := host.processes[one.To]
+	for _, outgoing := range envelopes {
+		receiver := host.processes[outgoing.To]
 		if receiver == nil {
 			continue
 		}
-		host.transmit(sender, receiver, one)
+		host.transmit(sender, receiver, outgoing)
 	}
 }
 
+// transmit sends a message over the network, after the delay set for it.
 func (host *Host) transmit(sender, receiver *Process, envelope protocol.Envelope) {
 	enter := func() {
 		host.Network.Send(sender.Endpoint, receiver.Endpoint, func() { receiver.receive(envelope) })
@@ -281,8 +286,8 @@
 	enter()
 }
 
-// receive puts a message into the inbox. A frozen process still collects
-// messages, as its operating system would.
+// receive puts a message into the inbox. A frozen process still queues messages, as its operating
+// system would.
 func (process *Process) receive(envelope protocol.Envelope) {
 	if !process.running {
 		return
--- a/internal/sim/kernel/scheduler.go
+++ b/internal/sim/kernel/scheduler.go
@@ -8,8 +8,8 @@
 // Epoch is the virtual time at which every run starts.
 var Epoch = time.Date(2030, time.January, 1, 0, 0, 0, 0, time.UTC)
 
-// Scheduler is the virtual clock. It runs events in order of their time, and
-// events of equal time in the order in which they were scheduled.
+// Scheduler is the virtual clock. It runs events in the order of their times, and events of equal
+// time in the order in which they were scheduled.
 type Scheduler struct {
 	now      time.Time
 	sequence uint64
@@ -33,10 +33,10 @@
 // Elapsed returns the virtual time since the run's start.
 func (scheduler *Scheduler) Elapsed() time.Duration { return scheduler.now.Sub(Epoch) }
 
-// Executed returns the number of events that ran.
+// Executed returns the number of events run so far.
 func (scheduler *Scheduler) Executed() uint64 { return scheduler.executed }
 
-// At schedules run. A time in the past counts as now.
+// At schedules run at a virtual time; a past time counts as now.
 func (scheduler *Scheduler) At(at time.Time, run func()) {
 	if at.Before(scheduler.now) {
 		at = scheduler.now
@@ -45,12 +45,12 @@
 	heap.Push(&scheduler.events, event{at: at, sequence: scheduler.sequence, run: run})
 }
 
-// After schedules run once delay has passed.
+// After schedules run to be called after delay.
 func (scheduler *Scheduler) After(delay time.Duration, run func()) {
 	scheduler.At(scheduler.now.Add(delay), run)
 }
 
-// Every schedules run at each interval until it returns false.
+// Every calls run at each interval, first after one interval, until it returns false.
 func (scheduler *Scheduler) Every(interval time.Duration, run func() bool) {
 	scheduler.After(interval, func() {
 		if run() {
@@ -59,10 +59,11 @@
 	})
 }
 
-// Stop ends the run after the present event.
+// Stop ends the run after the current event. Later events never run.
 func (scheduler *Scheduler) Stop() { scheduler.stopped = true }
 
-// RunFor runs events until duration of virtual time has passed.
+// RunFor runs the events of the next duration of virtual time, including those at its end, and
+// advances the clock by duration unless Stop is called.
 func (scheduler *Scheduler) RunFor(duration time.Duration) {
 	end := scheduler.now.Add(duration)
 	for !scheduler.stopped && len(scheduler.events) > 0 && !scheduler.events[0].at.After(end) {
--- a/internal/sim/kernel/trace.go
+++ b/internal/sim/kernel/trace.go
@@ -8,10 +8,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// keptEvents is the number of latest events that a trace keeps for reports.
+// maxLatestEvents bounds the latest events that a trace keeps for failure reports.
 const maxLatestEvents = 60
 
-// Event is one step of a run that the digest covers.
+// Event is one recorded step of a run.
 type Event struct {
 	At     time.Duration
 	Source string
@@ -24,7 +24,7 @@
 	return fmt.Sprintf("%12s  %-14s %-12s %s", event.At, event.Source, event.Kind, event.Detail)
 }
 
-// Trace keeps a digest of all events of a run and the latest of them.
+// Trace keeps a digest of all events of a run, and the latest of the events.
 type Trace struct {
 	scheduler *Scheduler
 	digest    *xxhash.Digest
@@ -34,15 +34,15 @@
 	observer  func(Event)
 }
 
-// NewTrace returns an empty trace that takes its times from scheduler.
+// NewTrace returns an empty trace whose event times come from scheduler.
 func NewTrace(scheduler *Scheduler) *Trace {
 	return &Trace{scheduler: scheduler, digest: xxhash.New()}
 }
 
-// Observe calls observer for each later event.
+// Observe sets the function that is called with each later event, including those of NotifyObserver.
 func (trace *Trace) Observe(observer func(Event)) { trace.observer = observer }
 
-// Add records one event.
+// Add records one event, which the digest covers.
 func (trace *Trace) Add(source, kind, detail string) {
 	event := Event{At: trace.scheduler.Elapsed(), Source: source, Kind: kind, Detail: detail}
 	trace.hash(event)
@@ -58,16 +58,16 @@
 	trace.Add(source, kind, fmt.Sprintf(format, arguments...))
 }
 
-// Tell shows an event to the observer alone. It serves steps that are frequent under load,
-// which would push all others out of a report.
+// NotifyObserver passes an event to the observer without recording it. It is for steps that are
+// frequent under load and would displace all others among the latest events of a report.
 func (trace *Trace) NotifyObserver(source, kind string, detail func() string) {
 	if trace.observer != nil {
 		trace.observer(Event{At: trace.scheduler.Elapsed(), Source: source, Kind: kind, Detail: detail()})
 	}
 }
 
-// Mix adds numbers to the digest without keeping an event; it serves the
-// frequent steps, such as packets.
+// Mix adds numbers and the present virtual time to the digest without keeping an event. It is for
+// frequent steps, such as messages.
 func (trace *Trace) Mix(numbers ...uint64) {
 	var buffer [8]byte
 	trace.mixNumber(&buffer, uint64(trace.scheduler.Elapsed()))
@@ -100,10 +100,10 @@
 	trace.next = (trace.next + 1) % maxLatestEvents
 }
 
-// Digest returns the checksum of all events so far.
+// Digest returns the digest of all events so far.
 func (trace *Trace) Digest() uint64 { return trace.digest.Sum64() }
 
-// Count returns the number of events so far.
+// Count returns the number of events in the digest so far.
 func (trace *Trace) Count() uint64 { return trace.count }
 
 // Latest returns the latest events, oldest first.
