--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -24,14 +24,14 @@
 const balancerInterval = 40 * time.Millisecond
 
 // loadInterval is the least time between two reports of open requests.
-const loadInterval = 25 * time.Millisecond
+const loadReportInterval = 25 * time.Millisecond
 
 // peerFollowers bounds the balancers that a simulated balancer feeds.
-const peerFollowers = 16
+const maxPeerFollowers = 16
 
 // linkAdmission is the share of its objective in which a link has to carry a long
 // request.
-const linkAdmission = 0.5
+const linkObjectiveShare = 0.5
 
 // balancer is one balancer on a simulated process.
 type balancer struct {
@@ -52,7 +52,7 @@
 	created := &balancer{world: world}
 	created.process = world.host.Add(endpoint(name, zone), balancerInterval, created.build)
 	created.process.AfterRun(func(time.Time) { world.checks.balancerRan(created) })
-	world.skew(created.process)
+	world.skewClock(created.process)
 	return created
 }
 
@@ -75,8 +75,8 @@
 	options := steer.DefaultOptions()
 	options.Zone = string(balancer.process.Zone)
 	options.Self = mailbox.Self
-	book := load.NewCounter()
-	options.Loads = book
+	counter := load.NewCounter()
+	options.Loads = counter
 	balancer.world.options.Parts.SteerOptions(&options)
 	balancer.table = steer.NewTable(options)
 	var replica *feed.Replica
@@ -87,22 +87,22 @@
 		OnChange: func(changes directory.Changes, _ model.NodeName) { replica.Record(changes) },
 	}, mailbox, dispatcher, balancer.table, noConnector{})
 	replica = feed.NewReplica(balancer.table, subscriber)
-	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: peerFollowers}, mailbox, dispatcher, replica, replica)
+	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: maxPeerFollowers}, mailbox, dispatcher, replica, replica)
 	reports := feed.NewReportRelay(mailbox, dispatcher, subscriber.Following)
 	balancer.subscriber = subscriber
 	tracker := outcome.NewTracker(mailbox, subscriber.Following)
-	balancer.watcher = requests.NewWatcher(tracker, book)
+	balancer.watcher = requests.NewWatcher(tracker, counter)
 	balancer.watcher.ObserveAnswers(tracker)
 	balancer.admission = balancer.newAdmission()
 	if balancer.world.options.LinkRate > 0 {
 		balancer.link = newLink(balancer.world, balancer)
 		balancer.admission.ObserveLink(balancer.link.egress)
 	}
-	sharing := load.ExchangeOptions{
-		Interval: loadInterval, Neighbours: subscriber.Neighbours,
+	exchangeOptions := load.ExchangeOptions{
+		Interval: loadReportInterval, Neighbours: subscriber.Neighbours,
 		Collector: subscriber.FollowedMember, Capacities: balancer.table,
 	}
-	exchange := load.NewExchange(sharing, book, load.NewLinkSender(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
+	exchange := load.NewExchange(exchangeOptions, counter, load.NewLinkSender(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
 	balancer.suspects = forwarder.NewSuspects(balancer.table, balancer.world.prober(balancer.process), mailbox, subscriber.Following, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
@@ -115,14 +115,14 @@
 	world := balancer.world
 	sizes := transfer.NewSizes()
 	balancer.watcher.ObserveSizes(sizes)
-	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkAdmission}
+	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkObjectiveShare}
 	world.options.Parts.TransferOptions(&options)
 	return transfer.NewAdmission(options, sizes, balancer.watcher.EachOpen)
 }
 
 // route returns a balancer for one packet of a flow: any active one that has a
 // table.
-func (world *World) route(flow *flow) *balancer {
+func (world *World) pickBalancer(flow *flow) *balancer {
 	var active []*balancer
 	for _, candidate := range world.balancers {
 		if candidate.process.Active() && candidate.table.Serving() {
@@ -139,7 +139,7 @@
 }
 
 // carry handles a caller's packet at the balancer.
-func (balancer *balancer) carry(packet packet) {
+func (balancer *balancer) handlePacket(packet packet) {
 	world := balancer.world
 	if !balancer.process.Active() {
 		return
@@ -166,7 +166,7 @@
 		balancer.forward(packet, decision)
 	case steer.Reset:
 		world.packets.Send(balancer.process.Endpoint, packet.flow.endpoint(), func() {
-			packet.flow.reset(balancer)
+			packet.flow.handleReset(balancer)
 		})
 	}
 }
--- a/internal/sim/directworld/caller.go
+++ b/internal/sim/directworld/caller.go
@@ -23,7 +23,7 @@
 )
 
 // copiesAt are the times at which copies of an opening packet are sent.
-var copiesAt = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
+var openingSendTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
 // packet is one packet of a caller.
 type packet struct {
@@ -33,15 +33,15 @@
 	token   directory.Token
 	// asked and answered number the requests of an open flow that were sent and
 	// answered when the packet was sent; closing tells that it is the last.
-	asked    int
-	answered int
-	closing  bool
+	requested int
+	answered  int
+	closing   bool
 	// acknowledges tells that the packet carries no data.
-	acknowledges bool
+	ackOnly bool
 	// piece is the number of a packet of an upload, from one.
-	piece int
+	chunk int
 	// acknowledged is the number of bytes of answers that came before the packet.
-	acknowledged uint32
+	answerBytes uint32
 }
 
 const (
@@ -52,15 +52,15 @@
 )
 
 func (packet packet) segment() steer.Segment {
-	hasData := packet.asked > 0 && !packet.closing && !packet.acknowledges
+	hasData := packet.requested > 0 && !packet.closing && !packet.ackOnly
 	length := uint32(0)
-	sequence := uint32(packet.asked * requestBytes)
+	sequence := uint32(packet.requested * requestBytes)
 	switch {
-	case packet.piece > 0:
-		length = pieceBytes
-		sequence = uint32(packet.piece * pieceBytes)
-		if packet.piece == uploadPieces {
-			length = lastPieceBytes
+	case packet.chunk > 0:
+		length = chunkBytes
+		sequence = uint32(packet.chunk * chunkBytes)
+		if packet.chunk == uploadChunks {
+			length = lastChunkBytes
 		}
 	case hasData:
 		length = requestBytes
@@ -75,31 +75,31 @@
 		HasData:         hasData,
 		Length:          length,
 		Sequence:        sequence,
-		Acknowledgement: packet.acknowledged,
+		Acknowledgement: packet.answerBytes,
 		Closing:         packet.closing,
 	}
 }
 
 // flow is one flow of a caller.
 type flow struct {
-	world   *World
-	caller  netip.AddrPort
-	service netip.AddrPort
-	zone    model.ZoneName
-	begunAt time.Time
-	endsAt  time.Time
-	target  *target
-	token   directory.Token
+	world     *World
+	caller    netip.AddrPort
+	service   netip.AddrPort
+	zone      model.ZoneName
+	createdAt time.Time
+	endsAt    time.Time
+	target    *target
+	token     directory.Token
 	// lost tells that the target forgot the flow when it died.
-	lost       bool
+	targetDied bool
 	ended      bool
 	openedAt   time.Time
 	answeredAt time.Time
 	// asked and answered count the requests that were sent and answered.
-	asked    int
-	answered int
+	requested int
+	answered  int
 	// acknowledged is the number of bytes of answers that came.
-	acknowledged uint32
+	answerBytes uint32
 	// call is the call that the flow is for, if it is for a single one, and
 	// callEnded tells that its end was taken in.
 	call      *call
@@ -112,9 +112,9 @@
 
 // callers opens flows at a rate and keeps them for a while.
 type callers struct {
-	world  *World
-	random *kernel.Random
-	next   int
+	world      *World
+	random     *kernel.Random
+	lastCaller int
 	// opened and failed count flows that began while the world was calm.
 	opened int
 	failed int
@@ -126,45 +126,45 @@
 
 func (callers *callers) start() {
 	callers.world.after(callers.random.Exponential(time.Second/flowsPerSecond), func() {
-		callers.open()
+		callers.openFlow()
 		callers.start()
 	})
 }
 
-func (callers *callers) open() {
+func (callers *callers) openFlow() {
 	service := routeFeed
 	if callers.random.Chance(0.25) || callers.world.options.CallsOnly {
 		service = routeLedger
 	}
-	callers.next++
-	opened := callers.flowOf(service)
+	callers.lastCaller++
+	opened := callers.buildFlow(service)
 	opened.endsAt = callers.world.Now().Add(callers.random.Pareto(time.Second, 25*time.Second, 1.1))
-	opened.begin()
-	calm := callers.world.calm()
-	callers.world.after(openTimeout, func() { callers.note(opened, calm) })
+	opened.sendOpening()
+	calm := callers.world.settled()
+	callers.world.after(openTimeout, func() { callers.recordOpening(opened, calm) })
 }
 
 // newFlow returns a flow from a port of its own, which lasts for a while.
 func (callers *callers) newFlow(service netip.AddrPort, lasts time.Duration) *flow {
-	callers.next++
-	created := callers.flowOf(service)
+	callers.lastCaller++
+	created := callers.buildFlow(service)
 	created.endsAt = callers.world.Now().Add(lasts)
 	return created
 }
 
-func (callers *callers) flowOf(service netip.AddrPort) *flow {
+func (callers *callers) buildFlow(service netip.AddrPort) *flow {
 	return &flow{
-		world:   callers.world,
-		caller:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(callers.next >> 16), byte(callers.next >> 8)}), uint16(1024+callers.next%60000)),
-		service: service,
-		zone:    zones[callers.next%len(zones)],
-		begunAt: callers.world.Now(),
+		world:     callers.world,
+		caller:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(callers.lastCaller >> 16), byte(callers.lastCaller >> 8)}), uint16(1024+callers.lastCaller%60000)),
+		service:   service,
+		zone:      zones[callers.lastCaller%len(zones)],
+		createdAt: callers.world.Now(),
 	}
 }
 
 // begin sends the opening packet and its copies.
-func (flow *flow) begin() {
-	for attempt, at := range copiesAt {
+func (flow *flow) sendOpening() {
+	for attempt, at := range openingSendTimes {
 		flow.world.after(at, func() {
 			if flow.target == nil && !flow.ended {
 				flow.send(packet{flow: flow, opening: true, attempt: attempt})
@@ -174,12 +174,12 @@
 }
 
 // note counts how opening ended for flows that began in calm.
-func (callers *callers) note(opened *flow, calm bool) {
+func (callers *callers) recordOpening(opened *flow, calm bool) {
 	if opened.target == nil {
 		opened.ended = true
 	}
 	switch {
-	case !calm || !callers.world.calm():
+	case !calm || !callers.world.settled():
 	case opened.openedAt.IsZero():
 		callers.failed++
 	default:
@@ -188,16 +188,16 @@
 }
 
 func (flow *flow) send(packet packet) {
-	packet.acknowledged = flow.acknowledged
-	through := flow.world.route(flow)
-	if through == nil {
+	packet.answerBytes = flow.answerBytes
+	chosen := flow.world.pickBalancer(flow)
+	if chosen == nil {
 		return
 	}
-	flow.world.packets.Send(flow.endpoint(), through.process.Endpoint, func() { through.throughLink(packet) })
+	flow.world.packets.Send(flow.endpoint(), chosen.process.Endpoint, func() { chosen.receive(packet) })
 }
 
 // accepted opens the flow at the first target that took it.
-func (flow *flow) accepted(target *target, token directory.Token) {
+func (flow *flow) handleAccepted(target *target, token directory.Token) {
 	if flow.target != nil || flow.ended {
 		return
 	}
@@ -205,45 +205,45 @@
 	flow.token = token
 	flow.openedAt = flow.world.Now()
 	if flow.transfer != nil {
-		flow.transfer.begin()
+		flow.transfer.start()
 		return
 	}
-	flow.data()
+	flow.sendData()
 }
 
 // data sends one packet of the open flow and plans the next one.
-func (flow *flow) data() {
+func (flow *flow) sendData() {
 	if flow.ended {
 		return
 	}
 	if flow.world.Now().After(flow.endsAt) {
-		flow.finish()
+		flow.sendClosing()
 		flow.end()
 		return
 	}
-	if flow.answered == flow.asked {
-		flow.asked++
+	if flow.answered == flow.requested {
+		flow.requested++
 	}
-	flow.send(packet{flow: flow, token: flow.token, asked: flow.asked, answered: flow.answered})
-	flow.world.after(dataInterval, flow.data)
+	flow.send(packet{flow: flow, token: flow.token, requested: flow.requested, answered: flow.answered})
+	flow.world.after(dataInterval, flow.sendData)
 }
 
 // takeAnswer takes in the answer of some bytes to a request, and acknowledges it.
-func (flow *flow) takeAnswer(asked int, bytes uint32) {
+func (flow *flow) handleAnswer(asked int, bytes uint32) {
 	flow.answeredAt = flow.world.Now()
 	if asked <= flow.answered {
 		return
 	}
 	flow.answered = asked
-	flow.acknowledged += bytes
+	flow.answerBytes += bytes
 	if !flow.ended {
-		flow.send(packet{flow: flow, token: flow.token, asked: flow.asked, answered: flow.answered, acknowledges: true})
+		flow.send(packet{flow: flow, token: flow.token, requested: flow.requested, answered: flow.answered, ackOnly: true})
 	}
 }
 
 // finish sends the last packet of the flow.
-func (flow *flow) finish() {
-	flow.send(packet{flow: flow, token: flow.token, asked: flow.asked, answered: flow.answered, closing: true})
+func (flow *flow) sendClosing() {
+	flow.send(packet{flow: flow, token: flow.token, requested: flow.requested, answered: flow.answered, closing: true})
 }
 
 func (flow *flow) end() {
@@ -254,30 +254,30 @@
 }
 
 // reset ends the flow because a balancer said so.
-func (flow *flow) reset(by *balancer) {
+func (flow *flow) handleReset(by *balancer) {
 	if flow.ended {
 		return
 	}
 	if flow.target != nil {
-		flow.world.checks.wasReset(flow, by)
+		flow.world.checks.flowReset(flow, by)
 	}
-	flow.breakOff()
+	flow.abort()
 }
 
 // resetByTarget ends the flow because the target at its address does not have it.
-func (flow *flow) resetByTarget() {
+func (flow *flow) handleTargetReset() {
 	if !flow.ended {
-		flow.breakOff()
+		flow.abort()
 	}
 }
 
 // breakOff ends the flow without an answer to what it asked.
-func (flow *flow) breakOff() {
+func (flow *flow) abort() {
 	flow.end()
 	if flow.call != nil {
-		flow.call.ended(flow, false)
+		flow.call.flowEnded(flow, false)
 	}
 	if flow.transfer != nil {
-		flow.transfer.failed()
+		flow.transfer.handleFailure()
 	}
 }
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -28,35 +28,35 @@
 	zones *zoneChecks
 	world *World
 	// contents has the texts that were sent under each version.
-	contents            map[uint64]map[string]bool
+	sentContents        map[uint64]map[string]bool
 	readContents        map[uint64]string
 	highestAcknowledged uint64
 	// acknowledgedAt has when each version was first acknowledged.
 	acknowledgedAt map[uint64]time.Time
 	// allowed has the services that some configuration ever gave a route.
-	allowed map[netip.AddrPort]map[string]bool
-	leaders map[uint64]string
+	allowedServices map[netip.AddrPort]map[string]bool
+	leaders         map[uint64]string
 	// versions has the version of each balancer's present life.
-	versions map[*balancer]lifeVersion
-	reads    int
+	balancerVersions map[*balancer]incarnationVersion
+	reads            int
 }
 
 // lifeVersion is the version that a balancer had in one life.
-type lifeVersion struct {
+type incarnationVersion struct {
 	incarnation model.Incarnation
 	version     uint64
 }
 
 func newChecks(world *World) *checks {
 	return &checks{
-		world:          world,
-		zones:          newZoneChecks(world),
-		contents:       make(map[uint64]map[string]bool),
-		readContents:   make(map[uint64]string),
-		acknowledgedAt: make(map[uint64]time.Time),
-		allowed:        make(map[netip.AddrPort]map[string]bool),
-		leaders:        make(map[uint64]string),
-		versions:       make(map[*balancer]lifeVersion),
+		world:            world,
+		zones:            newZoneChecks(world),
+		sentContents:     make(map[uint64]map[string]bool),
+		readContents:     make(map[uint64]string),
+		acknowledgedAt:   make(map[uint64]time.Time),
+		allowedServices:  make(map[netip.AddrPort]map[string]bool),
+		leaders:          make(map[uint64]string),
+		balancerVersions: make(map[*balancer]incarnationVersion),
 	}
 }
 
@@ -65,36 +65,38 @@
 }
 
 // textOf returns the content of a configuration for comparison.
-func textOf(configuration *declared.Configuration) string { return fmt.Sprintf("%+v", *configuration) }
+func configurationText(configuration *declared.Configuration) string {
+	return fmt.Sprintf("%+v", *configuration)
+}
 
-func (checks *checks) sent(configuration *declared.Configuration) {
-	if checks.contents[configuration.Version] == nil {
-		checks.contents[configuration.Version] = make(map[string]bool)
+func (checks *checks) configurationSent(configuration *declared.Configuration) {
+	if checks.sentContents[configuration.Version] == nil {
+		checks.sentContents[configuration.Version] = make(map[string]bool)
 	}
-	checks.contents[configuration.Version][textOf(configuration)] = true
+	checks.sentContents[configuration.Version][configurationText(configuration)] = true
 	for _, route := range configuration.Routes {
-		if checks.allowed[route.Address] == nil {
-			checks.allowed[route.Address] = make(map[string]bool)
+		if checks.allowedServices[route.Address] == nil {
+			checks.allowedServices[route.Address] = make(map[string]bool)
 		}
 		for _, part := range route.Pool {
-			checks.allowed[route.Address][part.Service] = true
+			checks.allowedServices[route.Address][part.Service] = true
 		}
 	}
 }
 
-func (checks *checks) acknowledged(version uint64) {
+func (checks *checks) configurationAcknowledged(version uint64) {
 	if _, known := checks.acknowledgedAt[version]; !known {
 		checks.acknowledgedAt[version] = checks.world.Now()
 	}
 	checks.highestAcknowledged = max(checks.highestAcknowledged, version)
 }
 
-func (checks *checks) invalidTaken(configuration *declared.Configuration) {
+func (checks *checks) invalidAccepted(configuration *declared.Configuration) {
 	checks.violate(checker.InvariantCommittedKept, "the invalid version %d was acknowledged", configuration.Version)
 }
 
 // read judges a read that was sent when expected was acknowledged.
-func (checks *checks) read(expected uint64, held *declared.Configuration) {
+func (checks *checks) checkRead(expected uint64, held *declared.Configuration) {
 	checks.reads++
 	if held.Version < expected {
 		checks.violate(checker.InvariantLinearizable, "a read returned version %d after version %d was acknowledged", held.Version, expected)
@@ -102,24 +104,24 @@
 	if held.Version == 0 {
 		return
 	}
-	text := textOf(held)
-	if !checks.contents[held.Version][text] {
+	text := configurationText(held)
+	if !checks.sentContents[held.Version][text] {
 		checks.violate(checker.InvariantSameConfiguration, "version %d was read with a content that nobody sent", held.Version)
 	}
-	if former, known := checks.readContents[held.Version]; known && former != text {
+	if previous, known := checks.readContents[held.Version]; known && previous != text {
 		checks.violate(checker.InvariantSameConfiguration, "version %d was read with two contents", held.Version)
 	}
 	checks.readContents[held.Version] = text
 }
 
-func (checks *checks) leader(term uint64, name string) {
-	if former, known := checks.leaders[term]; known && former != name {
-		checks.violate(checker.InvariantOneLeader, "%s and %s both lead term %d", former, name, term)
+func (checks *checks) recordLeader(term uint64, name string) {
+	if previous, known := checks.leaders[term]; known && previous != name {
+		checks.violate(checker.InvariantOneLeader, "%s and %s both lead term %d", previous, name, term)
 	}
 	checks.leaders[term] = name
 }
 
-func (checks *checks) storageRefused(member *Member, err error) {
+func (checks *checks) memberStartFailed(member *Member, err error) {
 	checks.violate(checker.InvariantCommittedKept, "member %s does not start from its disk: %v", member.process.Name, err)
 }
 
@@ -127,11 +129,11 @@
 func (checks *checks) balancerRan(balancer *balancer) {
 	version := balancer.table.Version()
 	incarnation := balancer.process.Incarnation()
-	former := checks.versions[balancer]
-	if former.incarnation == incarnation && version < former.version {
-		checks.violate(checker.InvariantNoRevert, "%s went back from version %d to %d", balancer.process.Name, former.version, version)
+	previous := checks.balancerVersions[balancer]
+	if previous.incarnation == incarnation && version < previous.version {
+		checks.violate(checker.InvariantNoRevert, "%s went back from version %d to %d", balancer.process.Name, previous.version, version)
 	}
-	checks.versions[balancer] = lifeVersion{incarnation: incarnation, version: version}
+	checks.balancerVersions[balancer] = incarnationVersion{incarnation: incarnation, version: version}
 }
 
 // decided judges a decision of a balancer by what it may know.
@@ -143,10 +145,10 @@
 	if packet.opening && decision.Action == steer.Reset {
 		world.run.Trace.NotifyObserver(string(balancer.process.Name), "refuses", func() string { return refusalText(packet, decision) })
 	}
-	if !world.calm() || !packet.opening || world.Now().Sub(balancer.startedAt) < settleTime {
+	if !world.settled() || !packet.opening || world.Now().Sub(balancer.startedAt) < settleTime {
 		return
 	}
-	checks.choseDead(balancer, decision)
+	checks.checkDeadTarget(balancer, decision)
 	version := balancer.table.Version()
 	for acknowledged, at := range checks.acknowledgedAt {
 		if acknowledged > version && world.Now().Sub(at) > applyBound {
@@ -169,17 +171,17 @@
 }
 
 // deathBound is how long after a target's death new flows may go to it.
-const deathBound = 7 * time.Second
+const deadTargetBound = 7 * time.Second
 
 // choseDead judges a new flow's target that died, or lost its address to
 // another one, long ago.
-func (checks *checks) choseDead(balancer *balancer, decision steer.Decision) {
+func (checks *checks) checkDeadTarget(balancer *balancer, decision steer.Decision) {
 	if decision.Action != steer.Forward {
 		return
 	}
 	chosen, _ := balancer.table.Lookup(decision.Token)
 	for _, target := range checks.world.targets {
-		dead := !target.alive && checks.world.Now().Sub(target.diedAt) > deathBound
+		dead := !target.alive && checks.world.Now().Sub(target.diedAt) > deadTargetBound
 		if target.id == decision.ID && target.started == chosen.Started && dead {
 			checks.violate(checker.InvariantProgress, "%s sends a new flow to %s, which died %s ago",
 				balancer.process.Name, target.address, checks.world.Now().Sub(target.diedAt))
@@ -189,14 +191,14 @@
 
 // keepsUpBound is how long after its acknowledgement a version may be unknown
 // to a balancer that reaches others which know it.
-const keepsUpBound = 1500 * time.Millisecond
+const currentVersionBound = 1500 * time.Millisecond
 
 // keepsUp demands that a balancer knows what was acknowledged a while ago, and
 // that it counts as current.
-func (checks *checks) keepsUp(balancer *balancer) {
+func (checks *checks) checkCurrent(balancer *balancer) {
 	version := balancer.table.Version()
 	for acknowledged, at := range checks.acknowledgedAt {
-		if age := checks.world.Now().Sub(at); acknowledged > version && age > keepsUpBound {
+		if age := checks.world.Now().Sub(at); acknowledged > version && age > currentVersionBound {
 			checks.violate(checker.InvariantInForce, "%s has version %d, %s after version %d was acknowledged",
 				balancer.process.Name, version, age, acknowledged)
 			return
@@ -210,20 +212,20 @@
 
 // becomesAside lets time pass until the leader has set a target aside, or
 // brought it back, which must happen within a bound.
-func (checks *checks) becomesAside(target *target, aside bool, within time.Duration) {
+func (checks *checks) awaitEjection(target *target, ejected bool, within time.Duration) {
 	world := checks.world
 	for end := world.Now().Add(within); world.Now().Before(end); world.RunFor(100 * time.Millisecond) {
 		if leader := world.leader(); leader != nil {
-			if held, known := leader.Directory.Target(target.id); known && held.Aside == aside {
+			if held, known := leader.Directory.Target(target.id); known && held.Aside == ejected {
 				return
 			}
 		}
 	}
-	checks.violate(checker.InvariantProgress, "target %s does not become aside=%t within %s", target.address, aside, within)
+	checks.violate(checker.InvariantProgress, "target %s does not become aside=%t within %s", target.address, ejected, within)
 }
 
 // asideNow demands that the leader has set a target aside.
-func (checks *checks) asideNow(target *target) {
+func (checks *checks) checkEjected(target *target) {
 	leader := checks.world.leader()
 	if leader == nil {
 		return
@@ -234,23 +236,23 @@
 }
 
 // opened judges a target that takes a new flow.
-func (checks *checks) opened(through *balancer, target *target, packet packet) {
+func (checks *checks) flowOpened(sender *balancer, target *target, packet packet) {
 	world := checks.world
-	checks.zones.opened(through, target)
-	checks.openedCold(target)
-	if !checks.allowed[packet.flow.service][target.service] {
+	checks.zones.flowOpened(sender, target)
+	checks.checkColdRate(target)
+	if !checks.allowedServices[packet.flow.service][target.service] {
 		checks.violate(checker.InvariantServiceIsolation, "a flow to %s reached service %s", packet.flow.service, target.service)
 	}
-	late := !target.leavingAckedAt.IsZero() && world.Now().Sub(target.leavingAckedAt) > drainBound
-	if late && world.calm() {
+	pastBound := !target.drainAckedAt.IsZero() && world.Now().Sub(target.drainAckedAt) > drainBound
+	if pastBound && world.settled() {
 		checks.violate(checker.InvariantDrain, "%s sent a new flow to %s, which drains since %s",
-			through.process.Name, target.address, world.Now().Sub(target.leavingAckedAt))
+			sender.process.Name, target.address, world.Now().Sub(target.drainAckedAt))
 	}
 }
 
 // foreignPacket judges a packet of an open flow at a target that does not own
 // it.
-func (checks *checks) foreignPacket(target *target, packet packet) {
+func (checks *checks) packetMisdelivered(target *target, packet packet) {
 	if packet.flow.ended {
 		return
 	}
@@ -258,15 +260,15 @@
 }
 
 // wasReset judges a reset of an open flow.
-func (checks *checks) wasReset(flow *flow, by *balancer) {
-	if flow.lost || !flow.target.alive {
+func (checks *checks) flowReset(flow *flow, by *balancer) {
+	if flow.targetDied || !flow.target.alive {
 		return
 	}
 	checks.violate(checker.InvariantFlowKept, "%s reset a flow whose target %s lives", by.process.Name, flow.target.address)
 }
 
 // end judges the system after everything healed.
-func (checks *checks) end() {
+func (checks *checks) checkEnd() {
 	world := checks.world
 	leader := world.leader()
 	if leader == nil {
@@ -274,10 +276,10 @@
 		return
 	}
 	held := leader.Directory.Configuration()
-	checks.read(checks.highestAcknowledged, held)
-	checks.zones.end(leader)
-	checks.replicasAgree()
-	checks.tablesAgree(leader)
+	checks.checkRead(checks.highestAcknowledged, held)
+	checks.zones.checkEnd(leader)
+	checks.checkReplicasAgree()
+	checks.checkTablesAgree(leader)
 	if world.callers.opened == 0 || world.callers.failed*20 > world.callers.opened {
 		checks.violate(checker.InvariantProgress, "in calm, %d flows opened and %d did not", world.callers.opened, world.callers.failed)
 	}
@@ -286,14 +288,14 @@
 	}
 }
 
-func (checks *checks) replicasAgree() {
+func (checks *checks) checkReplicasAgree() {
 	digests := make(map[model.Revision]uint64)
 	for _, member := range checks.world.members {
 		if !member.process.Active() || member.Directory == nil {
 			continue
 		}
 		revision, digest := member.Directory.Revision(), member.Directory.Digest()
-		if former, known := digests[revision]; known && former != digest {
+		if previous, known := digests[revision]; known && previous != digest {
 			checks.violate(checker.InvariantReplicasAgree, "two members differ at revision %d", revision)
 		}
 		digests[revision] = digest
@@ -301,7 +303,7 @@
 }
 
 // startIsKnown demands that every balancer sends new flows to the target's present start.
-func (checks *checks) startIsKnown(target *target) {
+func (checks *checks) checkStartKnown(target *target) {
 	for _, balancer := range checks.world.balancers {
 		if !balancer.process.Active() {
 			continue
@@ -314,7 +316,7 @@
 }
 
 // tablesAgree demands that every balancer has the leader's targets and version.
-func (checks *checks) tablesAgree(leader *Member) {
+func (checks *checks) checkTablesAgree(leader *Member) {
 	for _, balancer := range checks.world.balancers {
 		if !balancer.process.Active() {
 			continue
--- a/internal/sim/directworld/links.go
+++ b/internal/sim/directworld/links.go
@@ -12,15 +12,15 @@
 
 const (
 	// headBytes is the size of a packet without data.
-	headBytes = 32
+	headerBytes = 32
 	// linkQueueTime bounds what waits in front of a link towards a balancer: more
 	// is lost.
-	linkQueueTime = 60 * time.Millisecond
+	maxLinkQueueTime = 60 * time.Millisecond
 	// datagramOverhead is the size of the IP and UDP heads, in bytes.
 	datagramOverhead = 28
 	// identityBytes is the size of the number that a datagram carries in place of
 	// its content.
-	identityBytes = 8
+	datagramIDBytes = 8
 )
 
 // link is a balancer's narrow link, in worlds whose processes all have the world's clock. What comes waits in front of it, first come,
@@ -30,16 +30,16 @@
 	bytesPerSecond float64
 	egress         *egress.Egress
 	// clearAt is when the link towards the balancer has carried all that came.
-	clearAt time.Time
+	idleAt time.Time
 	// leaving has what becomes of the datagrams that wait to leave.
-	leaving map[uint64]func()
-	next    uint64
+	queued map[uint64]func()
+	lastID uint64
 	// flushing tells that a flush is planned.
-	flushing bool
+	flushScheduled bool
 }
 
 func newLink(world *World, balancer *balancer) *link {
-	created := &link{world: world, bytesPerSecond: world.options.LinkRate, leaving: make(map[uint64]func())}
+	created := &link{world: world, bytesPerSecond: world.options.LinkRate, queued: make(map[uint64]func())}
 	created.egress = egress.New(egress.Link{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, DatagramOverhead: datagramOverhead}, created.write)
 	created.egress.ObserveQueue(forwarder.NewQueueObserver(balancer.watcher))
 	return created
@@ -47,32 +47,32 @@
 
 // arrive brings a packet to the balancer, unless too much waits in front of the
 // link.
-func (link *link) arrive(packet packet, deliver func()) {
+func (link *link) receive(packet packet, deliver func()) {
 	now := link.world.Now()
-	if link.clearAt.Before(now) {
-		link.clearAt = now
+	if link.idleAt.Before(now) {
+		link.idleAt = now
 	}
-	if link.clearAt.Sub(now) > linkQueueTime {
+	if link.idleAt.Sub(now) > maxLinkQueueTime {
 		return
 	}
 	seconds := float64(packet.size()) / link.bytesPerSecond
-	link.clearAt = link.clearAt.Add(time.Duration(seconds * float64(time.Second)))
-	link.world.after(link.clearAt.Sub(now), deliver)
+	link.idleAt = link.idleAt.Add(time.Duration(seconds * float64(time.Second)))
+	link.world.after(link.idleAt.Sub(now), deliver)
 }
 
 // leave hands a packet to the balancer's queue.
-func (link *link) leave(packet packet, to netip.AddrPort, deliver func()) {
-	link.next++
-	link.leaving[link.next] = deliver
+func (link *link) enqueue(packet packet, to netip.AddrPort, deliver func()) {
+	link.lastID++
+	link.queued[link.lastID] = deliver
 	segment := packet.segment()
-	content := make([]byte, max(packet.size(), identityBytes))
-	binary.BigEndian.PutUint64(content, link.next)
+	content := make([]byte, max(packet.size(), datagramIDBytes))
+	binary.BigEndian.PutUint64(content, link.lastID)
 	link.egress.Send(egress.Datagram{
 		Flow: egress.Flow{Caller: segment.Caller, Service: segment.Service}, To: to,
 		Sequence: segment.Sequence, HasData: segment.HasData, Opening: segment.Opening,
 		Content: content, Tracked: forwarder.NeedsTracking(segment),
 	}, link.world.Now())
-	if !link.flushing {
+	if !link.flushScheduled {
 		link.flush()
 	}
 }
@@ -80,29 +80,29 @@
 // flush sends what the link has room for, and again when it has more.
 func (link *link) flush() {
 	wait := link.egress.Flush(link.world.Now())
-	link.flushing = wait > 0
-	if link.flushing {
+	link.flushScheduled = wait > 0
+	if link.flushScheduled {
 		link.world.after(wait, link.flush)
 	}
 }
 
 func (link *link) write(content []byte, _ netip.AddrPort) {
 	number := binary.BigEndian.Uint64(content)
-	deliver := link.leaving[number]
-	delete(link.leaving, number)
+	deliver := link.queued[number]
+	delete(link.queued, number)
 	deliver()
 }
 
 // size returns the packet's size on the link in bytes.
-func (packet packet) size() int { return headBytes + int(packet.segment().Length) }
+func (packet packet) size() int { return headerBytes + int(packet.segment().Length) }
 
 // throughLink carries the packet to the balancer over its link, if that is narrow.
-func (balancer *balancer) throughLink(packet packet) {
+func (balancer *balancer) receive(packet packet) {
 	if balancer.link == nil {
-		balancer.carry(packet)
+		balancer.handlePacket(packet)
 		return
 	}
-	balancer.link.arrive(packet, func() { balancer.carry(packet) })
+	balancer.link.receive(packet, func() { balancer.handlePacket(packet) })
 }
 
 // forward sends the packet on to its target.
@@ -111,5 +111,5 @@
 		balancer.world.deliver(balancer, packet, decision)
 		return
 	}
-	balancer.link.leave(packet, decision.Target, func() { balancer.world.deliver(balancer, packet, decision) })
+	balancer.link.enqueue(packet, decision.Target, func() { balancer.world.deliver(balancer, packet, decision) })
 }
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -26,9 +26,9 @@
 	memberInterval    = 25 * time.Millisecond
 	electionTimeout   = 400 * time.Millisecond
 	heartbeatInterval = 80 * time.Millisecond
-	flowLife          = 60 * time.Second
+	flowLifetime      = 60 * time.Second
 	renewalInterval   = 1200 * time.Millisecond
-	answerWithin      = 850 * time.Millisecond
+	answerTimeout     = 850 * time.Millisecond
 	probeTimeout      = 180 * time.Millisecond
 )
 
@@ -54,8 +54,8 @@
 		bootstrap: bootstrap,
 	}
 	created.process = world.host.Add(endpoint(name, zone), memberInterval, created.build)
-	created.process.AfterRun(func(time.Time) { created.observe() })
-	world.skew(created.process)
+	created.process.AfterRun(func(time.Time) { created.report() })
+	world.skewClock(created.process)
 	return created
 }
 
@@ -77,31 +77,31 @@
 		Seed:                 seed,
 	}, world.options.Parts.Disk(member.disk), mailbox, dispatcher, world.options.Parts.StateMachine(member.Directory))
 	if err != nil {
-		world.checks.storageRefused(member, err)
+		world.checks.memberStartFailed(member, err)
 		return kernel.Program{Mailbox: mailbox}
 	}
 	member.group = group
-	renewed := registrar.NewRenewalTable()
+	renewals := registrar.NewRenewalTable()
 	proposer := registrar.NewProposer(mailbox, dispatcher, group, member.Directory, seed)
 	health := registrar.NewHealthMonitor(registrar.HealthOptions{
 		SilentAfter:       5 * time.Second,
 		MissedAfter:       renewalInterval * 8 / 5,
 		MinProbeInterval:  700 * time.Millisecond,
-		RemoveFailedAfter: flowLife + 15*time.Second,
-	}, mailbox, dispatcher, group, member.Directory, renewed, world.prober(member.process), zap.NewNop())
+		RemoveFailedAfter: flowLifetime + 15*time.Second,
+	}, mailbox, dispatcher, group, member.Directory, renewals, world.prober(member.process), zap.NewNop())
 	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: world.options.Followers, IsMember: true},
 		mailbox, dispatcher, member.Directory, memberSource{member: member})
-	member.Registrar = registrar.NewRegistrar(member.Directory, proposer, group, renewed, publisher.Peers, zap.NewNop())
-	collecting := load.CollectorOptions{
-		Interval: loadInterval, Members: memberSource{member: member}.Members,
+	member.Registrar = registrar.NewRegistrar(member.Directory, proposer, group, renewals, publisher.Peers, zap.NewNop())
+	collectorOptions := load.CollectorOptions{
+		Interval: loadReportInterval, Members: memberSource{member: member}.Members,
 		Capacities: directory.NewCapacityIndex(member.Directory),
 	}
-	world.options.Parts.CollectorOptions(&collecting)
-	collector := load.NewCollector(mailbox.Self, collecting, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
-	keeper := reconfigure.New(reconfigure.DefaultOptions(world.options.ToleratedLosses), group, zap.NewNop())
+	world.options.Parts.CollectorOptions(&collectorOptions)
+	collector := load.NewCollector(mailbox.Self, collectorOptions, load.MailboxSender{Mailbox: mailbox}, dispatcher.Handle(load.Report{}))
+	reconfigurer := reconfigure.New(reconfigure.DefaultOptions(world.options.ToleratedLosses), group, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
-		Controllers: []board.Controller{dispatcher, group, proposer, health, publisher, collector, keeper},
+		Controllers: []board.Controller{dispatcher, group, proposer, health, publisher, collector, reconfigurer},
 		Stop:        func() { member.Registrar = nil },
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 // observe tells the checks what the member says of itself.
-func (member *Member) observe() {
+func (member *Member) report() {
 	if member.group == nil || !member.process.Running() {
 		return
 	}
@@ -166,13 +166,13 @@
 	}
 	status := member.group.StatusAt(member.process.LocalNow())
 	if status.Leading {
-		member.world.checks.leader(status.Term, string(member.process.Name))
+		member.world.checks.recordLeader(status.Term, string(member.process.Name))
 	}
 }
 
 // Kill ends the process at once; its disk keeps what was written.
 func (member *Member) Kill() {
-	member.world.disturb("kill", string(member.process.Name))
+	member.world.recordDisturbance("kill", string(member.process.Name))
 	member.process.Kill()
 }
 
@@ -190,8 +190,8 @@
 
 // Start starts the process again.
 func (member *Member) Start() {
-	member.world.disturb("start", string(member.process.Name))
-	member.world.skew(member.process)
+	member.world.recordDisturbance("start", string(member.process.Name))
+	member.world.skewClock(member.process)
 	member.process.Start()
 }
 
--- a/internal/sim/directworld/operator.go
+++ b/internal/sim/directworld/operator.go
@@ -23,7 +23,7 @@
 }
 
 // base returns the configuration that every version contains.
-func (operator *operator) base(version uint64) *declared.Configuration {
+func (operator *operator) baseConfiguration(version uint64) *declared.Configuration {
 	route := func(name string, address netip.AddrPort, kind declared.RequestKind, service string, objective time.Duration) declared.Route {
 		return declared.Route{
 			Name: name, Address: address, Kind: kind, Timeout: time.Second, Objective: objective,
@@ -37,16 +37,16 @@
 			{Name: serviceLedger, HealthPath: "/health", Cold: operator.coldLimit},
 		},
 		Routes: []declared.Route{
-			route("feed", routeFeed, declared.KindSafe, serviceFeed, objective),
-			route("ledger", routeLedger, declared.KindDownload, serviceLedger, objective),
+			route("feed", routeFeed, declared.KindSafe, serviceFeed, callObjective),
+			route("ledger", routeLedger, declared.KindDownload, serviceLedger, callObjective),
 			route("upload", routeUpload, declared.KindUpload, serviceLedger, uploadObjective),
 		},
 	}
 }
 
 // varied returns a configuration with a few idle routes that differ by draw.
-func (operator *operator) varied(version uint64) *declared.Configuration {
-	configuration := operator.base(version)
+func (operator *operator) variedConfiguration(version uint64) *declared.Configuration {
+	configuration := operator.baseConfiguration(version)
 	for range operator.random.IntN(6) {
 		port := uint16(2000 + operator.random.IntN(30))
 		address := netip.AddrPortFrom(routeFeed.Addr(), port)
@@ -56,10 +56,10 @@
 			Pool:    []declared.PoolPart{{Service: serviceLedger, Weight: 1}},
 		})
 	}
-	return dropRepeated(configuration)
+	return dropDuplicateRoutes(configuration)
 }
 
-func dropRepeated(configuration *declared.Configuration) *declared.Configuration {
+func dropDuplicateRoutes(configuration *declared.Configuration) *declared.Configuration {
 	seen := make(map[netip.AddrPort]bool)
 	kept := configuration.Routes[:0]
 	for _, route := range configuration.Routes {
@@ -75,28 +75,28 @@
 // declareFirst sends the first configuration until it is taken.
 func (operator *operator) declareFirst() {
 	operator.version = 1
-	first := operator.base(1)
-	operator.world.checks.sent(first)
+	first := operator.baseConfiguration(1)
+	operator.world.checks.configurationSent(first)
 	operator.send(first, 40, 0)
 }
 
 // Declare sends one more version, drawn anew, until it is acknowledged.
 func (operator *operator) Declare() {
 	operator.version += 1 + uint64(operator.random.IntN(3))
-	operator.declare(operator.varied(operator.version))
+	operator.declare(operator.variedConfiguration(operator.version))
 }
 
 // Race sends two configurations under one version to two members at once.
-func (operator *operator) Race() {
+func (operator *operator) DeclareConflicting() {
 	operator.version += 1 + uint64(operator.random.IntN(3))
-	operator.declare(operator.varied(operator.version))
-	operator.declare(operator.varied(operator.version))
+	operator.declare(operator.variedConfiguration(operator.version))
+	operator.declare(operator.variedConfiguration(operator.version))
 }
 
 // DeclareInvalid sends a configuration that must be refused.
 func (operator *operator) DeclareInvalid() {
 	operator.version++
-	invalid := operator.varied(operator.version)
+	invalid := operator.variedConfiguration(operator.version)
 	switch operator.random.IntN(4) {
 	case 0:
 		invalid.Routes[0].Timeout = 0
@@ -113,7 +113,7 @@
 			member.Registrar.Declare(now, invalid, deadline, done)
 		}, func(err error) {
 			if err == nil {
-				world.checks.invalidTaken(invalid)
+				world.checks.invalidAccepted(invalid)
 			}
 		})
 }
@@ -121,25 +121,25 @@
 func (operator *operator) endpoint() kernel.Endpoint { return endpoint("operator", zones[0]) }
 
 func (operator *operator) declare(next *declared.Configuration) {
-	operator.world.checks.sent(next)
+	operator.world.checks.configurationSent(next)
 	operator.send(next, 30, operator.random.IntN(len(operator.world.members)))
 }
 
 // send calls members in turn until one acknowledges.
-func (operator *operator) send(next *declared.Configuration, tries, place int) {
-	if tries == 0 {
+func (operator *operator) send(next *declared.Configuration, attempts, memberIndex int) {
+	if attempts == 0 {
 		return
 	}
 	world := operator.world
-	world.call(operator.endpoint(), world.members[place%len(world.members)],
+	world.call(operator.endpoint(), world.members[memberIndex%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Declare(now, next, deadline, done)
 		}, func(err error) {
 			if err == nil {
-				world.checks.acknowledged(next.Version)
+				world.checks.configurationAcknowledged(next.Version)
 				return
 			}
-			world.after(100*time.Millisecond, func() { operator.send(next, tries-1, place+1) })
+			world.after(100*time.Millisecond, func() { operator.send(next, attempts-1, memberIndex+1) })
 		})
 }
 
@@ -157,14 +157,14 @@
 			})
 		}, func(err error) {
 			if err == nil {
-				world.checks.read(expected, held)
+				world.checks.checkRead(expected, held)
 			}
 		})
 }
 
 // Work declares, races, resends and reads until the returned function is
 // called.
-func (operator *operator) Work(pause time.Duration) (stop func()) {
+func (operator *operator) StartOperations(pause time.Duration) (stop func()) {
 	working := true
 	operator.world.run.Scheduler.Every(pause, func() bool {
 		if !working || operator.world.stopped {
@@ -172,7 +172,7 @@
 		}
 		switch operator.random.IntN(8) {
 		case 0:
-			operator.Race()
+			operator.DeclareConflicting()
 		case 1:
 			operator.DeclareInvalid()
 		case 2, 3, 4:
--- a/internal/sim/directworld/stories.go
+++ b/internal/sim/directworld/stories.go
@@ -9,7 +9,7 @@
 )
 
 // story is what happens to a started world.
-type story struct {
+type scenarioDefinition struct {
 	name    string
 	summary string
 	change  func(options *Options)
@@ -19,13 +19,13 @@
 // Scenarios returns all scenarios of direct services with the given parts.
 func Scenarios(parts Parts) []sim.Scenario {
 	var scenarios []sim.Scenario
-	for _, one := range stories {
-		scenarios = append(scenarios, one.build(parts))
+	for _, definition := range scenarioDefinitions {
+		scenarios = append(scenarios, definition.build(parts))
 	}
 	return scenarios
 }
 
-func (story story) build(parts Parts) sim.Scenario {
+func (story scenarioDefinition) build(parts Parts) sim.Scenario {
 	return sim.Scenario{Name: story.name, Summary: story.summary, Play: func(run *sim.Run) {
 		options := DefaultOptions()
 		options.Parts = parts
@@ -34,14 +34,14 @@
 		}
 		world := New(run, options)
 		world.Start()
-		stop := world.operator.Work(150 * time.Millisecond)
+		stop := world.operator.StartOperations(150 * time.Millisecond)
 		story.play(world)
 		stop()
 		world.Finish()
 	}}
 }
 
-var stories = []story{
+var scenarioDefinitions = []scenarioDefinition{
 	{
 		name:    "direct-planned",
 		summary: "targets are replaced and scaled in, balancers and members restart in turn, configurations change",
@@ -85,37 +85,37 @@
 	{
 		name:    "direct-erring-targets",
 		summary: "a target answers every call with an error at once, while its health is good; the leader changes meanwhile",
-		change:  callsOnly,
+		change:  callsOnlyOptions,
 		play:    erringTargets,
 	},
 	{
 		name:    "direct-heavy-load",
 		summary: "targets work at most of their capacity, one of them slowly, while one is replaced and a balancer restarts",
-		change:  callsOnly,
+		change:  callsOnlyOptions,
 		play:    heavyLoad,
 	},
 	{
 		name:    "direct-overload",
 		summary: "callers ask for a third more than targets can do, and try again what is refused",
-		change:  callsOnly,
+		change:  callsOnlyOptions,
 		play:    overload,
 	},
 	{
 		name:    "direct-large-overload",
 		summary: "callers ask twenty-four balancers for a third more than targets can do; members add up the load, and one is killed",
-		change:  large,
+		change:  largeOptions,
 		play:    largeOverload,
 	},
 	{
 		name:    "direct-narrow-links",
 		summary: "uploads and calls share narrow links of balancers that carry a half more than what is asked",
-		change:  narrow,
+		change:  narrowLinkOptions,
 		play:    narrowLinks,
 	},
 	{
 		name:    "direct-full-links",
 		summary: "callers upload twice as much as the narrow links of all balancers carry, beside calls",
-		change:  narrow,
+		change:  narrowLinkOptions,
 		play:    fullLinks,
 	},
 	{
@@ -191,7 +191,7 @@
 
 func planned(world *World) {
 	for range 3 {
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
@@ -208,7 +208,7 @@
 
 // livingTargets returns up to count targets that are ready, drawn anew, of
 // services that keep others.
-func (world *World) livingTargets(count int) []*target {
+func (world *World) pickReadyTargets(count int) []*target {
 	ready := make(map[string]int)
 	for _, target := range world.targets {
 		if target.alive && target.state == directory.TargetReady {
@@ -228,19 +228,19 @@
 }
 
 func (world *World) restartBalancer(balancer *balancer, downFor time.Duration) {
-	world.disturb("restart", string(balancer.process.Name))
+	world.recordDisturbance("restart", string(balancer.process.Name))
 	balancer.process.Kill()
 	world.after(downFor, func() {
-		world.disturb("start", string(balancer.process.Name))
+		world.recordDisturbance("start", string(balancer.process.Name))
 		balancer.process.Start()
 	})
 }
 
 func targetDeaths(world *World) {
 	for round := range 4 {
-		for _, target := range world.livingTargets(2) {
-			world.disturb("death", target.address.String())
-			target.Die(round%2 == 0)
+		for _, target := range world.pickReadyTargets(2) {
+			world.recordDisturbance("death", target.address.String())
+			target.Crash(round%2 == 0)
 			address, zone := target.address, target.zone
 			service := serviceFeed
 			if target.service == serviceFeed {
@@ -255,17 +255,17 @@
 
 func lateCalls(world *World) {
 	for range 4 {
-		leaving := world.livingTargets(3)
-		for place, target := range leaving {
+		leaving := world.pickReadyTargets(3)
+		for index, target := range leaving {
 			world.AddTarget(target.service, target.zone)
-			if place == 0 {
-				target.LeaveFirst()
+			if index == 0 {
+				target.LeaveWithoutDraining()
 				continue
 			}
-			world.disturb("death", target.address.String())
-			target.repeatLate(world.random.Between(time.Second, 6*time.Second))
-			target.Die(place == 1)
-			if place == 1 {
+			world.recordDisturbance("death", target.address.String())
+			target.scheduleLateRenewal(world.random.Between(time.Second, 6*time.Second))
+			target.Crash(index == 1)
+			if index == 1 {
 				address, zone := target.address, target.zone
 				service := target.service
 				world.after(2*time.Second, func() { world.addTargetAt(service, zone, address) })
@@ -277,23 +277,23 @@
 
 // startKnownWithin is how long after a target's new start every balancer knows it: its first
 // call comes within a renewal interval, and a call that is lost is repeated with the next.
-const startKnownWithin = 2 * renewalInterval
+const startKnownBound = 2 * renewalInterval
 
 func restartedTargets(world *World) {
 	for round := range 4 {
 		var restarted []*target
-		for _, target := range world.livingTargets(3) {
-			world.disturb("restart", target.address.String())
-			target.repeatLate(world.random.Between(0, 6*time.Second))
+		for _, target := range world.pickReadyTargets(3) {
+			world.recordDisturbance("restart", target.address.String())
+			target.scheduleLateRenewal(world.random.Between(0, 6*time.Second))
 			restarted = append(restarted, target.Restart())
 		}
-		world.RunFor(startKnownWithin)
+		world.RunFor(startKnownBound)
 		for _, target := range restarted {
-			world.checks.startIsKnown(target)
+			world.checks.checkStartKnown(target)
 		}
 		if round%2 == 1 {
-			world.disturb("death", restarted[0].address.String())
-			restarted[0].Die(true)
+			world.recordDisturbance("death", restarted[0].address.String())
+			restarted[0].Crash(true)
 		}
 		world.RunFor(9 * time.Second)
 	}
@@ -303,7 +303,7 @@
 func (world *World) cutFromMembers(balancers []*balancer, duration time.Duration) {
 	var heals []func()
 	for _, balancer := range balancers {
-		world.disturb("cut", string(balancer.process.Name))
+		world.recordDisturbance("cut", string(balancer.process.Name))
 		for _, member := range world.members {
 			heals = append(heals,
 				world.control.CutOneWay(balancer.process.Name, member.process.Name),
@@ -311,7 +311,7 @@
 		}
 	}
 	world.after(duration, func() {
-		world.disturb("heal", "balancers")
+		world.recordDisturbance("heal", "balancers")
 		for _, heal := range heals {
 			heal()
 		}
@@ -320,21 +320,21 @@
 
 // peersTakeOver is how long after a cut a balancer may need to follow another
 // one.
-const peersTakeOver = 3 * time.Second
+const peerFailoverTime = 3 * time.Second
 
 func cutBalancers(world *World) {
 	for round := range 4 {
 		cut := []*balancer{world.balancers[round%len(world.balancers)], world.balancers[(round+1)%len(world.balancers)]}
 		world.cutFromMembers(cut, 8*time.Second)
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
-		world.RunFor(peersTakeOver)
+		world.RunFor(peerFailoverTime)
 		for range 8 {
 			world.RunFor(500 * time.Millisecond)
 			for _, balancer := range cut {
-				world.checks.keepsUp(balancer)
+				world.checks.checkCurrent(balancer)
 			}
 		}
 		world.RunFor(7 * time.Second)
@@ -345,12 +345,12 @@
 	for range 3 {
 		world.RunFor(3 * time.Second)
 		for _, balancer := range world.balancers {
-			world.checks.keepsUp(balancer)
+			world.checks.checkCurrent(balancer)
 		}
 		for range 3 {
 			world.restartBalancer(kernel.Pick(world.random, world.balancers), 500*time.Millisecond)
 		}
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
@@ -365,26 +365,26 @@
 
 const (
 	// noticedWithin is how long a grey target may get new flows.
-	noticedWithin = 6 * time.Second
+	ejectionBound = 6 * time.Second
 	// returnsWithin is how long after its end a grey target may stay aside.
-	returnsWithin = 35 * time.Second
+	reinstatementBound = 35 * time.Second
 )
 
 func greyTargets(world *World) {
 	for round := range 2 {
-		chosen := world.livingTargets(1)[0]
-		world.disturb("grey", chosen.address.String())
-		chosen.grey = 0.7
-		world.checks.becomesAside(chosen, true, noticedWithin)
+		chosen := world.pickReadyTargets(1)[0]
+		world.recordDisturbance("grey", chosen.address.String())
+		chosen.hangShare = 0.7
+		world.checks.awaitEjection(chosen, true, ejectionBound)
 		if leader := world.leader(); leader != nil && round == 1 {
 			leader.Kill()
 			world.RunFor(time.Second)
 			leader.Start()
 		}
 		world.RunFor(3 * time.Second)
-		chosen.grey = 0
-		clear(chosen.hung)
-		world.checks.becomesAside(chosen, false, returnsWithin)
+		chosen.hangShare = 0
+		clear(chosen.hungRequests)
+		world.checks.awaitEjection(chosen, false, reinstatementBound)
 		world.RunFor(5 * time.Second)
 	}
 }
--- a/internal/sim/directworld/stories_control.go
+++ b/internal/sim/directworld/stories_control.go
@@ -23,14 +23,14 @@
 			leader.PowerOff()
 			world.after(downFor, leader.Start)
 		case 2:
-			world.disturb("freeze", string(leader.process.Name))
+			world.recordDisturbance("freeze", string(leader.process.Name))
 			leader.process.Freeze()
 			world.after(downFor, func() {
-				world.disturb("thaw", string(leader.process.Name))
+				world.recordDisturbance("thaw", string(leader.process.Name))
 				leader.process.Thaw()
 			})
 		}
-		for _, target := range world.livingTargets(1) {
+		for _, target := range world.pickReadyTargets(1) {
 			target.Drain()
 			world.AddTarget(target.service, target.zone)
 		}
@@ -39,7 +39,7 @@
 }
 
 // cut separates a member for a while in one of several ways.
-func (world *World) cut(member *Member, duration time.Duration) {
+func (world *World) partitionMember(member *Member, duration time.Duration) {
 	name := member.process.Name
 	var heals []func()
 	kind := world.random.IntN(4)
@@ -61,9 +61,9 @@
 			heals = append(heals, world.control.CutOneWay(name, balancer.process.Name))
 		}
 	}
-	world.disturb("cut", fmt.Sprintf("%s, kind %d", name, kind))
+	world.recordDisturbance("cut", fmt.Sprintf("%s, kind %d", name, kind))
 	world.after(duration, func() {
-		world.disturb("heal", string(name))
+		world.recordDisturbance("heal", string(name))
 		for _, heal := range heals {
 			heal()
 		}
@@ -77,8 +77,8 @@
 			member = leader
 		}
 		duration := world.random.Between(time.Second, 6*time.Second)
-		world.cut(member, duration)
-		for _, target := range world.livingTargets(1) {
+		world.partitionMember(member, duration)
+		for _, target := range world.pickReadyTargets(1) {
 			target.Drain()
 			world.AddTarget(target.service, target.zone)
 		}
@@ -101,26 +101,26 @@
 
 func replacedMembers(world *World) {
 	for round := range 3 {
-		gone := world.members[round]
-		gone.PowerOff()
+		removed := world.members[round]
+		removed.PowerOff()
 		world.RunFor(world.random.Between(100*time.Millisecond, 2*time.Second))
-		world.AddMember(fmt.Sprintf("10.0.%d.1:7000", 100+round), gone.process.Zone)
+		world.AddMember(fmt.Sprintf("10.0.%d.1:7000", 100+round), removed.process.Zone)
 		world.RunFor(10 * time.Second)
 	}
-	gone := world.members[3]
-	gone.PowerOff()
+	removed := world.members[3]
+	removed.PowerOff()
 	world.RunFor(9 * time.Second)
-	gone.Start()
+	removed.Start()
 }
 
 // powerOffAll lets every process lose power at once; with losing, the disk of
 // one member too.
-func (world *World) powerOffAll(losing bool) {
-	unlucky := kernel.Pick(world.random, world.members)
+func (world *World) powerOffAll(wipeOne bool) {
+	wiped := kernel.Pick(world.random, world.members)
 	for _, member := range world.members {
 		running := member.process.Running()
 		member.PowerOff()
-		if losing && member == unlucky {
+		if wipeOne && member == wiped {
 			member.Wipe()
 		}
 		if running {
@@ -145,11 +145,11 @@
 		if leader := world.leader(); leader != nil && world.random.Chance(0.6) {
 			member = leader
 		}
-		world.disturb("disk-full", string(member.process.Name))
+		world.recordDisturbance("disk-full", string(member.process.Name))
 		member.disk.SetCapacity(1)
 		world.RunFor(world.random.Between(time.Second, 5*time.Second))
 		member.disk.SetCapacity(0)
-		world.disturb("disk-room", string(member.process.Name))
+		world.recordDisturbance("disk-room", string(member.process.Name))
 		world.RunFor(4 * time.Second)
 	}
 }
@@ -159,8 +159,8 @@
 	for range 3 {
 		first := world.random.IntN(len(world.members))
 		second := (first + 1 + world.random.IntN(len(world.members)-1)) % len(world.members)
-		for _, place := range []int{first, second} {
-			member := world.members[place]
+		for _, index := range []int{first, second} {
+			member := world.members[index]
 			member.PowerOff()
 			member.Wipe()
 			world.after(world.random.Between(200*time.Millisecond, 2*time.Second), member.Start)
--- a/internal/sim/directworld/stories_links.go
+++ b/internal/sim/directworld/stories_links.go
@@ -9,7 +9,7 @@
 // uploadsPerSecond is about half of what the links of all balancers carry.
 const uploadsPerSecond = 8
 
-func narrow(options *Options) {
+func narrowLinkOptions(options *Options) {
 	options.Affine = true
 	options.CallsOnly = true
 	options.LinkRate = narrowLinkRate
@@ -17,29 +17,29 @@
 
 // narrowLinks has uploads and calls beside each other.
 func narrowLinks(world *World) {
-	world.uploads.run(uploadsPerSecond, func() {
-		world.calls.Press(capacityPerSecond/4, 4*time.Second, 20*time.Second)
+	world.uploads.runAtRate(uploadsPerSecond, func() {
+		world.calls.RunAtRate(callCapacityPerSecond/4, 4*time.Second, 20*time.Second)
 	})
-	world.checks.timelyCalls(0.8, 1.1)
-	world.checks.timelyUploads(0.65, 1.2)
+	world.checks.checkTimelyCalls(0.8, 1.1)
+	world.checks.checkTimelyUploads(0.65, 1.2)
 }
 
 // fullLinks has twice as many uploads as the links carry.
 func fullLinks(world *World) {
-	world.uploads.run(4*uploadsPerSecond, func() {
-		world.calls.Press(capacityPerSecond/4, 4*time.Second, 20*time.Second)
+	world.uploads.runAtRate(4*uploadsPerSecond, func() {
+		world.calls.RunAtRate(callCapacityPerSecond/4, 4*time.Second, 20*time.Second)
 	})
-	world.checks.timelyCalls(0.75, 1.1)
+	world.checks.checkTimelyCalls(0.75, 1.1)
 	// Half can be carried at all.
-	world.checks.timelyUploads(0.2, 2.5)
+	world.checks.checkTimelyUploads(0.2, 2.5)
 }
 
 // run makes uploads at a rate while others run, and counts those that begin when
 // the calls of others are counted.
-func (uploads *uploads) run(perSecond int, others func()) {
+func (uploads *uploads) runAtRate(perSecond int, others func()) {
 	uploads.perSecond = perSecond
 	uploads.running = true
-	uploads.next()
+	uploads.scheduleNext()
 	uploads.world.after(4*time.Second, func() { uploads.counting = true })
 	uploads.world.after(24*time.Second, func() {
 		uploads.counting = false
--- a/internal/sim/directworld/stories_load.go
+++ b/internal/sim/directworld/stories_load.go
@@ -7,17 +7,17 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-func callsOnly(options *Options) {
+func callsOnlyOptions(options *Options) {
 	options.Affine = true
 	options.CallsOnly = true
 }
 
 // capacityPerSecond is the number of calls that a feed service of the default
 // size serves in a second.
-const capacityPerSecond = 300
+const callCapacityPerSecond = 300
 
 // feedTarget returns a ready target of the feed service.
-func (world *World) feedTarget() *target {
+func (world *World) pickFeedTarget() *target {
 	var ready []*target
 	for _, target := range world.targets {
 		if target.service == serviceFeed && target.alive && target.state == directory.TargetReady {
@@ -28,49 +28,49 @@
 }
 
 func heavyLoad(world *World) {
-	world.feedTarget().slots.slowness = 3
+	world.pickFeedTarget().slots.slowdown = 3
 	world.after(4*time.Second, func() {
-		replaced := world.feedTarget()
+		replaced := world.pickFeedTarget()
 		world.AddTarget(replaced.service, replaced.zone)
 		replaced.Drain()
 		world.restartBalancer(kernel.Pick(world.random, world.balancers), 300*time.Millisecond)
 	})
-	world.calls.Press(capacityPerSecond*7/10, 2*time.Second, 12*time.Second)
-	world.checks.timelyCalls(0.93, 1.1)
+	world.calls.RunAtRate(callCapacityPerSecond*7/10, 2*time.Second, 12*time.Second)
+	world.checks.checkTimelyCalls(0.93, 1.1)
 }
 
 // erringTargets has a target that answers errors while callers press, twice.
 func erringTargets(world *World) {
 	for round := range 2 {
-		chosen := world.feedTarget()
+		chosen := world.pickFeedTarget()
 		world.after(6*time.Second, func() {
-			world.disturb("errors", chosen.address.String())
-			chosen.erring = true
+			world.recordDisturbance("errors", chosen.address.String())
+			chosen.answersErrors = true
 		})
 		world.after(12*time.Second, func() {
-			world.checks.asideNow(chosen)
+			world.checks.checkEjected(chosen)
 			if leader := world.leader(); leader != nil && round == 1 {
 				leader.Kill()
 				world.after(time.Second, leader.Start)
 			}
-			chosen.erring = false
+			chosen.answersErrors = false
 		})
-		world.calls.Press(capacityPerSecond/3, 2*time.Second, 16*time.Second)
-		world.checks.becomesAside(chosen, false, returnsWithin)
+		world.calls.RunAtRate(callCapacityPerSecond/3, 2*time.Second, 16*time.Second)
+		world.checks.awaitEjection(chosen, false, reinstatementBound)
 	}
 }
 
 func overload(world *World) {
-	world.calls.Press(capacityPerSecond*4/3, 4*time.Second, 12*time.Second)
-	world.checks.timelyCalls(0.6, 1.05)
+	world.calls.RunAtRate(callCapacityPerSecond*4/3, 4*time.Second, 12*time.Second)
+	world.checks.checkTimelyCalls(0.6, 1.05)
 }
 
 // largeBalancers is a number of balancers that share no load with each other.
-const largeBalancers = 24
+const largeBalancerCount = 24
 
-func large(options *Options) {
-	callsOnly(options)
-	options.Balancers = largeBalancers
+func largeOptions(options *Options) {
+	callsOnlyOptions(options)
+	options.Balancers = largeBalancerCount
 }
 
 func largeOverload(world *World) {
@@ -79,8 +79,8 @@
 		killed.Kill()
 		world.after(time.Second, killed.Start)
 	})
-	world.calls.Press(capacityPerSecond*4/3, 4*time.Second, 12*time.Second)
+	world.calls.RunAtRate(callCapacityPerSecond*4/3, 4*time.Second, 12*time.Second)
 	// Three quarters can be served at all; sums by way of a member are older than
 	// reports of balancers to each other.
-	world.checks.timelyCalls(0.5, 1.05)
+	world.checks.checkTimelyCalls(0.5, 1.05)
 }
--- a/internal/sim/directworld/target.go
+++ b/internal/sim/directworld/target.go
@@ -27,23 +27,23 @@
 	sequence uint64
 	alive    bool
 	// silent tells that its machine does not answer at all.
-	silent bool
-	flows  map[*flow]bool
+	unresponsive bool
+	flows        map[*flow]bool
 	// member is the place of the member that is called next.
-	member int
+	nextMember int
 	// leavingAckedAt is when draining or leaving was acknowledged.
-	leavingAckedAt time.Time
-	diedAt         time.Time
+	drainAckedAt time.Time
+	diedAt       time.Time
 	// grey is the share of requests that the target takes and never answers,
 	// and hung has the flows with such a request.
-	grey float64
-	hung map[*flow]int
+	hangShare    float64
+	hungRequests map[*flow]int
 	// coldUntil is when the target is no longer cold, and coldFlows are the times at
 	// which new flows reached it while it was.
 	coldUntil time.Time
 	coldFlows []time.Time
 	// erring tells that the target answers every call with an error at once.
-	erring bool
+	answersErrors bool
 	// slots has the requests of calls.
 	slots slots
 }
@@ -64,28 +64,28 @@
 // Restart ends the target at once and starts another incarnation of it under its
 // identifier and at its address, which counts its calls anew.
 func (target *target) Restart() *target {
-	target.Die(false)
+	target.Crash(false)
 	return target.world.startTarget(target.id, target.service, target.zone, target.address)
 }
 
 func (world *World) startTarget(id directory.TargetID, service string, zone model.ZoneName, address netip.AddrPort) *target {
 	added := &target{
-		world:   world,
-		id:      id,
-		started: directory.StartTime(world.Now().UnixMilli()),
-		service: service,
-		address: address,
-		zone:    zone,
-		state:   directory.TargetReady,
-		alive:   true,
-		flows:   make(map[*flow]bool),
-		hung:    make(map[*flow]int),
-		slots:   slots{taken: make(map[*flow]bool)},
-		member:  world.random.IntN(len(world.members)),
+		world:        world,
+		id:           id,
+		started:      directory.StartTime(world.Now().UnixMilli()),
+		service:      service,
+		address:      address,
+		zone:         zone,
+		state:        directory.TargetReady,
+		alive:        true,
+		flows:        make(map[*flow]bool),
+		hungRequests: make(map[*flow]int),
+		slots:        slots{flows: make(map[*flow]bool)},
+		nextMember:   world.random.IntN(len(world.members)),
 	}
 	world.targets = append(world.targets, added)
 	world.byAddress[address] = added
-	world.after(world.random.Between(0, renewalInterval/4), added.beat)
+	world.after(world.random.Between(0, renewalInterval/4), added.renewPeriodically)
 	return added
 }
 
@@ -93,12 +93,12 @@
 	return endpoint(target.address.String(), target.zone)
 }
 
-func (target *target) beat() {
+func (target *target) renewPeriodically() {
 	if !target.alive || target.state == directory.TargetLeft {
 		return
 	}
 	target.register()
-	target.world.after(renewalInterval, target.beat)
+	target.world.after(renewalInterval, target.renewPeriodically)
 }
 
 // register calls one member; the next beat or the next try calls another one
@@ -106,27 +106,27 @@
 func (target *target) register() {
 	world := target.world
 	target.sequence++
-	stated := target.stated()
-	world.call(target.endpoint(), world.members[target.member%len(world.members)],
+	registration := target.registration()
+	world.call(target.endpoint(), world.members[target.nextMember%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			member.Registrar.Register(now, stated, deadline, done)
+			member.Registrar.Register(now, registration, deadline, done)
 		},
 		func(err error) {
 			switch {
 			case err != nil:
-				target.member++
-				target.retry(stated.State)
-			case stated.State == directory.TargetDraining && target.leavingAckedAt.IsZero():
-				target.leavingAckedAt = world.Now()
+				target.nextMember++
+				target.retry(registration.State)
+			case registration.State == directory.TargetDraining && target.drainAckedAt.IsZero():
+				target.drainAckedAt = world.Now()
 			}
 		})
 }
 
 // stated is the registration that the target would send now.
-func (target *target) stated() directory.Target {
+func (target *target) registration() directory.Target {
 	return directory.Target{
 		ID: target.id, Started: target.started, Service: target.service, Address: target.address, Zone: string(target.zone),
-		Capacity: 2, State: target.state, Sequence: target.sequence, Cold: target.coldFor(),
+		Capacity: 2, State: target.state, Sequence: target.sequence, Cold: target.remainingCold(),
 	}
 }
 
@@ -136,13 +136,13 @@
 }
 
 // coldFor returns how much longer the target is cold.
-func (target *target) coldFor() time.Duration {
+func (target *target) remainingCold() time.Duration {
 	return max(target.coldUntil.Sub(target.world.Now()), 0)
 }
 
 // retry calls the next member soon when a drain was not acknowledged.
 func (target *target) retry(state directory.TargetState) {
-	if state == directory.TargetDraining && target.leavingAckedAt.IsZero() && target.alive {
+	if state == directory.TargetDraining && target.drainAckedAt.IsZero() && target.alive {
 		target.world.after(50*time.Millisecond, target.register)
 	}
 }
@@ -164,7 +164,7 @@
 			return
 		}
 		now := member.process.LocalNow()
-		start(member, now, now.Add(answerWithin), func(err error) {
+		start(member, now, now.Add(answerTimeout), func(err error) {
 			world.control.Send(member.process.Endpoint, from, func() { finish(err) })
 		})
 		member.process.Wake()
@@ -190,12 +190,12 @@
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Leave(now, target.departure(), deadline, done)
 		}, func(error) {})
-	world.after(500*time.Millisecond, func() { target.Die(false) })
+	world.after(500*time.Millisecond, func() { target.Crash(false) })
 }
 
 // LeaveFirst makes the target leave as planned without draining: it leaves
 // until that is acknowledged, serves on and ends.
-func (target *target) LeaveFirst() {
+func (target *target) LeaveWithoutDraining() {
 	target.state = directory.TargetLeft
 	target.world.run.Trace.Add(target.address.String(), "leaves first", "")
 	target.leaveUntilAcknowledged()
@@ -211,48 +211,48 @@
 				world.after(50*time.Millisecond, target.leaveUntilAcknowledged)
 				return
 			}
-			target.leavingAckedAt = world.Now()
-			world.after(7*time.Second, func() { target.Die(false) })
+			target.drainAckedAt = world.Now()
+			world.after(7*time.Second, func() { target.Crash(false) })
 		})
 }
 
 // repeatLate lets a copy of the target's next renewal arrive after a delay,
 // whatever became of the target meanwhile.
-func (target *target) repeatLate(delay time.Duration) {
+func (target *target) scheduleLateRenewal(delay time.Duration) {
 	target.sequence++
-	stated := target.stated()
+	registration := target.registration()
 	world := target.world
 	world.after(delay, func() {
 		world.run.Trace.Add(target.address.String(), "late renewal", "")
 		world.call(target.endpoint(), kernel.Pick(world.random, world.members),
 			func(member *Member, now, deadline time.Time, done func(error)) {
-				member.Registrar.Register(now, stated, deadline, done)
+				member.Registrar.Register(now, registration, deadline, done)
 			}, func(error) {})
 	})
 }
 
 // hangs tells whether the target takes a request and never answers it.
-func (target *target) hangs(flow *flow, asked int) bool {
-	if target.hung[flow] == asked {
+func (target *target) hangsOn(flow *flow, asked int) bool {
+	if target.hungRequests[flow] == asked {
 		return true
 	}
-	if flow.answered >= asked || !target.world.random.Chance(target.grey) {
+	if flow.answered >= asked || !target.world.random.Chance(target.hangShare) {
 		return false
 	}
-	target.hung[flow] = asked
+	target.hungRequests[flow] = asked
 	return true
 }
 
 // Die ends the target at once. A silent one's machine is gone too.
-func (target *target) Die(silent bool) {
+func (target *target) Crash(unresponsive bool) {
 	if !target.alive {
 		return
 	}
 	target.alive = false
-	target.silent = silent
+	target.unresponsive = unresponsive
 	target.diedAt = target.world.Now()
 	for flow := range target.flows {
-		flow.lost = true
+		flow.targetDied = true
 	}
 	target.flows = make(map[*flow]bool)
 	target.world.run.Trace.Add(target.address.String(), "dies", "")
@@ -261,14 +261,14 @@
 // probe answers a connection attempt at an address.
 func (world *World) probe(from kernel.Endpoint, address netip.AddrPort, answer func(probe.Outcome)) {
 	found := world.byAddress[address]
-	if found == nil || found.silent {
+	if found == nil || found.unresponsive {
 		return
 	}
 	world.packets.Send(from, found.endpoint(), func() {
 		outcome := probe.Refused
 		if found := world.byAddress[address]; found.alive {
 			outcome = probe.Answered
-		} else if found.silent {
+		} else if found.unresponsive {
 			return
 		}
 		world.packets.Send(found.endpoint(), from, func() { answer(outcome) })
@@ -276,60 +276,60 @@
 }
 
 // deliver carries a packet from a balancer to a target's address.
-func (world *World) deliver(through *balancer, packet packet, decision steer.Decision) {
+func (world *World) deliver(sender *balancer, packet packet, decision steer.Decision) {
 	found := world.byAddress[decision.Target]
 	if found == nil {
 		return
 	}
-	world.packets.Send(through.process.Endpoint, found.endpoint(), func() {
+	world.packets.Send(sender.process.Endpoint, found.endpoint(), func() {
 		arrived := world.byAddress[decision.Target]
 		if !arrived.alive || arrived.id != decision.ID {
 			return
 		}
-		arrived.take(through, packet, decision)
+		arrived.handlePacket(sender, packet, decision)
 	})
 }
 
 // refuse answers a packet of a flow that this incarnation does not have: as targets do, it
 // resets a flow of a former start.
-func (target *target) refuse(packet packet) {
+func (target *target) rejectUnknownFlow(packet packet) {
 	flow := packet.flow
 	if flow.target == nil || flow.target.id != target.id {
-		target.world.checks.foreignPacket(target, packet)
+		target.world.checks.packetMisdelivered(target, packet)
 		return
 	}
-	target.world.packets.Send(target.endpoint(), flow.endpoint(), flow.resetByTarget)
+	target.world.packets.Send(target.endpoint(), flow.endpoint(), flow.handleTargetReset)
 }
 
 // take handles a packet that is meant for this incarnation.
-func (target *target) take(through *balancer, packet packet, decision steer.Decision) {
+func (target *target) handlePacket(sender *balancer, packet packet, decision steer.Decision) {
 	world := target.world
 	flow := packet.flow
 	if packet.opening {
-		world.checks.opened(through, target, packet)
-		world.packets.Send(target.endpoint(), flow.endpoint(), func() { flow.accepted(target, decision.Token) })
+		world.checks.flowOpened(sender, target, packet)
+		world.packets.Send(target.endpoint(), flow.endpoint(), func() { flow.handleAccepted(target, decision.Token) })
 		return
 	}
 	if flow.target != target {
-		target.refuse(packet)
+		target.rejectUnknownFlow(packet)
 		return
 	}
-	if flow.lost || packet.closing || packet.acknowledges {
+	if flow.targetDied || packet.closing || packet.ackOnly {
 		return
 	}
 	target.flows[flow] = true
 	if flow.transfer != nil {
-		flow.transfer.take(target, packet.piece)
+		flow.transfer.receiveChunk(target, packet.chunk)
 		return
 	}
 	if flow.call != nil {
-		target.work(job{flow: flow, asked: packet.asked})
+		target.handleRequest(job{flow: flow, request: packet.requested})
 		return
 	}
-	if target.hangs(flow, packet.asked) {
+	if target.hangsOn(flow, packet.requested) {
 		return
 	}
 	world.packets.Send(target.endpoint(), flow.endpoint(), func() {
-		flow.takeAnswer(packet.asked, requestBytes)
+		flow.handleAnswer(packet.requested, requestBytes)
 	})
 }
--- a/internal/sim/directworld/uploads.go
+++ b/internal/sim/directworld/uploads.go
@@ -9,34 +9,34 @@
 
 const (
 	// pieceBytes is the data of a full packet.
-	pieceBytes = 1200
+	chunkBytes = 1200
 	// lastPieceBytes is the data of the last packet of an upload.
-	lastPieceBytes = 500
+	lastChunkBytes = 500
 	// uploadPieces is the number of packets of an upload.
-	uploadPieces = 50
+	uploadChunks = 50
 	// uploadWindow is the number of packets that are under way at a time.
 	uploadWindow = 16
 	// repeatLeast and repeatMost bound how long an upload waits before it repeats
 	// a packet that was not acknowledged.
-	repeatLeast = 200 * time.Millisecond
-	repeatMost  = 1600 * time.Millisecond
+	minRetransmitWait = 200 * time.Millisecond
+	maxRetransmitWait = 1600 * time.Millisecond
 	// uploadObjective is the latency that the route of uploads aims at, and
 	// uploadDeadline when their callers give up.
 	uploadObjective = 2 * time.Second
 	uploadDeadline  = 8 * time.Second
 	// uploadWork is how long a target works on an upload that came whole.
-	uploadWork = 5 * time.Millisecond
+	uploadWorkTime = 5 * time.Millisecond
 )
 
 // upload is one long request, which is tried again when it is refused.
 type upload struct {
-	world   *World
-	begunAt time.Time
-	counted bool
-	tries   int
-	done    bool
+	world     *World
+	startedAt time.Time
+	counted   bool
+	attempts  int
+	done      bool
 	// latest is the latest try: there is one at a time.
-	latest *uploadFlow
+	latestAttempt *uploadFlow
 }
 
 // uploadFlow is an upload on the flow of one try.
@@ -47,23 +47,23 @@
 	// number of the first one that was not sent yet.
 	acknowledged map[int]bool
 	next         int
-	underWay     int
+	inFlight     int
 	// received has the packets that came to the target.
 	received map[int]bool
 }
 
-func (upload *upload) try() {
-	upload.tries++
+func (upload *upload) openFlow() {
+	upload.attempts++
 	opened := upload.world.callers.newFlow(routeUpload, time.Minute)
 	opened.transfer = &uploadFlow{
 		upload: upload, flow: opened, next: 1,
 		acknowledged: make(map[int]bool), received: make(map[int]bool),
 	}
-	upload.latest = opened.transfer
-	opened.begin()
+	upload.latestAttempt = opened.transfer
+	opened.sendOpening()
 	upload.world.after(openTimeout, func() {
 		if opened.target == nil {
-			opened.transfer.failed()
+			opened.transfer.handleFailure()
 		}
 	})
 }
@@ -71,9 +71,9 @@
 // failed takes in that the flow ended before the upload was answered. One whose
 // flow had opened may have run, and is not tried again. A flow that was reset fails
 // once: that it does not open in time either says nothing new.
-func (transfer *uploadFlow) failed() {
+func (transfer *uploadFlow) handleFailure() {
 	upload := transfer.upload
-	if upload.latest != transfer {
+	if upload.latestAttempt != transfer {
 		return
 	}
 	opened := transfer.flow.target != nil
@@ -81,80 +81,80 @@
 	if upload.done {
 		return
 	}
-	if opened || upload.tries >= triesPerCall {
+	if opened || upload.attempts >= maxAttempts {
 		upload.done = true
 		return
 	}
-	upload.try()
+	upload.openFlow()
 }
 
 // begin sends the first window.
-func (transfer *uploadFlow) begin() {
+func (transfer *uploadFlow) start() {
 	world := transfer.upload.world
 	world.after(uploadDeadline, func() {
 		if !transfer.upload.done {
 			transfer.upload.done = true
-			transfer.flow.finish()
+			transfer.flow.sendClosing()
 			transfer.flow.end()
 		}
 	})
-	transfer.fill()
+	transfer.fillWindow()
 }
 
-func (transfer *uploadFlow) fill() {
-	for transfer.underWay < uploadWindow && transfer.next <= uploadPieces {
+func (transfer *uploadFlow) fillWindow() {
+	for transfer.inFlight < uploadWindow && transfer.next <= uploadChunks {
 		piece := transfer.next
 		transfer.next++
-		transfer.underWay++
-		transfer.send(piece, repeatLeast)
+		transfer.inFlight++
+		transfer.sendChunk(piece, minRetransmitWait)
 	}
 }
 
 // send sends a packet, and again until it is acknowledged.
-func (transfer *uploadFlow) send(piece int, wait time.Duration) {
+func (transfer *uploadFlow) sendChunk(piece int, wait time.Duration) {
 	if transfer.flow.ended || transfer.acknowledged[piece] {
 		return
 	}
 	flow := transfer.flow
-	flow.send(packet{flow: flow, token: flow.token, piece: piece, asked: 1, answered: flow.answered})
-	transfer.upload.world.after(wait, func() { transfer.send(piece, min(2*wait, repeatMost)) })
+	flow.send(packet{flow: flow, token: flow.token, chunk: piece, requested: 1, answered: flow.answered})
+	transfer.upload.world.after(wait, func() { transfer.sendChunk(piece, min(2*wait, maxRetransmitWait)) })
 }
 
 // take is the target's part: it acknowledges each packet, and answers once all
 // came.
-func (transfer *uploadFlow) take(target *target, piece int) {
+func (transfer *uploadFlow) receiveChunk(target *target, piece int) {
 	world := transfer.upload.world
-	whole := len(transfer.received) == uploadPieces
+	alreadyComplete := len(transfer.received) == uploadChunks
 	transfer.received[piece] = true
-	world.packets.Send(target.endpoint(), transfer.flow.endpoint(), func() { transfer.acknowledge(piece) })
-	if whole || len(transfer.received) < uploadPieces {
+	world.packets.Send(target.endpoint(), transfer.flow.endpoint(), func() { transfer.handleAck(piece) })
+	if alreadyComplete || len(transfer.received) < uploadChunks {
 		return
 	}
-	world.after(uploadWork, func() {
-		world.packets.Send(target.endpoint(), transfer.flow.endpoint(), transfer.answered)
+	world.after(uploadWorkTime, func() {
+		world.packets.Send(target.endpoint(), transfer.flow.endpoint(), transfer.handleAnswer)
 	})
 }
 
-func (transfer *uploadFlow) acknowledge(piece int) {
+func (transfer *uploadFlow) handleAck(piece int) {
 	if transfer.acknowledged[piece] || transfer.flow.ended {
 		return
 	}
 	transfer.acknowledged[piece] = true
-	transfer.underWay--
-	transfer.fill()
+	transfer.inFlight--
+	transfer.fillWindow()
 }
 
-func (transfer *uploadFlow) answered() {
+func (transfer *uploadFlow) handleAnswer() {
 	flow := transfer.flow
 	if flow.ended {
 		return
 	}
-	flow.asked = 1
-	flow.takeAnswer(1, requestBytes)
-	flow.finish()
+	flow.requested = 1
+	flow.handleAnswer(1, requestBytes)
+	flow.sendClosing()
 	flow.end()
 	transfer.upload.done = true
-	transfer.upload.world.uploads.note(transfer.upload)
+	transfer.upload.world.uploads.recordServed(transfer.upload)
 }
 
 // uploads makes uploads at a rate and counts how they end.
@@ -167,44 +167,44 @@
 	// asked, timely and served count the uploads that began while they were counted,
 	// those that were answered within the objective, and at all; tried counts the
 	// flows that the answered ones took.
-	asked, timely, served, tried int
+	started, timely, served, attempts int
 }
 
 func newUploads(world *World) *uploads {
 	return &uploads{world: world, random: world.run.Random("uploads")}
 }
 
-func (uploads *uploads) next() {
+func (uploads *uploads) scheduleNext() {
 	uploads.world.after(uploads.random.Exponential(time.Second/time.Duration(uploads.perSecond)), func() {
 		if !uploads.running {
 			return
 		}
-		begun := &upload{world: uploads.world, begunAt: uploads.world.Now(), counted: uploads.counting}
+		begun := &upload{world: uploads.world, startedAt: uploads.world.Now(), counted: uploads.counting}
 		if uploads.counting {
-			uploads.asked++
+			uploads.started++
 		}
-		begun.try()
-		uploads.next()
+		begun.openFlow()
+		uploads.scheduleNext()
 	})
 }
 
-func (uploads *uploads) note(ended *upload) {
+func (uploads *uploads) recordServed(ended *upload) {
 	if !ended.counted {
 		return
 	}
 	uploads.served++
-	uploads.tried += ended.tries
-	if uploads.world.Now().Sub(ended.begunAt) <= uploadObjective {
+	uploads.attempts += ended.attempts
+	if uploads.world.Now().Sub(ended.startedAt) <= uploadObjective {
 		uploads.timely++
 	}
 }
 
 // timelyUploads demands that enough of the counted uploads were answered within
 // their objective, and that those that were answered took few tries.
-func (checks *checks) timelyUploads(timelyShare, triesEach float64) {
+func (checks *checks) checkTimelyUploads(timelyShare, attemptsEach float64) {
 	uploads := checks.world.uploads
-	checks.timely("uploads", tally{uploads.asked, uploads.timely, uploads.served}, uploadObjective, timelyShare)
-	if each := float64(uploads.tried) / float64(max(uploads.served, 1)); each > triesEach {
-		checks.violate(checker.InvariantTimely, "%d tries for %d uploads that were answered", uploads.tried, uploads.served)
+	checks.checkTimely("uploads", tally{uploads.started, uploads.timely, uploads.served}, uploadObjective, timelyShare)
+	if each := float64(uploads.attempts) / float64(max(uploads.served, 1)); each > attemptsEach {
+		checks.violate(checker.InvariantTimely, "%d tries for %d uploads that were answered", uploads.attempts, uploads.served)
 	}
 }
--- a/internal/sim/directworld/uploads_test.go
+++ b/internal/sim/directworld/uploads_test.go
@@ -18,13 +18,13 @@
 func TestARefusedUploadIsTriedOnceMore(t *testing.T) {
 	world := New(sim.NewRun(1), DefaultOptions())
 	refused := &upload{world: world}
-	refused.try()
-	first := refused.latest
+	refused.openFlow()
+	first := refused.latestAttempt
 	world.RunFor(100 * time.Millisecond)
-	first.flow.reset(nil)
-	require.Equal(t, 2, refused.tries)
+	first.flow.handleReset(nil)
+	require.Equal(t, 2, refused.attempts)
 	world.RunFor(openTimeout - time.Millisecond)
-	require.Equal(t, 2, refused.tries, "the second try is under way")
+	require.Equal(t, 2, refused.attempts, "the second try is under way")
 	world.RunFor(time.Millisecond)
-	require.Equal(t, 3, refused.tries, "the second try did not open in time")
+	require.Equal(t, 3, refused.attempts, "the second try did not open in time")
 }
--- a/internal/sim/directworld/world.go
+++ b/internal/sim/directworld/world.go
@@ -211,13 +211,13 @@
 func (world *World) Now() time.Time { return world.run.Scheduler.Now() }
 
 // disturb notes that a fault begins or ends now.
-func (world *World) disturb(kind, detail string) {
+func (world *World) recordDisturbance(kind, detail string) {
 	world.disturbedAt = world.Now()
 	world.run.Trace.Add("story", kind, detail)
 }
 
 // skew gives the process a clock of its own from its next start on.
-func (world *World) skew(process *kernel.Process) {
+func (world *World) skewClock(process *kernel.Process) {
 	if !world.options.Skewed {
 		return
 	}
@@ -228,7 +228,7 @@
 }
 
 // calm tells whether nothing was disturbed lately.
-func (world *World) calm() bool { return world.Now().Sub(world.disturbedAt) > settleTime }
+func (world *World) settled() bool { return world.Now().Sub(world.disturbedAt) > settleTime }
 
 // after calls run once delay has passed, unless the world has ended.
 func (world *World) after(delay time.Duration, run func()) {
@@ -247,6 +247,6 @@
 // Finish heals what is left, lets the system settle and checks its end.
 func (world *World) Finish() {
 	world.RunFor(14 * time.Second)
-	world.checks.end()
+	world.checks.checkEnd()
 	world.stopped = true
 }
--- a/internal/sim/directworld/zone_checks.go
+++ b/internal/sim/directworld/zone_checks.go
@@ -17,7 +17,7 @@
 	evacuated bool
 	since     time.Time
 	// unsure tells that an order is under way, or was given up without an answer.
-	unsure bool
+	uncertain bool
 }
 
 // zoneChecks judges the orders for zones.
@@ -25,7 +25,7 @@
 	world  *World
 	states map[model.ZoneName]*zoneState
 	// acknowledged counts the orders that were.
-	acknowledged int
+	acknowledgedOrders int
 }
 
 func newZoneChecks(world *World) *zoneChecks {
@@ -40,33 +40,33 @@
 }
 
 // sent notes that an order for the zone is under way.
-func (checks *zoneChecks) sent(zone model.ZoneName) { checks.state(zone).unsure = true }
+func (checks *zoneChecks) orderSent(zone model.ZoneName) { checks.state(zone).uncertain = true }
 
 // ordered notes that an order for the zone was acknowledged.
-func (checks *zoneChecks) ordered(zone model.ZoneName, end bool) {
-	checks.acknowledged++
+func (checks *zoneChecks) orderAcknowledged(zone model.ZoneName, end bool) {
+	checks.acknowledgedOrders++
 	*checks.state(zone) = zoneState{evacuated: !end, since: checks.world.Now()}
 }
 
 // opened judges a target that takes a new flow.
-func (checks *zoneChecks) opened(through *balancer, target *target) {
+func (checks *zoneChecks) flowOpened(sender *balancer, target *target) {
 	state := checks.state(target.zone)
 	passed := checks.world.Now().Sub(state.since)
-	if state.evacuated && !state.unsure && passed > evacuateBound && checks.world.calm() {
+	if state.evacuated && !state.uncertain && passed > evacuateBound && checks.world.settled() {
 		checks.world.checks.violate(checker.InvariantEvacuated, "%s sent a new flow to %s in %s, which is emptied since %s",
-			through.process.Name, target.address, target.zone, passed)
+			sender.process.Name, target.address, target.zone, passed)
 	}
 }
 
 // end demands that the leader and every balancer hold what was acknowledged last.
-func (checks *zoneChecks) end(leader *Member) {
+func (checks *zoneChecks) checkEnd(leader *Member) {
 	held := make(map[string]bool)
 	evacuations, _ := leader.Directory.Evacuations()
 	for _, evacuation := range evacuations {
 		held[evacuation.Zone] = true
 	}
 	for zone, state := range checks.states {
-		if !state.unsure && held[string(zone)] != state.evacuated {
+		if !state.uncertain && held[string(zone)] != state.evacuated {
 			checks.world.checks.violate(checker.InvariantEvacuated, "zone %s ends with evacuated=%t, against the order that was acknowledged last",
 				zone, held[string(zone)])
 		}
@@ -86,9 +86,9 @@
 )
 
 // openedCold judges a cold target that takes a new flow, whoever sent it.
-func (checks *checks) openedCold(target *target) {
+func (checks *checks) checkColdRate(target *target) {
 	limit := checks.world.options.ColdLimit
-	if !limit.Bounded() || target.coldFor() == 0 {
+	if !limit.Bounded() || target.remainingCold() == 0 {
 		return
 	}
 	now := checks.world.Now()
