--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -19,21 +19,21 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// balancerInterval is how often a simulated balancer's controllers run without
-// a message.
+// balancerInterval is the interval of the runs of a simulated balancer's controllers. A received
+// message causes a run at once.
 const balancerInterval = 40 * time.Millisecond
 
-// loadInterval is the least time between two reports of open requests.
+// loadReportInterval is the minimum time between two reports of open requests.
 const loadReportInterval = 25 * time.Millisecond
 
-// peerFollowers bounds the balancers that a simulated balancer feeds.
+// maxPeerFollowers bounds the balancers that follow the feed of a simulated balancer.
 const maxPeerFollowers = 16
 
-// linkAdmission is the share of its objective in which a link has to carry a long
-// request.
+// linkObjectiveShare is the share of its route's objective within which a long request has to be
+// transmitted over a balancer's link.
 const linkObjectiveShare = 0.5
 
-// balancer is one balancer on a simulated process.
+// balancer is a balancer on a simulated process. Its components are replaced with each incarnation.
 type balancer struct {
 	world      *World
 	process    *kernel.Process
@@ -42,9 +42,9 @@
 	watcher    *requests.Watcher
 	subscriber *feed.Subscriber
 	admission  *transfer.Admission
-	// link is nil where links have no bound.
+	// link is nil if the capacity of links is unlimited.
 	link *link
-	// startedAt is when the present life began.
+	// startedAt is when the present incarnation began, in virtual time.
 	startedAt time.Time
 }
 
@@ -56,19 +56,20 @@
 	return created
 }
 
-// noConnector stands for connections, which the simulated network always has.
+// noConnector is a feed.Connector that does nothing: the simulated network needs no connections.
 type noConnector struct{}
 
 // Connect implements feed.Connector.
 func (noConnector) Connect(model.NodeName) {}
 
-// Connected implements feed.Connector. A node that does not answer is left at
-// once, as after a failed attempt to connect.
+// Connected implements feed.Connector. It returns false, so that a node that does not answer is
+// given up at once, as after a failed attempt to connect.
 func (noConnector) Connected(model.NodeName) bool { return false }
 
 // Disconnect implements feed.Connector.
 func (noConnector) Disconnect(model.NodeName) {}
 
+// build assembles the product's controllers of a balancer for a new incarnation.
 func (balancer *balancer) build(mailbox *protocol.Mailbox, _ model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	balancer.startedAt = balancer.world.Now()
@@ -110,7 +111,7 @@
 	}
 }
 
-// newAdmission returns the admission to the balancer's link.
+// newAdmission returns the admission control for long requests on the balancer's link.
 func (balancer *balancer) newAdmission() *transfer.Admission {
 	world := balancer.world
 	sizes := transfer.NewSizes()
@@ -120,8 +121,9 @@
 	return transfer.NewAdmission(options, sizes, balancer.watcher.EachOpen)
 }
 
-// route returns a balancer for one packet of a flow: any active one that has a
-// table.
+// pickBalancer returns the balancer that gets one packet of a flow, as a router would choose it, or
+// nil if no active balancer has a table. With Options.Affine the choice depends on the caller's
+// port and on the number of active balancers; otherwise it is random.
 func (world *World) pickBalancer(flow *flow) *balancer {
 	var active []*balancer
 	for _, candidate := range world.balancers {
@@ -138,7 +140,7 @@
 	return kernel.Pick(world.random, active)
 }
 
-// carry handles a caller's packet at the balancer.
+// handlePacket decides about a caller's packet and forwards it, resets its flow or drops it.
 func (balancer *balancer) handlePacket(packet packet) {
 	world := balancer.world
 	if !balancer.process.Active() {
--- a/internal/sim/directworld/caller.go
+++ b/internal/sim/directworld/caller.go
@@ -11,46 +11,48 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-var errNoAnswer = errors.New("no answer came in time")
+var errNoAnswer = errors.New("no answer within the call timeout")
 
 const (
-	// flowsPerSecond is the rate at which flows are opened.
+	// flowsPerSecond is the mean rate at which callers open flows.
 	flowsPerSecond = 25
-	// dataInterval is the time between two packets of an open flow.
+	// dataInterval is the time between two data packets of an open flow.
 	dataInterval = 250 * time.Millisecond
 	// openTimeout is how long a caller waits for a flow to open.
 	openTimeout = 1400 * time.Millisecond
 )
 
-// copiesAt are the times at which copies of an opening packet are sent.
+// openingSendTimes are the times after the start of a flow at which its opening packet is sent, as
+// long as the flow has not opened.
 var openingSendTimes = []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond}
 
-// packet is one packet of a caller.
+// packet is one packet from a caller.
 type packet struct {
 	flow    *flow
 	opening bool
 	attempt int
 	token   directory.Token
-	// asked and answered number the requests of an open flow that were sent and
-	// answered when the packet was sent; closing tells that it is the last.
+	// requested and answered are the numbers of requests of the flow that were sent and answered
+	// when the packet was sent. closing marks the last packet of the flow.
 	requested int
 	answered  int
 	closing   bool
-	// acknowledges tells that the packet carries no data.
+	// ackOnly marks a packet that only acknowledges an answer and carries no data.
 	ackOnly bool
-	// piece is the number of a packet of an upload, from one.
+	// chunk is the number of a data packet of an upload, from 1; 0 for other packets.
 	chunk int
-	// acknowledged is the number of bytes of answers that came before the packet.
+	// answerBytes is the number of bytes of answers that the caller had received.
 	answerBytes uint32
 }
 
 const (
-	// requestBytes is the length of one simulated request, and of one answer.
+	// requestBytes is the length of a simulated request, and of its answer, in bytes.
 	requestBytes = 100
-	// errorBytes is the length of an answer that is an error.
+	// errorBytes is the length of an error answer in bytes.
 	errorBytes = 20
 )
 
+// segment returns the packet as a balancer's decision sees it.
 func (packet packet) segment() steer.Segment {
 	hasData := packet.requested > 0 && !packet.closing && !packet.ackOnly
 	length := uint32(0)
@@ -80,7 +82,7 @@
 	}
 }
 
-// flow is one flow of a caller.
+// flow is a caller's flow to one service address.
 type flow struct {
 	world     *World
 	caller    netip.AddrPort
@@ -90,32 +92,33 @@
 	endsAt    time.Time
 	target    *target
 	token     directory.Token
-	// lost tells that the target forgot the flow when it died.
+	// targetDied reports whether the flow's target died while it had the flow.
 	targetDied bool
 	ended      bool
 	openedAt   time.Time
 	answeredAt time.Time
-	// asked and answered count the requests that were sent and answered.
+	// requested and answered count the requests that were sent and answered.
 	requested int
 	answered  int
-	// acknowledged is the number of bytes of answers that came.
+	// answerBytes is the number of bytes of answers received.
 	answerBytes uint32
-	// call is the call that the flow is for, if it is for a single one, and
-	// callEnded tells that its end was taken in.
+	// call is the call that the flow serves, or nil. callEnded reports whether the end of this
+	// attempt was recorded.
 	call      *call
 	callEnded bool
-	// transfer is the upload that the flow is for, if it is for one.
+	// transfer is the upload that the flow serves, or nil.
 	transfer *uploadFlow
 }
 
 func (flow *flow) endpoint() kernel.Endpoint { return endpoint(flow.caller.String(), flow.zone) }
 
-// callers opens flows at a rate and keeps them for a while.
+// callers opens flows at a constant mean rate and keeps each one open for a while.
 type callers struct {
 	world      *World
 	random     *kernel.Random
 	lastCaller int
-	// opened and failed count flows that began while the world was calm.
+	// opened and failed count the flows that did and did not open within openTimeout while the
+	// world was settled.
 	opened int
 	failed int
 }
@@ -124,6 +127,7 @@
 	return &callers{world: world, random: world.run.Random("callers")}
 }
 
+// start opens flows with exponentially distributed pauses until the world ends.
 func (callers *callers) start() {
 	callers.world.after(callers.random.Exponential(time.Second/flowsPerSecond), func() {
 		callers.openFlow()
@@ -131,6 +135,7 @@
 	})
 }
 
+// openFlow opens one flow to a random service with requests at each dataInterval.
 func (callers *callers) openFlow() {
 	service := routeFeed
 	if callers.random.Chance(0.25) || callers.world.options.CallsOnly {
@@ -140,11 +145,11 @@
 	opened := callers.buildFlow(service)
 	opened.endsAt = callers.world.Now().Add(callers.random.Pareto(time.Second, 25*time.Second, 1.1))
 	opened.sendOpening()
-	calm := callers.world.settled()
-	callers.world.after(openTimeout, func() { callers.recordOpening(opened, calm) })
+	settledAtStart := callers.world.settled()
+	callers.world.after(openTimeout, func() { callers.recordOpening(opened, settledAtStart) })
 }
 
-// newFlow returns a flow from a port of its own, which lasts for a while.
+// newFlow returns a flow from a new caller address that lasts for at most the given time.
 func (callers *callers) newFlow(service netip.AddrPort, lasts time.Duration) *flow {
 	callers.lastCaller++
 	created := callers.buildFlow(service)
@@ -152,6 +157,7 @@
 	return created
 }
 
+// buildFlow returns a flow from the address of the latest caller.
 func (callers *callers) buildFlow(service netip.AddrPort) *flow {
 	return &flow{
 		world:     callers.world,
@@ -162,7 +168,7 @@
 	}
 }
 
-// begin sends the opening packet and its copies.
+// sendOpening sends the opening packet and schedules its copies.
 func (flow *flow) sendOpening() {
 	for attempt, at := range openingSendTimes {
 		flow.world.after(at, func() {
@@ -173,13 +179,14 @@
 	}
 }
 
-// note counts how opening ended for flows that began in calm.
-func (callers *callers) recordOpening(opened *flow, calm bool) {
+// recordOpening ends a flow that did not open, and counts the result if the world was settled both
+// when the flow began and now.
+func (callers *callers) recordOpening(opened *flow, settledAtStart bool) {
 	if opened.target == nil {
 		opened.ended = true
 	}
 	switch {
-	case !calm || !callers.world.settled():
+	case !settledAtStart || !callers.world.settled():
 	case opened.openedAt.IsZero():
 		callers.failed++
 	default:
@@ -187,6 +194,7 @@
 	}
 }
 
+// send sends a packet to the balancer chosen for it; it is dropped if there is none.
 func (flow *flow) send(packet packet) {
 	packet.answerBytes = flow.answerBytes
 	chosen := flow.world.pickBalancer(flow)
@@ -196,7 +204,7 @@
 	flow.world.packets.Send(flow.endpoint(), chosen.process.Endpoint, func() { chosen.receive(packet) })
 }
 
-// accepted opens the flow at the first target that took it.
+// handleAccepted opens the flow at the first target that accepted it; later ones are ignored.
 func (flow *flow) handleAccepted(target *target, token directory.Token) {
 	if flow.target != nil || flow.ended {
 		return
@@ -211,7 +219,8 @@
 	flow.sendData()
 }
 
-// data sends one packet of the open flow and plans the next one.
+// sendData sends one data packet of the open flow and schedules the next one. It closes the flow
+// once its time is over.
 func (flow *flow) sendData() {
 	if flow.ended {
 		return
@@ -228,24 +237,26 @@
 	flow.world.after(dataInterval, flow.sendData)
 }
 
-// takeAnswer takes in the answer of some bytes to a request, and acknowledges it.
-func (flow *flow) handleAnswer(asked int, bytes uint32) {
+// handleAnswer records an answer of the given length to a request and acknowledges it. Repeated
+// answers are ignored.
+func (flow *flow) handleAnswer(request int, bytes uint32) {
 	flow.answeredAt = flow.world.Now()
-	if asked <= flow.answered {
+	if request <= flow.answered {
 		return
 	}
-	flow.answered = asked
+	flow.answered = request
 	flow.answerBytes += bytes
 	if !flow.ended {
 		flow.send(packet{flow: flow, token: flow.token, requested: flow.requested, answered: flow.answered, ackOnly: true})
 	}
 }
 
-// finish sends the last packet of the flow.
+// sendClosing sends the last packet of the flow.
 func (flow *flow) sendClosing() {
 	flow.send(packet{flow: flow, token: flow.token, requested: flow.requested, answered: flow.answered, closing: true})
 }
 
+// end ends the flow at the caller and at its target.
 func (flow *flow) end() {
 	flow.ended = true
 	if flow.target != nil {
@@ -253,7 +264,7 @@
 	}
 }
 
-// reset ends the flow because a balancer said so.
+// handleReset ends the flow because a balancer reset it.
 func (flow *flow) handleReset(by *balancer) {
 	if flow.ended {
 		return
@@ -264,14 +275,14 @@
 	flow.abort()
 }
 
-// resetByTarget ends the flow because the target at its address does not have it.
+// handleTargetReset ends the flow because the target process at its address does not know it.
 func (flow *flow) handleTargetReset() {
 	if !flow.ended {
 		flow.abort()
 	}
 }
 
-// breakOff ends the flow without an answer to what it asked.
+// abort ends the flow and fails the call or upload that it serves.
 func (flow *flow) abort() {
 	flow.end()
 	if flow.call != nil {
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -13,35 +13,34 @@
 )
 
 const (
-	// drainBound is how long after an acknowledged drain a target may get new
-	// flows.
+	// drainBound is how long after its acknowledged drain or departure a target may get new flows.
 	drainBound = 3 * time.Second
-	// applyBound is how long after its acknowledgement a version may not be in
-	// force.
+	// applyBound is how long after the acknowledgement of a version balancers may still decide
+	// with an older one.
 	applyBound = 3 * time.Second
 )
 
-// checks are the rules of direct services, judged from what callers, targets
-// and operators see.
+// checks verifies the invariants of direct services. It compares what callers, targets and
+// operators observe with the state of members and balancers.
 type checks struct {
-	// zones judges the orders for zones.
+	// zones verifies evacuations.
 	zones *zoneChecks
 	world *World
-	// contents has the texts that were sent under each version.
+	// sentContents has the contents that were declared under each version.
 	sentContents        map[uint64]map[string]bool
 	readContents        map[uint64]string
 	highestAcknowledged uint64
-	// acknowledgedAt has when each version was first acknowledged.
+	// acknowledgedAt is when each version was first acknowledged.
 	acknowledgedAt map[uint64]time.Time
-	// allowed has the services that some configuration ever gave a route.
+	// allowedServices has the services that any declared configuration gave to each route.
 	allowedServices map[netip.AddrPort]map[string]bool
 	leaders         map[uint64]string
-	// versions has the version of each balancer's present life.
+	// balancerVersions has the latest version of each balancer.
 	balancerVersions map[*balancer]incarnationVersion
 	reads            int
 }
 
-// lifeVersion is the version that a balancer had in one life.
+// incarnationVersion is the version that a balancer had in one incarnation.
 type incarnationVersion struct {
 	incarnation model.Incarnation
 	version     uint64
@@ -64,11 +63,12 @@
 	checks.world.run.Report.Add(invariant, checks.world.run.Elapsed(), format, arguments...)
 }
 
-// textOf returns the content of a configuration for comparison.
+// configurationText returns the content of a configuration in a comparable form.
 func configurationText(configuration *declared.Configuration) string {
 	return fmt.Sprintf("%+v", *configuration)
 }
 
+// configurationSent records that an operator declares the configuration.
 func (checks *checks) configurationSent(configuration *declared.Configuration) {
 	if checks.sentContents[configuration.Version] == nil {
 		checks.sentContents[configuration.Version] = make(map[string]bool)
@@ -84,6 +84,7 @@
 	}
 }
 
+// configurationAcknowledged records that a member acknowledged the version.
 func (checks *checks) configurationAcknowledged(version uint64) {
 	if _, known := checks.acknowledgedAt[version]; !known {
 		checks.acknowledgedAt[version] = checks.world.Now()
@@ -91,29 +92,32 @@
 	checks.highestAcknowledged = max(checks.highestAcknowledged, version)
 }
 
+// invalidAccepted reports that a member acknowledged an invalid configuration.
 func (checks *checks) invalidAccepted(configuration *declared.Configuration) {
 	checks.violate(checker.InvariantCommittedKept, "the invalid version %d was acknowledged", configuration.Version)
 }
 
-// read judges a read that was sent when expected was acknowledged.
-func (checks *checks) checkRead(expected uint64, held *declared.Configuration) {
+// checkRead checks the answer to a read. expected is the highest version that was acknowledged when
+// the read was sent.
+func (checks *checks) checkRead(expected uint64, configuration *declared.Configuration) {
 	checks.reads++
-	if held.Version < expected {
-		checks.violate(checker.InvariantLinearizable, "a read returned version %d after version %d was acknowledged", held.Version, expected)
+	if configuration.Version < expected {
+		checks.violate(checker.InvariantLinearizable, "a read returned version %d after version %d was acknowledged", configuration.Version, expected)
 	}
-	if held.Version == 0 {
+	if configuration.Version == 0 {
 		return
 	}
-	text := configurationText(held)
-	if !checks.sentContents[held.Version][text] {
-		checks.violate(checker.InvariantSameConfiguration, "version %d was read with a content that nobody sent", held.Version)
+	text := configurationText(configuration)
+	if !checks.sentContents[configuration.Version][text] {
+		checks.violate(checker.InvariantSameConfiguration, "version %d was read with a content that no operator declared", configuration.Version)
 	}
-	if previous, known := checks.readContents[held.Version]; known && previous != text {
-		checks.violate(checker.InvariantSameConfiguration, "version %d was read with two contents", held.Version)
+	if previous, known := checks.readContents[configuration.Version]; known && previous != text {
+		checks.violate(checker.InvariantSameConfiguration, "version %d was read with two different contents", configuration.Version)
 	}
-	checks.readContents[held.Version] = text
+	checks.readContents[configuration.Version] = text
 }
 
+// recordLeader records the leader of a term and checks that it is the only one.
 func (checks *checks) recordLeader(term uint64, name string) {
 	if previous, known := checks.leaders[term]; known && previous != name {
 		checks.violate(checker.InvariantOneLeader, "%s and %s both lead term %d", previous, name, term)
@@ -121,26 +125,29 @@
 	checks.leaders[term] = name
 }
 
+// memberStartFailed reports a member that does not start from its disk.
 func (checks *checks) memberStartFailed(member *Member, err error) {
 	checks.violate(checker.InvariantCommittedKept, "member %s does not start from its disk: %v", member.process.Name, err)
 }
 
-// balancerRan demands that a balancer's table never goes back within a life.
+// balancerRan checks that the version of a balancer's table never decreases within an incarnation.
 func (checks *checks) balancerRan(balancer *balancer) {
 	version := balancer.table.Version()
 	incarnation := balancer.process.Incarnation()
 	previous := checks.balancerVersions[balancer]
 	if previous.incarnation == incarnation && version < previous.version {
-		checks.violate(checker.InvariantNoRevert, "%s went back from version %d to %d", balancer.process.Name, previous.version, version)
+		checks.violate(checker.InvariantNoRevert, "%s reverted from version %d to %d", balancer.process.Name, previous.version, version)
 	}
 	checks.balancerVersions[balancer] = incarnationVersion{incarnation: incarnation, version: version}
 }
 
-// decided judges a decision of a balancer by what it may know.
+// decided checks a balancer's decision about a packet. In a settled world, a balancer that has run
+// for settleTime must not choose a dead target, nor decide with a version older than applyBound
+// allows.
 func (checks *checks) decided(balancer *balancer, packet packet, decision steer.Decision) {
 	world := checks.world
 	if decision.Action == steer.Reset && decision.Reason == steer.ReasonNoRoute {
-		checks.violate(checker.InvariantInForce, "%s refused a packet to %s, which every version has", balancer.process.Name, packet.flow.service)
+		checks.violate(checker.InvariantInForce, "%s reset a flow to %s, which has a route in every version", balancer.process.Name, packet.flow.service)
 	}
 	if packet.opening && decision.Action == steer.Reset {
 		world.run.Trace.NotifyObserver(string(balancer.process.Name), "refuses", func() string { return refusalText(packet, decision) })
@@ -152,14 +159,16 @@
 	version := balancer.table.Version()
 	for acknowledged, at := range checks.acknowledgedAt {
 		if acknowledged > version && world.Now().Sub(at) > applyBound {
-			checks.violate(checker.InvariantInForce, "%s decides by version %d, %s after version %d was acknowledged",
+			checks.violate(checker.InvariantInForce, "%s decides with version %d, %s after version %d was acknowledged",
 				balancer.process.Name, version, world.Now().Sub(at), acknowledged)
 			return
 		}
 	}
 }
 
-// refusalText tells why a balancer refused a new flow.
+// refusalText describes why a balancer refused a new flow. In an overload refusal, "own" and
+// "others" are the local and remote counts of open requests, "heard" is the age of the latest
+// report of a peer, and "missed" is the share of unanswered requests.
 func refusalText(packet packet, decision steer.Decision) string {
 	if decision.Reason != steer.ReasonOverloaded {
 		return fmt.Sprintf("%s to %s: %s, expected %s", packet.flow.caller, packet.flow.service, decision.Reason, decision.Expected)
@@ -170,11 +179,11 @@
 		evidence.Gaps.Share, evidence.Gaps.Samples, evidence.Unanswered.Share, evidence.Unanswered.Samples, evidence.ServingFor)
 }
 
-// deathBound is how long after a target's death new flows may go to it.
+// deadTargetBound is how long after a target died new flows may be sent to it.
 const deadTargetBound = 7 * time.Second
 
-// choseDead judges a new flow's target that died, or lost its address to
-// another one, long ago.
+// checkDeadTarget checks that a new flow is not forwarded to a target process that died more than
+// deadTargetBound ago.
 func (checks *checks) checkDeadTarget(balancer *balancer, decision steer.Decision) {
 	if decision.Action != steer.Forward {
 		return
@@ -183,18 +192,18 @@
 	for _, target := range checks.world.targets {
 		dead := !target.alive && checks.world.Now().Sub(target.diedAt) > deadTargetBound
 		if target.id == decision.ID && target.started == chosen.Started && dead {
-			checks.violate(checker.InvariantProgress, "%s sends a new flow to %s, which died %s ago",
+			checks.violate(checker.InvariantProgress, "%s sent a new flow to %s, which died %s ago",
 				balancer.process.Name, target.address, checks.world.Now().Sub(target.diedAt))
 		}
 	}
 }
 
-// keepsUpBound is how long after its acknowledgement a version may be unknown
-// to a balancer that reaches others which know it.
+// currentVersionBound is how long after its acknowledgement a version may be unknown to a balancer
+// that can reach members, or peers that know the version.
 const currentVersionBound = 1500 * time.Millisecond
 
-// keepsUp demands that a balancer knows what was acknowledged a while ago, and
-// that it counts as current.
+// checkCurrent checks that a balancer has every version that was acknowledged more than
+// currentVersionBound ago, and that its table is fresh.
 func (checks *checks) checkCurrent(balancer *balancer) {
 	version := balancer.table.Version()
 	for acknowledged, at := range checks.acknowledgedAt {
@@ -205,37 +214,37 @@
 		}
 	}
 	if !balancer.table.Fresh(balancer.process.LocalNow()) {
-		checks.violate(checker.InvariantInForce, "%s does not count as current; it follows %q",
+		checks.violate(checker.InvariantInForce, "the table of %s is not fresh; it follows %q",
 			balancer.process.Name, balancer.subscriber.Following())
 	}
 }
 
-// becomesAside lets time pass until the leader has set a target aside, or
-// brought it back, which must happen within a bound.
+// awaitEjection runs the world until the leader has ejected the target, or reinstated it if ejected
+// is false. It reports a violation if that does not happen within the given time.
 func (checks *checks) awaitEjection(target *target, ejected bool, within time.Duration) {
 	world := checks.world
 	for end := world.Now().Add(within); world.Now().Before(end); world.RunFor(100 * time.Millisecond) {
 		if leader := world.leader(); leader != nil {
-			if held, known := leader.Directory.Target(target.id); known && held.Aside == ejected {
+			if registered, known := leader.Directory.Target(target.id); known && registered.Aside == ejected {
 				return
 			}
 		}
 	}
-	checks.violate(checker.InvariantProgress, "target %s does not become aside=%t within %s", target.address, ejected, within)
+	checks.violate(checker.InvariantProgress, "target %s did not become ejected=%t within %s", target.address, ejected, within)
 }
 
-// asideNow demands that the leader has set a target aside.
+// checkEjected checks that the leader has ejected the target. It checks nothing without a leader.
 func (checks *checks) checkEjected(target *target) {
 	leader := checks.world.leader()
 	if leader == nil {
 		return
 	}
-	if held, known := leader.Directory.Target(target.id); !known || !held.Aside {
-		checks.violate(checker.InvariantProgress, "target %s answers errors for seconds and is not set aside", target.address)
+	if registered, known := leader.Directory.Target(target.id); !known || !registered.Aside {
+		checks.violate(checker.InvariantProgress, "target %s has answered with errors for seconds and is not ejected", target.address)
 	}
 }
 
-// opened judges a target that takes a new flow.
+// flowOpened checks a target that accepts a new flow.
 func (checks *checks) flowOpened(sender *balancer, target *target, packet packet) {
 	world := checks.world
 	checks.zones.flowOpened(sender, target)
@@ -245,13 +254,13 @@
 	}
 	pastBound := !target.drainAckedAt.IsZero() && world.Now().Sub(target.drainAckedAt) > drainBound
 	if pastBound && world.settled() {
-		checks.violate(checker.InvariantDrain, "%s sent a new flow to %s, which drains since %s",
+		checks.violate(checker.InvariantDrain, "%s sent a new flow to %s, which has been draining or leaving for %s",
 			sender.process.Name, target.address, world.Now().Sub(target.drainAckedAt))
 	}
 }
 
-// foreignPacket judges a packet of an open flow at a target that does not own
-// it.
+// packetMisdelivered reports a packet of an open flow that reached another target than the one that
+// owns the flow. A flow that has ended is not reported.
 func (checks *checks) packetMisdelivered(target *target, packet packet) {
 	if packet.flow.ended {
 		return
@@ -259,35 +268,36 @@
 	checks.violate(checker.InvariantFlowKept, "a packet of a flow of %s reached %s", packet.flow.target.address, target.address)
 }
 
-// wasReset judges a reset of an open flow.
+// flowReset checks that a balancer resets an open flow only if its target died.
 func (checks *checks) flowReset(flow *flow, by *balancer) {
 	if flow.targetDied || !flow.target.alive {
 		return
 	}
-	checks.violate(checker.InvariantFlowKept, "%s reset a flow whose target %s lives", by.process.Name, flow.target.address)
+	checks.violate(checker.InvariantFlowKept, "%s reset a flow whose target %s is alive", by.process.Name, flow.target.address)
 }
 
-// end judges the system after everything healed.
+// checkEnd checks the final state, after all faults ended and the system had time to settle.
 func (checks *checks) checkEnd() {
 	world := checks.world
 	leader := world.leader()
 	if leader == nil {
-		checks.violate(checker.InvariantProgress, "no member leads %s after the last fault", world.Now().Sub(world.disturbedAt))
+		checks.violate(checker.InvariantProgress, "no member is leader %s after the last fault", world.Now().Sub(world.disturbedAt))
 		return
 	}
-	held := leader.Directory.Configuration()
-	checks.checkRead(checks.highestAcknowledged, held)
+	configuration := leader.Directory.Configuration()
+	checks.checkRead(checks.highestAcknowledged, configuration)
 	checks.zones.checkEnd(leader)
 	checks.checkReplicasAgree()
 	checks.checkTablesAgree(leader)
 	if world.callers.opened == 0 || world.callers.failed*20 > world.callers.opened {
-		checks.violate(checker.InvariantProgress, "in calm, %d flows opened and %d did not", world.callers.opened, world.callers.failed)
+		checks.violate(checker.InvariantProgress, "in the settled world, %d flows opened and %d did not", world.callers.opened, world.callers.failed)
 	}
 	if checks.reads == 0 {
 		checks.violate(checker.InvariantProgress, "no read was answered")
 	}
 }
 
+// checkReplicasAgree checks that active members with equal revisions have equal directories.
 func (checks *checks) checkReplicasAgree() {
 	digests := make(map[model.Revision]uint64)
 	for _, member := range checks.world.members {
@@ -296,13 +306,13 @@
 		}
 		revision, digest := member.Directory.Revision(), member.Directory.Digest()
 		if previous, known := digests[revision]; known && previous != digest {
-			checks.violate(checker.InvariantReplicasAgree, "two members differ at revision %d", revision)
+			checks.violate(checker.InvariantReplicasAgree, "two members have different directories at revision %d", revision)
 		}
 		digests[revision] = digest
 	}
 }
 
-// startIsKnown demands that every balancer sends new flows to the target's present start.
+// checkStartKnown checks that every active balancer knows the target's latest start as ready.
 func (checks *checks) checkStartKnown(target *target) {
 	for _, balancer := range checks.world.balancers {
 		if !balancer.process.Active() {
@@ -310,35 +320,36 @@
 		}
 		entry, known := balancer.table.FindTarget(target.id)
 		if !known || entry.Started != target.started || entry.State != directory.TargetReady {
-			checks.violate(checker.InvariantProgress, "%s does not use the start %d of %s", balancer.process.Name, target.started, target.address)
+			checks.violate(checker.InvariantProgress, "%s does not know the start %d of %s as ready", balancer.process.Name, target.started, target.address)
 		}
 	}
 }
 
-// tablesAgree demands that every balancer has the leader's targets and version.
+// checkTablesAgree checks that every active balancer has the version and the targets of the leader,
+// and that the leader has every living, ready target as ready and not ejected.
 func (checks *checks) checkTablesAgree(leader *Member) {
 	for _, balancer := range checks.world.balancers {
 		if !balancer.process.Active() {
 			continue
 		}
 		if version := balancer.table.Version(); version != leader.Directory.Configuration().Version {
-			checks.violate(checker.InvariantInForce, "%s ends with version %d, the leader with %d",
+			checks.violate(checker.InvariantInForce, "%s ends with version %d, but the leader has %d",
 				balancer.process.Name, version, leader.Directory.Configuration().Version)
 		}
 		for _, target := range leader.Directory.Targets() {
 			entry, known := balancer.table.Lookup(target.Token)
 			if !known || entry.ID != target.ID || entry.State != target.State {
-				checks.violate(checker.InvariantSameConfiguration, "%s ends with another state of target %d", balancer.process.Name, target.ID)
+				checks.violate(checker.InvariantSameConfiguration, "%s ends with a different state of target %d than the leader", balancer.process.Name, target.ID)
 			}
 		}
 	}
 	for _, target := range checks.world.targets {
-		held, known := leader.Directory.Target(target.id)
-		if target.alive && target.state == directory.TargetReady && (!known || held.State != directory.TargetReady) {
-			checks.violate(checker.InvariantProgress, "the living target %s ends as %s", target.address, held.State)
+		registered, known := leader.Directory.Target(target.id)
+		if target.alive && target.state == directory.TargetReady && (!known || registered.State != directory.TargetReady) {
+			checks.violate(checker.InvariantProgress, "the living target %s ends in state %s", target.address, registered.State)
 		}
-		if held.Aside && target.alive && target.state == directory.TargetReady {
-			checks.violate(checker.InvariantProgress, "the target %s, which answers all, ends set aside", target.address)
+		if registered.Aside && target.alive && target.state == directory.TargetReady {
+			checks.violate(checker.InvariantProgress, "the target %s, which answers every request, ends ejected", target.address)
 		}
 	}
 }
--- a/internal/sim/directworld/links.go
+++ b/internal/sim/directworld/links.go
@@ -11,33 +11,35 @@
 )
 
 const (
-	// headBytes is the size of a packet without data.
+	// headerBytes is the size of a packet without data.
 	headerBytes = 32
-	// linkQueueTime bounds what waits in front of a link towards a balancer: more
-	// is lost.
+	// maxLinkQueueTime bounds the queue in front of the link towards a balancer, in transmission
+	// time. Packets that arrive while it is exceeded are dropped.
 	maxLinkQueueTime = 60 * time.Millisecond
-	// datagramOverhead is the size of the IP and UDP heads, in bytes.
+	// datagramOverhead is the size of the IP and UDP headers in bytes.
 	datagramOverhead = 28
-	// identityBytes is the size of the number that a datagram carries in place of
-	// its content.
+	// datagramIDBytes is the size of the number that identifies a queued datagram and stands at the
+	// start of its content.
 	datagramIDBytes = 8
 )
 
-// link is a balancer's narrow link, in worlds whose processes all have the world's clock. What comes waits in front of it, first come,
-// first served; what leaves goes through the product's own queue.
+// link is the narrow link of a balancer. Inbound packets wait in a FIFO queue; outbound packets
+// pass through the product's egress queue. It uses virtual time throughout, so it must not be
+// combined with Options.Skewed.
 type link struct {
 	world          *World
 	bytesPerSecond float64
 	egress         *egress.Egress
-	// clearAt is when the link towards the balancer has carried all that came.
+	// idleAt is when the link will have transmitted all packets towards the balancer.
 	idleAt time.Time
-	// leaving has what becomes of the datagrams that wait to leave.
+	// queued has the delivery functions of the datagrams in the egress queue, by number.
 	queued map[uint64]func()
 	lastID uint64
-	// flushing tells that a flush is planned.
+	// flushScheduled reports whether a flush is scheduled.
 	flushScheduled bool
 }
 
+// newLink returns the link of a balancer whose watcher already exists.
 func newLink(world *World, balancer *balancer) *link {
 	created := &link{world: world, bytesPerSecond: world.options.LinkRate, queued: make(map[uint64]func())}
 	created.egress = egress.New(egress.Link{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, DatagramOverhead: datagramOverhead}, created.write)
@@ -45,8 +47,8 @@
 	return created
 }
 
-// arrive brings a packet to the balancer, unless too much waits in front of the
-// link.
+// receive calls deliver once the link has transmitted the packet to the balancer. It drops the
+// packet if the queue exceeds maxLinkQueueTime.
 func (link *link) receive(packet packet, deliver func()) {
 	now := link.world.Now()
 	if link.idleAt.Before(now) {
@@ -60,7 +62,7 @@
 	link.world.after(link.idleAt.Sub(now), deliver)
 }
 
-// leave hands a packet to the balancer's queue.
+// enqueue puts a packet into the balancer's egress queue. deliver is called when it is sent.
 func (link *link) enqueue(packet packet, to netip.AddrPort, deliver func()) {
 	link.lastID++
 	link.queued[link.lastID] = deliver
@@ -77,7 +79,7 @@
 	}
 }
 
-// flush sends what the link has room for, and again when it has more.
+// flush sends what the link has capacity for and schedules the next flush while datagrams wait.
 func (link *link) flush() {
 	wait := link.egress.Flush(link.world.Now())
 	link.flushScheduled = wait > 0
@@ -86,6 +88,7 @@
 	}
 }
 
+// write delivers the datagram whose number the content starts with.
 func (link *link) write(content []byte, _ netip.AddrPort) {
 	number := binary.BigEndian.Uint64(content)
 	deliver := link.queued[number]
@@ -93,10 +96,10 @@
 	deliver()
 }
 
-// size returns the packet's size on the link in bytes.
+// size returns the size of the packet on the link in bytes.
 func (packet packet) size() int { return headerBytes + int(packet.segment().Length) }
 
-// throughLink carries the packet to the balancer over its link, if that is narrow.
+// receive passes a caller's packet to the balancer, over its narrow link if it has one.
 func (balancer *balancer) receive(packet packet) {
 	if balancer.link == nil {
 		balancer.handlePacket(packet)
@@ -105,7 +108,7 @@
 	balancer.link.receive(packet, func() { balancer.handlePacket(packet) })
 }
 
-// forward sends the packet on to its target.
+// forward sends the packet to its target, over the balancer's narrow link if it has one.
 func (balancer *balancer) forward(packet packet, decision steer.Decision) {
 	if balancer.link == nil {
 		balancer.world.deliver(balancer, packet, decision)
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -21,7 +21,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Settings of simulated members.
+// Settings of simulated members and targets.
 const (
 	memberInterval    = 25 * time.Millisecond
 	electionTimeout   = 400 * time.Millisecond
@@ -32,10 +32,10 @@
 	probeTimeout      = 180 * time.Millisecond
 )
 
-// Member is one member of the control group on a simulated process and disk.
+// Member is a member of the control group on a simulated process and disk.
 type Member struct {
-	// Registrar takes the calls of targets and operators; nil while the
-	// process does not run.
+	// Registrar handles the calls of targets and operators. It is nil while the process does not
+	// run.
 	Registrar *registrar.Registrar
 	// Directory is the member's copy of the replicated state.
 	Directory *directory.Directory
@@ -59,6 +59,8 @@
 	return created
 }
 
+// build assembles the product's controllers of a member for a new incarnation. A process whose
+// replica does not start from its disk gets a program without controllers.
 func (member *Member) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	world := member.world
 	dispatcher := protocol.NewDispatcher(mailbox)
@@ -106,7 +108,7 @@
 	}
 }
 
-// seeds returns the names of the first members, as settings files list them.
+// seeds returns the names of the initial members, as settings files list them.
 func (world *World) seeds() []model.NodeName {
 	var names []model.NodeName
 	for _, member := range world.members[:min(world.options.Members, len(world.members))] {
@@ -115,7 +117,7 @@
 	return names
 }
 
-// memberSource shows a member to its publisher.
+// memberSource is the feed.Source of a member's publisher.
 type memberSource struct {
 	member *Member
 }
@@ -138,7 +140,8 @@
 	return slices.Compact(names)
 }
 
-// prober returns a prober whose probes cross the packet network.
+// prober returns a prober whose probes use the packet network and time out after probeTimeout.
+// process is woken when a probe ends.
 func (world *World) prober(process *kernel.Process) *probe.Prober {
 	return probe.NewWithStarter(func(address netip.AddrPort, done func(probe.Outcome)) {
 		answered := false
@@ -154,7 +157,7 @@
 	})
 }
 
-// observe tells the checks what the member says of itself.
+// report passes the member's leadership to the checks. A member whose replica failed is killed.
 func (member *Member) report() {
 	if member.group == nil || !member.process.Running() {
 		return
@@ -170,19 +173,20 @@
 	}
 }
 
-// Kill ends the process at once; its disk keeps what was written.
+// Kill ends the process at once. Its disk keeps all writes, synced or not.
 func (member *Member) Kill() {
 	member.world.recordDisturbance("kill", string(member.process.Name))
 	member.process.Kill()
 }
 
-// PowerOff ends the process at once and loses what was not synced.
+// PowerOff ends the process at once. Writes that were not synced may be kept, lost or torn.
 func (member *Member) PowerOff() {
 	member.Kill()
 	member.disk.Crash()
 }
 
-// Wipe loses the member's disk; the process must not run.
+// Wipe empties the member's disk, so that it joins the group again at its next start. The process
+// must not run.
 func (member *Member) Wipe() {
 	member.disk.Wipe()
 	member.bootstrap = false
@@ -195,7 +199,7 @@
 	member.process.Start()
 }
 
-// leader returns the member that leads with a confirmed quorum, or nil.
+// leader returns the first active member that leads with a confirmed quorum, or nil.
 func (world *World) leader() *Member {
 	for _, member := range world.members {
 		if member.process.Active() && member.group != nil && member.group.StatusAt(member.process.LocalNow()).Leading {
@@ -205,7 +209,7 @@
 	return nil
 }
 
-// AddMember adds a member with an empty disk at an address of its own.
+// AddMember adds and starts a member with an empty disk. The name is its address.
 func (world *World) AddMember(name string, zone model.ZoneName) *Member {
 	added := newMember(world, name, zone, false)
 	world.members = append(world.members, added)
--- a/internal/sim/directworld/operator.go
+++ b/internal/sim/directworld/operator.go
@@ -8,13 +8,13 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// operator declares configurations and reads them back, as two operators with
-// lost answers do.
+// operator declares configurations, reads them back and orders evacuations of zones. Its calls
+// overlap and are retried after lost answers, as those of several operators would.
 type operator struct {
 	world   *World
 	random  *kernel.Random
 	version uint64
-	// coldLimit is the bound that every version states for all services.
+	// coldLimit is the limit for cold targets that every version declares for all services.
 	coldLimit declared.ColdLimit
 }
 
@@ -22,7 +22,7 @@
 	return &operator{world: world, random: world.run.Random("operator"), coldLimit: world.options.ColdLimit}
 }
 
-// base returns the configuration that every version contains.
+// baseConfiguration returns the services and routes that every version declares.
 func (operator *operator) baseConfiguration(version uint64) *declared.Configuration {
 	route := func(name string, address netip.AddrPort, kind declared.RequestKind, service string, objective time.Duration) declared.Route {
 		return declared.Route{
@@ -44,7 +44,8 @@
 	}
 }
 
-// varied returns a configuration with a few idle routes that differ by draw.
+// variedConfiguration returns the base configuration with up to five random routes that no caller
+// uses.
 func (operator *operator) variedConfiguration(version uint64) *declared.Configuration {
 	configuration := operator.baseConfiguration(version)
 	for range operator.random.IntN(6) {
@@ -59,6 +60,7 @@
 	return dropDuplicateRoutes(configuration)
 }
 
+// dropDuplicateRoutes keeps the first route of each address.
 func dropDuplicateRoutes(configuration *declared.Configuration) *declared.Configuration {
 	seen := make(map[netip.AddrPort]bool)
 	kept := configuration.Routes[:0]
@@ -72,7 +74,7 @@
 	return configuration
 }
 
-// declareFirst sends the first configuration until it is taken.
+// declareFirst declares the first configuration, with up to 40 attempts.
 func (operator *operator) declareFirst() {
 	operator.version = 1
 	first := operator.baseConfiguration(1)
@@ -80,20 +82,21 @@
 	operator.send(first, 40, 0)
 }
 
-// Declare sends one more version, drawn anew, until it is acknowledged.
+// Declare declares a higher version with a random configuration, with up to 30 attempts.
 func (operator *operator) Declare() {
 	operator.version += 1 + uint64(operator.random.IntN(3))
 	operator.declare(operator.variedConfiguration(operator.version))
 }
 
-// Race sends two configurations under one version to two members at once.
+// DeclareConflicting declares two random configurations under one version at the same time. They
+// are sent to random members, which may be the same one.
 func (operator *operator) DeclareConflicting() {
 	operator.version += 1 + uint64(operator.random.IntN(3))
 	operator.declare(operator.variedConfiguration(operator.version))
 	operator.declare(operator.variedConfiguration(operator.version))
 }
 
-// DeclareInvalid sends a configuration that must be refused.
+// DeclareInvalid declares an invalid configuration, which must be refused.
 func (operator *operator) DeclareInvalid() {
 	operator.version++
 	invalid := operator.variedConfiguration(operator.version)
@@ -120,50 +123,51 @@
 
 func (operator *operator) endpoint() kernel.Endpoint { return endpoint("operator", zones[0]) }
 
-func (operator *operator) declare(next *declared.Configuration) {
-	operator.world.checks.configurationSent(next)
-	operator.send(next, 30, operator.random.IntN(len(operator.world.members)))
+// declare records the configuration for the checks and sends it, first to a random member.
+func (operator *operator) declare(configuration *declared.Configuration) {
+	operator.world.checks.configurationSent(configuration)
+	operator.send(configuration, 30, operator.random.IntN(len(operator.world.members)))
 }
 
-// send calls members in turn until one acknowledges.
-func (operator *operator) send(next *declared.Configuration, attempts, memberIndex int) {
+// send calls members in turn until one acknowledges the configuration or no attempts remain.
+func (operator *operator) send(configuration *declared.Configuration, attempts, memberIndex int) {
 	if attempts == 0 {
 		return
 	}
 	world := operator.world
 	world.call(operator.endpoint(), world.members[memberIndex%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			member.Registrar.Declare(now, next, deadline, done)
+			member.Registrar.Declare(now, configuration, deadline, done)
 		}, func(err error) {
 			if err == nil {
-				world.checks.configurationAcknowledged(next.Version)
+				world.checks.configurationAcknowledged(configuration.Version)
 				return
 			}
-			world.after(100*time.Millisecond, func() { operator.send(next, attempts-1, memberIndex+1) })
+			world.after(100*time.Millisecond, func() { operator.send(configuration, attempts-1, memberIndex+1) })
 		})
 }
 
-// Read reads the configuration at any member and checks the answer.
+// Read reads the configuration from a random member and checks the answer.
 func (operator *operator) Read() {
 	world := operator.world
 	expected := world.checks.highestAcknowledged
 	member := kernel.Pick(operator.random, world.members)
-	var held *declared.Configuration
+	var configuration *declared.Configuration
 	world.call(operator.endpoint(), member,
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			world.options.Parts.ReadConfiguration(member, now, deadline, func(read *declared.Configuration, err error) {
-				held = read
+				configuration = read
 				done(err)
 			})
 		}, func(err error) {
 			if err == nil {
-				world.checks.checkRead(expected, held)
+				world.checks.checkRead(expected, configuration)
 			}
 		})
 }
 
-// Work declares, races, resends and reads until the returned function is
-// called.
+// StartOperations starts a random operation after each pause until stop is called: a valid, invalid
+// or conflicting declaration, or a read.
 func (operator *operator) StartOperations(pause time.Duration) (stop func()) {
 	working := true
 	operator.world.run.Scheduler.Every(pause, func() bool {
--- a/internal/sim/directworld/stories_control.go
+++ b/internal/sim/directworld/stories_control.go
@@ -7,6 +7,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
+// leaderLoss kills, powers off or freezes the leader, while a target is replaced.
 func leaderLoss(world *World) {
 	for range 5 {
 		leader := world.leader()
@@ -38,7 +39,9 @@
 	}
 }
 
-// cut separates a member for a while in one of several ways.
+// partitionMember partitions a member for a duration in one of four random ways: it is isolated
+// from all processes, its messages to other members are dropped, messages between it and other
+// members are dropped both ways, or its messages to balancers are dropped.
 func (world *World) partitionMember(member *Member, duration time.Duration) {
 	name := member.process.Name
 	var heals []func()
@@ -70,6 +73,7 @@
 	})
 }
 
+// coreCuts partitions the leader or another member, while a target is replaced.
 func coreCuts(world *World) {
 	for range 5 {
 		member := kernel.Pick(world.random, world.members)
@@ -86,6 +90,8 @@
 	}
 }
 
+// lostDisks wipes the disks of members one after the other, and of a random one when all lose
+// power.
 func lostDisks(world *World) {
 	for range 4 {
 		member := kernel.Pick(world.random, world.members)
@@ -99,6 +105,8 @@
 	world.powerOffAll(true)
 }
 
+// replacedMembers powers off members for good and adds empty ones, and finally restarts one that
+// was off only for a while.
 func replacedMembers(world *World) {
 	for round := range 3 {
 		removed := world.members[round]
@@ -113,8 +121,9 @@
 	removed.Start()
 }
 
-// powerOffAll lets every process lose power at once; with losing, the disk of
-// one member too.
+// powerOffAll powers off all members and balancers at the same time. All of them, except members
+// that were not running, start again within 1.5 seconds. If wipeOne is true, a random member also
+// loses its disk.
 func (world *World) powerOffAll(wipeOne bool) {
 	wiped := kernel.Pick(world.random, world.members)
 	for _, member := range world.members {
@@ -132,6 +141,7 @@
 	}
 }
 
+// powerLoss powers off all processes four times; every second time a member also loses its disk.
 func powerLoss(world *World) {
 	for round := range 4 {
 		world.powerOffAll(round%2 == 1)
@@ -139,6 +149,7 @@
 	}
 }
 
+// fullDisks fills the disk of the leader or another member for some seconds.
 func fullDisks(world *World) {
 	for range 4 {
 		member := kernel.Pick(world.random, world.members)
@@ -154,6 +165,7 @@
 	}
 }
 
+// fiveMembers wipes two members at the same time, three times, and then powers off all processes.
 func fiveMembers(world *World) {
 	world.RunFor(4 * time.Second)
 	for range 3 {
--- a/internal/sim/directworld/stories_links.go
+++ b/internal/sim/directworld/stories_links.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// narrowLinkRate is what the links of the scenarios carry, in bytes a second: an
-// upload takes a quarter of a second of it.
+// narrowLinkRate is the capacity of each link in the scenarios, in bytes per second. An upload
+// takes a quarter of a second of it.
 const narrowLinkRate = 250_000
 
-// uploadsPerSecond is about half of what the links of all balancers carry.
+// uploadsPerSecond is the rate of uploads, about half of what the links of all balancers can carry.
 const uploadsPerSecond = 8
 
+// narrowLinkOptions sets narrow links, which routers use per flow.
 func narrowLinkOptions(options *Options) {
 	options.Affine = true
 	options.CallsOnly = true
 	options.LinkRate = narrowLinkRate
 }
 
-// narrowLinks has uploads and calls beside each other.
+// narrowLinks runs uploads and calls at the same time, within the capacity of the links.
 func narrowLinks(world *World) {
 	world.uploads.runAtRate(uploadsPerSecond, func() {
 		world.calls.RunAtRate(callCapacityPerSecond/4, 4*time.Second, 20*time.Second)
@@ -24,18 +25,18 @@
 	world.checks.checkTimelyUploads(0.65, 1.2)
 }
 
-// fullLinks has twice as many uploads as the links carry.
+// fullLinks runs twice as many uploads as the links can carry, and calls.
 func fullLinks(world *World) {
 	world.uploads.runAtRate(4*uploadsPerSecond, func() {
 		world.calls.RunAtRate(callCapacityPerSecond/4, 4*time.Second, 20*time.Second)
 	})
 	world.checks.checkTimelyCalls(0.75, 1.1)
-	// Half can be carried at all.
+	// The links can carry only half of the uploads.
 	world.checks.checkTimelyUploads(0.2, 2.5)
 }
 
-// run makes uploads at a rate while others run, and counts those that begin when
-// the calls of others are counted.
+// runAtRate starts uploads at a mean rate while others runs, for 24 seconds. It counts the uploads
+// that begin after the first 4 seconds, when the calls of others are counted too.
 func (uploads *uploads) runAtRate(perSecond int, others func()) {
 	uploads.perSecond = perSecond
 	uploads.running = true
--- a/internal/sim/directworld/stories_load.go
+++ b/internal/sim/directworld/stories_load.go
@@ -7,16 +7,18 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
+// callsOnlyOptions reserves the feed service for calls and makes routers keep flows on one
+// balancer.
 func callsOnlyOptions(options *Options) {
 	options.Affine = true
 	options.CallsOnly = true
 }
 
-// capacityPerSecond is the number of calls that a feed service of the default
-// size serves in a second.
+// callCapacityPerSecond is the number of calls per second that the feed service of the default size
+// can serve.
 const callCapacityPerSecond = 300
 
-// feedTarget returns a ready target of the feed service.
+// pickFeedTarget returns a random ready target of the feed service.
 func (world *World) pickFeedTarget() *target {
 	var ready []*target
 	for _, target := range world.targets {
@@ -27,6 +29,8 @@
 	return kernel.Pick(world.random, ready)
 }
 
+// heavyLoad runs calls at 70% of the capacity with one slow target. A target is replaced and a
+// balancer restarts meanwhile.
 func heavyLoad(world *World) {
 	world.pickFeedTarget().slots.slowdown = 3
 	world.after(4*time.Second, func() {
@@ -39,7 +43,8 @@
 	world.checks.checkTimelyCalls(0.93, 1.1)
 }
 
-// erringTargets has a target that answers errors while callers press, twice.
+// erringTargets makes a target answer errors for 6 seconds while calls run, twice. The second time
+// the leader is killed when the errors end.
 func erringTargets(world *World) {
 	for round := range 2 {
 		chosen := world.pickFeedTarget()
@@ -60,19 +65,23 @@
 	}
 }
 
+// overload runs a third more calls than targets can serve.
 func overload(world *World) {
 	world.calls.RunAtRate(callCapacityPerSecond*4/3, 4*time.Second, 12*time.Second)
 	world.checks.checkTimelyCalls(0.6, 1.05)
 }
 
-// largeBalancers is a number of balancers that share no load with each other.
+// largeBalancerCount is a number of balancers at which they do not report load to each other.
 const largeBalancerCount = 24
 
+// largeOptions sets calls and a large number of balancers.
 func largeOptions(options *Options) {
 	callsOnlyOptions(options)
 	options.Balancers = largeBalancerCount
 }
 
+// largeOverload runs a third more calls than targets can serve, through many balancers. A member is
+// killed meanwhile.
 func largeOverload(world *World) {
 	world.after(7*time.Second, func() {
 		killed := kernel.Pick(world.random, world.members)
@@ -80,7 +89,7 @@
 		world.after(time.Second, killed.Start)
 	})
 	world.calls.RunAtRate(callCapacityPerSecond*4/3, 4*time.Second, 12*time.Second)
-	// Three quarters can be served at all; sums by way of a member are older than
-	// reports of balancers to each other.
+	// Targets can serve three quarters of the calls. Load sums that pass through a member are older
+	// than load reports between balancers.
 	world.checks.checkTimelyCalls(0.5, 1.05)
 }
--- a/internal/sim/directworld/stories_zones.go
+++ b/internal/sim/directworld/stories_zones.go
@@ -10,23 +10,25 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// coldLimit is the bound of cold targets in the stories about them.
+// coldLimit is the limit for cold targets in the scenarios that test it.
 var coldLimit = declared.ColdLimit{Stated: true, Start: 2 * time.Second, PerSecond: 2}
 
 const (
-	// orderTries and orderPause are how often and after which pause an operator repeats
-	// an order that was not acknowledged.
+	// maxOrderAttempts and orderPause are how many times, and after which pause, an operator sends
+	// an order until it is acknowledged.
 	maxOrderAttempts = 40
 	orderPause       = 100 * time.Millisecond
 )
 
-// order gives an order for a zone, which is repeated at other members until it is
-// acknowledged, and calls acknowledged then.
+// sendZoneOrder sends an order to evacuate a zone, or to end its evacuation if end is true. It
+// repeats the order at other members until it is acknowledged, and then calls acknowledged. After
+// maxOrderAttempts attempts it gives up.
 func (operator *operator) sendZoneOrder(zone model.ZoneName, end bool, acknowledged func()) {
 	operator.world.checks.zones.orderSent(zone)
 	operator.attemptZoneOrder(zone, end, maxOrderAttempts, operator.random.IntN(len(operator.world.members)), acknowledged)
 }
 
+// attemptZoneOrder makes one attempt and schedules the next one if it is not acknowledged.
 func (operator *operator) attemptZoneOrder(zone model.ZoneName, end bool, attempts, memberIndex int, acknowledged func()) {
 	if attempts == 0 {
 		return
@@ -48,8 +50,9 @@
 		})
 }
 
-// switchZones empties a zone, takes it back a moment after that was acknowledged, and so
-// on, until the returned function is called.
+// alternateEvacuations evacuates a random zone and ends the evacuation again, and so on until stop
+// is called; an evacuation in progress is still ended. A random pause, shorter than the given one,
+// follows each acknowledgement.
 func (operator *operator) alternateEvacuations(pause time.Duration) (stop func()) {
 	working := true
 	var next func(zone model.ZoneName, end bool)
@@ -70,6 +73,8 @@
 	return func() { working = false }
 }
 
+// evacuations alternates evacuations through leader failures and partitions, then evacuates a zone
+// and cuts a balancer off meanwhile.
 func evacuations(world *World) {
 	stop := world.operator.alternateEvacuations(400 * time.Millisecond)
 	leaderLoss(world)
@@ -80,7 +85,7 @@
 	stop()
 	world.RunFor(8 * time.Second)
 	if world.checks.zones.acknowledgedOrders < 10 {
-		world.checks.violate(checker.InvariantProgress, "%d orders for zones were acknowledged", world.checks.zones.acknowledgedOrders)
+		world.checks.violate(checker.InvariantProgress, "only %d orders for zones were acknowledged", world.checks.zones.acknowledgedOrders)
 	}
 	world.operator.sendZoneOrder(zones[0], false, func() {})
 	world.RunFor(12 * time.Second)
@@ -88,6 +93,8 @@
 	world.RunFor(11 * time.Second)
 }
 
+// evacuatedPowerLoss powers off all processes as soon as an order is acknowledged; in the last two
+// rounds a member also loses its disk.
 func evacuatedPowerLoss(world *World) {
 	for round := range 4 {
 		world.operator.sendZoneOrder(zones[0], round%2 == 1, func() { world.powerOffAll(round >= 2) })
@@ -97,7 +104,7 @@
 	world.RunFor(9 * time.Second)
 }
 
-// targetsOf returns the living ready targets of a zone.
+// livingTargetsIn returns the living targets of a zone in any state.
 func (world *World) livingTargetsIn(zone model.ZoneName) []*target {
 	var found []*target
 	for _, target := range world.targets {
@@ -108,6 +115,8 @@
 	return found
 }
 
+// coldReturns lets the targets of each zone die and return cold, and then evacuates the zone and
+// returns its targets cold.
 func coldReturns(world *World) {
 	for round := range 3 {
 		zone := zones[round]
@@ -128,7 +137,8 @@
 	}
 }
 
-// returnCold empties a zone, whose targets turn cold shortly before it is taken back.
+// evacuateAndReturnCold evacuates a zone and makes its targets cold shortly before the evacuation
+// ends.
 func (world *World) evacuateAndReturnCold(zone model.ZoneName) {
 	world.operator.sendZoneOrder(zone, false, func() {})
 	world.RunFor(7 * time.Second)
--- a/internal/sim/directworld/target.go
+++ b/internal/sim/directworld/target.go
@@ -11,14 +11,14 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// callTimeout is how long targets and operators wait for an answer.
+// callTimeout is how long targets and operators wait for the answer to a call.
 const callTimeout = time.Second
 
-// target is a stand-in for one incarnation of a target.
+// target simulates one incarnation of a target.
 type target struct {
 	world *World
 	id    directory.TargetID
-	// started is the start that the target states.
+	// started is the start time that the target reports; it identifies the incarnation.
 	started  directory.StartTime
 	service  string
 	address  netip.AddrPort
@@ -26,43 +26,44 @@
 	state    directory.TargetState
 	sequence uint64
 	alive    bool
-	// silent tells that its machine does not answer at all.
+	// unresponsive reports whether the machine of a dead target does not answer probes at all.
 	unresponsive bool
 	flows        map[*flow]bool
-	// member is the place of the member that is called next.
+	// nextMember is the index of the member that is called next, modulo their number.
 	nextMember int
-	// leavingAckedAt is when draining or leaving was acknowledged.
+	// drainAckedAt is when draining or leaving was first acknowledged.
 	drainAckedAt time.Time
 	diedAt       time.Time
-	// grey is the share of requests that the target takes and never answers,
-	// and hung has the flows with such a request.
+	// hangShare is the probability that the target accepts a request and never answers it.
+	// hungRequests has the number of that request for each flow that has one.
 	hangShare    float64
 	hungRequests map[*flow]int
-	// coldUntil is when the target is no longer cold, and coldFlows are the times at
-	// which new flows reached it while it was.
+	// coldUntil is when the target stops being cold. coldFlows are the times of new flows in the
+	// latest second while it was cold.
 	coldUntil time.Time
 	coldFlows []time.Time
-	// erring tells that the target answers every call with an error at once.
+	// answersErrors reports whether the target answers every call with an error at once.
 	answersErrors bool
-	// slots has the requests of calls.
+	// slots has the calls that the target is serving or has queued.
 	slots slots
 }
 
-// AddTarget starts a target of service at an address of its own.
+// AddTarget starts a target of a service at a new address.
 func (world *World) AddTarget(service string, zone model.ZoneName) *target {
 	world.nextHost++
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(world.nextHost >> 8), byte(world.nextHost)}), 8080)
 	return world.addTargetAt(service, zone, address)
 }
 
+// addTargetAt starts a target with a new identifier at an address, which may have been used before.
 func (world *World) addTargetAt(service string, zone model.ZoneName, address netip.AddrPort) *target {
 	world.nextID++
 	id := directory.TargetID(world.nextID<<8 | world.random.Uint64()&0xff)
 	return world.startTarget(id, service, zone, address)
 }
 
-// Restart ends the target at once and starts another incarnation of it under its
-// identifier and at its address, which counts its calls anew.
+// Restart ends the target at once and starts another incarnation with the same identifier and
+// address. The sequence numbers of its calls start over.
 func (target *target) Restart() *target {
 	target.Crash(false)
 	return target.world.startTarget(target.id, target.service, target.zone, target.address)
@@ -93,6 +94,7 @@
 	return endpoint(target.address.String(), target.zone)
 }
 
+// renewPeriodically registers the target at each renewal interval until it dies or leaves.
 func (target *target) renewPeriodically() {
 	if !target.alive || target.state == directory.TargetLeft {
 		return
@@ -101,8 +103,8 @@
 	target.world.after(renewalInterval, target.renewPeriodically)
 }
 
-// register calls one member; the next beat or the next try calls another one
-// when no acknowledgement comes.
+// register sends the registration to one member. If it is not acknowledged, the next renewal or
+// retry calls the next member.
 func (target *target) register() {
 	world := target.world
 	target.sequence++
@@ -122,7 +124,7 @@
 		})
 }
 
-// stated is the registration that the target would send now.
+// registration returns the registration that the target would send now.
 func (target *target) registration() directory.Target {
 	return directory.Target{
 		ID: target.id, Started: target.started, Service: target.service, Address: target.address, Zone: string(target.zone),
@@ -130,25 +132,26 @@
 	}
 }
 
-// departure is the notice that the target would send now.
+// departure returns the departure notice that the target would send now.
 func (target *target) departure() directory.Departure {
 	return directory.Departure{ID: target.id, Started: target.started}
 }
 
-// coldFor returns how much longer the target is cold.
+// remainingCold returns how much longer the target is cold, or 0.
 func (target *target) remainingCold() time.Duration {
 	return max(target.coldUntil.Sub(target.world.Now()), 0)
 }
 
-// retry calls the next member soon when a drain was not acknowledged.
+// retry calls the next member after a short pause if a drain has not been acknowledged.
 func (target *target) retry(state directory.TargetState) {
 	if state == directory.TargetDraining && target.drainAckedAt.IsZero() && target.alive {
 		target.world.after(50*time.Millisecond, target.register)
 	}
 }
 
-// call sends a call to a member and its answer back. No answer within
-// callTimeout counts as an error; done is called once.
+// call runs start at a member and returns its answer over the control network. A member that is not
+// active drops the call. No answer within callTimeout is an error. done is called at most once, and
+// not after the world has ended.
 func (world *World) call(from kernel.Endpoint, member *Member,
 	start func(member *Member, now, deadline time.Time, done func(error)), done func(error)) {
 	ended := false
@@ -171,8 +174,8 @@
 	})
 }
 
-// Drain makes the target leave as planned: it drains, serves on after the
-// acknowledgement, leaves and ends.
+// Drain makes the target leave as planned: it drains, serves its flows for 7 more seconds, leaves
+// and ends.
 func (target *target) Drain() {
 	target.state = directory.TargetDraining
 	target.world.run.Trace.Add(target.address.String(), "drains", "")
@@ -180,6 +183,7 @@
 	target.world.after(7*time.Second, target.leave)
 }
 
+// leave sends one departure notice and ends the target half a second later.
 func (target *target) leave() {
 	world := target.world
 	if !target.alive {
@@ -193,14 +197,15 @@
 	world.after(500*time.Millisecond, func() { target.Crash(false) })
 }
 
-// LeaveFirst makes the target leave as planned without draining: it leaves
-// until that is acknowledged, serves on and ends.
+// LeaveWithoutDraining makes the target leave as planned without draining first: it sends departure
+// notices until one is acknowledged, serves its flows for 7 more seconds and ends.
 func (target *target) LeaveWithoutDraining() {
 	target.state = directory.TargetLeft
 	target.world.run.Trace.Add(target.address.String(), "leaves first", "")
 	target.leaveUntilAcknowledged()
 }
 
+// leaveUntilAcknowledged repeats the departure notice until it is acknowledged.
 func (target *target) leaveUntilAcknowledged() {
 	world := target.world
 	world.call(target.endpoint(), kernel.Pick(world.random, world.members),
@@ -216,8 +221,8 @@
 		})
 }
 
-// repeatLate lets a copy of the target's next renewal arrive after a delay,
-// whatever became of the target meanwhile.
+// scheduleLateRenewal sends a renewal with the present state of the target after a delay, even if
+// the target has ended by then.
 func (target *target) scheduleLateRenewal(delay time.Duration) {
 	target.sequence++
 	registration := target.registration()
@@ -231,19 +236,20 @@
 	})
 }
 
-// hangs tells whether the target takes a request and never answers it.
-func (target *target) hangsOn(flow *flow, asked int) bool {
-	if target.hungRequests[flow] == asked {
+// hangsOn reports whether the target accepts a request and never answers it.
+func (target *target) hangsOn(flow *flow, request int) bool {
+	if target.hungRequests[flow] == request {
 		return true
 	}
-	if flow.answered >= asked || !target.world.random.Chance(target.hangShare) {
+	if flow.answered >= request || !target.world.random.Chance(target.hangShare) {
 		return false
 	}
-	target.hungRequests[flow] = asked
+	target.hungRequests[flow] = request
 	return true
 }
 
-// Die ends the target at once. A silent one's machine is gone too.
+// Crash ends the target at once. If unresponsive is true, its machine fails too and does not answer
+// probes.
 func (target *target) Crash(unresponsive bool) {
 	if !target.alive {
 		return
@@ -258,7 +264,7 @@
 	target.world.run.Trace.Add(target.address.String(), "dies", "")
 }
 
-// probe answers a connection attempt at an address.
+// probe simulates a connection attempt to an address. An unresponsive machine never answers.
 func (world *World) probe(from kernel.Endpoint, address netip.AddrPort, answer func(probe.Outcome)) {
 	found := world.byAddress[address]
 	if found == nil || found.unresponsive {
@@ -275,7 +281,8 @@
 	})
 }
 
-// deliver carries a packet from a balancer to a target's address.
+// deliver sends a packet from a balancer to its target. The packet is dropped if the target process
+// at the address has ended or has another identifier when it arrives.
 func (world *World) deliver(sender *balancer, packet packet, decision steer.Decision) {
 	found := world.byAddress[decision.Target]
 	if found == nil {
@@ -290,8 +297,8 @@
 	})
 }
 
-// refuse answers a packet of a flow that this incarnation does not have: as targets do, it
-// resets a flow of a former start.
+// rejectUnknownFlow handles a packet of a flow that this incarnation does not have. It resets a
+// flow of a previous incarnation, as real targets do, and reports any other packet as misdelivered.
 func (target *target) rejectUnknownFlow(packet packet) {
 	flow := packet.flow
 	if flow.target == nil || flow.target.id != target.id {
@@ -301,7 +308,8 @@
 	target.world.packets.Send(target.endpoint(), flow.endpoint(), flow.handleTargetReset)
 }
 
-// take handles a packet that is meant for this incarnation.
+// handlePacket handles a packet that reached this target: it accepts a new flow, rejects a flow of
+// another target or incarnation, and otherwise processes the request.
 func (target *target) handlePacket(sender *balancer, packet packet, decision steer.Decision) {
 	world := target.world
 	flow := packet.flow
--- a/internal/sim/directworld/uploads.go
+++ b/internal/sim/directworld/uploads.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// pieceBytes is the data of a full packet.
+	// chunkBytes is the length of the data in a full packet.
 	chunkBytes = 1200
-	// lastPieceBytes is the data of the last packet of an upload.
+	// lastChunkBytes is the length of the data in the last packet of an upload.
 	lastChunkBytes = 500
-	// uploadPieces is the number of packets of an upload.
+	// uploadChunks is the number of data packets of an upload.
 	uploadChunks = 50
-	// uploadWindow is the number of packets that are under way at a time.
+	// uploadWindow is the maximum number of chunks in flight.
 	uploadWindow = 16
-	// repeatLeast and repeatMost bound how long an upload waits before it repeats
-	// a packet that was not acknowledged.
+	// minRetransmitWait and maxRetransmitWait bound the wait before a chunk that was not
+	// acknowledged is sent again. The wait doubles with each retransmission.
 	minRetransmitWait = 200 * time.Millisecond
 	maxRetransmitWait = 1600 * time.Millisecond
-	// uploadObjective is the latency that the route of uploads aims at, and
-	// uploadDeadline when their callers give up.
+	// uploadObjective is the latency objective of the upload route. uploadDeadline is how long
+	// after its flow opened the caller of an upload gives up.
 	uploadObjective = 2 * time.Second
 	uploadDeadline  = 8 * time.Second
-	// uploadWork is how long a target works on an upload that came whole.
+	// uploadWorkTime is the time from the arrival of the last missing chunk to the answer.
 	uploadWorkTime = 5 * time.Millisecond
 )
 
-// upload is one long request, which is tried again when it is refused.
+// upload is one long request. It is retried with a new flow if its flow was refused.
 type upload struct {
 	world     *World
 	startedAt time.Time
 	counted   bool
 	attempts  int
 	done      bool
-	// latest is the latest try: there is one at a time.
+	// latestAttempt is the latest attempt; there is one at a time.
 	latestAttempt *uploadFlow
 }
 
-// uploadFlow is an upload on the flow of one try.
+// uploadFlow is one attempt of an upload on its own flow.
 type uploadFlow struct {
 	upload *upload
 	flow   *flow
-	// acknowledged has the packets that the target confirmed, and next is the
-	// number of the first one that was not sent yet.
+	// acknowledged has the chunks that the target acknowledged. next is the number of the first
+	// chunk that has not been sent.
 	acknowledged map[int]bool
 	next         int
 	inFlight     int
-	// received has the packets that came to the target.
+	// received has the chunks that reached the target.
 	received map[int]bool
 }
 
+// openFlow starts an attempt. The attempt fails if its flow does not open within openTimeout.
 func (upload *upload) openFlow() {
 	upload.attempts++
 	opened := upload.world.callers.newFlow(routeUpload, time.Minute)
@@ -68,9 +69,9 @@
 	})
 }
 
-// failed takes in that the flow ended before the upload was answered. One whose
-// flow had opened may have run, and is not tried again. A flow that was reset fails
-// once: that it does not open in time either says nothing new.
+// handleFailure handles the end of a flow before the upload was answered. An upload whose flow had
+// opened may have been executed and is not retried. Failures of earlier attempts are ignored: a
+// flow that was reset while it opened has failed already when its openTimeout expires.
 func (transfer *uploadFlow) handleFailure() {
 	upload := transfer.upload
 	if upload.latestAttempt != transfer {
@@ -88,7 +89,7 @@
 	upload.openFlow()
 }
 
-// begin sends the first window.
+// start sends the first window of chunks.
 func (transfer *uploadFlow) start() {
 	world := transfer.upload.world
 	world.after(uploadDeadline, func() {
@@ -101,32 +102,33 @@
 	transfer.fillWindow()
 }
 
+// fillWindow sends further chunks while the window allows it.
 func (transfer *uploadFlow) fillWindow() {
 	for transfer.inFlight < uploadWindow && transfer.next <= uploadChunks {
-		piece := transfer.next
+		chunk := transfer.next
 		transfer.next++
 		transfer.inFlight++
-		transfer.sendChunk(piece, minRetransmitWait)
+		transfer.sendChunk(chunk, minRetransmitWait)
 	}
 }
 
-// send sends a packet, and again until it is acknowledged.
-func (transfer *uploadFlow) sendChunk(piece int, wait time.Duration) {
-	if transfer.flow.ended || transfer.acknowledged[piece] {
+// sendChunk sends a chunk and retransmits it until it is acknowledged or the flow ends.
+func (transfer *uploadFlow) sendChunk(chunk int, wait time.Duration) {
+	if transfer.flow.ended || transfer.acknowledged[chunk] {
 		return
 	}
 	flow := transfer.flow
-	flow.send(packet{flow: flow, token: flow.token, chunk: piece, requested: 1, answered: flow.answered})
-	transfer.upload.world.after(wait, func() { transfer.sendChunk(piece, min(2*wait, maxRetransmitWait)) })
+	flow.send(packet{flow: flow, token: flow.token, chunk: chunk, requested: 1, answered: flow.answered})
+	transfer.upload.world.after(wait, func() { transfer.sendChunk(chunk, min(2*wait, maxRetransmitWait)) })
 }
 
-// take is the target's part: it acknowledges each packet, and answers once all
-// came.
-func (transfer *uploadFlow) receiveChunk(target *target, piece int) {
+// receiveChunk runs at the target. It acknowledges each chunk and answers once all of them have
+// arrived.
+func (transfer *uploadFlow) receiveChunk(target *target, chunk int) {
 	world := transfer.upload.world
 	alreadyComplete := len(transfer.received) == uploadChunks
-	transfer.received[piece] = true
-	world.packets.Send(target.endpoint(), transfer.flow.endpoint(), func() { transfer.handleAck(piece) })
+	transfer.received[chunk] = true
+	world.packets.Send(target.endpoint(), transfer.flow.endpoint(), func() { transfer.handleAck(chunk) })
 	if alreadyComplete || len(transfer.received) < uploadChunks {
 		return
 	}
@@ -135,15 +137,17 @@
 	})
 }
 
-func (transfer *uploadFlow) handleAck(piece int) {
-	if transfer.acknowledged[piece] || transfer.flow.ended {
+// handleAck records an acknowledgement at the caller.
+func (transfer *uploadFlow) handleAck(chunk int) {
+	if transfer.acknowledged[chunk] || transfer.flow.ended {
 		return
 	}
-	transfer.acknowledged[piece] = true
+	transfer.acknowledged[chunk] = true
 	transfer.inFlight--
 	transfer.fillWindow()
 }
 
+// handleAnswer ends the upload at the caller after its answer.
 func (transfer *uploadFlow) handleAnswer() {
 	flow := transfer.flow
 	if flow.ended {
@@ -157,16 +161,16 @@
 	transfer.upload.world.uploads.recordServed(transfer.upload)
 }
 
-// uploads makes uploads at a rate and counts how they end.
+// uploads starts uploads at a constant mean rate and counts their results.
 type uploads struct {
 	world     *World
 	random    *kernel.Random
 	perSecond int
 	running   bool
 	counting  bool
-	// asked, timely and served count the uploads that began while they were counted,
-	// those that were answered within the objective, and at all; tried counts the
-	// flows that the answered ones took.
+	// started counts the uploads that began while counting was set. timely and served count those
+	// of them that were answered within the objective and at all. attempts counts the flows of
+	// the served ones.
 	started, timely, served, attempts int
 }
 
@@ -174,37 +178,40 @@
 	return &uploads{world: world, random: world.run.Random("uploads")}
 }
 
+// scheduleNext starts the next upload after an exponentially distributed pause, and so on while
+// uploads are running.
 func (uploads *uploads) scheduleNext() {
 	uploads.world.after(uploads.random.Exponential(time.Second/time.Duration(uploads.perSecond)), func() {
 		if !uploads.running {
 			return
 		}
-		begun := &upload{world: uploads.world, startedAt: uploads.world.Now(), counted: uploads.counting}
+		created := &upload{world: uploads.world, startedAt: uploads.world.Now(), counted: uploads.counting}
 		if uploads.counting {
 			uploads.started++
 		}
-		begun.openFlow()
+		created.openFlow()
 		uploads.scheduleNext()
 	})
 }
 
-func (uploads *uploads) recordServed(ended *upload) {
-	if !ended.counted {
+// recordServed counts an answered upload if it began while uploads were counted.
+func (uploads *uploads) recordServed(finished *upload) {
+	if !finished.counted {
 		return
 	}
 	uploads.served++
-	uploads.attempts += ended.attempts
-	if uploads.world.Now().Sub(ended.startedAt) <= uploadObjective {
+	uploads.attempts += finished.attempts
+	if uploads.world.Now().Sub(finished.startedAt) <= uploadObjective {
 		uploads.timely++
 	}
 }
 
-// timelyUploads demands that enough of the counted uploads were answered within
-// their objective, and that those that were answered took few tries.
+// checkTimelyUploads checks that at least timelyShare of the counted uploads were answered within
+// their objective, and that the answered ones took at most attemptsEach attempts on average.
 func (checks *checks) checkTimelyUploads(timelyShare, attemptsEach float64) {
 	uploads := checks.world.uploads
 	checks.checkTimely("uploads", tally{uploads.started, uploads.timely, uploads.served}, uploadObjective, timelyShare)
 	if each := float64(uploads.attempts) / float64(max(uploads.served, 1)); each > attemptsEach {
-		checks.violate(checker.InvariantTimely, "%d tries for %d uploads that were answered", uploads.attempts, uploads.served)
+		checks.violate(checker.InvariantTimely, "%d attempts for %d uploads that were answered", uploads.attempts, uploads.served)
 	}
 }
--- a/internal/sim/directworld/work.go
+++ b/internal/sim/directworld/work.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// slotsPerTarget is the number of requests that a target works on at once,
-	// and queuePerTarget the number that wait for it; it refuses more.
+	// slotsPerTarget is the number of calls that a target serves at the same time, and
+	// queuePerTarget the length of its queue. Calls beyond that are refused.
 	slotsPerTarget = 2
 	queuePerTarget = 10
-	// workLeast and workMost bound the time of one request on a slot.
+	// minWorkTime and maxWorkTime bound the time that serving one call takes.
 	minWorkTime = 20 * time.Millisecond
 	maxWorkTime = 60 * time.Millisecond
-	// objective is the latency that the route of the calls aims at.
+	// callObjective is the latency objective of the route that calls use.
 	callObjective = 200 * time.Millisecond
-	// triesPerCall bounds the flows that a caller opens for one call.
+	// maxAttempts bounds the flows that a caller opens for one call or upload.
 	maxAttempts = 3
 )
 
-// job is a request that a target works on, or will.
+// job is a call that a target is serving or has queued.
 type job struct {
 	flow    *flow
 	request int
 }
 
-// slots are what a target works on requests with, and the queue in front of them.
+// slots has the calls that a target is serving, and its queue.
 type slots struct {
 	running int
 	queue   []job
-	// taken has the flows whose request is running or waits.
+	// flows has the flows whose call is running or queued.
 	flows map[*flow]bool
-	// slowness multiplies the time of a request; zero counts as one.
+	// slowdown multiplies the time that serving a call takes; zero counts as one.
 	slowdown int
 }
 
-// work takes a request of a call in. One that is there already changes nothing,
-// and one too many is refused.
+// handleRequest serves, queues or refuses the request of a call. A copy of a request that is
+// running, queued or answered is ignored.
 func (target *target) handleRequest(next job) {
 	world := target.world
 	if target.slots.flows[next.flow] || next.flow.answered >= next.request {
@@ -59,6 +59,7 @@
 	}
 }
 
+// runJob serves a call on a free slot, and then the next one of the queue.
 func (target *target) runJob(next job) {
 	target.slots.running++
 	duration := target.world.calls.random.Between(minWorkTime, maxWorkTime) * time.Duration(max(target.slots.slowdown, 1))
@@ -70,37 +71,38 @@
 		}
 		target.answer(next, true)
 		if len(target.slots.queue) > 0 {
-			following := target.slots.queue[0]
+			waiting := target.slots.queue[0]
 			target.slots.queue = target.slots.queue[1:]
-			target.runJob(following)
+			target.runJob(waiting)
 		}
 	})
 }
 
-// answer sends the answer to a call, or its refusal.
-func (target *target) answer(done job, served bool) {
+// answer sends the answer to a call, or an error answer if it was not served.
+func (target *target) answer(finished job, served bool) {
 	world := target.world
 	bytes := uint32(requestBytes)
 	if !served {
 		bytes = errorBytes
 	}
-	world.packets.Send(target.endpoint(), done.flow.endpoint(), func() {
-		done.flow.handleAnswer(done.request, bytes)
-		done.flow.call.flowEnded(done.flow, served)
+	world.packets.Send(target.endpoint(), finished.flow.endpoint(), func() {
+		finished.flow.handleAnswer(finished.request, bytes)
+		finished.flow.call.flowEnded(finished.flow, served)
 	})
 }
 
-// call is a request with a flow of its own, tried again when it fails.
+// call is one request with a flow of its own. It is retried with a new flow when it fails.
 type call struct {
 	world     *World
 	startedAt time.Time
 	attempts  int
 	done      bool
-	// counted tells that the call began while calls were counted.
+	// counted reports whether the call began while calls were counted.
 	counted bool
 }
 
-// try opens one more flow for the call.
+// openFlow starts an attempt with a new flow. The attempt fails if the flow does not open within
+// openTimeout.
 func (call *call) openFlow() {
 	call.attempts++
 	opened := call.world.callers.newFlow(routeFeed, time.Minute)
@@ -113,7 +115,8 @@
 	})
 }
 
-// ended takes in how the flow of the latest try ended.
+// flowEnded records the end of an attempt. It ends the flow, and retries a failed call while
+// attempts remain.
 func (call *call) flowEnded(flow *flow, served bool) {
 	if flow.callEnded {
 		return
@@ -136,23 +139,23 @@
 	}
 }
 
-// calls makes calls at a rate and counts how they end.
+// calls starts calls at a constant mean rate and counts their results.
 type calls struct {
 	world     *World
 	random    *kernel.Random
 	perSecond int
 	running   bool
-	// counting tells that calls count that begin now; asked, timely, served and
-	// arrived count them, the answers within the objective, all answers, and the
-	// requests that reached targets.
+	// counting reports whether calls that begin now are counted. started counts these calls;
+	// timely and served count those of them that were answered within the objective and at all.
+	// arrived counts the requests that reached targets, whenever their calls began.
 	counting                         bool
 	started, timely, served, arrived int
 }
 
 func newCalls(world *World) *calls { return &calls{world: world, random: world.run.Random("calls")} }
 
-// Press makes calls at a rate for a while, and counts those after the first
-// warmUp.
+// RunAtRate runs the world with calls at a mean rate for warmUp and duration, and 2 more seconds
+// without new calls. It counts the calls that begin within duration.
 func (calls *calls) RunAtRate(perSecond int, warmUp, duration time.Duration) {
 	calls.perSecond = perSecond
 	calls.running = true
@@ -166,43 +169,49 @@
 	calls.world.RunFor(2 * time.Second)
 }
 
+// scheduleNext starts the next call after an exponentially distributed pause, and so on while calls
+// are running.
 func (calls *calls) scheduleNext() {
 	calls.world.after(calls.random.Exponential(time.Second/time.Duration(calls.perSecond)), func() {
 		if !calls.running {
 			return
 		}
-		begun := &call{world: calls.world, startedAt: calls.world.Now(), counted: calls.counting}
+		created := &call{world: calls.world, startedAt: calls.world.Now(), counted: calls.counting}
 		if calls.counting {
 			calls.started++
 		}
-		begun.openFlow()
+		created.openFlow()
 		calls.scheduleNext()
 	})
 }
 
-func (calls *calls) recordEnd(ended *call, served bool) {
-	if !ended.counted || !served {
+// recordEnd counts a call that was served if it began while calls were counted.
+func (calls *calls) recordEnd(finished *call, served bool) {
+	if !finished.counted || !served {
 		return
 	}
 	calls.served++
-	if calls.world.Now().Sub(ended.startedAt) <= callObjective {
+	if calls.world.Now().Sub(finished.startedAt) <= callObjective {
 		calls.timely++
 	}
 }
 
-// tally counts what was asked, answered within an objective, and answered at all.
+// tally counts the calls or uploads that were started, answered within an objective, and answered
+// at all.
 type tally struct{ started, timely, served int }
 
-// timely demands that enough of what was asked was answered within the objective.
+// checkTimely checks that at least timelyShare of the started calls or uploads were answered within
+// the objective.
 func (checks *checks) checkTimely(what string, counted tally, objective time.Duration, timelyShare float64) {
 	if share := float64(counted.timely) / float64(max(counted.started, 1)); share < timelyShare {
-		checks.violate(checker.InvariantTimely, "%d of %d %s were answered within %s, %d at all; %.2f are demanded",
+		checks.violate(checker.InvariantTimely, "%d of %d %s were answered within %s, %d at all; the required share is %.2f",
 			counted.timely, counted.started, what, objective, counted.served, timelyShare)
 	}
 }
 
-// timelyCalls demands that enough of the counted calls were answered within the
-// objective, and that callers' tries did not multiply them at the targets.
+// checkTimelyCalls checks that at least timelyShare of the counted calls were answered within the
+// objective, and that at most arrivalsEach requests per call reached targets, so that retries do
+// not multiply the load.
 func (checks *checks) checkTimelyCalls(timelyShare, arrivalsEach float64) {
 	calls := checks.world.calls
 	checks.checkTimely("calls", tally{calls.started, calls.timely, calls.served}, callObjective, timelyShare)
--- a/internal/sim/directworld/world.go
+++ b/internal/sim/directworld/world.go
@@ -1,10 +1,9 @@
-// Package directworld composes a simulated system of direct services: the
-// product's own controllers of members and balancers on simulated processes,
-// and stand-ins for targets that register by themselves, callers, routers that
-// spray packets over the balancers, and operators.
+// Package directworld composes a simulated system of direct services: the product's own controllers
+// of members and balancers on simulated processes, and simulated targets that register themselves,
+// callers, routers that spread packets over the balancers, and operators.
 //
-// Any packet goes through any active balancer. Control messages and calls take
-// the faulty network of the run; packets take one that shares its cuts.
+// A packet may pass through any active balancer. Control messages and calls use the control network
+// with the faults of the options; packets and probes use the packet network, which shares its cuts.
 package directworld
 
 import (
@@ -23,23 +22,23 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Parts are the pieces that a variant may replace.
+// Parts are the components and options that a variant may replace or change.
 type Parts struct {
-	// Decide decides about a packet at a balancer.
+	// Decide makes a balancer's decision about a packet.
 	Decide func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision
-	// Transfers changes how balancers admit long requests to their links.
+	// TransferOptions changes the options of the balancers' admission control for long requests.
 	TransferOptions func(options *transfer.Options)
-	// Choice changes how balancers choose targets and admit flows.
+	// SteerOptions changes the options by which balancers choose targets and admit flows.
 	SteerOptions func(options *steer.Options)
-	// Collecting changes how members add up the load of targets.
+	// CollectorOptions changes the options by which members sum up the load of targets.
 	CollectorOptions func(options *load.CollectorOptions)
-	// Machine wraps the replicated state of a member.
+	// StateMachine wraps the replicated state of a member.
 	StateMachine func(standard replica.StateMachine) replica.StateMachine
 	// Disk wraps a member's disk.
 	Disk func(standard filesystem.FileSystem) filesystem.FileSystem
-	// Messages sees every control message before it is sent; nil changes none.
+	// MessageFilter filters every control message before it is sent; nil changes none.
 	MessageFilter kernel.MessageFilter
-	// Read answers an operator's read at a member.
+	// ReadConfiguration answers an operator's read at a member.
 	ReadConfiguration func(member *Member, now, deadline time.Time, done func(*declared.Configuration, error))
 }
 
@@ -60,27 +59,29 @@
 	}
 }
 
-// Options size a world.
+// Options are the size, the faults and the parts of a world.
 type Options struct {
 	Members         int
 	Balancers       int
 	TargetsPerZone  int
 	ToleratedLosses int
-	// Followers bounds the balancers that a member feeds.
+	// Followers bounds the balancers that follow the feed of a member.
 	Followers int
-	Faults    kernel.LinkFaults
-	// Affine makes the routers send all packets of a flow to one balancer, as
-	// long as it is there; otherwise each packet goes to any.
+	// Faults are the faults of the control network.
+	Faults kernel.LinkFaults
+	// Affine makes the routers send all packets of a flow to one balancer as long as the set of
+	// active balancers does not change; otherwise each packet goes to a random one.
 	Affine bool
-	// CallsOnly leaves the feed service to calls, whose requests take time there.
+	// CallsOnly reserves the feed service for calls, which take time to serve and use the slots
+	// of targets.
 	CallsOnly bool
-	// LinkRate is what a balancer's link carries each way, in bytes a second; zero
-	// means that it has no bound. LinkShare is the share of it that balancers send
-	// at.
+	// LinkRate is the capacity of a balancer's link in each direction in bytes per second; zero
+	// means unlimited. LinkShare is the share of it, from 0 to 1, that balancers use for sending
+	// and assume in admission control.
 	LinkRate, LinkShare float64
-	// ColdLimit is the bound of cold targets that operators declare.
+	// ColdLimit is the limit for cold targets that operators declare.
 	ColdLimit declared.ColdLimit
-	// Skewed gives every process a clock of its own.
+	// Skewed gives every process a random clock offset and drift.
 	Skewed bool
 	Parts  Parts
 }
@@ -100,23 +101,24 @@
 	}
 }
 
-// zones of the world.
+// zones are the zones of the world.
 var zones = []model.ZoneName{"zone-a", "zone-b", "zone-c"}
 
-// The services and routes of the world. Each route's address names it.
+// The services of the world.
 const (
 	serviceFeed   = "feed"
 	serviceLedger = "ledger"
 )
 
+// The addresses of the routes of the world.
 var (
 	routeFeed   = netip.MustParseAddrPort("198.18.0.1:443")
 	routeLedger = netip.MustParseAddrPort("198.18.0.2:443")
 	routeUpload = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// settleTime is how long after its last disturbance a system must keep the
-// rules that have a time bound.
+// settleTime is how long after its last disturbance the system has to satisfy the invariants that
+// have a time bound.
 const settleTime = 4 * time.Second
 
 // World is one simulated system.
@@ -131,7 +133,7 @@
 	members   []*Member
 	balancers []*balancer
 	targets   []*target
-	// byAddress has the target process at each address.
+	// byAddress has the latest target process at each address.
 	byAddress map[netip.AddrPort]*target
 	callers   *callers
 	calls     *calls
@@ -145,7 +147,7 @@
 	stopped     bool
 }
 
-// New returns a world that is not started.
+// New returns a world that is not yet started.
 func New(run *sim.Run, options Options) *World {
 	random := run.Random("direct-world")
 	control := kernel.NewNetwork(run.Scheduler, run.Random("control-network"), latency)
@@ -171,6 +173,7 @@
 	return world
 }
 
+// latency returns the one-way delay of both networks.
 func latency(from, to model.ZoneName) time.Duration {
 	if from == to {
 		return 200 * time.Microsecond
@@ -178,8 +181,8 @@
 	return 600 * time.Microsecond
 }
 
-// Start starts members, balancers and targets, declares the first
-// configuration and begins to open flows.
+// Start starts members, balancers and targets, declares the first configuration, begins to open
+// flows after 6 seconds and runs the world for 8 seconds in all.
 func (world *World) Start() {
 	for index := range world.options.Members {
 		world.members = append(world.members, newMember(world, fmt.Sprintf("10.0.%d.1:7000", index), zones[index%len(zones)], true))
@@ -204,19 +207,20 @@
 	world.RunFor(2 * time.Second)
 }
 
-// RunFor lets virtual time pass.
+// RunFor runs the world for a duration of virtual time.
 func (world *World) RunFor(duration time.Duration) { world.run.Scheduler.RunFor(duration) }
 
 // Now returns the virtual time.
 func (world *World) Now() time.Time { return world.run.Scheduler.Now() }
 
-// disturb notes that a fault begins or ends now.
+// recordDisturbance records that a fault begins or ends now.
 func (world *World) recordDisturbance(kind, detail string) {
 	world.disturbedAt = world.Now()
 	world.run.Trace.Add("story", kind, detail)
 }
 
-// skew gives the process a clock of its own from its next start on.
+// skewClock gives the process a random clock from its next start if Options.Skewed is set: up to an
+// hour off, and up to 1% fast or slow.
 func (world *World) skewClock(process *kernel.Process) {
 	if !world.options.Skewed {
 		return
@@ -227,10 +231,10 @@
 	})
 }
 
-// calm tells whether nothing was disturbed lately.
+// settled reports whether more than settleTime has passed since the last disturbance.
 func (world *World) settled() bool { return world.Now().Sub(world.disturbedAt) > settleTime }
 
-// after calls run once delay has passed, unless the world has ended.
+// after calls run after delay, unless the world has ended by then.
 func (world *World) after(delay time.Duration, run func()) {
 	world.run.Scheduler.After(delay, func() {
 		if !world.stopped {
@@ -239,12 +243,13 @@
 	})
 }
 
-// endpoint returns the network end of something that is no process.
+// endpoint returns the network endpoint of a process, target or caller.
 func endpoint(name string, zone model.ZoneName) kernel.Endpoint {
 	return kernel.Endpoint{Name: model.NodeName(name), Zone: zone}
 }
 
-// Finish heals what is left, lets the system settle and checks its end.
+// Finish lets the system settle for 14 seconds, in which earlier faults still heal, checks the
+// final state and ends the world.
 func (world *World) Finish() {
 	world.RunFor(14 * time.Second)
 	world.checks.checkEnd()
--- a/internal/sim/directworld/zone_checks.go
+++ b/internal/sim/directworld/zone_checks.go
@@ -7,24 +7,26 @@
 	"merlinpaddle/internal/model"
 )
 
-// evacuateBound is how long after the acknowledged order targets of a zone may get new
+// evacuateBound is how long after an acknowledged order to evacuate a zone its targets may get new
 // flows.
 const evacuateBound = 5 * time.Second
 
-// zoneState is what an operator knows of a zone.
+// zoneState is the state of a zone that the operator can infer from its orders.
 type zoneState struct {
-	// evacuated is what the latest acknowledged order says, and since when.
+	// evacuated reports whether the latest acknowledged order evacuated the zone, and since is
+	// when it was acknowledged.
 	evacuated bool
 	since     time.Time
-	// unsure tells that an order is under way, or was given up without an answer.
+	// uncertain reports whether an order is in progress, or was given up without an
+	// acknowledgement.
 	uncertain bool
 }
 
-// zoneChecks judges the orders for zones.
+// zoneChecks verifies evacuations of zones.
 type zoneChecks struct {
 	world  *World
 	states map[model.ZoneName]*zoneState
-	// acknowledged counts the orders that were.
+	// acknowledgedOrders counts the acknowledged orders.
 	acknowledgedOrders int
 }
 
@@ -32,6 +34,7 @@
 	return &zoneChecks{world: world, states: make(map[model.ZoneName]*zoneState)}
 }
 
+// state returns the state of a zone; it creates it if there is none.
 func (checks *zoneChecks) state(zone model.ZoneName) *zoneState {
 	if checks.states[zone] == nil {
 		checks.states[zone] = &zoneState{}
@@ -39,53 +42,56 @@
 	return checks.states[zone]
 }
 
-// sent notes that an order for the zone is under way.
+// orderSent records that an order for the zone is in progress.
 func (checks *zoneChecks) orderSent(zone model.ZoneName) { checks.state(zone).uncertain = true }
 
-// ordered notes that an order for the zone was acknowledged.
+// orderAcknowledged records that an order for the zone was acknowledged. end marks an order that
+// ends an evacuation.
 func (checks *zoneChecks) orderAcknowledged(zone model.ZoneName, end bool) {
 	checks.acknowledgedOrders++
 	*checks.state(zone) = zoneState{evacuated: !end, since: checks.world.Now()}
 }
 
-// opened judges a target that takes a new flow.
+// flowOpened checks that a target that accepts a new flow is not in an evacuated zone.
 func (checks *zoneChecks) flowOpened(sender *balancer, target *target) {
 	state := checks.state(target.zone)
 	passed := checks.world.Now().Sub(state.since)
 	if state.evacuated && !state.uncertain && passed > evacuateBound && checks.world.settled() {
-		checks.world.checks.violate(checker.InvariantEvacuated, "%s sent a new flow to %s in %s, which is emptied since %s",
+		checks.world.checks.violate(checker.InvariantEvacuated, "%s sent a new flow to %s in zone %s, which has been evacuated for %s",
 			sender.process.Name, target.address, target.zone, passed)
 	}
 }
 
-// end demands that the leader and every balancer hold what was acknowledged last.
+// checkEnd checks that the leader has the state of each zone according to the latest acknowledged
+// order, and that every active balancer has as many evacuated zones as the leader.
 func (checks *zoneChecks) checkEnd(leader *Member) {
-	held := make(map[string]bool)
+	evacuatedZones := make(map[string]bool)
 	evacuations, _ := leader.Directory.Evacuations()
 	for _, evacuation := range evacuations {
-		held[evacuation.Zone] = true
+		evacuatedZones[evacuation.Zone] = true
 	}
 	for zone, state := range checks.states {
-		if !state.uncertain && held[string(zone)] != state.evacuated {
-			checks.world.checks.violate(checker.InvariantEvacuated, "zone %s ends with evacuated=%t, against the order that was acknowledged last",
-				zone, held[string(zone)])
+		if !state.uncertain && evacuatedZones[string(zone)] != state.evacuated {
+			checks.world.checks.violate(checker.InvariantEvacuated, "zone %s ends with evacuated=%t, contrary to the latest acknowledged order",
+				zone, evacuatedZones[string(zone)])
 		}
 	}
 	for _, balancer := range checks.world.balancers {
-		if balancer.process.Active() && balancer.table.EvacuatedZones() != len(held) {
-			checks.world.checks.violate(checker.InvariantEvacuated, "%s ends with %d emptied zones, the leader with %d",
-				balancer.process.Name, balancer.table.EvacuatedZones(), len(held))
+		if balancer.process.Active() && balancer.table.EvacuatedZones() != len(evacuatedZones) {
+			checks.world.checks.violate(checker.InvariantEvacuated, "%s ends with %d evacuated zones, but the leader has %d",
+				balancer.process.Name, balancer.table.EvacuatedZones(), len(evacuatedZones))
 		}
 	}
 }
 
 const (
-	// coldOverage and coldSlack are the tolerance of the rate of a cold target.
+	// coldOverage and coldSlack are the tolerance of the rate of new flows at a cold target: the
+	// limit is multiplied by coldOverage, and coldSlack flows are added.
 	coldOverage = 1.5
 	coldSlack   = 5
 )
 
-// openedCold judges a cold target that takes a new flow, whoever sent it.
+// checkColdRate checks the rate of new flows at a cold target, summed over all balancers.
 func (checks *checks) checkColdRate(target *target) {
 	limit := checks.world.options.ColdLimit
 	if !limit.Bounded() || target.remainingCold() == 0 {
@@ -100,6 +106,6 @@
 	}
 	target.coldFlows = append(kept, now)
 	if float64(len(target.coldFlows)) > limit.PerSecond*coldOverage+coldSlack {
-		checks.violate(checker.InvariantColdRate, "the cold target %s got %d new flows in a second", target.address, len(target.coldFlows))
+		checks.violate(checker.InvariantColdRate, "the cold target %s got %d new flows within one second", target.address, len(target.coldFlows))
 	}
 }
--- a/internal/sim/kernel/network.go
+++ b/internal/sim/kernel/network.go
@@ -102,8 +102,8 @@
 	return addCut(network.isolated, name)
 }
 
-// AddDelay adds delay to everything that a process sends or receives until heal is called. Unlike the
-// heal of a cut, this one must be called only once.
+// AddDelay adds delay to everything that a process sends or receives until heal is called. Unlike
+// the heal of a cut, this one must be called only once.
 func (network *Network) AddDelay(name model.NodeName, delay time.Duration) (heal func()) {
 	network.delays[name] += delay
 	return func() { network.delays[name] -= delay }
--- a/internal/sim/kernel/process.go
+++ b/internal/sim/kernel/process.go
@@ -118,7 +118,8 @@
 // LocalNow returns the present time of the process's clock.
 func (process *Process) LocalNow() time.Time { return process.clock.Read(process.host.Scheduler.Now()) }
 
-// AfterRun sets the function that is called with the virtual time after each run of the controllers.
+// AfterRun sets the function that is called with the virtual time after each run of the
+// controllers.
 func (process *Process) AfterRun(observe func(now time.Time)) { process.afterRun = observe }
 
 // Running reports whether the process is started and not killed; it may be frozen.
@@ -255,8 +256,8 @@
 	process.host.Trace.Add(string(process.Name), kind, detail)
 }
 
-// send passes a message through the filter and transmits the resulting messages. Messages to unknown
-// processes are dropped.
+// send passes a message through the filter and transmits the resulting messages. Messages to
+// unknown processes are dropped.
 func (host *Host) send(sender *Process, envelope protocol.Envelope) {
 	envelope.From = sender.Name
 	envelopes := []protocol.Envelope{envelope}
--- a/internal/sim/kernel/random.go
+++ b/internal/sim/kernel/random.go
@@ -48,7 +48,8 @@
 	return time.Duration(random.source.ExpFloat64() * float64(mean))
 }
 
-// Pareto returns a Pareto-distributed duration of at least low with the given shape, capped at high.
+// Pareto returns a Pareto-distributed duration of at least low with the given shape, capped at
+// high.
 func (random *Random) Pareto(low, high time.Duration, shape float64) time.Duration {
 	uniform := 1 - random.source.Float64()
 	value := time.Duration(float64(low) / math.Pow(uniform, 1/shape))
--- a/internal/sim/kernel/trace.go
+++ b/internal/sim/kernel/trace.go
@@ -39,7 +39,8 @@
 	return &Trace{scheduler: scheduler, digest: xxhash.New()}
 }
 
-// Observe sets the function that is called with each later event, including those of NotifyObserver.
+// Observe sets the function that is called with each later event, including those of
+// NotifyObserver.
 func (trace *Trace) Observe(observer func(Event)) { trace.observer = observer }
 
 // Add records one event, which the digest covers.
