--- a/internal/sim/directworld/stories.go
+++ b/internal/sim/directworld/stories.go
@@ -240,6 +240,8 @@
 	})
 }
 
+// targetDeaths crashes targets, every second time with their machines, and gives their addresses to
+// targets of the other service.
 func targetDeaths(world *World) {
 	for round := range 4 {
 		for _, target := range world.pickReadyTargets(2) {
@@ -257,6 +259,8 @@
 	}
 }
 
+// lateCalls lets a target leave without draining and crashes two others, whose late renewals arrive
+// afterwards. A new target takes over the address of one of them.
 func lateCalls(world *World) {
 	for range 4 {
 		leaving := world.pickReadyTargets(3)
@@ -284,6 +288,7 @@
 // another interval.
 const startKnownBound = 2 * renewalInterval
 
+// restartedTargets restarts targets while late renewals of their previous incarnations arrive.
 func restartedTargets(world *World) {
 	for round := range 4 {
 		var restarted []*target
@@ -327,6 +332,7 @@
 // another balancer.
 const peerFailoverTime = 3 * time.Second
 
+// cutBalancers cuts two balancers off from all members. They have to stay current through their peers.
 func cutBalancers(world *World) {
 	for round := range 4 {
 		cut := []*balancer{world.balancers[round%len(world.balancers)], world.balancers[(round+1)%len(world.balancers)]}
@@ -346,6 +352,8 @@
 	}
 }
 
+// relayedFeed restarts balancers, replaces targets and kills a member. Before each round every
+// balancer has to be current.
 func relayedFeed(world *World) {
 	for range 3 {
 		world.RunFor(3 * time.Second)
@@ -375,6 +383,8 @@
 	reinstatementBound = 35 * time.Second
 )
 
+// greyTargets makes a target leave 70% of its requests unanswered until some seconds after it was
+// ejected, twice. The second time the leader is killed while the target is ejected.
 func greyTargets(world *World) {
 	for round := range 2 {
 		chosen := world.pickReadyTargets(1)[0]
