--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -19,21 +19,21 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// balancerInterval is how often a simulated balancer's controllers run without
-// a message.
+// balancerInterval is the interval of the runs of a simulated balancer's controllers. A received
+// message causes a run at once.
 const balancerInterval = 40 * time.Millisecond
 
-// loadInterval is the least time between two reports of open requests.
-const loadInterval = 25 * time.Millisecond
+// loadReportInterval is the minimum time between two reports of open requests.
+const loadReportInterval = 25 * time.Millisecond
 
-// peerFollowers bounds the balancers that a simulated balancer feeds.
-const peerFollowers = 16
+// maxPeerFollowers bounds the balancers that follow the feed of a simulated balancer.
+const maxPeerFollowers = 16
 
-// linkAdmission is the share of its objective in which a link has to carry a long
-// request.
-const linkAdmission = 0.5
+// linkObjectiveShare is the share of its route's objective within which a long request has to be
+// transmitted over a balancer's link.
+const linkObjectiveShare = 0.5
 
-// balancer is one balancer on a simulated process.
+// balancer is a balancer on a simulated process. Its components are replaced with each incarnation.
 type balancer struct {
 	world      *World
 	process    *kernel.Process
@@ -42,42 +42,43 @@
 	watcher    *requests.Watcher
 	subscriber *feed.Subscriber
 	admission  *transfer.Admission
-	// link is nil where links have no bound.
+	// link is nil if the capacity of links is unlimited.
 	link *link
-	// startedAt is when the present life began.
+	// startedAt is when the present incarnation began, in virtual time.
 	startedAt time.Time
 }
 
 func newBalancer(world *World, name string, zone model.ZoneName) *balancer {
 	created := &balancer{world: world}
 	created.process = world.host.Add(endpoint(name, zone), balancerInterval, created.build)
-	created.process.After(func(time.Time) { world.checks.balancerRan(created) })
-	world.skew(created.process)
+	created.process.AfterRun(func(time.Time) { world.checks.balancerRan(created) })
+	world.skewClock(created.process)
 	return created
 }
 
-// noConnector stands for connections, which the simulated network always has.
+// noConnector is a feed.Connector that does nothing: the simulated network needs no connections.
 type noConnector struct{}
 
 // Connect implements feed.Connector.
 func (noConnector) Connect(model.NodeName) {}
 
-// Connected implements feed.Connector. A node that does not answer is left at
-// once, as after a failed attempt to connect.
+// Connected implements feed.Connector. It returns false, so that a node that does not answer is
+// given up at once, as after a failed attempt to connect.
 func (noConnector) Connected(model.NodeName) bool { return false }
 
 // Disconnect implements feed.Connector.
 func (noConnector) Disconnect(model.NodeName) {}
 
+// build assembles the product's controllers of a balancer for a new incarnation.
 func (balancer *balancer) build(mailbox *protocol.Mailbox, _ model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	balancer.startedAt = balancer.world.Now()
 	options := steer.DefaultOptions()
 	options.Zone = string(balancer.process.Zone)
 	options.Self = mailbox.Self
-	book := load.NewCounter()
-	options.Loads = book
-	balancer.world.options.Parts.Choice(&options)
+	counter := load.NewCounter()
+	options.Loads = counter
+	balancer.world.options.Parts.SteerOptions(&options)
 	balancer.table = steer.NewTable(options)
 	var replica *feed.Replica
 	subscriber := feed.NewSubscriber(feed.SubscriberOptions{
@@ -87,22 +88,22 @@
 		OnChange: func(changes directory.Changes, _ model.NodeName) { replica.Record(changes) },
 	}, mailbox, dispatcher, balancer.table, noConnector{})
 	replica = feed.NewReplica(balancer.table, subscriber)
-	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: peerFollowers}, mailbox, dispatcher, replica, replica)
+	publisher := feed.NewPublisher(feed.PublisherOptions{MaxFollowers: maxPeerFollowers}, mailbox, dispatcher, replica, replica)
 	reports := feed.NewReportRelay(mailbox, dispatcher, subscriber.Following)
 	balancer.subscriber = subscriber
 	tracker := outcome.NewTracker(mailbox, subscriber.Following)
-	balancer.watcher = requests.NewWatcher(tracker, book)
+	balancer.watcher = requests.NewWatcher(tracker, counter)
 	balancer.watcher.ObserveAnswers(tracker)
 	balancer.admission = balancer.newAdmission()
 	if balancer.world.options.LinkRate > 0 {
 		balancer.link = newLink(balancer.world, balancer)
 		balancer.admission.ObserveLink(balancer.link.egress)
 	}
-	sharing := load.ExchangeOptions{
-		Interval: loadInterval, Neighbours: subscriber.Neighbours,
+	exchangeOptions := load.ExchangeOptions{
+		Interval: loadReportInterval, Neighbours: subscriber.Neighbours,
 		Collector: subscriber.FollowedMember, Capacities: balancer.table,
 	}
-	exchange := load.NewExchange(sharing, book, load.NewLinkSender(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
+	exchange := load.NewExchange(exchangeOptions, counter, load.NewLinkSender(mailbox, noConnector{}), dispatcher.Handle(load.Report{}))
 	balancer.suspects = forwarder.NewSuspects(balancer.table, balancer.world.prober(balancer.process), mailbox, subscriber.Following, zap.NewNop())
 	return kernel.Program{
 		Mailbox:     mailbox,
@@ -110,19 +111,20 @@
 	}
 }
 
-// newAdmission returns the admission to the balancer's link.
+// newAdmission returns the admission control for long requests on the balancer's link.
 func (balancer *balancer) newAdmission() *transfer.Admission {
 	world := balancer.world
 	sizes := transfer.NewSizes()
 	balancer.watcher.ObserveSizes(sizes)
-	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkAdmission}
-	world.options.Parts.Transfers(&options)
+	options := transfer.Options{BytesPerSecond: world.options.LinkShare * world.options.LinkRate, ObjectiveShare: linkObjectiveShare}
+	world.options.Parts.TransferOptions(&options)
 	return transfer.NewAdmission(options, sizes, balancer.watcher.EachOpen)
 }
 
-// route returns a balancer for one packet of a flow: any active one that has a
-// table.
-func (world *World) route(flow *flow) *balancer {
+// pickBalancer returns the balancer that gets one packet of a flow, as a router would choose it, or
+// nil if no active balancer has a table. With Options.Affine the choice depends on the caller's
+// port and on the number of active balancers; otherwise it is random.
+func (world *World) pickBalancer(flow *flow) *balancer {
 	var active []*balancer
 	for _, candidate := range world.balancers {
 		if candidate.process.Active() && candidate.table.Serving() {
@@ -138,8 +140,8 @@
 	return kernel.Pick(world.random, active)
 }
 
-// carry handles a caller's packet at the balancer.
-func (balancer *balancer) carry(packet packet) {
+// handlePacket decides about a caller's packet and forwards it, resets its flow or drops it.
+func (balancer *balancer) handlePacket(packet packet) {
 	world := balancer.world
 	if !balancer.process.Active() {
 		return
@@ -166,7 +168,7 @@
 		balancer.forward(packet, decision)
 	case steer.Reset:
 		world.packets.Send(balancer.process.Endpoint, packet.flow.endpoint(), func() {
-			packet.flow.reset(balancer)
+			packet.flow.handleReset(balancer)
 		})
 	}
 }
--- a/internal/sim/directworld/operator.go
+++ b/internal/sim/directworld/operator.go
@@ -8,13 +8,13 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// operator declares configurations and reads them back, as two operators with
-// lost answers do.
+// operator declares configurations, reads them back and orders evacuations of zones. Its calls
+// overlap and are retried after lost answers, as those of several operators would.
 type operator struct {
 	world   *World
 	random  *kernel.Random
 	version uint64
-	// coldLimit is the bound that every version states for all services.
+	// coldLimit is the limit for cold targets that every version declares for all services.
 	coldLimit declared.ColdLimit
 }
 
@@ -22,8 +22,8 @@
 	return &operator{world: world, random: world.run.Random("operator"), coldLimit: world.options.ColdLimit}
 }
 
-// base returns the configuration that every version contains.
-func (operator *operator) base(version uint64) *declared.Configuration {
+// baseConfiguration returns the services and routes that every version declares.
+func (operator *operator) baseConfiguration(version uint64) *declared.Configuration {
 	route := func(name string, address netip.AddrPort, kind declared.RequestKind, service string, objective time.Duration) declared.Route {
 		return declared.Route{
 			Name: name, Address: address, Kind: kind, Timeout: time.Second, Objective: objective,
@@ -37,29 +37,31 @@
 			{Name: serviceLedger, HealthPath: "/health", Cold: operator.coldLimit},
 		},
 		Routes: []declared.Route{
-			route("feed", routeFeed, declared.KindSafe, serviceFeed, objective),
-			route("ledger", routeLedger, declared.KindDownload, serviceLedger, objective),
+			route("feed", routeFeed, declared.KindSafe, serviceFeed, callObjective),
+			route("ledger", routeLedger, declared.KindDownload, serviceLedger, callObjective),
 			route("upload", routeUpload, declared.KindUpload, serviceLedger, uploadObjective),
 		},
 	}
 }
 
-// varied returns a configuration with a few idle routes that differ by draw.
-func (operator *operator) varied(version uint64) *declared.Configuration {
-	configuration := operator.base(version)
-	for range operator.random.Below(6) {
-		port := uint16(2000 + operator.random.Below(30))
+// variedConfiguration returns the base configuration with up to five random routes that no caller
+// uses.
+func (operator *operator) variedConfiguration(version uint64) *declared.Configuration {
+	configuration := operator.baseConfiguration(version)
+	for range operator.random.IntN(6) {
+		port := uint16(2000 + operator.random.IntN(30))
 		address := netip.AddrPortFrom(routeFeed.Addr(), port)
 		configuration.Routes = append(configuration.Routes, declared.Route{
 			Name: address.String(), Address: address, Kind: declared.KindSafe,
-			Timeout: time.Duration(1+operator.random.Below(5)) * time.Second,
+			Timeout: time.Duration(1+operator.random.IntN(5)) * time.Second,
 			Pool:    []declared.PoolPart{{Service: serviceLedger, Weight: 1}},
 		})
 	}
-	return dropRepeated(configuration)
+	return dropDuplicateRoutes(configuration)
 }
 
-func dropRepeated(configuration *declared.Configuration) *declared.Configuration {
+// dropDuplicateRoutes keeps the first route of each address.
+func dropDuplicateRoutes(configuration *declared.Configuration) *declared.Configuration {
 	seen := make(map[netip.AddrPort]bool)
 	kept := configuration.Routes[:0]
 	for _, route := range configuration.Routes {
@@ -72,32 +74,33 @@
 	return configuration
 }
 
-// declareFirst sends the first configuration until it is taken.
+// declareFirst declares the first configuration, with up to 40 attempts.
 func (operator *operator) declareFirst() {
 	operator.version = 1
-	first := operator.base(1)
-	operator.world.checks.sent(first)
+	first := operator.baseConfiguration(1)
+	operator.world.checks.configurationSent(first)
 	operator.send(first, 40, 0)
 }
 
-// Declare sends one more version, drawn anew, until it is acknowledged.
+// Declare declares a higher version with a random configuration, with up to 30 attempts.
 func (operator *operator) Declare() {
-	operator.version += 1 + uint64(operator.random.Below(3))
-	operator.declare(operator.varied(operator.version))
+	operator.version += 1 + uint64(operator.random.IntN(3))
+	operator.declare(operator.variedConfiguration(operator.version))
 }
 
-// Race sends two configurations under one version to two members at once.
-func (operator *operator) Race() {
-	operator.version += 1 + uint64(operator.random.Below(3))
-	operator.declare(operator.varied(operator.version))
-	operator.declare(operator.varied(operator.version))
+// DeclareConflicting declares two random configurations under one version at the same time. They
+// are sent to random members, which may be the same one.
+func (operator *operator) DeclareConflicting() {
+	operator.version += 1 + uint64(operator.random.IntN(3))
+	operator.declare(operator.variedConfiguration(operator.version))
+	operator.declare(operator.variedConfiguration(operator.version))
 }
 
-// DeclareInvalid sends a configuration that must be refused.
+// DeclareInvalid declares an invalid configuration, which must be refused.
 func (operator *operator) DeclareInvalid() {
 	operator.version++
-	invalid := operator.varied(operator.version)
-	switch operator.random.Below(4) {
+	invalid := operator.variedConfiguration(operator.version)
+	switch operator.random.IntN(4) {
 	case 0:
 		invalid.Routes[0].Timeout = 0
 	case 1:
@@ -113,66 +116,67 @@
 			member.Registrar.Declare(now, invalid, deadline, done)
 		}, func(err error) {
 			if err == nil {
-				world.checks.invalidTaken(invalid)
+				world.checks.invalidAccepted(invalid)
 			}
 		})
 }
 
 func (operator *operator) endpoint() kernel.Endpoint { return endpoint("operator", zones[0]) }
 
-func (operator *operator) declare(next *declared.Configuration) {
-	operator.world.checks.sent(next)
-	operator.send(next, 30, operator.random.Below(len(operator.world.members)))
+// declare records the configuration for the checks and sends it, first to a random member.
+func (operator *operator) declare(configuration *declared.Configuration) {
+	operator.world.checks.configurationSent(configuration)
+	operator.send(configuration, 30, operator.random.IntN(len(operator.world.members)))
 }
 
-// send calls members in turn until one acknowledges.
-func (operator *operator) send(next *declared.Configuration, tries, place int) {
-	if tries == 0 {
+// send calls members in turn until one acknowledges the configuration or no attempts remain.
+func (operator *operator) send(configuration *declared.Configuration, attempts, memberIndex int) {
+	if attempts == 0 {
 		return
 	}
 	world := operator.world
-	world.call(operator.endpoint(), world.members[place%len(world.members)],
+	world.call(operator.endpoint(), world.members[memberIndex%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			member.Registrar.Declare(now, next, deadline, done)
+			member.Registrar.Declare(now, configuration, deadline, done)
 		}, func(err error) {
 			if err == nil {
-				world.checks.acknowledged(next.Version)
+				world.checks.configurationAcknowledged(configuration.Version)
 				return
 			}
-			world.after(100*time.Millisecond, func() { operator.send(next, tries-1, place+1) })
+			world.after(100*time.Millisecond, func() { operator.send(configuration, attempts-1, memberIndex+1) })
 		})
 }
 
-// Read reads the configuration at any member and checks the answer.
+// Read reads the configuration from a random member and checks the answer.
 func (operator *operator) Read() {
 	world := operator.world
 	expected := world.checks.highestAcknowledged
 	member := kernel.Pick(operator.random, world.members)
-	var held *declared.Configuration
+	var configuration *declared.Configuration
 	world.call(operator.endpoint(), member,
 		func(member *Member, now, deadline time.Time, done func(error)) {
-			world.options.Parts.Read(member, now, deadline, func(read *declared.Configuration, err error) {
-				held = read
+			world.options.Parts.ReadConfiguration(member, now, deadline, func(read *declared.Configuration, err error) {
+				configuration = read
 				done(err)
 			})
 		}, func(err error) {
 			if err == nil {
-				world.checks.read(expected, held)
+				world.checks.checkRead(expected, configuration)
 			}
 		})
 }
 
-// Work declares, races, resends and reads until the returned function is
-// called.
-func (operator *operator) Work(pause time.Duration) (stop func()) {
+// StartOperations starts a random operation after each pause until stop is called: a valid, invalid
+// or conflicting declaration, or a read.
+func (operator *operator) StartOperations(pause time.Duration) (stop func()) {
 	working := true
 	operator.world.run.Scheduler.Every(pause, func() bool {
 		if !working || operator.world.stopped {
 			return false
 		}
-		switch operator.random.Below(8) {
+		switch operator.random.IntN(8) {
 		case 0:
-			operator.Race()
+			operator.DeclareConflicting()
 		case 1:
 			operator.DeclareInvalid()
 		case 2, 3, 4:
--- a/internal/sim/directworld/stories.go
+++ b/internal/sim/directworld/stories.go
@@ -8,68 +8,70 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// story is what happens to a started world.
-type story struct {
+// scenarioDefinition defines a scenario: the options of its world and the function that runs once
+// the world has started.
+type scenarioDefinition struct {
 	name    string
 	summary string
 	change  func(options *Options)
 	play    func(world *World)
 }
 
-// Scenarios returns all scenarios of direct services with the given parts.
+// Scenarios returns all scenarios of direct services, each with the given parts.
 func Scenarios(parts Parts) []sim.Scenario {
 	var scenarios []sim.Scenario
-	for _, one := range stories {
-		scenarios = append(scenarios, one.build(parts))
+	for _, definition := range scenarioDefinitions {
+		scenarios = append(scenarios, definition.build(parts))
 	}
 	return scenarios
 }
 
-func (story story) build(parts Parts) sim.Scenario {
-	return sim.Scenario{Name: story.name, Summary: story.summary, Play: func(run *sim.Run) {
+// build returns the scenario. Operators work in the background while its play function runs.
+func (definition scenarioDefinition) build(parts Parts) sim.Scenario {
+	return sim.Scenario{Name: definition.name, Summary: definition.summary, Play: func(run *sim.Run) {
 		options := DefaultOptions()
 		options.Parts = parts
-		if story.change != nil {
-			story.change(&options)
+		if definition.change != nil {
+			definition.change(&options)
 		}
 		world := New(run, options)
 		world.Start()
-		stop := world.operator.Work(150 * time.Millisecond)
-		story.play(world)
+		stop := world.operator.StartOperations(150 * time.Millisecond)
+		definition.play(world)
 		stop()
 		world.Finish()
 	}}
 }
 
-var stories = []story{
+var scenarioDefinitions = []scenarioDefinition{
 	{
 		name:    "direct-planned",
-		summary: "targets are replaced and scaled in, balancers and members restart in turn, configurations change",
+		summary: "targets are replaced, balancers and members restart in turn, and configurations change",
 		play:    planned,
 	},
 	{
 		name:    "direct-target-deaths",
-		summary: "targets crash, fall silent, and their addresses go to another service while flows are open",
+		summary: "targets crash or become unresponsive, and targets of another service take over their addresses while flows are open",
 		play:    targetDeaths,
 	},
 	{
 		name:    "direct-late-calls",
-		summary: "targets leave without draining, and renewals of targets that died, or whose address another one has, come seconds late",
+		summary: "targets leave without draining, and renewals of targets that died, or whose address another target took over, arrive seconds late",
 		play:    lateCalls,
 	},
 	{
 		name:    "direct-restarted-targets",
-		summary: "targets crash and start again under their identifiers while calls of their former starts come seconds late",
+		summary: "targets crash and start again with the same identifiers while renewals of their previous starts arrive seconds late",
 		play:    restartedTargets,
 	},
 	{
 		name:    "direct-cut-balancers",
-		summary: "balancers are cut off from all members, not from each other, while targets and configurations change",
+		summary: "balancers are cut off from all members, but not from each other, while targets and configurations change",
 		play:    cutBalancers,
 	},
 	{
 		name:    "direct-relayed-feed",
-		summary: "twelve balancers, of which members feed three, follow each other while they restart and members go",
+		summary: "twelve balancers, of which members feed three, follow each other while balancers restart and members are killed",
 		change: func(options *Options) {
 			options.Balancers = 12
 			options.Followers = 1
@@ -78,85 +80,85 @@
 	},
 	{
 		name:    "direct-grey-targets",
-		summary: "a target takes requests and leaves many unanswered, while its health is good; the leader changes meanwhile",
+		summary: "a target accepts requests and never answers many of them, while its health checks pass; the leader changes meanwhile",
 		change:  func(options *Options) { options.Affine = true },
 		play:    greyTargets,
 	},
 	{
 		name:    "direct-erring-targets",
-		summary: "a target answers every call with an error at once, while its health is good; the leader changes meanwhile",
-		change:  callsOnly,
+		summary: "a target answers every call with an error at once, while its health checks pass; the leader changes meanwhile",
+		change:  callsOnlyOptions,
 		play:    erringTargets,
 	},
 	{
 		name:    "direct-heavy-load",
-		summary: "targets work at most of their capacity, one of them slowly, while one is replaced and a balancer restarts",
-		change:  callsOnly,
+		summary: "targets run at 70% of their capacity, one of them slowly, while one is replaced and a balancer restarts",
+		change:  callsOnlyOptions,
 		play:    heavyLoad,
 	},
 	{
 		name:    "direct-overload",
-		summary: "callers ask for a third more than targets can do, and try again what is refused",
-		change:  callsOnly,
+		summary: "callers make a third more calls than targets can serve, and retry refused calls",
+		change:  callsOnlyOptions,
 		play:    overload,
 	},
 	{
 		name:    "direct-large-overload",
-		summary: "callers ask twenty-four balancers for a third more than targets can do; members add up the load, and one is killed",
-		change:  large,
+		summary: "callers make a third more calls than targets can serve through twenty-four balancers; members sum up the load, and one is killed",
+		change:  largeOptions,
 		play:    largeOverload,
 	},
 	{
 		name:    "direct-narrow-links",
-		summary: "uploads and calls share narrow links of balancers that carry a half more than what is asked",
-		change:  narrow,
+		summary: "uploads and calls share narrow links of balancers, whose capacity is half as much again as is requested",
+		change:  narrowLinkOptions,
 		play:    narrowLinks,
 	},
 	{
 		name:    "direct-full-links",
-		summary: "callers upload twice as much as the narrow links of all balancers carry, beside calls",
-		change:  narrow,
+		summary: "callers upload twice as much as the narrow links of all balancers can carry, besides making calls",
+		change:  narrowLinkOptions,
 		play:    fullLinks,
 	},
 	{
 		name:    "direct-evacuations",
-		summary: "operators empty zones and take them back while members are killed, cut off and stand still, and orders are repeated",
+		summary: "operators evacuate zones and end the evacuations while members are killed, cut off and frozen, and orders are repeated",
 		play:    evacuations,
 	},
 	{
 		name:    "direct-evacuated-power-loss",
-		summary: "every process loses power right after an order for a zone was acknowledged",
+		summary: "every process loses power right after an order to evacuate a zone, or to end that, was acknowledged",
 		play:    evacuatedPowerLoss,
 	},
 	{
 		name:    "direct-cold-returns",
-		summary: "zones return cold, after a loss and after an evacuation, while balancers are cut off and restart",
+		summary: "the targets of zones return cold, after a failure and after an evacuation, while balancers are cut off and restart",
 		change:  func(options *Options) { options.ColdLimit = coldLimit },
 		play:    coldReturns,
 	},
 	{
 		name:    "direct-leader-loss",
-		summary: "the leader is killed, loses power or stands still again and again under racing operators",
+		summary: "the leader is repeatedly killed, powered off or frozen while operators declare conflicting configurations",
 		play:    leaderLoss,
 	},
 	{
 		name:    "direct-core-cuts",
-		summary: "members are cut off, one way or both, alone or from everything, under racing operators",
+		summary: "members are cut off from everything, from other members, one way or both, or from balancers, while operators declare conflicting configurations",
 		play:    coreCuts,
 	},
 	{
 		name:    "direct-lost-disks",
-		summary: "members lose their disks one after the other; each is taken in again before the next one goes",
+		summary: "members lose their disks one after the other; each rejoins before the next one fails",
 		play:    lostDisks,
 	},
 	{
 		name:    "direct-replaced-members",
-		summary: "members go for good and empty ones come at other addresses, without an operator",
+		summary: "members are lost permanently and replaced by empty ones at other addresses, without an operator",
 		play:    replacedMembers,
 	},
 	{
 		name:    "direct-power-loss",
-		summary: "every process loses power at once, again and again, right after something was acknowledged",
+		summary: "all processes repeatedly lose power at the same time, while configurations change",
 		play:    powerLoss,
 	},
 	{
@@ -166,13 +168,13 @@
 	},
 	{
 		name:    "direct-clocks",
-		summary: "the clocks of all processes differ by up to an hour and run fast or slow, and members restart and stand still",
+		summary: "the clocks of all processes are up to an hour off and run fast or slow, while the leader is killed, powered off or frozen",
 		change:  func(options *Options) { options.Skewed = true },
 		play:    leaderLoss,
 	},
 	{
 		name:    "direct-lost-messages",
-		summary: "a tenth of all control messages is lost, doubled or late, and calls with them",
+		summary: "a tenth of all control messages and calls is lost, a tenth is duplicated, and all are delayed at random",
 		change: func(options *Options) {
 			options.Faults = kernel.LinkFaults{Loss: 0.1, Duplication: 0.1, Jitter: 30 * time.Millisecond}
 		},
@@ -180,7 +182,7 @@
 	},
 	{
 		name:    "direct-five-members",
-		summary: "two of six members are lost at once, with disks, and return",
+		summary: "two of six members lose power and their disks at the same time, and return",
 		change: func(options *Options) {
 			options.Members = 6
 			options.ToleratedLosses = 2
@@ -189,9 +191,10 @@
 	},
 }
 
+// planned plays planned changes: targets are replaced, and balancers and members restart.
 func planned(world *World) {
 	for range 3 {
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
@@ -206,9 +209,9 @@
 	}
 }
 
-// livingTargets returns up to count targets that are ready, drawn anew, of
-// services that keep others.
-func (world *World) livingTargets(count int) []*target {
+// pickReadyTargets returns up to count random ready targets. Each service keeps at least one other
+// ready target.
+func (world *World) pickReadyTargets(count int) []*target {
 	ready := make(map[string]int)
 	for _, target := range world.targets {
 		if target.alive && target.state == directory.TargetReady {
@@ -227,20 +230,23 @@
 	return chosen
 }
 
+// restartBalancer kills a balancer and starts it again after downFor.
 func (world *World) restartBalancer(balancer *balancer, downFor time.Duration) {
-	world.disturb("restart", string(balancer.process.Name))
+	world.recordDisturbance("restart", string(balancer.process.Name))
 	balancer.process.Kill()
 	world.after(downFor, func() {
-		world.disturb("start", string(balancer.process.Name))
+		world.recordDisturbance("start", string(balancer.process.Name))
 		balancer.process.Start()
 	})
 }
 
+// targetDeaths crashes targets, every second time with their machines, and gives their addresses to
+// targets of the other service.
 func targetDeaths(world *World) {
 	for round := range 4 {
-		for _, target := range world.livingTargets(2) {
-			world.disturb("death", target.address.String())
-			target.Die(round%2 == 0)
+		for _, target := range world.pickReadyTargets(2) {
+			world.recordDisturbance("death", target.address.String())
+			target.Crash(round%2 == 0)
 			address, zone := target.address, target.zone
 			service := serviceFeed
 			if target.service == serviceFeed {
@@ -253,19 +259,21 @@
 	}
 }
 
+// lateCalls lets a target leave without draining and crashes two others, whose late renewals arrive
+// afterwards. A new target takes over the address of one of them.
 func lateCalls(world *World) {
 	for range 4 {
-		leaving := world.livingTargets(3)
-		for place, target := range leaving {
+		leaving := world.pickReadyTargets(3)
+		for index, target := range leaving {
 			world.AddTarget(target.service, target.zone)
-			if place == 0 {
-				target.LeaveFirst()
+			if index == 0 {
+				target.LeaveWithoutDraining()
 				continue
 			}
-			world.disturb("death", target.address.String())
-			target.repeatLate(world.random.Between(time.Second, 6*time.Second))
-			target.Die(place == 1)
-			if place == 1 {
+			world.recordDisturbance("death", target.address.String())
+			target.scheduleLateRenewal(world.random.Between(time.Second, 6*time.Second))
+			target.Crash(index == 1)
+			if index == 1 {
 				address, zone := target.address, target.zone
 				service := target.service
 				world.after(2*time.Second, func() { world.addTargetAt(service, zone, address) })
@@ -275,35 +283,37 @@
 	}
 }
 
-// startKnownWithin is how long after a target's new start every balancer knows it: its first
-// call comes within a renewal interval, and a call that is lost is repeated with the next.
-const startKnownWithin = 2 * renewalInterval
+// startKnownBound is how long after the restart of a target every balancer must know its new start:
+// its first registration is sent within a renewal interval, and a lost one is repeated after
+// another interval.
+const startKnownBound = 2 * renewalInterval
 
+// restartedTargets restarts targets while late renewals of their previous incarnations arrive.
 func restartedTargets(world *World) {
 	for round := range 4 {
 		var restarted []*target
-		for _, target := range world.livingTargets(3) {
-			world.disturb("restart", target.address.String())
-			target.repeatLate(world.random.Between(0, 6*time.Second))
+		for _, target := range world.pickReadyTargets(3) {
+			world.recordDisturbance("restart", target.address.String())
+			target.scheduleLateRenewal(world.random.Between(0, 6*time.Second))
 			restarted = append(restarted, target.Restart())
 		}
-		world.RunFor(startKnownWithin)
+		world.RunFor(startKnownBound)
 		for _, target := range restarted {
-			world.checks.startIsKnown(target)
+			world.checks.checkStartKnown(target)
 		}
 		if round%2 == 1 {
-			world.disturb("death", restarted[0].address.String())
-			restarted[0].Die(true)
+			world.recordDisturbance("death", restarted[0].address.String())
+			restarted[0].Crash(true)
 		}
 		world.RunFor(9 * time.Second)
 	}
 }
 
-// cutFromMembers cuts balancers off from all members for a while.
+// cutFromMembers cuts balancers off from all members, both ways, for a duration.
 func (world *World) cutFromMembers(balancers []*balancer, duration time.Duration) {
 	var heals []func()
 	for _, balancer := range balancers {
-		world.disturb("cut", string(balancer.process.Name))
+		world.recordDisturbance("cut", string(balancer.process.Name))
 		for _, member := range world.members {
 			heals = append(heals,
 				world.control.CutOneWay(balancer.process.Name, member.process.Name),
@@ -311,46 +321,49 @@
 		}
 	}
 	world.after(duration, func() {
-		world.disturb("heal", "balancers")
+		world.recordDisturbance("heal", "balancers")
 		for _, heal := range heals {
 			heal()
 		}
 	})
 }
 
-// peersTakeOver is how long after a cut a balancer may need to follow another
-// one.
-const peersTakeOver = 3 * time.Second
+// peerFailoverTime is how long after it is cut off from all members a balancer may need to follow
+// another balancer.
+const peerFailoverTime = 3 * time.Second
 
+// cutBalancers cuts two balancers off from all members. They have to stay current through their peers.
 func cutBalancers(world *World) {
 	for round := range 4 {
 		cut := []*balancer{world.balancers[round%len(world.balancers)], world.balancers[(round+1)%len(world.balancers)]}
 		world.cutFromMembers(cut, 8*time.Second)
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
-		world.RunFor(peersTakeOver)
+		world.RunFor(peerFailoverTime)
 		for range 8 {
 			world.RunFor(500 * time.Millisecond)
 			for _, balancer := range cut {
-				world.checks.keepsUp(balancer)
+				world.checks.checkCurrent(balancer)
 			}
 		}
 		world.RunFor(7 * time.Second)
 	}
 }
 
+// relayedFeed restarts balancers, replaces targets and kills a member. Before each round every
+// balancer has to be current.
 func relayedFeed(world *World) {
 	for range 3 {
 		world.RunFor(3 * time.Second)
 		for _, balancer := range world.balancers {
-			world.checks.keepsUp(balancer)
+			world.checks.checkCurrent(balancer)
 		}
 		for range 3 {
 			world.restartBalancer(kernel.Pick(world.random, world.balancers), 500*time.Millisecond)
 		}
-		for _, target := range world.livingTargets(2) {
+		for _, target := range world.pickReadyTargets(2) {
 			world.AddTarget(target.service, target.zone)
 			target.Drain()
 		}
@@ -364,27 +377,29 @@
 }
 
 const (
-	// noticedWithin is how long a grey target may get new flows.
-	noticedWithin = 6 * time.Second
-	// returnsWithin is how long after its end a grey target may stay aside.
-	returnsWithin = 35 * time.Second
+	// ejectionBound is how long it may take to eject a target that leaves requests unanswered.
+	ejectionBound = 6 * time.Second
+	// reinstatementBound is how long a target may stay ejected after it has recovered.
+	reinstatementBound = 35 * time.Second
 )
 
+// greyTargets makes a target leave 70% of its requests unanswered until some seconds after it was
+// ejected, twice. The second time the leader is killed while the target is ejected.
 func greyTargets(world *World) {
 	for round := range 2 {
-		chosen := world.livingTargets(1)[0]
-		world.disturb("grey", chosen.address.String())
-		chosen.grey = 0.7
-		world.checks.becomesAside(chosen, true, noticedWithin)
+		chosen := world.pickReadyTargets(1)[0]
+		world.recordDisturbance("grey", chosen.address.String())
+		chosen.hangShare = 0.7
+		world.checks.awaitEjection(chosen, true, ejectionBound)
 		if leader := world.leader(); leader != nil && round == 1 {
 			leader.Kill()
 			world.RunFor(time.Second)
 			leader.Start()
 		}
 		world.RunFor(3 * time.Second)
-		chosen.grey = 0
-		clear(chosen.hung)
-		world.checks.becomesAside(chosen, false, returnsWithin)
+		chosen.hangShare = 0
+		clear(chosen.hungRequests)
+		world.checks.awaitEjection(chosen, false, reinstatementBound)
 		world.RunFor(5 * time.Second)
 	}
 }
--- a/internal/sim/directworld/stories_control.go
+++ b/internal/sim/directworld/stories_control.go
@@ -7,6 +7,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
+// leaderLoss kills, powers off or freezes the leader, while a target is replaced.
 func leaderLoss(world *World) {
 	for range 5 {
 		leader := world.leader()
@@ -15,7 +16,7 @@
 			continue
 		}
 		downFor := world.random.Between(100*time.Millisecond, 4*time.Second)
-		switch world.random.Below(3) {
+		switch world.random.IntN(3) {
 		case 0:
 			leader.Kill()
 			world.after(downFor, leader.Start)
@@ -23,14 +24,14 @@
 			leader.PowerOff()
 			world.after(downFor, leader.Start)
 		case 2:
-			world.disturb("freeze", string(leader.process.Name))
+			world.recordDisturbance("freeze", string(leader.process.Name))
 			leader.process.Freeze()
 			world.after(downFor, func() {
-				world.disturb("thaw", string(leader.process.Name))
+				world.recordDisturbance("thaw", string(leader.process.Name))
 				leader.process.Thaw()
 			})
 		}
-		for _, target := range world.livingTargets(1) {
+		for _, target := range world.pickReadyTargets(1) {
 			target.Drain()
 			world.AddTarget(target.service, target.zone)
 		}
@@ -38,11 +39,13 @@
 	}
 }
 
-// cut separates a member for a while in one of several ways.
-func (world *World) cut(member *Member, duration time.Duration) {
+// partitionMember partitions a member for a duration in one of four random ways: it is isolated
+// from all processes, its messages to other members are dropped, messages between it and other
+// members are dropped both ways, or its messages to balancers are dropped.
+func (world *World) partitionMember(member *Member, duration time.Duration) {
 	name := member.process.Name
 	var heals []func()
-	kind := world.random.Below(4)
+	kind := world.random.IntN(4)
 	switch kind {
 	case 0:
 		heals = append(heals, world.control.Isolate(name))
@@ -61,15 +64,16 @@
 			heals = append(heals, world.control.CutOneWay(name, balancer.process.Name))
 		}
 	}
-	world.disturb("cut", fmt.Sprintf("%s, kind %d", name, kind))
+	world.recordDisturbance("cut", fmt.Sprintf("%s, kind %d", name, kind))
 	world.after(duration, func() {
-		world.disturb("heal", string(name))
+		world.recordDisturbance("heal", string(name))
 		for _, heal := range heals {
 			heal()
 		}
 	})
 }
 
+// coreCuts partitions the leader or another member, while a target is replaced.
 func coreCuts(world *World) {
 	for range 5 {
 		member := kernel.Pick(world.random, world.members)
@@ -77,8 +81,8 @@
 			member = leader
 		}
 		duration := world.random.Between(time.Second, 6*time.Second)
-		world.cut(member, duration)
-		for _, target := range world.livingTargets(1) {
+		world.partitionMember(member, duration)
+		for _, target := range world.pickReadyTargets(1) {
 			target.Drain()
 			world.AddTarget(target.service, target.zone)
 		}
@@ -86,6 +90,8 @@
 	}
 }
 
+// lostDisks wipes the disks of members one after the other, and of a random one when all lose
+// power.
 func lostDisks(world *World) {
 	for range 4 {
 		member := kernel.Pick(world.random, world.members)
@@ -99,28 +105,31 @@
 	world.powerOffAll(true)
 }
 
+// replacedMembers powers off members for good and adds empty ones, and finally restarts one that
+// was off only for a while.
 func replacedMembers(world *World) {
 	for round := range 3 {
-		gone := world.members[round]
-		gone.PowerOff()
+		removed := world.members[round]
+		removed.PowerOff()
 		world.RunFor(world.random.Between(100*time.Millisecond, 2*time.Second))
-		world.AddMember(fmt.Sprintf("10.0.%d.1:7000", 100+round), gone.process.Zone)
+		world.AddMember(fmt.Sprintf("10.0.%d.1:7000", 100+round), removed.process.Zone)
 		world.RunFor(10 * time.Second)
 	}
-	gone := world.members[3]
-	gone.PowerOff()
+	removed := world.members[3]
+	removed.PowerOff()
 	world.RunFor(9 * time.Second)
-	gone.Start()
+	removed.Start()
 }
 
-// powerOffAll lets every process lose power at once; with losing, the disk of
-// one member too.
-func (world *World) powerOffAll(losing bool) {
-	unlucky := kernel.Pick(world.random, world.members)
+// powerOffAll powers off all members and balancers at the same time. All of them, except members
+// that were not running, start again within 1.5 seconds. If wipeOne is true, a random member also
+// loses its disk.
+func (world *World) powerOffAll(wipeOne bool) {
+	wiped := kernel.Pick(world.random, world.members)
 	for _, member := range world.members {
 		running := member.process.Running()
 		member.PowerOff()
-		if losing && member == unlucky {
+		if wipeOne && member == wiped {
 			member.Wipe()
 		}
 		if running {
@@ -132,6 +141,7 @@
 	}
 }
 
+// powerLoss powers off all processes four times; every second time a member also loses its disk.
 func powerLoss(world *World) {
 	for round := range 4 {
 		world.powerOffAll(round%2 == 1)
@@ -139,28 +149,30 @@
 	}
 }
 
+// fullDisks fills the disk of the leader or another member for some seconds.
 func fullDisks(world *World) {
 	for range 4 {
 		member := kernel.Pick(world.random, world.members)
 		if leader := world.leader(); leader != nil && world.random.Chance(0.6) {
 			member = leader
 		}
-		world.disturb("disk-full", string(member.process.Name))
+		world.recordDisturbance("disk-full", string(member.process.Name))
 		member.disk.SetCapacity(1)
 		world.RunFor(world.random.Between(time.Second, 5*time.Second))
 		member.disk.SetCapacity(0)
-		world.disturb("disk-room", string(member.process.Name))
+		world.recordDisturbance("disk-room", string(member.process.Name))
 		world.RunFor(4 * time.Second)
 	}
 }
 
+// fiveMembers wipes two members at the same time, three times, and then powers off all processes.
 func fiveMembers(world *World) {
 	world.RunFor(4 * time.Second)
 	for range 3 {
-		first := world.random.Below(len(world.members))
-		second := (first + 1 + world.random.Below(len(world.members)-1)) % len(world.members)
-		for _, place := range []int{first, second} {
-			member := world.members[place]
+		first := world.random.IntN(len(world.members))
+		second := (first + 1 + world.random.IntN(len(world.members)-1)) % len(world.members)
+		for _, index := range []int{first, second} {
+			member := world.members[index]
 			member.PowerOff()
 			member.Wipe()
 			world.after(world.random.Between(200*time.Millisecond, 2*time.Second), member.Start)
