--- a/internal/standin/caller/account.go
+++ b/internal/standin/caller/account.go
@@ -13,29 +13,30 @@
 	histogramLowest  = 1
 	histogramHighest = int64(time.Hour / time.Microsecond)
 	histogramDigits  = 3
-	// maximumExamples bounds the described faults of one kind.
+	// maximumExamples bounds the examples kept of requests, and likewise of flows.
 	maximumExamples = 20
 )
 
-// account collects what the caller sees. All methods may be called at once.
-type account struct {
+// recorder collects the caller's counts, latencies and examples for its report. It is safe for
+// concurrent use.
+type recorder struct {
 	lock    sync.Mutex
-	classes map[Class]*classAccount
-	// refusals has the latencies of attempts that were refused as not run.
+	classes map[Class]*classRecorder
+	// refusals holds the latencies of attempts that were refused as not run.
 	refusals *hdrhistogram.Histogram
 	report   Report
 }
 
-// classAccount is the account of one class.
-type classAccount struct {
+// classRecorder holds the counts and latencies of one request class.
+type classRecorder struct {
 	counts    ClassCounts
 	latencies *hdrhistogram.Histogram
 }
 
-func newAccount() *account {
-	created := &account{classes: make(map[Class]*classAccount), refusals: newHistogram()}
+func newRecorder() *recorder {
+	created := &recorder{classes: make(map[Class]*classRecorder), refusals: newHistogram()}
 	for _, class := range classes {
-		created.classes[class] = &classAccount{
+		created.classes[class] = &classRecorder{
 			counts:    ClassCounts{CutByNode: make(map[string]int)},
 			latencies: newHistogram(),
 		}
@@ -49,49 +50,49 @@
 	return hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
 }
 
-func (account *account) offered(class Class) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.classes[class].counts.Offered++
+func (recorder *recorder) recordOffered(class Class) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.classes[class].counts.Offered++
 }
 
-// attempted records one attempt, also when a later one settles the request.
-func (account *account) attempted(class Class, identifier string, result outcome) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	counts := &account.classes[class].counts
+// recordAttempt records one attempt, including attempts that are followed by a retry.
+func (recorder *recorder) recordAttempt(class Class, identifier string, result outcome) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	counts := &recorder.classes[class].counts
 	counts.Attempts++
 	switch result.kind {
 	case outcomeNotRun:
-		account.report.ClaimedNotRun = append(account.report.ClaimedNotRun, identifier)
-		account.report.Refusals[result.code]++
-		account.refused(result)
+		recorder.report.ClaimedNotRun = append(recorder.report.ClaimedNotRun, identifier)
+		recorder.report.Refusals[result.code]++
+		recorder.recordRefusal(result)
 	case outcomeUnknown:
-		account.report.Refusals[result.code]++
+		recorder.report.Refusals[result.code]++
 	case outcomeBroken:
 		counts.CutAttempts++
 		counts.CutByNode[nodeOrUnknown(result.node)]++
-		account.example(class, identifier, result)
+		recorder.addExample(class, identifier, result)
 	case outcomeCrossed:
-		account.example(class, identifier, result)
+		recorder.addExample(class, identifier, result)
 	}
 }
 
-// refused records how long a refusal took and whether it was complete.
-func (account *account) refused(result outcome) {
-	// The range of the histogram is far above any time-out.
-	_ = account.refusals.RecordValue(max(histogramLowest, result.took.Microseconds()))
+// recordRefusal records the latency of a refusal and whether a 503 lacked Retry-After.
+func (recorder *recorder) recordRefusal(result outcome) {
+	// RecordValue fails only out of range; the histogram's range is far above any timeout.
+	_ = recorder.refusals.RecordValue(max(histogramLowest, result.took.Microseconds()))
 	if result.status == http.StatusServiceUnavailable && result.retryAfter <= 0 {
-		account.report.RefusedWithoutRetryAfter++
+		recorder.report.RefusedWithoutRetryAfter++
 	}
 }
 
-// example keeps the description of a fault, for whoever looks for its cause.
-func (account *account) example(class Class, identifier string, result outcome) {
-	if len(account.report.Examples) >= maximumExamples {
+// addExample keeps the description of a fault for diagnosis, up to maximumExamples.
+func (recorder *recorder) addExample(class Class, identifier string, result outcome) {
+	if len(recorder.report.Examples) >= maximumExamples {
 		return
 	}
-	account.report.Examples = append(account.report.Examples, Example{
+	recorder.report.Examples = append(recorder.report.Examples, Example{
 		At: time.Now(), Class: class, Request: identifier, Error: errorText(result.err),
 	})
 }
@@ -110,19 +111,19 @@
 	return err.Error()
 }
 
-// finished records the final outcome of one request.
-func (account *account) finished(job job, result outcome, took time.Duration) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	class := account.classes[job.class]
+// recordOutcome records the final outcome of one request and, when it was delivered, its latency.
+func (recorder *recorder) recordOutcome(job job, result outcome, took time.Duration) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	class := recorder.classes[job.class]
 	switch result.kind {
 	case outcomeDelivered:
 		class.counts.Delivered++
-		// A latency beyond the histogram's range is an hour: the time-out is
-		// far below it.
+		// RecordValue fails only above the histogram's range of one hour; the timeout is far
+		// below that.
 		_ = class.latencies.RecordValue(max(histogramLowest, took.Microseconds()))
 		if job.key != "" {
-			account.report.DeliveredKeys = append(account.report.DeliveredKeys, job.key)
+			recorder.report.DeliveredKeys = append(recorder.report.DeliveredKeys, job.key)
 		}
 	case outcomeNotRun, outcomeNotSent:
 		class.counts.Refused++
@@ -136,75 +137,75 @@
 		class.counts.Abandoned++
 	}
 	if job.key != "" && (result.kind == outcomeNotRun || result.kind == outcomeNotSent) {
-		account.report.RefusedKeys = append(account.report.RefusedKeys, job.key)
+		recorder.report.RefusedKeys = append(recorder.report.RefusedKeys, job.key)
 	}
 }
 
-func (account *account) budgetEmpty() {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.RetriesOverBudget++
+func (recorder *recorder) recordRetryBudgetEmpty() {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.RetriesOverBudget++
 }
 
-func (account *account) flowOpened() {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.Flows.Opened++
+func (recorder *recorder) recordFlowOpened() {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.Flows.Opened++
 }
 
-func (account *account) flowFailed(err error) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.Flows.Failed++
-	account.flowExample("open", err)
+func (recorder *recorder) recordFlowFailed(err error) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.Flows.Failed++
+	recorder.addFlowExample("open", err)
 }
 
-// flowEnded records how a connection ended.
-func (account *account) flowEnded(ended *flow, end ending, cause error) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
+// recordFlowEnded records how a connection ended, and an example when it broke.
+func (recorder *recorder) recordFlowEnded(ended *flow, end ending, cause error) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
 	switch end {
-	case endingOwn:
-		account.report.Flows.ClosedByCaller++
+	case endingByCaller:
+		recorder.report.Flows.ClosedByCaller++
 	case endingGraceful:
-		account.report.Flows.ClosedGracefully++
+		recorder.report.Flows.ClosedGracefully++
 	case endingBroken:
-		account.report.Flows.Broken++
-		account.report.Flows.BrokenByNode[ended.nodeName()]++
-		account.flowExample(ended.socket.LocalAddr().String(), cause)
+		recorder.report.Flows.Broken++
+		recorder.report.Flows.BrokenByNode[ended.nodeName()]++
+		recorder.addFlowExample(ended.socket.LocalAddr().String(), cause)
 	}
 }
 
-func (account *account) flowExample(local string, err error) {
-	if len(account.report.Flows.Examples) >= maximumExamples {
+func (recorder *recorder) addFlowExample(local string, err error) {
+	if len(recorder.report.Flows.Examples) >= maximumExamples {
 		return
 	}
-	account.report.Flows.Examples = append(account.report.Flows.Examples, FlowExample{
+	recorder.report.Flows.Examples = append(recorder.report.Flows.Examples, FlowExample{
 		At: time.Now(), Local: local, Error: errorText(err),
 	})
 }
 
-func (account *account) feedUpdate() {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.Feeds.Updates++
+func (recorder *recorder) recordFeedUpdate() {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.Feeds.Updates++
 }
 
-func (account *account) feedDuplicate() {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.Feeds.Duplicates++
+func (recorder *recorder) recordFeedDuplicate() {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.Feeds.Duplicates++
 }
 
-func (account *account) feedGap(missing uint64) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	account.report.Feeds.Missing += missing
+func (recorder *recorder) recordFeedGap(missing uint64) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	recorder.report.Feeds.Missing += missing
 }
 
-func (account *account) feedSilence(silence time.Duration) {
-	account.lock.Lock()
-	defer account.lock.Unlock()
+func (recorder *recorder) recordFeedSilence(silence time.Duration) {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
 	milliseconds := silence.Milliseconds()
-	account.report.Feeds.LongestSilenceMilliseconds = max(account.report.Feeds.LongestSilenceMilliseconds, milliseconds)
+	recorder.report.Feeds.LongestSilenceMilliseconds = max(recorder.report.Feeds.LongestSilenceMilliseconds, milliseconds)
 }
--- a/internal/standin/caller/arrivals.go
+++ b/internal/standin/caller/arrivals.go
@@ -16,20 +16,23 @@
 	callBodyBytes = 256
 )
 
-// arrivals makes jobs of one kind at random times with a fixed mean rate,
-// whether or not earlier ones have been answered (open loop).
+// arrivals is a Poisson process that creates jobs of one kind at a fixed mean rate, whether or not
+// earlier ones have been answered (open loop).
 type arrivals struct {
 	options Options
 	sender  *sender
 	random  *rand.Rand
-	// stream tells the arrival processes of one caller apart.
+	// stream is the part of request identifiers that distinguishes the arrival processes of one
+	// caller.
 	stream string
-	rate   float64
-	build  func(arrivals *arrivals, identifier string) job
+	// rate is the mean number of jobs per second; no jobs are created at zero.
+	rate  float64
+	build func(arrivals *arrivals, identifier string) job
 }
 
-// run makes jobs until ctx ends; requests themselves end with requests.
-func (arrivals *arrivals) run(ctx, requests context.Context, running *sync.WaitGroup) {
+// run creates jobs until ctx ends and sends each in its own goroutine. Requests in progress are
+// bounded by requestContext instead, so they may outlast ctx.
+func (arrivals *arrivals) run(ctx, requestContext context.Context, running *sync.WaitGroup) {
 	if arrivals.rate <= 0 {
 		return
 	}
@@ -40,15 +43,16 @@
 		if !sleepUntil(ctx, next) {
 			return
 		}
-		made := arrivals.build(arrivals, fmt.Sprintf("%s-%s-%d", arrivals.options.Name, arrivals.stream, number))
+		created := arrivals.build(arrivals, fmt.Sprintf("%s-%s-%d", arrivals.options.Name, arrivals.stream, number))
 		running.Add(1)
 		go func() {
 			defer running.Done()
-			arrivals.sender.send(requests, made)
+			arrivals.sender.send(requestContext, created)
 		}()
 	}
 }
 
+// sleepUntil waits until moment. It returns false when ctx ended first.
 func sleepUntil(ctx context.Context, moment time.Time) bool {
 	timer := time.NewTimer(time.Until(moment))
 	defer timer.Stop()
@@ -60,24 +64,26 @@
 	}
 }
 
-// buildCall makes a call; a part of them may run at most once.
+// buildCall creates a call. It makes the fraction Options.AtMostOnceFraction of them at-most-once
+// calls with an idempotency key.
 func buildCall(arrivals *arrivals, identifier string) job {
-	made := arrivals.job(ClassCall, identifier, callPath, callBodyBytes)
+	created := arrivals.newJob(ClassCall, identifier, callPath, callBodyBytes)
 	if arrivals.random.Float64() < arrivals.options.AtMostOnceFraction {
-		made.class = ClassOnce
-		made.path = oncePath
-		made.key = "key-" + identifier
+		created.class = ClassOnce
+		created.path = oncePath
+		created.key = "key-" + identifier
 	}
-	return made
+	return created
 }
 
-// buildUpload makes an upload whose size varies around the mean.
+// buildUpload creates an upload whose size is uniform between 0.5 and 1.5 times the mean.
 func buildUpload(arrivals *arrivals, identifier string) job {
 	size := arrivals.options.UploadBytes/2 + arrivals.random.IntN(arrivals.options.UploadBytes+1)
-	return arrivals.job(ClassUpload, identifier, uploadPath, size)
+	return arrivals.newJob(ClassUpload, identifier, uploadPath, size)
 }
 
-func (arrivals *arrivals) job(class Class, identifier, path string, size int) job {
+// newJob creates a job with a random body of size bytes on a random connection of the pool.
+func (arrivals *arrivals) newJob(class Class, identifier, path string, size int) job {
 	body := make([]byte, size)
 	for index := range body {
 		body[index] = byte(arrivals.random.Uint32())
@@ -87,7 +93,7 @@
 		identifier: identifier,
 		path:       path,
 		body:       body,
-		place:      arrivals.random.IntN(arrivals.options.Connections),
+		slotIndex:  arrivals.random.IntN(arrivals.options.Connections),
 		seed:       arrivals.random.Uint64(),
 	}
 }
--- a/internal/standin/caller/check.go
+++ b/internal/standin/caller/check.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// reply is what the caller needs to read of an answer's body.
+// reply holds the fields of an answer's body that the caller checks.
 type reply struct {
 	Request      string `json:"request"`
 	Key          string `json:"key"`
@@ -18,16 +18,16 @@
 	BodyChecksum string `json:"body_checksum"`
 }
 
-// expectation is what an answer to a request must name.
+// expectation holds the values that the answer to a request must repeat.
 type expectation struct {
-	// attempts are the identifiers under which the request was sent.
+	// attempts are the identifiers under which the request was sent, the latest last.
 	attempts []string
 	key      string
 	body     []byte
 }
 
-// checkReply returns an error when body is not the answer to the expected
-// request. The answer to a keyed request may be that of an earlier attempt.
+// checkReply returns an error when body is not the answer to the expected request. A request with
+// an idempotency key may get the answer to one of its earlier attempts.
 func checkReply(body []byte, expected expectation) (reply, error) {
 	var got reply
 	if err := json.Unmarshal(body, &got); err != nil {
@@ -37,34 +37,34 @@
 }
 
 func (got reply) check(expected expectation) error {
-	if !expected.sentAs(got.Request) {
-		return fmt.Errorf("the answer names request %q, sent were %q", got.Request, expected.attempts)
+	if !expected.matchesAttempt(got.Request) {
+		return fmt.Errorf("the answer names request %q, the attempts were %q", got.Request, expected.attempts)
 	}
 	if got.Key != expected.key {
-		return fmt.Errorf("the answer names key %q, sent was %q", got.Key, expected.key)
+		return fmt.Errorf("the answer names key %q, expected %q", got.Key, expected.key)
 	}
 	if got.BodyBytes != int64(len(expected.body)) {
-		return fmt.Errorf("the back end got %d bytes, sent were %d", got.BodyBytes, len(expected.body))
+		return fmt.Errorf("the back end received %d bytes, expected %d", got.BodyBytes, len(expected.body))
 	}
 	if sum := strconv.FormatUint(xxhash.Sum64(expected.body), 16); got.BodyChecksum != sum {
-		return fmt.Errorf("the back end got a body with checksum %s, sent was %s", got.BodyChecksum, sum)
+		return fmt.Errorf("the back end received a body with checksum %s, expected %s", got.BodyChecksum, sum)
 	}
 	return nil
 }
 
-// checkEcho returns an error when an answer's head names another request than
-// the one that was sent. An answer need not name any.
-func checkEcho(response *http.Response, request *http.Request) error {
+// checkEchoedID returns an error when the answer's X-Request-Id header differs from the request's.
+// An answer without the header passes.
+func checkEchoedID(response *http.Response, request *http.Request) error {
 	sent, named := request.Header.Get(headerRequest), response.Header.Get(headerRequest)
 	if named != "" && named != sent {
-		return fmt.Errorf("the answer's header names request %q, sent was %q", named, sent)
+		return fmt.Errorf("the answer's header names request %q, expected %q", named, sent)
 	}
 	return nil
 }
 
-// sentAs tells whether identifier names an attempt of this request. Only a
-// keyed request may be answered under an earlier attempt's identifier.
-func (expected expectation) sentAs(identifier string) bool {
+// matchesAttempt reports whether identifier is a valid one for the answer: the latest attempt's, or
+// any attempt's when the request has an idempotency key.
+func (expected expectation) matchesAttempt(identifier string) bool {
 	latest := expected.attempts[len(expected.attempts)-1]
 	if expected.key == "" {
 		return identifier == latest
--- a/internal/standin/caller/decision_test.go
+++ b/internal/standin/caller/decision_test.go
@@ -22,14 +22,14 @@
 		expected expectation
 		fault    string
 	}{
-		{"own answer", good, keyed, ""},
-		{"recorded answer of an earlier attempt", `{"request":"r.1","key":"k","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyed, ""},
-		{"earlier attempt without a key", `{"request":"r.1","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyless, "names request"},
+		{"answer to the latest attempt", good, keyed, ""},
+		{"recorded answer to an earlier attempt", `{"request":"r.1","key":"k","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyed, ""},
+		{"answer to an earlier attempt without a key", `{"request":"r.1","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyless, "names request"},
 		{"another request", `{"request":"x.1","key":"k","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyed, "names request"},
 		{"another key", `{"request":"r.2","key":"j","body_bytes":5,"body_checksum":"26c7827d889f6da3"}`, keyed, "names key"},
 		{"short body", `{"request":"r.2","key":"k","body_bytes":4,"body_checksum":"26c7827d889f6da3"}`, keyed, "4 bytes"},
 		{"changed body", `{"request":"r.2","key":"k","body_bytes":5,"body_checksum":"0"}`, keyed, "checksum"},
-		{"half an answer", good[:20], keyed, "cannot be read"},
+		{"truncated answer", good[:20], keyed, "cannot be read"},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestSettle(t *testing.T) {
+func TestFinalOutcome(t *testing.T) {
 	uncertain := &outcome{kind: outcomeUnknown}
 	cases := []struct {
 		name    string
@@ -58,7 +58,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			require.Equal(t, testCase.want, settle(testCase.earlier, outcome{kind: testCase.last}).kind)
+			require.Equal(t, testCase.want, finalOutcome(testCase.earlier, outcome{kind: testCase.last}).kind)
 		})
 	}
 }
@@ -66,10 +66,10 @@
 func TestRetryDelay(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 1000 {
-		require.LessOrEqual(t, retryDelay(1, 0, random), firstBackoff)
-		require.LessOrEqual(t, retryDelay(maximumAttempts, 0, random), lastBackoff)
+		require.LessOrEqual(t, retryDelay(1, 0, random), initialBackoff)
+		require.LessOrEqual(t, retryDelay(maximumAttempts, 0, random), maximumBackoff)
 		stated := retryDelay(1, 2*time.Second, random)
-		require.GreaterOrEqual(t, stated, 2*time.Second, "Retry-After is never undercut")
+		require.GreaterOrEqual(t, stated, 2*time.Second, "no retry before Retry-After has passed")
 		require.LessOrEqual(t, stated, 3*time.Second)
 	}
 }
@@ -89,16 +89,16 @@
 	}
 }
 
-func TestRefusalsAreAccounted(t *testing.T) {
-	account := newAccount()
+func TestRefusalsAreReported(t *testing.T) {
+	recorder := newRecorder()
 	refused := outcome{kind: outcomeNotRun, status: http.StatusServiceUnavailable, code: 6001, retryAfter: time.Second, took: 3 * time.Millisecond}
-	account.attempted(ClassCall, "r.1", refused)
+	recorder.recordAttempt(ClassCall, "r.1", refused)
 	refused.retryAfter = 0
-	account.attempted(ClassCall, "r.2", refused)
+	recorder.recordAttempt(ClassCall, "r.2", refused)
 	refused.status = http.StatusBadRequest
-	account.attempted(ClassCall, "r.3", refused)
-	account.attempted(ClassCall, "r.4", outcome{kind: outcomeUnknown, status: http.StatusServiceUnavailable, took: time.Hour})
-	report := account.finish(Options{}, time.Now())
+	recorder.recordAttempt(ClassCall, "r.3", refused)
+	recorder.recordAttempt(ClassCall, "r.4", outcome{kind: outcomeUnknown, status: http.StatusServiceUnavailable, took: time.Hour})
+	report := recorder.buildReport(Options{}, time.Now())
 	require.Equal(t, []string{"r.1", "r.2", "r.3"}, report.ClaimedNotRun)
 	require.Equal(t, 1, report.RefusedWithoutRetryAfter)
 	require.InDelta(t, 3000, report.RefusalLatency.Max, 10)
@@ -114,7 +114,7 @@
 }
 
 func TestBudgetBoundsRetries(t *testing.T) {
-	budget := newBudget()
+	budget := newRetryBudget()
 	taken := 0
 	for range 1000 {
 		budget.deposit()
@@ -122,11 +122,11 @@
 			taken++
 		}
 	}
-	require.LessOrEqual(t, float64(taken), budgetCapacity+1000*budgetRatio)
-	require.Greater(t, float64(taken), 1000*budgetRatio-1)
+	require.LessOrEqual(t, float64(taken), retryBudgetCapacity+1000*retriesPerRequest)
+	require.Greater(t, float64(taken), 1000*retriesPerRequest-1)
 }
 
-func TestMayResend(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	cases := []struct {
 		kind  outcomeKind
 		class Class
@@ -142,7 +142,7 @@
 		{outcomeAbandoned, ClassOnce, false},
 	}
 	for _, testCase := range cases {
-		require.Equal(t, testCase.want, mayResend(testCase.kind, testCase.class), "%v", testCase)
+		require.Equal(t, testCase.want, mayRetry(testCase.kind, testCase.class), "%v", testCase)
 	}
 }
 
@@ -152,9 +152,9 @@
 		cause error
 		want  ending
 	}{
-		{"goodbye", &quic.ApplicationError{Remote: true, ErrorCode: quic.ApplicationErrorCode(http3.ErrCodeNoError)}, endingGraceful},
-		{"server fault", &quic.ApplicationError{Remote: true, ErrorCode: quic.ApplicationErrorCode(http3.ErrCodeInternalError)}, endingBroken},
-		{"silence", &quic.IdleTimeoutError{}, endingBroken},
+		{"graceful close by the server", &quic.ApplicationError{Remote: true, ErrorCode: quic.ApplicationErrorCode(http3.ErrCodeNoError)}, endingGraceful},
+		{"internal error of the server", &quic.ApplicationError{Remote: true, ErrorCode: quic.ApplicationErrorCode(http3.ErrCodeInternalError)}, endingBroken},
+		{"idle timeout", &quic.IdleTimeoutError{}, endingBroken},
 		{"stateless reset", &quic.StatelessResetError{}, endingBroken},
 	}
 	for _, testCase := range cases {
--- a/internal/standin/caller/exchange.go
+++ b/internal/standin/caller/exchange.go
@@ -24,75 +24,78 @@
 	headerLastEventID = "Last-Event-ID"
 )
 
-// maximumReplyBytes bounds what is read of one answer.
+// maximumReplyBytes bounds the bytes that are read of one answer's body.
 const maximumReplyBytes = 1 << 20
 
 // outcomeKind is how one attempt ended.
 type outcomeKind uint8
 
 const (
-	// outcomeDelivered: the whole answer to this request came.
+	// outcomeDelivered: the complete and correct answer to this request arrived.
 	outcomeDelivered outcomeKind = iota + 1
-	// outcomeNotSent: no connection took the request.
+	// outcomeNotSent: no part of the request was sent on any connection.
 	outcomeNotSent
-	// outcomeNotRun: the system says that the request was not run.
+	// outcomeNotRun: the system refused the request and stated that it was not run.
 	outcomeNotRun
-	// outcomeUnknown: the request may have run; no answer says.
+	// outcomeUnknown: the request may have run; the caller timed out or got an error that does not
+	// say.
 	outcomeUnknown
 	// outcomeBroken: the connection or the answer was cut.
 	outcomeBroken
-	// outcomeCrossed: an answer to something else came.
+	// outcomeCrossed: the answer does not belong to this request.
 	outcomeCrossed
-	// outcomeAbandoned: this caller stopped before the answer.
+	// outcomeAbandoned: the caller stopped before the answer arrived.
 	outcomeAbandoned
 )
 
 // outcome is the result of one attempt.
 type outcome struct {
-	kind       outcomeKind
-	status     int
+	kind outcomeKind
+	// status is the HTTP status, or zero when no status was recorded.
+	status int
+	// code is the system's error code, or zero.
 	code       int
 	retryAfter time.Duration
 	// took is the time from sending to the end of the attempt.
 	took time.Duration
-	// node is the back end of the connection that was used, if known.
+	// node is the back end that last answered on the connection, or unknownNode.
 	node string
 	err  error
 }
 
-// problem is what the caller reads of an error answer (RFC 9457).
+// problem holds the fields of an error answer (RFC 9457) that the caller reads.
 type problem struct {
 	Code int    `json:"code"`
 	Ran  string `json:"ran"`
-	// RetryAfterMilliseconds is the exact form of Retry-After.
+	// RetryAfterMilliseconds is Retry-After in milliseconds; it overrides the header.
 	RetryAfterMilliseconds int64 `json:"retry_after_ms"`
 }
 
-// ranNo is the value of a problem's ran field that says "not run".
+// ranNo is the value of a problem's ran field that states that the request was not run.
 const ranNo = "no"
 
-// roundTrip sends request on a connection and returns the answer's head. The
-// failure is set when there is none.
-func roundTrip(ctx context.Context, on *flow, request *http.Request) (response *http.Response, failure outcome) {
-	// A header field is encoded before anything is written, so a request whose
-	// fields were never encoded was surely not sent.
+// roundTrip sends request on a connection and returns the response once its header has arrived.
+// Without a response it returns nil and the failure.
+func roundTrip(ctx context.Context, connection *flow, request *http.Request) (response *http.Response, failure outcome) {
+	// Header fields are encoded before anything is written, so a request whose fields were never
+	// encoded was certainly not sent.
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaderField: func(string, []string) { sent.Store(true) }}
-	response, err := on.client.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
+	response, err := connection.client.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err == nil {
 		return response, outcome{}
 	}
 	if !sent.Load() && ctx.Err() == nil {
-		// The connection takes no more requests: the server said so.
-		on.leaving.Store(true)
+		// The server accepts no more requests on the connection (GOAWAY).
+		connection.goingAway.Store(true)
 		return nil, outcome{kind: outcomeNotSent, err: err}
 	}
 	return nil, classifyError(ctx, err)
 }
 
-// exchange sends one request with its body and reads the whole answer.
-func exchange(ctx context.Context, on *flow, request *http.Request, expected expectation) outcome {
-	response, failure := roundTrip(ctx, on, request)
+// exchange sends one request with its body, reads the answer to its end and checks it.
+func exchange(ctx context.Context, connection *flow, request *http.Request, expected expectation) outcome {
+	response, failure := roundTrip(ctx, connection, request)
 	if response == nil {
 		return failure
 	}
@@ -104,38 +107,39 @@
 	if response.StatusCode != http.StatusOK {
 		return refusal(response, body)
 	}
-	if err := checkEcho(response, request); err != nil {
+	if err := checkEchoedID(response, request); err != nil {
 		return outcome{kind: outcomeCrossed, status: response.StatusCode, err: err}
 	}
 	got, err := checkReply(body, expected)
 	if err != nil {
 		return outcome{kind: outcomeCrossed, status: response.StatusCode, err: err}
 	}
-	on.answeredBy(got.Node)
+	connection.setNode(got.Node)
 	return outcome{kind: outcomeDelivered, status: response.StatusCode}
 }
 
-// refusal reads an answer that is not a success.
+// refusal returns the outcome for an answer whose status is not 200: outcomeNotRun when its problem
+// body states that, else outcomeUnknown.
 func refusal(response *http.Response, body []byte) outcome {
-	var told problem
-	// An answer without a readable problem says nothing about the run.
-	_ = json.Unmarshal(body, &told)
+	var details problem
+	// Without a readable problem body it is unknown whether the request ran.
+	_ = json.Unmarshal(body, &details)
 	result := outcome{
 		kind:       outcomeUnknown,
 		status:     response.StatusCode,
-		code:       told.Code,
+		code:       details.Code,
 		retryAfter: parseRetryAfter(response.Header.Get(headerRetryAfter), time.Now()),
 	}
-	if told.RetryAfterMilliseconds > 0 {
-		result.retryAfter = time.Duration(told.RetryAfterMilliseconds) * time.Millisecond
+	if details.RetryAfterMilliseconds > 0 {
+		result.retryAfter = time.Duration(details.RetryAfterMilliseconds) * time.Millisecond
 	}
-	if told.Ran == ranNo {
+	if details.Ran == ranNo {
 		result.kind = outcomeNotRun
 	}
 	return result
 }
 
-// classifyError tells what an error of a started exchange means for the run.
+// classifyError returns the outcome of an exchange that failed with err after it may have been sent.
 func classifyError(ctx context.Context, err error) outcome {
 	if errors.Is(context.Cause(ctx), errStopping) {
 		return outcome{kind: outcomeAbandoned, err: err}
@@ -150,7 +154,8 @@
 	return outcome{kind: outcomeBroken, err: err}
 }
 
-// setTimeout tells the server how much time the request has left.
+// setTimeout sets the header that tells the server the remaining time, in milliseconds. It sets
+// none when ctx has no deadline.
 func setTimeout(ctx context.Context, request *http.Request) {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// feedGrace is how long past its length a feed may take to end.
-const feedGrace = 5 * time.Second
+// feedEndGrace is how long a feed may take to end after its requested length.
+const feedEndGrace = 5 * time.Second
 
 // feedMessage is one server-sent event.
 type feedMessage struct {
@@ -23,63 +23,64 @@
 	data  string
 }
 
-// feed holds one feed open for the caller's whole run. It reopens a feed that
-// was cut, behind the last update that it got.
+// feed keeps one feed open for the caller's whole run. When the feed is cut it reopens it and
+// resumes after the last update received.
 type feed struct {
 	options    Options
 	pool       *pool
-	account    *account
+	recorder   *recorder
 	identifier string
 	random     *rand.Rand
-	// last is the identifier of the latest update.
-	last uint64
+	// lastID is the identifier of the latest update, or zero before the first.
+	lastID uint64
 }
 
-// run holds the feed until until; requests ends when the caller stops.
-func (feed *feed) run(requests context.Context, until time.Time) {
-	feed.account.offered(ClassFeed)
+// run keeps the feed open until deadline. requestContext ends when the caller stops. A feed that
+// was cut at least once counts as broken, even if a later attempt reached its end.
+func (feed *feed) run(requestContext context.Context, deadline time.Time) {
+	feed.recorder.recordOffered(ClassFeed)
 	started := time.Now()
 	var last outcome
 	broken := false
 	for attempt := 1; ; attempt++ {
 		identifier := fmt.Sprintf("%s.%d", feed.identifier, attempt)
 		opened := time.Now()
-		last = feed.attempt(requests, identifier, until)
+		last = feed.attempt(requestContext, identifier, deadline)
 		last.took = time.Since(opened)
-		feed.account.attempted(ClassFeed, identifier, last)
+		feed.recorder.recordAttempt(ClassFeed, identifier, last)
 		broken = broken || last.kind == outcomeBroken
 		if last.kind == outcomeDelivered || last.kind == outcomeCrossed || last.kind == outcomeAbandoned {
 			break
 		}
 		delay := retryDelay(min(attempt, maximumAttempts), last.retryAfter, feed.random)
-		if time.Now().Add(delay).After(until) || !waitToRetry(requests, delay) {
+		if time.Now().Add(delay).After(deadline) || !waitToRetry(requestContext, delay) {
 			break
 		}
 	}
 	if broken {
 		last.kind = outcomeBroken
 	}
-	feed.account.finished(job{class: ClassFeed, identifier: feed.identifier}, last, time.Since(started))
+	feed.recorder.recordOutcome(job{class: ClassFeed, identifier: feed.identifier}, last, time.Since(started))
 }
 
-// attempt opens the feed once, on a connection of its own, and reads it.
-func (feed *feed) attempt(ctx context.Context, identifier string, until time.Time) outcome {
-	on, err := feed.pool.open(ctx)
+// attempt opens the feed once, on a dedicated connection, and reads it to its end.
+func (feed *feed) attempt(ctx context.Context, identifier string, deadline time.Time) outcome {
+	connection, err := feed.pool.open(ctx)
 	if err != nil {
 		return outcome{kind: outcomeNotSent, err: err}
 	}
-	defer on.close()
-	length := max(time.Until(until), time.Millisecond).Round(time.Millisecond)
-	ctx, cancel := context.WithTimeout(ctx, length+feedGrace)
+	defer connection.close()
+	length := max(time.Until(deadline), time.Millisecond).Round(time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, length+feedEndGrace)
 	defer cancel()
 	request, err := newRequest(ctx, http.MethodGet, feed.options.Address.String()+"/feed/live?for="+length.String(), identifier, nil)
 	if err != nil {
 		return outcome{kind: outcomeNotSent, err: err}
 	}
-	if feed.last > 0 {
-		request.Header.Set(headerLastEventID, strconv.FormatUint(feed.last, 10))
+	if feed.lastID > 0 {
+		request.Header.Set(headerLastEventID, strconv.FormatUint(feed.lastID, 10))
 	}
-	response, failure := roundTrip(ctx, on, request)
+	response, failure := roundTrip(ctx, connection, request)
 	if response == nil {
 		return failure
 	}
@@ -88,31 +89,31 @@
 		body, _ := io.ReadAll(io.LimitReader(response.Body, maximumReplyBytes))
 		return refusal(response, body)
 	}
-	result := feed.read(ctx, on, response.Body, identifier)
-	result.node = on.nodeName()
+	result := feed.read(ctx, connection, response.Body, identifier)
+	result.node = connection.nodeName()
 	return result
 }
 
-// read follows the feed to its end and checks each update.
-func (feed *feed) read(ctx context.Context, on *flow, body io.Reader, identifier string) outcome {
+// read reads the feed's messages to its end and checks each.
+func (feed *feed) read(ctx context.Context, connection *flow, body io.Reader, identifier string) outcome {
 	reader := bufio.NewReader(body)
 	latest := time.Now()
 	for {
 		message, err := readMessage(reader)
 		if err != nil {
-			result := classifyError(ctx, fmt.Errorf("the feed was cut after update %d: %w", feed.last, err))
+			result := classifyError(ctx, fmt.Errorf("the feed was cut after update %d: %w", feed.lastID, err))
 			if result.kind == outcomeUnknown {
-				// A feed that is silent past its end is a cut feed.
+				// A feed that timed out sent no end event, so it counts as cut.
 				result.kind = outcomeBroken
 			}
 			return result
 		}
-		feed.account.feedSilence(time.Since(latest))
+		feed.recorder.recordFeedSilence(time.Since(latest))
 		latest = time.Now()
 		if !strings.Contains(message.data, strconv.Quote(identifier)) {
 			return outcome{kind: outcomeCrossed, err: fmt.Errorf("the update is not of feed %s: %s", identifier, message.data)}
 		}
-		on.answeredBy(nodeOf(message))
+		connection.setNode(messageNode(message))
 		if message.event == "end" {
 			return outcome{kind: outcomeDelivered, status: http.StatusOK}
 		}
@@ -120,8 +121,8 @@
 	}
 }
 
-// nodeOf returns the back end that a message names.
-func nodeOf(message feedMessage) string {
+// messageNode returns the back end that a message names, or unknownNode.
+func messageNode(message feedMessage) string {
 	var named reply
 	if json.Unmarshal([]byte(message.data), &named) != nil || named.Node == "" {
 		return unknownNode
@@ -129,17 +130,17 @@
 	return named.Node
 }
 
-// checkSequence counts updates that were left out or came twice.
+// checkSequence counts the update id and any duplicate or gap that it reveals.
 func (feed *feed) checkSequence(id uint64) {
 	switch {
-	case id <= feed.last:
-		feed.account.feedDuplicate()
+	case id <= feed.lastID:
+		feed.recorder.recordFeedDuplicate()
 		return
-	case id > feed.last+1:
-		feed.account.feedGap(id - feed.last - 1)
+	case id > feed.lastID+1:
+		feed.recorder.recordFeedGap(id - feed.lastID - 1)
 	}
-	feed.last = id
-	feed.account.feedUpdate()
+	feed.lastID = id
+	feed.recorder.recordFeedUpdate()
 }
 
 // readMessage reads one server-sent event up to its blank line.
@@ -163,7 +164,7 @@
 	}
 }
 
-// add takes in one line of a server-sent event.
+// add parses one line of a server-sent event into message. It ignores unknown fields.
 func (message *feedMessage) add(line string) error {
 	field, value, _ := strings.Cut(line, ": ")
 	switch field {
--- a/internal/standin/caller/flow.go
+++ b/internal/standin/caller/flow.go
@@ -17,19 +17,19 @@
 const (
 	// handshakeTimeout bounds the opening of a connection.
 	handshakeTimeout = 3 * time.Second
-	// idleTimeout is how long a connection may be silent before it counts as
-	// broken; keep-alives are sent well within it.
+	// idleTimeout is how long a connection may receive nothing before it counts as broken; it spans
+	// several keep-alive periods.
 	idleTimeout     = 6 * time.Second
 	keepAlivePeriod = 2 * time.Second
 )
 
-// unknownNode stands for the back end of a connection without an answer.
+// unknownNode is reported for connections on which no back end has answered.
 const unknownNode = "unknown"
 
-// errOwnClose is the cause of a connection that this caller closed.
-var errOwnClose = errors.New("closed by the caller")
+// errClosedByCaller is the close reason of connections that this caller closes.
+var errClosedByCaller = errors.New("closed by the caller")
 
-// flow is one connection from a source port of its own.
+// flow is one HTTP/3 connection. Each has its own source port.
 type flow struct {
 	socket     *net.UDPConn
 	transport  *quic.Transport
@@ -37,20 +37,20 @@
 	client     *http3.ClientConn
 	openedAt   time.Time
 	inProgress atomic.Int64
-	// ownClose: the caller closed the connection.
-	ownClose atomic.Bool
-	// retired: the caller closes the connection after its last request.
+	// closedByCaller is set when the caller closes the connection.
+	closedByCaller atomic.Bool
+	// retired is set when the connection shall be closed after its last request in progress.
 	retired atomic.Bool
-	// leaving: the server takes no more requests on the connection.
-	leaving atomic.Bool
-	// node is the back end that latest answered on the connection.
+	// goingAway is set when the server accepts no more requests on the connection.
+	goingAway atomic.Bool
+	// node is the back end that last answered on the connection.
 	node atomic.Pointer[string]
 }
 
-// answeredBy records the back end that answered on the connection.
-func (flow *flow) answeredBy(node string) { flow.node.Store(&node) }
+// setNode records the back end that answered on the connection.
+func (flow *flow) setNode(node string) { flow.node.Store(&node) }
 
-// nodeName is the back end that latest answered, or unknownNode.
+// nodeName returns the back end that last answered, or unknownNode.
 func (flow *flow) nodeName() string {
 	if node := flow.node.Load(); node != nil {
 		return *node
@@ -83,7 +83,8 @@
 	}, nil
 }
 
-// clientTLS accepts any certificate: agents make their own for trials.
+// clientTLS returns a configuration that accepts any certificate, because agents use self-signed
+// ones in tests.
 func clientTLS() *tls.Config {
 	return &tls.Config{
 		InsecureSkipVerify: true,
@@ -100,16 +101,16 @@
 	}
 }
 
-// alive tells whether the connection is open.
+// alive reports whether the connection is open.
 func (flow *flow) alive() bool { return flow.connection.Context().Err() == nil }
 
-// close ends the connection as the caller's own wish.
+// close closes the connection without an error and marks it as closed by the caller.
 func (flow *flow) close() {
-	flow.ownClose.Store(true)
-	_ = flow.client.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), errOwnClose.Error())
+	flow.closedByCaller.Store(true)
+	_ = flow.client.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeNoError), errClosedByCaller.Error())
 }
 
-// release frees the socket once the connection has ended.
+// release closes the transport and the socket; call it once the connection has ended.
 func (flow *flow) release() {
 	_ = flow.transport.Close()
 	_ = flow.socket.Close()
@@ -119,24 +120,24 @@
 type ending uint8
 
 const (
-	endingOwn ending = iota + 1
-	// endingGraceful: the server said goodbye first, or both agreed to end.
+	endingByCaller ending = iota + 1
+	// endingGraceful: the server closed the connection without an error (H3_NO_ERROR).
 	endingGraceful
-	// endingBroken: everything else.
+	// endingBroken: the connection ended otherwise, such as by an error, a reset or an idle timeout.
 	endingBroken
 )
 
-// ended waits for the end of the connection and classifies it.
-func (flow *flow) ended() (ending, error) {
+// waitForEnd waits for the end of the connection and returns its kind and cause.
+func (flow *flow) waitForEnd() (ending, error) {
 	<-flow.connection.Context().Done()
 	cause := context.Cause(flow.connection.Context())
-	if flow.ownClose.Load() {
-		return endingOwn, cause
+	if flow.closedByCaller.Load() {
+		return endingByCaller, cause
 	}
 	return classifyEnding(cause), cause
 }
 
-// classifyEnding tells a goodbye from a break by the connection's error.
+// classifyEnding returns endingGraceful when cause is an H3_NO_ERROR close, else endingBroken.
 func classifyEnding(cause error) ending {
 	var closed *quic.ApplicationError
 	if errors.As(cause, &closed) && http3.ErrCode(closed.ErrorCode) == http3.ErrCodeNoError {
--- a/internal/standin/caller/module.go
+++ b/internal/standin/caller/module.go
@@ -14,12 +14,11 @@
 	"merlinpaddle/internal/settings"
 )
 
-// defaultReport is the report's name in the data folder.
+// defaultReport is the default file name of the report in the data folder.
 const defaultReport = "report.json"
 
-// Module runs the caller stand-in, which writes its report and stops the
-// process when its run is over. It provides nothing and needs the process
-// base.
+// Module runs the caller stand-in, which writes its report and stops the process when its run is
+// over. It provides no types and needs the modules that every process has.
 func Module() fx.Option { return fx.Module("caller", fx.Invoke(run)) }
 
 func run(lifecycle fx.Lifecycle, shutdowner fx.Shutdowner, tasks *process.Tasks, readiness *process.Readiness, chosen settings.Settings) error {
@@ -47,12 +46,14 @@
 	return filepath.Join(chosen.DataFolder, defaultReport)
 }
 
-// runName makes identifiers of two runs of the same caller differ.
+// runName returns the node's name with the start time, so that request identifiers of two runs of
+// the same caller differ.
 func runName(node string) string {
 	return fmt.Sprintf("%s-%x", node, time.Now().UnixMilli())
 }
 
-// optionsFrom turns checked settings into options.
+// optionsFrom converts settings into options. It returns faults.CodeSettingsInvalid when the
+// address or the source cannot be parsed; the other fields were validated with the settings.
 func optionsFrom(chosen settings.Settings) (Options, error) {
 	address, err := netip.ParseAddrPort(chosen.Caller.Address)
 	if err != nil {
--- a/internal/standin/caller/pool.go
+++ b/internal/standin/caller/pool.go
@@ -8,76 +8,76 @@
 	"time"
 )
 
-// lifetimeShape is the exponent of the Pareto law of connection lifetimes:
+// lifetimeParetoShape is the shape parameter of the Pareto distribution of connection lifetimes:
 // most are short and a few are very long.
-const lifetimeShape = 1.5
+const lifetimeParetoShape = 1.5
 
-// pool keeps the connections that calls and uploads share. Each place holds
-// one connection and replaces it when it has ended or is past its lifetime.
+// pool keeps the connections that calls and uploads share. Each slot holds one connection, which is
+// replaced when it has ended, is going away or is past its lifetime.
 type pool struct {
-	options Options
-	account *account
-	places  []place
-	closers sync.WaitGroup
+	options         Options
+	recorder        *recorder
+	connectionSlots []connectionSlot
+	monitors        sync.WaitGroup
 }
 
-// place is one connection of the pool, under its own lock.
-type place struct {
+// connectionSlot holds one connection of the pool. Its lock also serializes opening a new one.
+type connectionSlot struct {
 	lock    sync.Mutex
 	current *flow
 	expires time.Time
 }
 
-func newPool(options Options, account *account) *pool {
-	return &pool{options: options, account: account, places: make([]place, options.Connections)}
+func newPool(options Options, recorder *recorder) *pool {
+	return &pool{options: options, recorder: recorder, connectionSlots: make([]connectionSlot, options.Connections)}
 }
 
-// acquire returns the open connection at index and counts a request on it;
-// the caller must release it. It opens a new connection when it must.
+// acquire returns the connection at index and counts a request on it; the caller must release it.
+// It opens a new connection when the present one is not usable.
 func (pool *pool) acquire(ctx context.Context, index int) (*flow, error) {
-	place := &pool.places[index]
-	place.lock.Lock()
-	defer place.lock.Unlock()
-	if place.current != nil && pool.usable(place) {
-		place.current.inProgress.Add(1)
-		return place.current, nil
+	slot := &pool.connectionSlots[index]
+	slot.lock.Lock()
+	defer slot.lock.Unlock()
+	if slot.current != nil && pool.usable(slot) {
+		slot.current.inProgress.Add(1)
+		return slot.current, nil
 	}
-	pool.retire(place.current)
-	place.current = nil
+	pool.retire(slot.current)
+	slot.current = nil
 	opened, err := pool.open(ctx)
 	if err != nil {
 		return nil, err
 	}
-	place.current = opened
-	place.expires = pool.expiry()
+	slot.current = opened
+	slot.expires = pool.expiry()
 	opened.inProgress.Add(1)
 	return opened, nil
 }
 
-func (pool *pool) usable(place *place) bool {
-	expired := !place.expires.IsZero() && time.Now().After(place.expires)
-	return place.current.alive() && !place.current.leaving.Load() && !expired
+func (pool *pool) usable(slot *connectionSlot) bool {
+	expired := !slot.expires.IsZero() && time.Now().After(slot.expires)
+	return slot.current.alive() && !slot.current.goingAway.Load() && !expired
 }
 
-// open opens a connection and follows it to its end.
+// open opens a connection and starts a goroutine that records how it ends.
 func (pool *pool) open(ctx context.Context) (*flow, error) {
 	opened, err := openFlow(ctx, pool.options.Source, pool.options.Address)
 	if err != nil {
-		pool.account.flowFailed(err)
+		pool.recorder.recordFlowFailed(err)
 		return nil, err
 	}
-	pool.account.flowOpened()
-	pool.closers.Add(1)
+	pool.recorder.recordFlowOpened()
+	pool.monitors.Add(1)
 	go func() {
-		defer pool.closers.Done()
-		end, cause := opened.ended()
+		defer pool.monitors.Done()
+		end, cause := opened.waitForEnd()
 		opened.release()
-		pool.account.flowEnded(opened, end, cause)
+		pool.recorder.recordFlowEnded(opened, end, cause)
 	}()
 	return opened, nil
 }
 
-// retire closes a connection once its requests have ended.
+// retire marks a connection to be closed once its requests have ended; without any it closes it now.
 func (pool *pool) retire(old *flow) {
 	if old == nil || !old.alive() {
 		return
@@ -88,33 +88,35 @@
 	}
 }
 
-// release counts a request off its connection.
+// release ends a request on its connection, and closes the connection if it was retired and this
+// was its last request.
 func (pool *pool) release(used *flow) {
 	if used.inProgress.Add(-1) == 0 && used.retired.Load() {
 		used.close()
 	}
 }
 
-// expiry draws the end of a new connection's life from a Pareto law.
+// expiry returns when a new connection expires, with a Pareto-distributed lifetime whose mean is
+// Options.ConnectionLifetime. The zero time means never.
 func (pool *pool) expiry() time.Time {
 	mean := pool.options.ConnectionLifetime
 	if mean == 0 {
 		return time.Time{}
 	}
-	shortest := float64(mean) * (lifetimeShape - 1) / lifetimeShape
-	drawn := shortest / math.Pow(1-rand.Float64(), 1/lifetimeShape)
+	shortest := float64(mean) * (lifetimeParetoShape - 1) / lifetimeParetoShape
+	drawn := shortest / math.Pow(1-rand.Float64(), 1/lifetimeParetoShape)
 	return time.Now().Add(time.Duration(drawn))
 }
 
-// close closes all connections and waits for their ends to be counted.
+// close closes all connections and waits until their ends have been recorded.
 func (pool *pool) close() {
-	for index := range pool.places {
-		place := &pool.places[index]
-		place.lock.Lock()
-		if place.current != nil {
-			place.current.close()
+	for index := range pool.connectionSlots {
+		slot := &pool.connectionSlots[index]
+		slot.lock.Lock()
+		if slot.current != nil {
+			slot.current.close()
 		}
-		place.lock.Unlock()
+		slot.lock.Unlock()
 	}
-	pool.closers.Wait()
+	pool.monitors.Wait()
 }
--- a/internal/standin/caller/report.go
+++ b/internal/standin/caller/report.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the caller's account of a run, as written to its file.
+// Report holds the results of a run, as written to the report file.
 type Report struct {
 	Caller  string                `json:"caller"`
 	Address string                `json:"address"`
@@ -21,20 +21,19 @@
 	Feeds   FeedCounts            `json:"feeds"`
 	// Refusals counts refused attempts by the system's error code.
 	Refusals map[int]int `json:"refusals"`
-	// RefusalLatency gives the times from sending to the refusal of attempts
-	// that were refused as not run, in microseconds.
+	// RefusalLatency holds the times from sending an attempt to its refusal as not run, in
+	// microseconds.
 	RefusalLatency   Latency                `json:"refusal_latency_microseconds"`
 	RefusalHistogram *hdrhistogram.Snapshot `json:"refusal_histogram"`
-	// RefusedWithoutRetryAfter counts refusals for want of capacity that did
-	// not say when to come back.
+	// RefusedWithoutRetryAfter counts refusals with status 503 that stated no Retry-After.
 	RefusedWithoutRetryAfter int `json:"refused_without_retry_after"`
 	// RetriesOverBudget counts requests that ended because the retry budget
 	// was empty.
 	RetriesOverBudget int `json:"retries_over_budget"`
-	// ClaimedNotRun are the attempts of which the system said "not run".
+	// ClaimedNotRun lists the attempts that the system refused as not run.
 	ClaimedNotRun []string `json:"claimed_not_run"`
-	// DeliveredKeys and RefusedKeys are the at-most-once calls that were
-	// answered, and those whose every attempt was refused as not run.
+	// DeliveredKeys lists the idempotency keys of at-most-once calls that were answered, and
+	// RefusedKeys of those whose every attempt was refused as not run or was not sent.
 	DeliveredKeys []string  `json:"delivered_keys"`
 	RefusedKeys   []string  `json:"refused_keys"`
 	Examples      []Example `json:"examples,omitempty"`
@@ -44,33 +43,33 @@
 type ClassCounts struct {
 	Offered   int `json:"offered"`
 	Delivered int `json:"delivered"`
-	// Refused requests were not run, by the system's own word.
+	// Refused requests were not run: the system refused each attempt as not run, or it was not sent.
 	Refused int `json:"refused"`
 	// Unknown requests may have run.
 	Unknown int `json:"unknown"`
-	// Broken requests were cut.
+	// Broken requests lost their connection or part of their answer.
 	Broken int `json:"broken"`
-	// Crossed requests got something else's answer.
+	// Crossed requests got an answer that does not belong to them.
 	Crossed int `json:"crossed"`
-	// Abandoned requests were given up by the caller as it stopped.
+	// Abandoned requests were unanswered when the caller was stopped.
 	Abandoned int `json:"abandoned"`
 	Attempts  int `json:"attempts"`
-	// CutAttempts were cut; a later attempt may have settled the request.
+	// CutAttempts counts attempts that were cut; a retry may still have delivered the request.
 	CutAttempts int `json:"cut_attempts"`
-	// CutByNode counts them by the back end that the connection had.
+	// CutByNode counts cut attempts by the back end that last answered on the connection.
 	CutByNode map[string]int `json:"cut_by_node"`
 }
 
-// ClassReport is the account of one class.
+// ClassReport holds the results of one class.
 type ClassReport struct {
 	ClassCounts
 	Latency Latency `json:"latency_microseconds"`
-	// Histogram has the whole latency histogram, in microseconds.
+	// Histogram is the complete latency histogram, in microseconds.
 	Histogram *hdrhistogram.Snapshot `json:"histogram"`
 }
 
-// Latency gives the latencies of delivered requests from their intended
-// start, in microseconds.
+// Latency holds quantiles of a latency distribution, in microseconds. Those of delivered requests
+// count from the intended start, so they include retries and waits.
 type Latency struct {
 	P50  int64 `json:"p50"`
 	P90  int64 `json:"p90"`
@@ -87,8 +86,7 @@
 	ClosedByCaller   int `json:"closed_by_caller"`
 	ClosedGracefully int `json:"closed_gracefully"`
 	Broken           int `json:"broken"`
-	// BrokenByNode counts broken connections by the back end that latest
-	// answered on them.
+	// BrokenByNode counts broken connections by the back end that last answered on them.
 	BrokenByNode map[string]int `json:"broken_by_node"`
 	Examples     []FlowExample  `json:"examples,omitempty"`
 }
@@ -117,25 +115,25 @@
 	Error string    `json:"error"`
 }
 
-// finish completes the report.
-func (account *account) finish(options Options, started time.Time) Report {
-	account.lock.Lock()
-	defer account.lock.Unlock()
-	report := account.report
+// buildReport returns the report of a run that began at started and ends now.
+func (recorder *recorder) buildReport(options Options, started time.Time) Report {
+	recorder.lock.Lock()
+	defer recorder.lock.Unlock()
+	report := recorder.report
 	report.Caller = options.Name
 	report.Address = options.Address.String()
 	report.Started = started
 	report.Ended = time.Now()
-	report.Classes = make(map[Class]ClassReport, len(account.classes))
-	for name, class := range account.classes {
+	report.Classes = make(map[Class]ClassReport, len(recorder.classes))
+	for name, class := range recorder.classes {
 		report.Classes[name] = class.report()
 	}
-	report.RefusalLatency = latencyOf(account.refusals)
-	report.RefusalHistogram = account.refusals.Export()
+	report.RefusalLatency = latencyQuantiles(recorder.refusals)
+	report.RefusalHistogram = recorder.refusals.Export()
 	return report
 }
 
-func latencyOf(histogram *hdrhistogram.Histogram) Latency {
+func latencyQuantiles(histogram *hdrhistogram.Histogram) Latency {
 	return Latency{
 		P50:  histogram.ValueAtQuantile(50),
 		P90:  histogram.ValueAtQuantile(90),
@@ -145,29 +143,29 @@
 	}
 }
 
-func (class *classAccount) report() ClassReport {
+func (class *classRecorder) report() ClassReport {
 	return ClassReport{
 		ClassCounts: class.counts,
-		Latency:     latencyOf(class.latencies),
+		Latency:     latencyQuantiles(class.latencies),
 		Histogram:   class.latencies.Export(),
 	}
 }
 
-// Write stores the report at path, whole or not at all.
+// Write stores the report at path atomically: it writes a temporary file and renames it.
 func (report Report) Write(path string) error {
 	text, err := json.MarshalIndent(report, "", " ")
 	if err != nil {
 		return fmt.Errorf("encode report: %w", err)
 	}
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return fmt.Errorf("make the report's folder: %w", err)
+		return fmt.Errorf("create report folder: %w", err)
 	}
 	partial := path + ".partial"
 	if err := os.WriteFile(partial, text, 0o644); err != nil {
 		return fmt.Errorf("write report: %w", err)
 	}
 	if err := os.Rename(partial, path); err != nil {
-		return fmt.Errorf("name report: %w", err)
+		return fmt.Errorf("rename report: %w", err)
 	}
 	return nil
 }
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// errStopping is the cause of contexts that end because the caller stops.
+// errStopping is the cause of contexts that end because the caller is stopped.
 var errStopping = errors.New("the caller stops")
 
-// job is one request as the arrival process made it.
+// job is one request as created by an arrival process, before its attempts.
 type job struct {
 	class      Class
 	identifier string
@@ -22,32 +22,34 @@
 	key  string
 	path string
 	body []byte
-	// place is the pool's connection that the request uses.
-	place int
+	// slotIndex is the index of the pool's connection slot that the request uses.
+	slotIndex int
 	// seed fixes the jitter of the request's retries.
 	seed uint64
 }
 
 // sender sends jobs with retries.
 type sender struct {
-	options Options
-	pool    *pool
-	account *account
-	budget  *budget
+	options     Options
+	pool        *pool
+	recorder    *recorder
+	retryBudget *retryBudget
 }
 
-// send carries out one job from its intended start to its final outcome.
+// send makes the attempts of one job and records its final outcome. The latency counts from the
+// start of send.
 func (sender *sender) send(ctx context.Context, job job) {
 	intended := time.Now()
-	sender.account.offered(job.class)
-	sender.budget.deposit()
+	sender.recorder.recordOffered(job.class)
+	sender.retryBudget.deposit()
 	ctx, cancel := context.WithTimeout(ctx, sender.options.RequestTimeout)
 	defer cancel()
 	last := sender.attempts(ctx, job)
-	sender.account.finished(job, last, time.Since(intended))
+	sender.recorder.recordOutcome(job, last, time.Since(intended))
 }
 
-// attempts makes attempts until one settles the request.
+// attempts makes attempts until one has a final outcome, or the attempts, the retry budget or the
+// time run out.
 func (sender *sender) attempts(ctx context.Context, job job) outcome {
 	random := rand.New(rand.NewPCG(sender.options.Seed, job.seed))
 	expected := expectation{key: job.key, body: job.body}
@@ -56,32 +58,32 @@
 		identifier := fmt.Sprintf("%s.%d", job.identifier, attempt)
 		expected.attempts = append(expected.attempts, identifier)
 		result := sender.attempt(ctx, job, identifier, expected)
-		sender.account.attempted(job.class, identifier, result)
-		mayHaveRun = keepUncertain(mayHaveRun, result)
-		if !mayResend(result.kind, job.class) || attempt == maximumAttempts {
-			return settle(mayHaveRun, result)
+		sender.recorder.recordAttempt(job.class, identifier, result)
+		mayHaveRun = latestUncertain(mayHaveRun, result)
+		if !mayRetry(result.kind, job.class) || attempt == maximumAttempts {
+			return finalOutcome(mayHaveRun, result)
 		}
-		if !sender.budget.withdraw() {
-			sender.account.budgetEmpty()
-			return settle(mayHaveRun, result)
+		if !sender.retryBudget.withdraw() {
+			sender.recorder.recordRetryBudgetEmpty()
+			return finalOutcome(mayHaveRun, result)
 		}
 		if !waitToRetry(ctx, retryDelay(attempt, result.retryAfter, random)) {
-			return settle(mayHaveRun, result)
+			return finalOutcome(mayHaveRun, result)
 		}
 	}
 }
 
-// keepUncertain remembers the latest attempt that may have run.
-func keepUncertain(earlier *outcome, result outcome) *outcome {
+// latestUncertain returns result when its attempt may have run, else earlier.
+func latestUncertain(earlier *outcome, result outcome) *outcome {
 	if result.kind == outcomeUnknown || result.kind == outcomeBroken {
 		return &result
 	}
 	return earlier
 }
 
-// settle is the outcome of the whole request: a refusal of its last attempt
-// does not undo that an earlier attempt may have run.
-func settle(mayHaveRun *outcome, last outcome) outcome {
+// finalOutcome returns the outcome of the whole request. It is that of the last attempt, unless that
+// one was refused or not sent and an earlier attempt may have run.
+func finalOutcome(mayHaveRun *outcome, last outcome) outcome {
 	refused := last.kind == outcomeNotRun || last.kind == outcomeNotSent
 	if refused && mayHaveRun != nil {
 		return *mayHaveRun
@@ -89,7 +91,8 @@
 	return last
 }
 
-// waitToRetry waits and tells whether time is left for another attempt.
+// waitToRetry waits for delay and reports whether another attempt may be made. It returns false at
+// once when ctx would end during the wait.
 func waitToRetry(ctx context.Context, delay time.Duration) bool {
 	if deadline, bounded := ctx.Deadline(); bounded && time.Until(deadline) <= delay {
 		return false
@@ -106,11 +109,11 @@
 
 // attempt makes one attempt.
 func (sender *sender) attempt(ctx context.Context, job job, identifier string, expected expectation) outcome {
-	on, err := sender.pool.acquire(ctx, job.place)
+	connection, err := sender.pool.acquire(ctx, job.slotIndex)
 	if err != nil {
 		return outcome{kind: outcomeNotSent, err: err}
 	}
-	defer sender.pool.release(on)
+	defer sender.pool.release(connection)
 	request, err := newRequest(ctx, http.MethodPost, sender.options.Address.String()+job.path, identifier, job.body)
 	if err != nil {
 		return outcome{kind: outcomeNotSent, err: err}
@@ -119,9 +122,9 @@
 		request.Header.Set(headerKey, job.key)
 	}
 	sent := time.Now()
-	result := exchange(ctx, on, request, expected)
+	result := exchange(ctx, connection, request, expected)
 	result.took = time.Since(sent)
-	result.node = on.nodeName()
+	result.node = connection.nodeName()
 	return result
 }
 
--- a/internal/standin/caller/retry.go
+++ b/internal/standin/caller/retry.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// budgetRatio is the number of retries that one request pays for.
-	budgetRatio = 0.2
-	// budgetCapacity bounds the retries saved up.
-	budgetCapacity = 20.0
+	// retriesPerRequest is the number of retries that each request adds to the budget.
+	retriesPerRequest = 0.2
+	// retryBudgetCapacity bounds the retries in the budget.
+	retryBudgetCapacity = 20.0
 	// maximumAttempts bounds the attempts of one request.
 	maximumAttempts = 5
-	// Back-off doubles from the first value to the last, with full jitter.
-	firstBackoff = 50 * time.Millisecond
-	lastBackoff  = 2 * time.Second
-	// retryAfterSpread is the part by which a stated Retry-After is
-	// lengthened at random, so that callers do not come back at once.
+	// The backoff doubles from the initial to the maximum value, with full jitter.
+	initialBackoff = 50 * time.Millisecond
+	maximumBackoff = 2 * time.Second
+	// retryAfterSpread is the fraction by which a stated Retry-After is at most lengthened, at
+	// random, so that callers do not all retry at the same moment.
 	retryAfterSpread = 0.5
 )
 
-// budget bounds retries to a part of the requests, so that retries cannot
-// multiply an overload.
-type budget struct {
+// retryBudget is a token bucket that bounds retries to a fraction of the requests, so that retries
+// cannot amplify an overload.
+type retryBudget struct {
 	lock   sync.Mutex
 	tokens float64
 }
 
-func newBudget() *budget { return &budget{tokens: budgetCapacity} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: retryBudgetCapacity} }
 
-// deposit pays for a part of a retry.
-func (budget *budget) deposit() {
+// deposit adds the share of one request to the budget.
+func (budget *retryBudget) deposit() {
 	budget.lock.Lock()
 	defer budget.lock.Unlock()
-	budget.tokens = min(budgetCapacity, budget.tokens+budgetRatio)
+	budget.tokens = min(retryBudgetCapacity, budget.tokens+retriesPerRequest)
 }
 
-// withdraw takes one retry, if the budget has it.
-func (budget *budget) withdraw() bool {
+// withdraw takes one retry from the budget and reports whether there was one.
+func (budget *retryBudget) withdraw() bool {
 	budget.lock.Lock()
 	defer budget.lock.Unlock()
 	if budget.tokens < 1 {
@@ -50,10 +50,10 @@
 	return true
 }
 
-// retryDelay is the wait before the next attempt. attempt counts from one;
-// retryAfter is what the server asked for, or zero.
+// retryDelay returns the wait before the next attempt. attempt is the number of attempts made, from
+// one; retryAfter is the wait that the server asked for, or zero.
 func retryDelay(attempt int, retryAfter time.Duration, random *rand.Rand) time.Duration {
-	ceiling := min(lastBackoff, firstBackoff<<(attempt-1))
+	ceiling := min(maximumBackoff, initialBackoff<<(attempt-1))
 	backoff := time.Duration(random.Int64N(int64(ceiling) + 1))
 	if retryAfter <= 0 {
 		return backoff
@@ -62,7 +62,8 @@
 	return max(backoff, retryAfter+spread)
 }
 
-// parseRetryAfter reads a Retry-After header: seconds or a date.
+// parseRetryAfter returns the wait that a Retry-After header asks for, in seconds or as a date. It
+// returns zero for text that is neither and for dates in the past.
 func parseRetryAfter(text string, now time.Time) time.Duration {
 	if seconds, err := strconv.Atoi(text); err == nil && seconds > 0 {
 		return time.Duration(seconds) * time.Second
@@ -73,11 +74,10 @@
 	return 0
 }
 
-// mayResend tells whether a request may be sent again after an outcome. A
-// request that truly did not run may always be; one that may have run only
-// under the same idempotency key, or when repeating does no harm. Uploads
-// name their content, so repeating one does no harm.
-func mayResend(kind outcomeKind, class Class) bool {
+// mayRetry reports whether a request may be sent again after an outcome. A request that did not run
+// may always be. One that may have run may be when it has an idempotency key or is idempotent, as
+// calls of ClassCall are. Uploads are idempotent because they name their content.
+func mayRetry(kind outcomeKind, class Class) bool {
 	switch kind {
 	case outcomeNotRun, outcomeNotSent:
 		return true
--- a/internal/standin/caller/run.go
+++ b/internal/standin/caller/run.go
@@ -8,50 +8,51 @@
 	"time"
 )
 
-// Streams of random numbers: each part of the caller has its own.
+// Random number streams: each part of the caller has its own. Feed number n, from zero, uses
+// streamFeeds+n.
 const (
 	streamCalls = iota + 1
 	streamUploads
 	streamFeeds
 )
 
-// Run offers the load for the stated duration, waits for the requests in
-// progress, and returns the account. When ctx ends early it stops at once.
+// Run generates the load for options.Duration, waits for the requests in progress, and returns the
+// report. When ctx ends earlier, Run abandons the requests in progress.
 func Run(ctx context.Context, options Options) Report {
 	started := time.Now()
-	requests, abandon := context.WithCancelCause(context.WithoutCancel(ctx))
+	requestContext, abandon := context.WithCancelCause(context.WithoutCancel(ctx))
 	defer abandon(nil)
 	stop := context.AfterFunc(ctx, func() { abandon(errStopping) })
 	defer stop()
-	arriving, cancel := context.WithTimeout(ctx, options.Duration)
+	arrivalContext, cancel := context.WithTimeout(ctx, options.Duration)
 	defer cancel()
 
-	account := newAccount()
-	pool := newPool(options, account)
-	sender := &sender{options: options, pool: pool, account: account, budget: newBudget()}
+	recorder := newRecorder()
+	pool := newPool(options, recorder)
+	sender := &sender{options: options, pool: pool, recorder: recorder, retryBudget: newRetryBudget()}
 	var running sync.WaitGroup
-	startFeeds(requests, options, pool, account, &running)
-	startArrivals(arriving, requests, sender, &running)
+	startFeeds(requestContext, options, pool, recorder, &running)
+	startArrivals(arrivalContext, requestContext, sender, &running)
 	running.Wait()
 	pool.close()
-	return account.finish(options, started)
+	return recorder.buildReport(options, started)
 }
 
-func startFeeds(requests context.Context, options Options, pool *pool, account *account, running *sync.WaitGroup) {
-	until := time.Now().Add(options.Duration)
+func startFeeds(requestContext context.Context, options Options, pool *pool, recorder *recorder, running *sync.WaitGroup) {
+	deadline := time.Now().Add(options.Duration)
 	for number := range options.Feeds {
-		held := &feed{
+		created := &feed{
 			options:    options,
 			pool:       pool,
-			account:    account,
+			recorder:   recorder,
 			identifier: fmt.Sprintf("%s-f-%d", options.Name, number+1),
 			random:     rand.New(rand.NewPCG(options.Seed, uint64(streamFeeds+number))),
 		}
-		running.Go(func() { held.run(requests, until) })
+		running.Go(func() { created.run(requestContext, deadline) })
 	}
 }
 
-func startArrivals(arriving, requests context.Context, sender *sender, running *sync.WaitGroup) {
+func startArrivals(arrivalContext, requestContext context.Context, sender *sender, running *sync.WaitGroup) {
 	options := sender.options
 	kinds := []*arrivals{
 		{stream: "c", rate: options.CallsPerSecond, build: buildCall, random: rand.New(rand.NewPCG(options.Seed, streamCalls))},
@@ -60,6 +61,6 @@
 	for _, kind := range kinds {
 		kind.options = options
 		kind.sender = sender
-		running.Go(func() { kind.run(arriving, requests, running) })
+		running.Go(func() { kind.run(arrivalContext, requestContext, running) })
 	}
 }
--- a/internal/standin/caller/run_test.go
+++ b/internal/standin/caller/run_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// The two stand-ins understand each other: everything offered is delivered
-// and checked.
+// Checks that the caller and the back end stand-in agree on the protocol: without faults, every
+// request is delivered and passes the checks.
 func TestRunAgainstBackEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	ledger, err := backend.OpenLedger(path)
@@ -107,7 +107,7 @@
 	require.NoError(t, report.Write(filepath.Join(t.TempDir(), "sub", "report.json")))
 }
 
-// echoReply writes a right answer to request.
+// echoReply writes the correct answer to request.
 func echoReply(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -117,6 +117,7 @@
 		request.Header.Get(headerRequest), request.Header.Get(headerKey), len(body), strconv.FormatUint(xxhash.Sum64(body), 16))
 }
 
+// refuse returns a handler that answers 503 with a problem whose ran field is ran.
 func refuse(ran string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
@@ -124,6 +125,7 @@
 	}
 }
 
+// resetWith returns a handler that resets the stream with code.
 func resetWith(code http3.ErrCode) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		stream, _ := writer.(http3.HTTPStreamer).HTTPStream()
@@ -138,13 +140,13 @@
 		handler http.HandlerFunc
 		want    outcomeKind
 	}{
-		{"right answer", echoReply, outcomeDelivered},
+		{"correct answer", echoReply, outcomeDelivered},
 		{"refused, not run", refuse("no"), outcomeNotRun},
 		{"refused, may have run", refuse("unknown"), outcomeUnknown},
 		{"refused without a problem", func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusBadGateway) }, outcomeUnknown},
 		{"rejected stream", resetWith(http3.ErrCodeRequestRejected), outcomeNotRun},
 		{"reset stream", resetWith(http3.ErrCodeInternalError), outcomeBroken},
-		{"answer of another", func(writer http.ResponseWriter, request *http.Request) {
+		{"answer to another request", func(writer http.ResponseWriter, request *http.Request) {
 			request.Header.Set(headerRequest, "other")
 			echoReply(writer, request)
 		}, outcomeCrossed},
@@ -153,19 +155,19 @@
 			_, _ = io.WriteString(writer, `{"request":`)
 			panic(http.ErrAbortHandler)
 		}, outcomeBroken},
-		{"truncated answer passed as whole", func(writer http.ResponseWriter, _ *http.Request) {
+		{"truncated answer without an error", func(writer http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(writer, `{"request":`)
 		}, outcomeCrossed},
-		{"silence", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }, outcomeUnknown},
+		{"no answer before the timeout", func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }, outcomeUnknown},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			address, _ := serve(t, testCase.handler)
-			account := newAccount()
+			recorder := newRecorder()
 			options := testOptions(address)
-			pool := newPool(options, account)
+			pool := newPool(options, recorder)
 			defer pool.close()
-			sender := &sender{options: options, pool: pool, account: account, budget: newBudget()}
+			sender := &sender{options: options, pool: pool, recorder: recorder, retryBudget: newRetryBudget()}
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			got := sender.attempt(ctx, job{path: callPath, body: []byte("hello"), key: "k"}, "r.1",
@@ -175,11 +177,11 @@
 	}
 }
 
-func TestRequestIsRetriedUnderItsOwnKey(t *testing.T) {
-	var tries atomic.Int32
+func TestRetriesKeepTheIdempotencyKey(t *testing.T) {
+	var attempts atomic.Int32
 	keys := make(chan string, 3)
 	address, _ := serve(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		number := tries.Add(1)
+		number := attempts.Add(1)
 		keys <- request.Header.Get(headerKey)
 		switch number {
 		case 1:
@@ -190,13 +192,13 @@
 			echoReply(writer, request)
 		}
 	}))
-	account := newAccount()
+	recorder := newRecorder()
 	options := testOptions(address)
-	pool := newPool(options, account)
-	sender := &sender{options: options, pool: pool, account: account, budget: newBudget()}
+	pool := newPool(options, recorder)
+	sender := &sender{options: options, pool: pool, recorder: recorder, retryBudget: newRetryBudget()}
 	sender.send(t.Context(), job{class: ClassOnce, identifier: "r", key: "k", path: oncePath, body: []byte("x")})
 	pool.close()
-	report := account.finish(options, time.Now())
+	report := recorder.buildReport(options, time.Now())
 	for range 3 {
 		require.Equal(t, "k", <-keys)
 	}
@@ -206,7 +208,7 @@
 }
 
 func TestConnectionFaults(t *testing.T) {
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("no answer to the handshake", func(t *testing.T) {
 		socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
 		defer socket.Close()
@@ -217,22 +219,22 @@
 	})
 	t.Run("server closes with an error", func(t *testing.T) {
 		address, server := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }))
-		account := newAccount()
+		recorder := newRecorder()
 		options := testOptions(address)
-		pool := newPool(options, account)
+		pool := newPool(options, recorder)
 		opened, err := pool.open(t.Context())
 		require.NoError(t, err)
 		require.NoError(t, opened.connection.CloseWithError(quic.ApplicationErrorCode(http3.ErrCodeInternalError), "fault"))
 		pool.close()
-		require.Equal(t, 1, account.finish(options, time.Now()).Flows.Broken)
+		require.Equal(t, 1, recorder.buildReport(options, time.Now()).Flows.Broken)
 		require.NoError(t, server.Close())
 	})
 }
 
-// feedScript answers each request of a feed with the next of its texts; the
-// placeholders are the attempt's identifier and the next update's number. A
-// reset may discard what was sent before it, so only the server's view of
-// Last-Event-ID tells which update comes next.
+// feedScript returns a handler that answers each request of a feed with the next of texts, and
+// resets the stream after each but the last. The placeholders in a text are the attempt's identifier
+// and the next update's number. That number follows the request's Last-Event-ID, because a reset may
+// discard updates that were sent before it.
 func feedScript(texts ...string) http.HandlerFunc {
 	var next atomic.Int32
 	return func(writer http.ResponseWriter, request *http.Request) {
@@ -259,7 +261,7 @@
 		missing, duplicates uint64
 		crossed             int
 	}{
-		{"whole", []string{update(1) + update(2) + end}, 1, 0, 0, 0, 0},
+		{"complete", []string{update(1) + update(2) + end}, 1, 0, 0, 0, 0},
 		{"gap", []string{update(1) + update(4) + end}, 1, 0, 2, 0, 0},
 		{"duplicate", []string{update(1) + update(1) + end}, 1, 0, 0, 1, 0},
 		{"cut and resumed", []string{update(1), next + end}, 0, 1, 0, 0, 0},
