--- a/internal/standin/caller/account.go
+++ b/internal/standin/caller/account.go
@@ -81,7 +81,7 @@
 // recordRefusal records the latency of a refusal and whether a 503 lacked Retry-After.
 func (recorder *recorder) recordRefusal(result outcome) {
 	// RecordValue fails only out of range; the histogram's range is far above any timeout.
-	_ = recorder.refusals.RecordValue(max(histogramLowest, result.took.Microseconds()))
+	_ = recorder.refusals.RecordValue(max(histogramLowest, result.elapsed.Microseconds()))
 	if result.status == http.StatusServiceUnavailable && result.retryAfter <= 0 {
 		recorder.report.RefusedWithoutRetryAfter++
 	}
@@ -112,7 +112,7 @@
 }
 
 // recordOutcome records the final outcome of one request and, when it was delivered, its latency.
-func (recorder *recorder) recordOutcome(job job, result outcome, took time.Duration) {
+func (recorder *recorder) recordOutcome(job job, result outcome, latency time.Duration) {
 	recorder.lock.Lock()
 	defer recorder.lock.Unlock()
 	class := recorder.classes[job.class]
@@ -121,7 +121,7 @@
 		class.counts.Delivered++
 		// RecordValue fails only above the histogram's range of one hour; the timeout is far
 		// below that.
-		_ = class.latencies.RecordValue(max(histogramLowest, took.Microseconds()))
+		_ = class.latencies.RecordValue(max(histogramLowest, latency.Microseconds()))
 		if job.key != "" {
 			recorder.report.DeliveredKeys = append(recorder.report.DeliveredKeys, job.key)
 		}
--- a/internal/standin/caller/decision_test.go
+++ b/internal/standin/caller/decision_test.go
@@ -91,13 +91,13 @@
 
 func TestRefusalsAreReported(t *testing.T) {
 	recorder := newRecorder()
-	refused := outcome{kind: outcomeNotRun, status: http.StatusServiceUnavailable, code: 6001, retryAfter: time.Second, took: 3 * time.Millisecond}
+	refused := outcome{kind: outcomeNotRun, status: http.StatusServiceUnavailable, code: 6001, retryAfter: time.Second, elapsed: 3 * time.Millisecond}
 	recorder.recordAttempt(ClassCall, "r.1", refused)
 	refused.retryAfter = 0
 	recorder.recordAttempt(ClassCall, "r.2", refused)
 	refused.status = http.StatusBadRequest
 	recorder.recordAttempt(ClassCall, "r.3", refused)
-	recorder.recordAttempt(ClassCall, "r.4", outcome{kind: outcomeUnknown, status: http.StatusServiceUnavailable, took: time.Hour})
+	recorder.recordAttempt(ClassCall, "r.4", outcome{kind: outcomeUnknown, status: http.StatusServiceUnavailable, elapsed: time.Hour})
 	report := recorder.buildReport(Options{}, time.Now())
 	require.Equal(t, []string{"r.1", "r.2", "r.3"}, report.ClaimedNotRun)
 	require.Equal(t, 1, report.RefusedWithoutRetryAfter)
--- a/internal/standin/caller/exchange.go
+++ b/internal/standin/caller/exchange.go
@@ -56,8 +56,8 @@
 	// code is the system's error code, or zero.
 	code       int
 	retryAfter time.Duration
-	// took is the time from sending to the end of the attempt.
-	took time.Duration
+	// elapsed is the time from sending to the end of the attempt.
+	elapsed time.Duration
 	// node is the back end that last answered on the connection, or unknownNode.
 	node string
 	err  error
--- a/internal/standin/caller/feed.go
+++ b/internal/standin/caller/feed.go
@@ -46,7 +46,7 @@
 		identifier := fmt.Sprintf("%s.%d", feed.identifier, attempt)
 		opened := time.Now()
 		last = feed.attempt(requestContext, identifier, deadline)
-		last.took = time.Since(opened)
+		last.elapsed = time.Since(opened)
 		feed.recorder.recordAttempt(ClassFeed, identifier, last)
 		broken = broken || last.kind == outcomeBroken
 		if last.kind == outcomeDelivered || last.kind == outcomeCrossed || last.kind == outcomeAbandoned {
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -123,7 +123,7 @@
 	}
 	sent := time.Now()
 	result := exchange(ctx, connection, request, expected)
-	result.took = time.Since(sent)
+	result.elapsed = time.Since(sent)
 	result.node = connection.nodeName()
 	return result
 }
