--- a/internal/standin/backend/feed.go
+++ b/internal/standin/backend/feed.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// serveFeed sends a feed: server-sent events with identifiers from one on,
-// without gaps. A feed resumes behind Last-Event-ID. The query parameter
-// "for" bounds its length; its last message is an event named "end".
+// serveFeed sends a feed: server-sent events with consecutive identifiers from one. With a
+// Last-Event-ID header the feed resumes after that identifier. The query parameter "for" sets its
+// length as a duration; its last message is then an event named "end".
 func (server *Server) serveFeed(writer http.ResponseWriter, request *http.Request) {
-	if server.faults.has(Shed) || server.draining.Load() {
+	if server.faults.contains(Shed) || server.draining.Load() {
 		writeProblem(writer, http.StatusServiceUnavailable, "no", "the back end takes no new feeds")
 		return
 	}
@@ -26,17 +26,17 @@
 	defer server.feeds.Add(-1)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Cache-Control", "no-store")
-	writer.Header().Set(headerRequestID, identity.echo)
+	writer.Header().Set(headerRequestID, identity.headerID)
 	writer.WriteHeader(http.StatusOK)
-	updates, whole := server.sendUpdates(writer, request, identity, length)
-	if whole {
+	updates, complete := server.sendUpdates(writer, request, identity, length)
+	if complete {
 		server.record(EventCompleted, identity, updates)
 		return
 	}
 	server.record(EventCancelled, identity, updates)
 }
 
-// feedLength returns the wanted length of the feed; zero means without end.
+// feedLength returns the requested length of the feed; zero means unlimited.
 func feedLength(request *http.Request) (time.Duration, error) {
 	text := request.URL.Query().Get("for")
 	if text == "" {
@@ -49,8 +49,8 @@
 	return length, nil
 }
 
-// sendUpdates sends updates until the feed's length is over or the client is
-// gone. It returns how many it sent and whether the feed ended as planned.
+// sendUpdates sends updates until the feed's length has passed or the client has disconnected. It
+// returns the number of updates sent and whether the feed ended with its end event.
 func (server *Server) sendUpdates(writer http.ResponseWriter, request *http.Request, identity runIdentity, length time.Duration) (int, bool) {
 	first, _ := strconv.ParseUint(request.Header.Get(headerLastEventID), 10, 64)
 	controller := http.NewResponseController(writer)
--- a/internal/standin/backend/ledger.go
+++ b/internal/standin/backend/ledger.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// Event is what a ledger line records.
+// Event is the kind of a ledger entry.
 type Event string
 
 // The events of a request.
 const (
 	// EventStart: the back end began to run the request.
 	EventStart Event = "start"
-	// EventCompleted: the run ended and the whole answer was handed over.
+	// EventCompleted: the work of a call or upload was done, written just before its answer is sent;
+	// or a feed was sent to its end.
 	EventCompleted Event = "completed"
-	// EventCancelled: the run was given up: the client went away or the
-	// deadline passed.
+	// EventCancelled: the run ended early because the body could not be read, the client
+	// disconnected or the deadline passed.
 	EventCancelled Event = "cancelled"
 )
 
@@ -31,12 +32,12 @@
 	Request string    `json:"request"`
 	Key     string    `json:"key,omitempty"`
 	Class   string    `json:"class"`
-	// Updates is the number of updates that a feed sent; end lines only.
+	// Updates is the number of updates that a feed sent. It is set when the feed ends.
 	Updates int `json:"updates,omitempty"`
 }
 
-// Ledger is an append-only file with one JSON line for each event. Each line
-// is one write, so a killed process leaves whole lines.
+// Ledger is an append-only file with one JSON line for each event. Each line is a single write, so a
+// killed process leaves only complete lines.
 type Ledger struct {
 	lock sync.Mutex
 	file *os.File
@@ -45,7 +46,7 @@
 // OpenLedger opens or creates the ledger at path for appending.
 func OpenLedger(path string) (*Ledger, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-		return nil, fmt.Errorf("make the ledger's folder: %w", err)
+		return nil, fmt.Errorf("create ledger folder: %w", err)
 	}
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o644)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return &Ledger{file: file}, nil
 }
 
-// Append writes one entry.
+// Append writes one entry. It is safe for concurrent use.
 func (ledger *Ledger) Append(entry Entry) error {
 	line, err := json.Marshal(entry)
 	if err != nil {
--- a/internal/standin/backend/misbehavior.go
+++ b/internal/standin/backend/misbehavior.go
@@ -6,33 +6,33 @@
 	"sync/atomic"
 )
 
-// Misbehavior names one fault that the back end shows on purpose.
+// Misbehavior is a fault that can be injected into the back end.
 type Misbehavior string
 
 // The faults.
 const (
-	// Late sends answers a good while after the work is done.
+	// Late sends each answer Options.LateBy after the work is done.
 	Late Misbehavior = "late"
-	// Crossed answers a request with the answer of an earlier one.
+	// Crossed answers a request with the answer to the previous one.
 	Crossed Misbehavior = "crossed"
-	// Short announces the whole length and closes after half of the body.
+	// Short announces the full length and closes the connection after half of the body.
 	Short Misbehavior = "short"
 	// Doubled sends each answer twice on its connection.
 	Doubled Misbehavior = "doubled"
 	// Shed refuses every request with 503.
 	Shed Misbehavior = "shed"
-	// HealthFrozen answers health as it was when the fault began.
+	// HealthFrozen reports the health from just before the fault was injected.
 	HealthFrozen Misbehavior = "health_frozen"
-	// LoadFrozen answers load as it was when the fault began.
+	// LoadFrozen reports the load from just before the fault was injected.
 	LoadFrozen Misbehavior = "load_frozen"
-	// Wrong reports the opposite of the true health and load.
+	// Wrong reports the opposite of the actual health, and free slots as running requests.
 	Wrong Misbehavior = "wrong"
 )
 
-// allMisbehaviors lists the known faults.
+// allMisbehaviors lists all faults.
 var allMisbehaviors = []Misbehavior{Late, Crossed, Short, Doubled, Shed, HealthFrozen, LoadFrozen, Wrong}
 
-// ParseMisbehaviors checks names and returns them as faults.
+// ParseMisbehaviors returns the faults with the given names, or an error for an unknown name.
 func ParseMisbehaviors(names []string) ([]Misbehavior, error) {
 	faults := make([]Misbehavior, 0, len(names))
 	for _, name := range names {
@@ -45,14 +45,14 @@
 	return faults, nil
 }
 
-// faultSet is the set of faults shown now; readers take no lock.
+// faultSet is the set of active faults; readers take no lock.
 type faultSet struct {
 	current atomic.Pointer[[]Misbehavior]
 }
 
 func (set *faultSet) replace(faults []Misbehavior) { set.current.Store(&faults) }
 
-func (set *faultSet) has(fault Misbehavior) bool {
+func (set *faultSet) contains(fault Misbehavior) bool {
 	faults := set.current.Load()
 	return faults != nil && slices.Contains(*faults, fault)
 }
--- a/internal/standin/backend/module.go
+++ b/internal/standin/backend/module.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// defaultLedger is the ledger's name in the data folder.
+	// defaultLedger is the default file name of the ledger in the data folder.
 	defaultLedger = "ledger.jsonl"
-	// lateBy is how late the Late fault makes answers.
+	// lateBy is how long the Late fault delays answers.
 	lateBy = 1500 * time.Millisecond
-	// ledgerCheckInterval is how often the process looks for a broken ledger.
+	// ledgerCheckInterval is how often the process checks for ledger write errors.
 	ledgerCheckInterval = time.Second
-	// protocolUDP is the settings value for the datagram echo.
+	// protocolUDP is the value of the backend.protocol setting that selects the datagram echo.
 	protocolUDP = "udp"
 )
 
-// Module runs the back end stand-in. It provides nothing and needs the
-// process base.
+// Module runs the back end stand-in. It provides no types and needs the modules that every process
+// has.
 func Module() fx.Option { return fx.Module("backend", fx.Invoke(run)) }
 
 func run(lifecycle fx.Lifecycle, tasks *process.Tasks, readiness *process.Readiness, chosen settings.Settings) error {
@@ -59,7 +59,7 @@
 }
 
 func startHTTP(tasks *process.Tasks, chosen settings.Settings) error {
-	faultsShown, err := ParseMisbehaviors(chosen.Backend.Misbehavior)
+	activeFaults, err := ParseMisbehaviors(chosen.Backend.Misbehavior)
 	if err != nil {
 		return faults.New(faults.CodeSettingsInvalid, "backend.misbehavior: %v", err)
 	}
@@ -75,7 +75,7 @@
 		ColdStart:    chosen.Backend.ColdStart,
 		LateBy:       lateBy,
 	}, ledger)
-	server.Misbehave(faultsShown)
+	server.SetFaults(activeFaults)
 	if err := listen.HTTP(tasks, "backend", chosen.Backend.Listen, server.Handler()); err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 	return filepath.Join(chosen.DataFolder, defaultLedger)
 }
 
-// watchLedger fails once the ledger cannot be written.
+// watchLedger returns the first ledger write error, or nil when ctx ends.
 func watchLedger(ctx context.Context, server *Server) error {
 	ticker := time.NewTicker(ledgerCheckInterval)
 	defer ticker.Stop()
--- a/internal/standin/backend/reports.go
+++ b/internal/standin/backend/reports.go
@@ -10,22 +10,24 @@
 // maximumControlBytes bounds the body of a control request.
 const maximumControlBytes = 16 << 10
 
-// Load is what the back end says of its load.
+// Load is the body of GET /load.
 type Load struct {
+	// Running is the number of calls and uploads in progress, each of which holds a slot.
 	Running int64 `json:"running"`
 	Slots   int64 `json:"slots"`
-	Feeds   int64 `json:"feeds"`
+	// Feeds is the number of open feeds. They hold no slots.
+	Feeds int64 `json:"feeds"`
 }
 
 // Control is the body of PUT /control.
 type Control struct {
-	// Misbehavior replaces the faults that the back end shows.
+	// Misbehavior replaces the active faults.
 	Misbehavior []string `json:"misbehavior"`
-	// Draining makes it refuse new requests and feeds.
+	// Draining makes the back end refuse new requests and feeds and report that it is not healthy.
 	Draining bool `json:"draining"`
 }
 
-// frozenReports keeps the reports as they were when a fault began.
+// frozenReports holds the health and load from just before the active faults were set.
 type frozenReports struct {
 	lock    sync.Mutex
 	healthy bool
@@ -45,11 +47,11 @@
 	return reports.healthy, reports.load
 }
 
-func (server *Server) trueHealth() bool {
-	return !server.draining.Load() && !server.faults.has(Shed)
+func (server *Server) actualHealth() bool {
+	return !server.draining.Load() && !server.faults.contains(Shed)
 }
 
-func (server *Server) trueLoad() Load {
+func (server *Server) actualLoad() Load {
 	return Load{
 		Running: server.running.Load(),
 		Slots:   int64(server.options.Slots),
@@ -57,26 +59,26 @@
 	}
 }
 
-// reportedHealth is the health after the faults that are shown now.
+// reportedHealth returns the health that /health reports, given the active faults.
 func (server *Server) reportedHealth() bool {
-	if server.faults.has(HealthFrozen) {
+	if server.faults.contains(HealthFrozen) {
 		healthy, _ := server.frozen.read()
 		return healthy
 	}
-	if server.faults.has(Wrong) {
-		return !server.trueHealth()
+	if server.faults.contains(Wrong) {
+		return !server.actualHealth()
 	}
-	return server.trueHealth()
+	return server.actualHealth()
 }
 
-// reportedLoad is the load after the faults that are shown now.
+// reportedLoad returns the load that /load reports, given the active faults.
 func (server *Server) reportedLoad() Load {
-	if server.faults.has(LoadFrozen) {
+	if server.faults.contains(LoadFrozen) {
 		_, load := server.frozen.read()
 		return load
 	}
-	load := server.trueLoad()
-	if server.faults.has(Wrong) {
+	load := server.actualLoad()
+	if server.faults.contains(Wrong) {
 		load.Running = load.Slots - load.Running
 	}
 	return load
@@ -109,7 +111,7 @@
 		writeProblem(writer, http.StatusUnprocessableEntity, "no", err.Error())
 		return
 	}
-	server.Misbehave(faults)
+	server.SetFaults(faults)
 	server.draining.Store(control.Draining)
 	writer.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/backend/request_id.go
+++ b/internal/standin/backend/request_id.go
@@ -2,8 +2,8 @@
 
 import "net/http"
 
-// echoRequestID puts the request's ID on every answer, refusals included, as
-// the contract between agent and back end asks. Handlers may replace it.
+// echoRequestID copies the request's X-Request-Id to every answer, refusals included, as the
+// contract between agent and back end requires. Handlers may replace it.
 func echoRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if id := request.Header.Get(headerRequestID); id != "" {
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -1,11 +1,10 @@
-// Package backend is the stand-in of a tenant's back end: an HTTP/1.1 server
-// with slots, a cold start, shedding, feeds, health and load reports, and
-// faults that it shows on request. Its ledger records what truly ran, so that
-// a run's report can be compared with it. For plain datagram services it
-// echoes datagrams instead.
+// Package backend stands in for a tenant's back end. It is an HTTP/1.1 server with a limited number
+// of slots, a cold start, load shedding, feeds, health and load reports, and fault injection. Its
+// ledger records which requests ran, so that the callers' reports can be checked against it. For
+// plain datagram services it echoes datagrams instead.
 //
-// It shares no code with the caller stand-in: a common mistake would hide
-// faults of the system between them.
+// It shares no code with the caller stand-in: the same mistake in both would hide faults of the
+// system between them.
 package backend
 
 import (
@@ -37,56 +36,61 @@
 	classFeed   = "feed"
 )
 
-// coldFactor is how much longer calls take right after the start; the factor
-// falls evenly to one over the cold start.
-const coldFactor = 4.0
+// initialColdStartFactor is the factor by which work takes longer right after the start. The factor
+// falls linearly to one over Options.ColdStart.
+const initialColdStartFactor = 4.0
 
-// maximumUploadBytes bounds an upload.
+// maximumUploadBytes bounds the body of a call or upload.
 const maximumUploadBytes = 256 << 20
 
 // Options are the settings of one back end.
 type Options struct {
-	Node         string
-	Slots        int
-	ServiceTime  time.Duration
+	// Node is the back end's name.
+	Node string
+	// Slots is the number of calls and uploads that may run at once.
+	Slots int
+	// ServiceTime is the mean time of work, without the cold start.
+	ServiceTime time.Duration
+	// FeedInterval is the time between a feed's updates.
 	FeedInterval time.Duration
-	ColdStart    time.Duration
-	// LateBy is how late the Late fault makes answers.
+	// ColdStart is how long after the start work takes longer.
+	ColdStart time.Duration
+	// LateBy is how long the Late fault delays answers.
 	LateBy time.Duration
 }
 
 // Server is one back end.
 type Server struct {
-	options   Options
-	ledger    *Ledger
-	started   time.Time
-	slots     chan struct{}
-	running   atomic.Int64
-	feeds     atomic.Int64
-	draining  atomic.Bool
-	faults    faultSet
-	frozen    frozenReports
-	answers   answerMemory
-	sequence  atomic.Uint64
-	ledgerErr atomic.Pointer[error]
-}
-
-// answerMemory keeps the latest answer, for the Crossed fault.
-type answerMemory struct {
+	options      Options
+	ledger       *Ledger
+	started      time.Time
+	slots        chan struct{}
+	running      atomic.Int64
+	feeds        atomic.Int64
+	draining     atomic.Bool
+	faults       faultSet
+	frozen       frozenReports
+	latestAnswer latestAnswer
+	sequence     atomic.Uint64
+	ledgerErr    atomic.Pointer[error]
+}
+
+// latestAnswer holds the latest answer, for the Crossed fault.
+type latestAnswer struct {
 	lock   sync.Mutex
-	latest *answer
+	answer *answer
 }
 
-// swap stores mine and returns the answer stored before it.
-func (memory *answerMemory) swap(mine *answer) *answer {
-	memory.lock.Lock()
-	defer memory.lock.Unlock()
-	earlier := memory.latest
-	memory.latest = mine
-	return earlier
+// swap stores current and returns the answer stored before it, or nil.
+func (store *latestAnswer) swap(current *answer) *answer {
+	store.lock.Lock()
+	defer store.lock.Unlock()
+	previous := store.answer
+	store.answer = current
+	return previous
 }
 
-// NewServer returns a back end that records runs in ledger.
+// NewServer returns a back end that records runs in ledger. Its cold start begins now.
 func NewServer(options Options, ledger *Ledger) *Server {
 	return &Server{
 		options: options,
@@ -96,14 +100,14 @@
 	}
 }
 
-// Misbehave makes the back end show exactly these faults from now on.
-func (server *Server) Misbehave(faults []Misbehavior) {
-	server.frozen.capture(server.trueHealth(), server.trueLoad())
+// SetFaults replaces the active faults.
+func (server *Server) SetFaults(faults []Misbehavior) {
+	server.frozen.capture(server.actualHealth(), server.actualLoad())
 	server.faults.replace(faults)
 }
 
-// Err returns the first error of the ledger, if any: a run without a ledger
-// proves nothing.
+// Err returns the first ledger write error, or nil. Without a complete ledger the results of a run
+// cannot be checked.
 func (server *Server) Err() error {
 	if err := server.ledgerErr.Load(); err != nil {
 		return *err
@@ -125,7 +129,7 @@
 	return router
 }
 
-// record appends to the ledger and keeps the first error.
+// record appends to the ledger and keeps the first error for Err.
 func (server *Server) record(event Event, run runIdentity, updates int) {
 	err := server.ledger.Append(Entry{
 		At:      time.Now(),
@@ -141,31 +145,31 @@
 	}
 }
 
-// runIdentity names one run in the ledger.
+// runIdentity identifies one run in the ledger and in its answer.
 type runIdentity struct {
-	// request is the caller's own identifier of the request.
+	// request is the request's identifier from X-Caller-Request-Id, else from X-Request-Id.
 	request string
-	// echo is the identifier that the answer's header must repeat.
-	echo  string
-	key   string
-	class string
+	// headerID is the request's X-Request-Id, which the answer's header must repeat.
+	headerID string
+	key      string
+	class    string
 }
 
 func identify(request *http.Request, class string) runIdentity {
 	identity := runIdentity{
-		request: request.Header.Get(headerCallerRequestID),
-		echo:    request.Header.Get(headerRequestID),
-		key:     request.Header.Get(headerIdempotencyKey),
-		class:   class,
+		request:  request.Header.Get(headerCallerRequestID),
+		headerID: request.Header.Get(headerRequestID),
+		key:      request.Header.Get(headerIdempotencyKey),
+		class:    class,
 	}
 	if identity.request == "" {
-		identity.request = identity.echo
+		identity.request = identity.headerID
 	}
 	return identity
 }
 
-// takeSlot takes a slot if one is free.
-func (server *Server) takeSlot() bool {
+// acquireSlot takes a slot if one is free, and reports whether it did.
+func (server *Server) acquireSlot() bool {
 	select {
 	case server.slots <- struct{}{}:
 		server.running.Add(1)
@@ -175,28 +179,31 @@
 	}
 }
 
-func (server *Server) returnSlot() {
+func (server *Server) releaseSlot() {
 	server.running.Add(-1)
 	<-server.slots
 }
 
-// workTime draws the time of one call: exponential around the mean, longer
-// while the back end is cold.
+// workTime returns a random, exponentially distributed duration for the work of one request, longer
+// during the cold start.
 func (server *Server) workTime() time.Duration {
 	drawn := float64(server.options.ServiceTime) * rand.ExpFloat64()
-	return time.Duration(drawn * server.coldness(time.Now()))
+	return time.Duration(drawn * server.coldStartFactor(time.Now()))
 }
 
-// coldness is the factor by which work takes longer at the given moment.
-func (server *Server) coldness(now time.Time) float64 {
+// coldStartFactor returns the factor by which work takes longer at now; it is one after the cold
+// start.
+func (server *Server) coldStartFactor(now time.Time) float64 {
 	age := now.Sub(server.started)
 	if age >= server.options.ColdStart {
 		return 1
 	}
 	left := 1 - float64(age)/float64(server.options.ColdStart)
-	return 1 + (coldFactor-1)*left
+	return 1 + (initialColdStartFactor-1)*left
 }
 
+// writeProblem writes an error answer (RFC 9457). ran states whether the request was run: "no" or
+// "unknown".
 func writeProblem(writer http.ResponseWriter, status int, ran, detail string) {
 	writer.Header().Set("Content-Type", "application/problem+json")
 	writer.Header().Set(headerRan, ran)
--- a/internal/standin/backend/server_test.go
+++ b/internal/standin/backend/server_test.go
@@ -137,7 +137,7 @@
 			fixture := newFixture(t, Options{LateBy: lateByInTests})
 			_, _, err := fixture.post(t, "/call", "r1", "")
 			require.NoError(t, err)
-			fixture.server.Misbehave([]Misbehavior{testCase.fault})
+			fixture.server.SetFaults([]Misbehavior{testCase.fault})
 			testCase.check(t, fixture)
 		})
 	}
@@ -145,8 +145,8 @@
 
 const lateByInTests = 30 * time.Millisecond
 
-// rawCall sends one call on a connection of its own and returns every byte
-// that comes back before the back end closes it.
+// rawCall sends one call on a new connection and returns all bytes received until the back end
+// closes it.
 func rawCall(t *testing.T, fixture *fixture) []byte {
 	t.Helper()
 	connection, err := net.Dial("tcp", strings.TrimPrefix(fixture.url, "http://"))
@@ -166,7 +166,7 @@
 		health  int
 		running string
 	}{
-		{"true reports", nil, http.StatusOK, `"running":2`},
+		{"actual reports", nil, http.StatusOK, `"running":2`},
 		{"load frozen", []Misbehavior{LoadFrozen}, http.StatusOK, `"running":0`},
 		{"wrong", []Misbehavior{Wrong}, http.StatusServiceUnavailable, `"running":0`},
 		{"health frozen while shedding", []Misbehavior{HealthFrozen, Shed}, http.StatusOK, `"running":2`},
@@ -175,9 +175,9 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			fixture := newFixture(t, Options{})
-			fixture.server.Misbehave(testCase.faults)
-			require.True(t, fixture.server.takeSlot())
-			require.True(t, fixture.server.takeSlot())
+			fixture.server.SetFaults(testCase.faults)
+			require.True(t, fixture.server.acquireSlot())
+			require.True(t, fixture.server.acquireSlot())
 			health, err := http.Get(fixture.url + "/health")
 			require.NoError(t, err)
 			health.Body.Close()
@@ -194,7 +194,7 @@
 
 func TestRequestsBeyondSlotsAreShed(t *testing.T) {
 	fixture := newFixture(t, Options{Slots: 1})
-	require.True(t, fixture.server.takeSlot())
+	require.True(t, fixture.server.acquireSlot())
 	response, body, err := fixture.post(t, "/once", "r1", "")
 	require.NoError(t, err)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
@@ -202,14 +202,14 @@
 	require.Empty(t, fixture.entries(t))
 }
 
-func TestRunIsGivenUp(t *testing.T) {
+func TestCancelledRunIsRecorded(t *testing.T) {
 	cases := []struct {
 		name    string
 		timeout string
 		cancel  bool
 	}{
 		{"deadline", "20", false},
-		{"client gone", "", true},
+		{"client disconnected", "", true},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
@@ -282,11 +282,11 @@
 	}
 }
 
-func TestColdnessFallsToOne(t *testing.T) {
+func TestColdStartFactorFallsToOne(t *testing.T) {
 	server := NewServer(Options{ColdStart: 10 * time.Second}, nil)
-	require.InDelta(t, coldFactor, server.coldness(server.started), 0.001)
-	require.InDelta(t, 1+(coldFactor-1)/2, server.coldness(server.started.Add(5*time.Second)), 0.001)
-	require.InDelta(t, 1, server.coldness(server.started.Add(10*time.Second)), 0.001)
+	require.InDelta(t, initialColdStartFactor, server.coldStartFactor(server.started), 0.001)
+	require.InDelta(t, 1+(initialColdStartFactor-1)/2, server.coldStartFactor(server.started.Add(5*time.Second)), 0.001)
+	require.InDelta(t, 1, server.coldStartFactor(server.started.Add(10*time.Second)), 0.001)
 }
 
 func TestEchoNamesTheBackEnd(t *testing.T) {
--- a/internal/standin/backend/work.go
+++ b/internal/standin/backend/work.go
@@ -12,43 +12,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// answerPadding makes calls' answers long enough to be cut in the middle.
+// answerPadding is the number of bytes that make answers long enough to be cut in the middle.
 const answerPadding = 512
 
-// answer is the body of a call's or upload's answer. It names the request
-// that it belongs to and what came with it.
+// answer is the body of the answer to a call or upload. It repeats the request's identifiers and
+// describes the body received, so that the caller can check it.
 type answer struct {
 	Request string `json:"request"`
 	Key     string `json:"key,omitempty"`
 	Node    string `json:"node"`
-	// Sequence grows with each run of this back end.
+	// Sequence counts the completed runs of this back end, from one.
 	Sequence uint64 `json:"sequence"`
 	// BodyBytes and BodyChecksum are those of the request's body.
 	BodyBytes    int64  `json:"body_bytes"`
 	BodyChecksum string `json:"body_checksum"`
 	Padding      string `json:"padding"`
-	// echo is the identifier of the answer's header.
-	echo string
+	// headerID is the value of the answer's X-Request-Id header.
+	headerID string
 }
 
-// serveWork returns the handler of calls or uploads: both take a slot, read
-// the request's body, work, and answer.
+// serveWork returns the handler of calls or uploads. A request acquires a slot, its body is read, the
+// work takes a random time, and the answer is sent. Without a free slot the request is refused.
 func (server *Server) serveWork(class string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		if server.faults.has(Shed) || server.draining.Load() {
+		if server.faults.contains(Shed) || server.draining.Load() {
 			writeProblem(writer, http.StatusServiceUnavailable, "no", "the back end sheds load")
 			return
 		}
-		if !server.takeSlot() {
+		if !server.acquireSlot() {
 			writeProblem(writer, http.StatusServiceUnavailable, "no", "all slots are taken")
 			return
 		}
-		defer server.returnSlot()
+		defer server.releaseSlot()
 		server.run(writer, request, identify(request, class))
 	}
 }
 
-// run does the work of one request that holds a slot.
+// run does the work of one request that holds a slot, records it in the ledger and answers it.
 func (server *Server) run(writer http.ResponseWriter, request *http.Request, identity runIdentity) {
 	server.record(EventStart, identity, 0)
 	ctx, cancel := withDeadline(request)
@@ -63,7 +63,7 @@
 		writeProblem(writer, http.StatusGatewayTimeout, "unknown", "the request was given up: "+err.Error())
 		return
 	}
-	mine := &answer{
+	current := &answer{
 		Request:      identity.request,
 		Key:          identity.key,
 		Node:         server.options.Node,
@@ -71,17 +71,18 @@
 		BodyBytes:    length,
 		BodyChecksum: strconv.FormatUint(checksum.Sum64(), 16),
 		Padding:      padding(),
-		echo:         identity.echo,
+		headerID:     identity.headerID,
 	}
 	server.record(EventCompleted, identity, 0)
-	server.send(ctx, writer, mine)
+	server.send(ctx, writer, current)
 }
 
 func readBody(writer http.ResponseWriter, request *http.Request, checksum hash.Hash) (int64, error) {
 	return io.Copy(checksum, http.MaxBytesReader(writer, request.Body, maximumUploadBytes))
 }
 
-// withDeadline returns the request's context, bounded by its time-out header.
+// withDeadline returns the request's context, with the deadline that its Request-Timeout header
+// sets in milliseconds, if any.
 func withDeadline(request *http.Request) (context.Context, context.CancelFunc) {
 	milliseconds, err := strconv.ParseInt(request.Header.Get(headerTimeout), 10, 64)
 	if err != nil || milliseconds <= 0 {
@@ -109,16 +110,16 @@
 	return string(text)
 }
 
-// send hands over the answer, with the faults that are shown now.
-func (server *Server) send(ctx context.Context, writer http.ResponseWriter, mine *answer) {
-	earlier := server.answers.swap(mine)
-	if server.faults.has(Late) {
-		// A late answer is sent even after the client gave up.
+// send writes the answer, altered by the active faults.
+func (server *Server) send(ctx context.Context, writer http.ResponseWriter, current *answer) {
+	previous := server.latestAnswer.swap(current)
+	if server.faults.contains(Late) {
+		// A late answer is sent even after the client has disconnected or the deadline has passed.
 		_ = sleep(context.WithoutCancel(ctx), server.options.LateBy)
 	}
-	chosen := mine
-	if server.faults.has(Crossed) && earlier != nil {
-		chosen = earlier
+	chosen := current
+	if server.faults.contains(Crossed) && previous != nil {
+		chosen = previous
 	}
 	body, err := json.Marshal(chosen)
 	if err != nil {
@@ -126,28 +127,28 @@
 		return
 	}
 	switch {
-	case server.faults.has(Short):
-		sendRaw(writer, rawAnswer(chosen.echo, body, len(body)/2), 0)
-	case server.faults.has(Doubled):
-		// The connection stays open a while, so that a careless client sends
-		// its next request on it and takes the second answer for that one's.
-		whole := rawAnswer(chosen.echo, body, len(body))
-		sendRaw(writer, append(whole, whole...), server.options.LateBy)
+	case server.faults.contains(Short):
+		sendRaw(writer, rawAnswer(chosen.headerID, body, len(body)/2), 0)
+	case server.faults.contains(Doubled):
+		// The connection stays open for a while, so that a client without checks reuses it and takes
+		// the second copy for the answer to its next request.
+		complete := rawAnswer(chosen.headerID, body, len(body))
+		sendRaw(writer, append(complete, complete...), server.options.LateBy)
 	default:
-		sendWhole(writer, chosen.echo, body)
+		sendAnswer(writer, chosen.headerID, body)
 	}
 }
 
-func sendWhole(writer http.ResponseWriter, requestID string, body []byte) {
+func sendAnswer(writer http.ResponseWriter, requestID string, body []byte) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	writer.Header().Set(headerRequestID, requestID)
-	// The client may be gone; the ledger already says that the run ended.
+	// A write error means that the client has disconnected; the ledger already has the run's end.
 	_, _ = writer.Write(body)
 }
 
-// rawAnswer returns an HTTP/1.1 answer that announces the whole body and
-// holds only its first bytes.
+// rawAnswer returns the bytes of an HTTP/1.1 answer whose Content-Length is that of body, but which
+// holds only the first sent bytes of body.
 func rawAnswer(requestID string, body []byte, sent int) []byte {
 	head := "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" +
 		headerRequestID + ": " + requestID + "\r\n" +
@@ -155,10 +156,10 @@
 	return append([]byte(head), body[:sent]...)
 }
 
-// sendRaw takes over the connection, writes bytes and closes it after hold.
+// sendRaw hijacks the connection, writes bytes to it and closes it after hold.
 func sendRaw(writer http.ResponseWriter, bytes []byte, hold time.Duration) {
-	hijacker, able := writer.(http.Hijacker)
-	if !able {
+	hijacker, ok := writer.(http.Hijacker)
+	if !ok {
 		panic(http.ErrAbortHandler)
 	}
 	connection, buffer, err := hijacker.Hijack()
