--- a/internal/standin/fabric/control.go
+++ b/internal/standin/fabric/control.go
@@ -12,7 +12,7 @@
 // maximumControlBytes bounds a request to the control endpoint.
 const maximumControlBytes = 64 << 10
 
-// controlProblem is the body of a refusal (RFC 9457).
+// controlProblem is the body of an error answer (RFC 9457).
 type controlProblem struct {
 	Title  string      `json:"title"`
 	Status int         `json:"status"`
@@ -20,13 +20,13 @@
 	Detail string      `json:"detail"`
 }
 
-// ControlHandler returns the endpoint at which tests and demonstrations switch
-// faults of the network on and off:
+// ControlHandler returns the HTTP endpoint at which tests and demonstrations set network
+// impairments:
 //
-//	GET    /impairments  the present impairments
+//	GET    /impairments  returns the current impairments
 //	PUT    /impairments  replaces all impairments
-//	DELETE /impairments  ends all impairments
-//	GET    /balancers    the number of live balancers
+//	DELETE /impairments  removes all impairments
+//	GET    /balancers    returns the number of live balancers
 func (fabric *Fabric) ControlHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/impairments", func(writer http.ResponseWriter, _ *http.Request) {
@@ -68,7 +68,7 @@
 	writer.Header().Set("Content-Type", "application/problem+json")
 	status := faults.StatusOf(err)
 	writer.WriteHeader(status)
-	// The client may be gone; there is nobody else to tell.
+	// A write error means that the client has disconnected, so it cannot be reported.
 	_ = json.NewEncoder(writer).Encode(controlProblem{
 		Title: http.StatusText(status), Status: status, Code: faults.CodeOf(err), Detail: err.Error(),
 	})
--- a/internal/standin/fabric/control_test.go
+++ b/internal/standin/fabric/control_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			fabric := startFabric(t, listedBalancer("b1", socketFor(t), platform.StateLive))
+			fabric := startFabric(t, listedBalancer("b1", openSocket(t), platform.StateLive))
 			before := Impairments{Loss: 0.25}
 			fabric.network.impairments.Store(&before)
 			recorder := httptest.NewRecorder()
@@ -42,7 +42,7 @@
 			require.Equal(t, test.status, recorder.Code)
 			require.Contains(t, recorder.Body.String(), test.answer)
 			if test.status == http.StatusBadRequest {
-				require.Equal(t, before, *fabric.network.impairments.Load(), "a refused request changes nothing")
+				require.Equal(t, before, *fabric.network.impairments.Load(), "an invalid request must not change the impairments")
 				var problem controlProblem
 				require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &problem))
 				require.Equal(t, faults.FabricControl, problem.Code)
@@ -51,7 +51,7 @@
 	}
 }
 
-// platformAnswer is one answer of a platform under test.
+// platformAnswer is one answer of the simulated platform.
 type platformAnswer struct {
 	status int
 	body   string
@@ -70,7 +70,7 @@
 		{"an unreadable address", platformAnswer{http.StatusOK, strings.Replace(valid, "127.0.0.1:1", "x", 1)}, 0},
 		{"an error", platformAnswer{http.StatusInternalServerError, ""}, 1},
 		{"not JSON", platformAnswer{http.StatusOK, `<html>`}, 1},
-		{"a list cut short", platformAnswer{http.StatusOK, valid[:40]}, 1},
+		{"a truncated list", platformAnswer{http.StatusOK, valid[:40]}, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/standin/fabric/delay.go
+++ b/internal/standin/fabric/delay.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// delayCapacity bounds the packets that wait; further ones are dropped, as a
-// full queue of a switch does.
+// delayCapacity bounds the waiting packets; further ones are dropped, as by the full queue of a
+// switch.
 const delayCapacity = 1 << 16
 
-// delayedPacket is one datagram that leaves at due.
+// delayedPacket is one datagram that is sent at due.
 type delayedPacket struct {
 	due time.Time
-	// sequence keeps packets of one instant in order.
+	// sequence keeps packets with the same due time in order.
 	sequence    uint64
 	socket      *net.UDPConn
 	destination netip.AddrPort
 	data        []byte
 }
 
-// packetHeap is a heap of packets by due time.
+// packetHeap is a min-heap of packets by due time, then by sequence.
 type packetHeap []*delayedPacket
 
 func (packets packetHeap) Len() int { return len(packets) }
@@ -56,8 +56,9 @@
 	lock     sync.Mutex
 	waiting  packetHeap
 	sequence uint64
-	// wake tells the sending goroutine that an earlier packet came.
+	// wake signals Run that a packet was added that is due before all others.
 	wake chan struct{}
+	// free holds delayedPackets for reuse.
 	free sync.Pool
 }
 
@@ -69,7 +70,7 @@
 	}
 }
 
-// Put copies data and sends it at due. It returns false when the queue is full.
+// Put queues a copy of data to be sent at due. It returns false when the queue is full.
 func (queue *DelayQueue) Put(due time.Time, socket *net.UDPConn, destination netip.AddrPort, data []byte) bool {
 	packet := queue.free.Get().(*delayedPacket)
 	packet.due, packet.socket, packet.destination = due, socket, destination
@@ -91,13 +92,14 @@
 	return true
 }
 
-// Length returns the number of packets that wait.
+// Length returns the number of waiting packets.
 func (queue *DelayQueue) Length() int {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
 	return len(queue.waiting)
 }
 
+// wakeUp signals Run without blocking.
 func (queue *DelayQueue) wakeUp() {
 	select {
 	case queue.wake <- struct{}{}:
@@ -120,19 +122,21 @@
 	}
 }
 
-// sendDue sends what is due at now and returns how long the next one waits.
+// sendDue sends all packets due at now and returns how long the next one must still wait.
 func (queue *DelayQueue) sendDue(now time.Time) time.Duration {
 	for {
 		packet, wait := queue.next(now)
 		if packet == nil {
 			return wait
 		}
-		// The network may lose any datagram, so an error needs no answer.
+		// Send errors are ignored: a network may lose any datagram.
 		_, _ = packet.socket.WriteToUDPAddrPort(packet.data, packet.destination)
 		queue.free.Put(packet)
 	}
 }
 
+// next removes and returns the first packet if it is due at now. Otherwise it returns nil and the
+// time to wait, which is an hour for an empty queue.
 func (queue *DelayQueue) next(now time.Time) (*delayedPacket, time.Duration) {
 	queue.lock.Lock()
 	defer queue.lock.Unlock()
--- a/internal/standin/fabric/egress.go
+++ b/internal/standin/fabric/egress.go
@@ -6,7 +6,7 @@
 	"merlinpaddle/internal/packet"
 )
 
-// egress carries answers from agents to callers.
+// egress forwards answers from agents to callers.
 type egress struct {
 	fabric  *Fabric
 	decoder packet.Decoder
@@ -15,7 +15,7 @@
 
 func newEgress(fabric *Fabric) *egress { return &egress{fabric: fabric} }
 
-// run carries answers until the socket is closed.
+// run forwards answers until the socket is closed.
 func (egress *egress) run() error {
 	buffer := make([]byte, receiveBufferBytes)
 	for {
@@ -26,13 +26,12 @@
 		if err != nil {
 			continue
 		}
-		egress.carry(agent.Addr().Unmap(), buffer[:length])
+		egress.forward(agent.Addr().Unmap(), buffer[:length])
 	}
 }
 
-// carry sends one answer to its caller by the virtual address that the inner
-// packet names as its source.
-func (egress *egress) carry(agent netip.Addr, data []byte) {
+// forward sends one answer to its caller from the virtual address that is the inner packet's source.
+func (egress *egress) forward(agent netip.Addr, data []byte) {
 	fabric := egress.fabric
 	if err := egress.decoder.Decode(data, &egress.decoded); err != nil {
 		fabric.metrics.drop(dropMalformed)
@@ -43,7 +42,7 @@
 		return
 	}
 	flow := egress.decoded.Flow
-	socket, owned := fabric.virtual[flow.Source]
+	socket, owned := fabric.virtualSockets[flow.Source]
 	if !owned {
 		fabric.metrics.drop(dropUnknownAddress)
 		return
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -14,50 +14,51 @@
 	"merlinpaddle/internal/settings"
 )
 
-// socketBufferBytes is the size asked for each socket's buffers; the machine
-// may grant less.
+// socketBufferBytes is the requested size of each socket's buffers; the operating system may grant
+// less.
 const socketBufferBytes = 4 << 20
 
-// receiveBufferBytes is the largest datagram over loopback, in bytes.
+// receiveBufferBytes holds the largest datagram over loopback.
 const receiveBufferBytes = 1 << 16
 
 // Options configures a fabric.
 type Options struct {
 	// Addresses are the virtual addresses; port zero takes a free port.
 	Addresses []netip.AddrPort
-	// Geneve is the address for encapsulated packets; port zero takes a free
-	// port.
-	Geneve    netip.AddrPort
+	// Geneve is the address for encapsulated packets; port zero takes a free port.
+	Geneve netip.AddrPort
+	// Latencies are the one-way delays between callers and zones.
 	Latencies []settings.Latency
-	Seed      uint64
-	Machines  *Machines
-	Registry  prometheus.Registerer
+	// Seed seeds the choice of balancers and the impairments.
+	Seed     uint64
+	Machines *Machines
+	Registry prometheus.Registerer
 }
 
-// Fabric carries packets between callers, balancers and agents.
+// Fabric forwards packets from callers to balancers and from agents to callers.
 type Fabric struct {
 	machines *Machines
 	network  *network
 	metrics  *metrics
 	delayed  *DelayQueue
 	geneve   *net.UDPConn
-	// virtual has the socket of each virtual address.
-	virtual map[netip.AddrPort]*net.UDPConn
-	// addresses are the keys of virtual in the order of the options.
+	// virtualSockets has the socket of each virtual address.
+	virtualSockets map[netip.AddrPort]*net.UDPConn
+	// addresses are the keys of virtualSockets in the order of the options.
 	addresses []netip.AddrPort
 }
 
-// New opens the sockets of a fabric. Run starts it; Close ends it.
+// New returns a fabric with its sockets open. Run starts it; Close ends it.
 func New(options Options) (*Fabric, error) {
 	if len(options.Addresses) == 0 {
 		return nil, faults.New(faults.FabricUnexpectedSettings, "fabric.addresses: at least one virtual address is needed")
 	}
 	created := &Fabric{
-		machines: options.Machines,
-		network:  newNetwork(options.Seed, options.Latencies),
-		metrics:  newMetrics(options.Registry),
-		delayed:  NewDelayQueue(),
-		virtual:  make(map[netip.AddrPort]*net.UDPConn, len(options.Addresses)),
+		machines:       options.Machines,
+		network:        newNetwork(options.Seed, options.Latencies),
+		metrics:        newMetrics(options.Registry),
+		delayed:        NewDelayQueue(),
+		virtualSockets: make(map[netip.AddrPort]*net.UDPConn, len(options.Addresses)),
 	}
 	if err := created.open(options); err != nil {
 		created.Close()
@@ -78,23 +79,25 @@
 			return err
 		}
 		bound := boundAddress(socket)
-		fabric.virtual[bound] = socket
+		fabric.virtualSockets[bound] = socket
 		fabric.addresses = append(fabric.addresses, bound)
 	}
 	return nil
 }
 
+// listen opens a UDP socket on address.
 func listen(address netip.AddrPort) (*net.UDPConn, error) {
 	socket, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, faults.New(faults.PacketSocket, "listen on %s: %v", address, err)
 	}
-	// A smaller buffer than asked for loses packets earlier; nothing else.
+	// Errors are ignored: with a smaller buffer than requested, packets are merely lost earlier.
 	_ = socket.SetReadBuffer(socketBufferBytes)
 	_ = socket.SetWriteBuffer(socketBufferBytes)
 	return socket, nil
 }
 
+// boundAddress returns the local address of socket, with IPv4 addresses unmapped.
 func boundAddress(socket *net.UDPConn) netip.AddrPort {
 	bound := socket.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(bound.Addr().Unmap(), bound.Port())
@@ -111,12 +114,12 @@
 	if fabric.geneve != nil {
 		_ = fabric.geneve.Close()
 	}
-	for _, socket := range fabric.virtual {
+	for _, socket := range fabric.virtualSockets {
 		_ = socket.Close()
 	}
 }
 
-// Run carries packets until ctx ends.
+// Run forwards packets until ctx ends, and then closes the fabric.
 func (fabric *Fabric) Run(ctx context.Context) error {
 	group, running := errgroup.WithContext(ctx)
 	for _, address := range fabric.addresses {
@@ -132,19 +135,20 @@
 	return group.Wait()
 }
 
-// transmit lets the network carry data between callers and zone: it is lost,
-// delayed, doubled or sent at once.
+// transmit sends data after latency, subject to the impairments between callers and zone: it may be
+// dropped, duplicated or delayed further.
 func (fabric *Fabric) transmit(zone string, latency time.Duration, socket *net.UDPConn, destination netip.AddrPort, data []byte) {
-	decided := fabric.network.fateOf(zone)
+	decided := fabric.network.decide(zone)
 	if decided.reason != dropNone {
 		fabric.metrics.drop(decided.reason)
 		return
 	}
 	for range decided.copies {
-		fabric.send(latency+decided.hold, socket, destination, data)
+		fabric.send(latency+decided.extraDelay, socket, destination, data)
 	}
 }
 
+// send sends data after delay, or at once without a delay.
 func (fabric *Fabric) send(delay time.Duration, socket *net.UDPConn, destination netip.AddrPort, data []byte) {
 	if delay > 0 {
 		if !fabric.delayed.Put(time.Now().Add(delay), socket, destination, data) {
@@ -157,11 +161,11 @@
 	}
 }
 
-// isClosed tells whether a socket's error means that the fabric stops.
+// isClosed reports whether a socket's error means that the fabric was closed.
 func isClosed(err error) bool { return errors.Is(err, net.ErrClosed) }
 
-// dropOf returns the reason that belongs to an encoding error.
-func dropOf(err error) dropReason {
+// dropReasonOf returns the drop reason for an encoding error.
+func dropReasonOf(err error) dropReason {
 	if faults.CodeOf(err) == faults.PacketTooLarge {
 		return dropTooLarge
 	}
--- a/internal/standin/fabric/fabric_test.go
+++ b/internal/standin/fabric/fabric_test.go
@@ -22,13 +22,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout bounds waits for a condition; it is no measure of speed.
+// conditionTimeout bounds waits for a condition. It is not a performance requirement.
 const conditionTimeout = 20 * time.Second
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// socketFor opens a UDP socket on a free loopback port for a test.
-func socketFor(t *testing.T) *net.UDPConn {
+// openSocket opens a UDP socket on a free loopback port until the test ends.
+func openSocket(t *testing.T) *net.UDPConn {
 	t.Helper()
 	socket, err := listen(loopback)
 	require.NoError(t, err)
@@ -70,7 +70,8 @@
 	return fabric
 }
 
-func (fabric *Fabric) droppedFor(t *testing.T, reason dropReason) func() bool {
+// hasDropped returns a condition that holds once the fabric has dropped a packet for reason.
+func (fabric *Fabric) hasDropped(t *testing.T, reason dropReason) func() bool {
 	t.Helper()
 	return func() bool { return testutil.ToFloat64(fabric.metrics.dropped[reason]) >= 1 }
 }
@@ -78,7 +79,7 @@
 func TestDatagramReachesABalancerWithItsHeaders(t *testing.T) {
 	for _, zone := range []string{"zone-1", "far"} {
 		t.Run(zone, func(t *testing.T) {
-			balancer, caller := socketFor(t), socketFor(t)
+			balancer, caller := openSocket(t), openSocket(t)
 			listed := listedBalancer("b1", balancer, platform.StateLive)
 			listed.Zone = zone
 			fabric := startFabric(t, listed)
@@ -99,7 +100,7 @@
 
 func TestAnswerLeavesByTheVirtualAddress(t *testing.T) {
 	fabric := startFabric(t)
-	agent, caller := socketFor(t), socketFor(t)
+	agent, caller := openSocket(t), openSocket(t)
 	flow := model.FiveTuple{Source: fabric.Addresses()[0], Destination: boundAddress(caller)}
 	data, err := packet.Encode(packet.Encapsulated{Kind: packet.KindReturn, Inner: packet.BuildInnerUDP(flow, []byte("paid"))})
 	require.NoError(t, err)
@@ -111,7 +112,7 @@
 }
 
 func TestPacketsAreSprayedOverLiveBalancersOnly(t *testing.T) {
-	first, second, leaving, caller := socketFor(t), socketFor(t), socketFor(t), socketFor(t)
+	first, second, leaving, caller := openSocket(t), openSocket(t), openSocket(t), openSocket(t)
 	fabric := startFabric(t,
 		listedBalancer("b1", first, platform.StateLive),
 		listedBalancer("b2", second, platform.StateLive),
@@ -141,7 +142,7 @@
 		case index := <-arrivals:
 			counts[index]++
 		case <-time.After(conditionTimeout):
-			t.Fatalf("packets arrived: %v of %d", counts, packets)
+			t.Fatalf("received only %v of %d packets", counts, packets)
 		}
 	}
 	require.Greater(t, counts[0], packets/5)
@@ -165,32 +166,32 @@
 		{"no live balancer", true, func(*testing.T) []byte { return []byte("x") }, dropNoBalancer},
 		{"not Geneve", false, func(*testing.T) []byte { return []byte("x") }, dropMalformed},
 		{"not a return packet", false, func(t *testing.T) []byte { return encode(t, packet.KindIngress) }, dropUnexpectedKind},
-		{"answer from a foreign address", false, func(t *testing.T) []byte { return encode(t, packet.KindReturn) }, dropUnknownAddress},
+		{"answer from an unknown virtual address", false, func(t *testing.T) []byte { return encode(t, packet.KindReturn) }, dropUnknownAddress},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			fabric, sender := startFabric(t), socketFor(t)
+			fabric, sender := startFabric(t), openSocket(t)
 			destination := fabric.Geneve()
 			if test.virtual {
 				destination = fabric.Addresses()[0]
 			}
 			_, err := sender.WriteToUDPAddrPort(test.data(t), destination)
 			require.NoError(t, err)
-			require.Eventually(t, fabric.droppedFor(t, test.reason), conditionTimeout, time.Millisecond)
+			require.Eventually(t, fabric.hasDropped(t, test.reason), conditionTimeout, time.Millisecond)
 		})
 	}
 }
 
 func TestTooLargeDatagramIsDropped(t *testing.T) {
-	balancer, caller := socketFor(t), socketFor(t)
+	balancer, caller := openSocket(t), openSocket(t)
 	fabric := startFabric(t, listedBalancer("b1", balancer, platform.StateLive))
 	_, err := caller.WriteToUDPAddrPort(make([]byte, packet.MaximumPayload+1), fabric.Addresses()[0])
 	require.NoError(t, err)
-	require.Eventually(t, fabric.droppedFor(t, dropTooLarge), conditionTimeout, time.Millisecond)
+	require.Eventually(t, fabric.hasDropped(t, dropTooLarge), conditionTimeout, time.Millisecond)
 }
 
 func TestNewErrors(t *testing.T) {
-	taken := socketFor(t)
+	taken := openSocket(t)
 	cases := []struct {
 		name    string
 		options Options
--- a/internal/standin/fabric/impairment.go
+++ b/internal/standin/fabric/impairment.go
@@ -11,24 +11,25 @@
 	"merlinpaddle/internal/settings"
 )
 
-// CallerZone names the callers in latencies and cuts.
+// CallerZone is the zone name of the callers in latencies.
 const CallerZone = "caller"
 
-// Impairments are the faults of the network that are switched on.
+// Impairments are the active faults of the network between callers and zones.
 type Impairments struct {
-	// Loss is the share of packets that are lost, from 0 to 1.
+	// Loss is the probability that a packet is lost, from 0 to 1.
 	Loss float64 `json:"loss"`
-	// Duplicate is the share of packets that arrive twice, from 0 to 1.
+	// Duplicate is the probability that a packet arrives twice, from 0 to 1.
 	Duplicate float64 `json:"duplicate"`
-	// Reorder is the share of packets that are held back, from 0 to 1.
+	// Reorder is the probability that a packet is delayed further, from 0 to 1.
 	Reorder float64 `json:"reorder"`
-	// ReorderDelayMilliseconds is how long they are held back.
+	// ReorderDelayMilliseconds is the additional delay of these packets.
 	ReorderDelayMilliseconds int64 `json:"reorder_delay_milliseconds"`
-	// CutZones are zones that callers' packets and answers cannot cross.
+	// CutZones are the zones that are partitioned from callers: all packets between them and callers
+	// are dropped.
 	CutZones []string `json:"cut_zones"`
 }
 
-// maximumReorderDelay bounds how long a packet is held back.
+// maximumReorderDelay bounds the additional delay of a packet.
 const maximumReorderDelay = 10 * time.Second
 
 // Validate returns an error that names the first wrong field.
@@ -60,17 +61,17 @@
 	return time.Duration(impairments.ReorderDelayMilliseconds) * time.Millisecond
 }
 
-// fate is what the network does to one packet.
-type fate struct {
-	// reason is why the packet is dropped, or zero.
+// packetDecision is what the network does to one packet.
+type packetDecision struct {
+	// reason is why the packet is dropped, or dropNone.
 	reason dropReason
-	// copies is the number of times it arrives.
+	// copies is the number of copies that are sent.
 	copies int
-	// hold is the delay beyond the latency.
-	hold time.Duration
+	// extraDelay is the delay in addition to the latency.
+	extraDelay time.Duration
 }
 
-// network decides the fate of packets from a seeded generator.
+// network applies the impairments to packets, with random decisions from a seeded generator.
 type network struct {
 	impairments atomic.Pointer[Impairments]
 	latencies   map[zonePair]time.Duration
@@ -98,43 +99,45 @@
 	return created
 }
 
-// latency returns the one-way delay between two zones: as stated, else that of
-// the other direction, else zero.
+// latency returns the one-way delay between two zones. A direction without a configured delay has
+// that of the other direction, or zero.
 func (network *network) latency(from, to string) time.Duration {
 	return network.latencies[zonePair{from: from, to: to}]
 }
 
-// choose returns a number from zero to count - 1.
+// choose returns a random number from zero to count - 1.
 func (network *network) choose(count int) int {
 	network.lock.Lock()
 	defer network.lock.Unlock()
 	return network.generator.IntN(count)
 }
 
-func (network *network) happens(share float64) bool {
-	if share <= 0 {
+// drawTrue returns true with the given probability. At a probability of zero it draws no random
+// number.
+func (network *network) drawTrue(probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	network.lock.Lock()
 	defer network.lock.Unlock()
-	return network.generator.Float64() < share
+	return network.generator.Float64() < probability
 }
 
-// fateOf decides about one packet between callers and zone.
-func (network *network) fateOf(zone string) fate {
-	present := network.impairments.Load()
-	if slices.Contains(present.CutZones, zone) {
-		return fate{reason: dropCut}
+// decide returns the decision about one packet between callers and zone.
+func (network *network) decide(zone string) packetDecision {
+	current := network.impairments.Load()
+	if slices.Contains(current.CutZones, zone) {
+		return packetDecision{reason: dropCut}
 	}
-	if network.happens(present.Loss) {
-		return fate{reason: dropLoss}
+	if network.drawTrue(current.Loss) {
+		return packetDecision{reason: dropLoss}
 	}
-	decided := fate{copies: 1}
-	if network.happens(present.Duplicate) {
+	decided := packetDecision{copies: 1}
+	if network.drawTrue(current.Duplicate) {
 		decided.copies = 2
 	}
-	if network.happens(present.Reorder) {
-		decided.hold = present.reorderDelay()
+	if network.drawTrue(current.Reorder) {
+		decided.extraDelay = current.reorderDelay()
 	}
 	return decided
 }
--- a/internal/standin/fabric/ingress.go
+++ b/internal/standin/fabric/ingress.go
@@ -8,14 +8,14 @@
 	"merlinpaddle/internal/packet"
 )
 
-// ingress carries the datagrams of one virtual address to balancers.
+// ingress forwards the datagrams of one virtual address to balancers.
 type ingress struct {
 	fabric  *Fabric
 	address netip.AddrPort
 	socket  *net.UDPConn
 	builder *packet.InnerBuilder
 	encoder *packet.Encoder
-	// output is used again for each packet.
+	// output is the encapsulated packet; its memory is reused for each packet.
 	output []byte
 }
 
@@ -23,14 +23,14 @@
 	return &ingress{
 		fabric:  fabric,
 		address: address,
-		socket:  fabric.virtual[address],
+		socket:  fabric.virtualSockets[address],
 		builder: packet.NewInnerBuilder(),
 		encoder: packet.NewEncoder(),
 		output:  make([]byte, 0, receiveBufferBytes),
 	}
 }
 
-// run carries datagrams until the socket is closed.
+// run forwards datagrams until the socket is closed.
 func (ingress *ingress) run() error {
 	buffer := make([]byte, receiveBufferBytes)
 	for {
@@ -42,11 +42,12 @@
 			continue
 		}
 		caller = netip.AddrPortFrom(caller.Addr().Unmap(), caller.Port())
-		ingress.carry(caller, buffer[:length])
+		ingress.forward(caller, buffer[:length])
 	}
 }
 
-func (ingress *ingress) carry(caller netip.AddrPort, payload []byte) {
+// forward sends one datagram to a randomly chosen live balancer.
+func (ingress *ingress) forward(caller netip.AddrPort, payload []byte) {
 	fabric := ingress.fabric
 	fabric.metrics.ingress.Inc()
 	nextHops := fabric.machines.view().nextHops
@@ -56,7 +57,7 @@
 	}
 	chosen := nextHops[fabric.network.choose(len(nextHops))]
 	if err := ingress.encapsulate(caller, payload); err != nil {
-		fabric.metrics.drop(dropOf(err))
+		fabric.metrics.drop(dropReasonOf(err))
 		return
 	}
 	latency := fabric.network.latency(CallerZone, chosen.zone)
--- a/internal/standin/fabric/machines.go
+++ b/internal/standin/fabric/machines.go
@@ -11,14 +11,13 @@
 // balancerRole is the role of balancers in the platform's list.
 const balancerRole = "balancer"
 
-// nextHop is one balancer that takes packets.
+// nextHop is one live balancer.
 type nextHop struct {
 	address netip.AddrPort
 	zone    string
 }
 
-// machineView is one reading of the machine list. A published view is never
-// written.
+// machineView is one version of the machine list. A published view is immutable.
 type machineView struct {
 	// nextHops are the live balancers, in order of name.
 	nextHops []nextHop
@@ -26,8 +25,7 @@
 	zones map[netip.Addr]string
 }
 
-// Machines holds the latest machine list. Readers on the packet path take the
-// pointer and keep no lock.
+// Machines holds the latest machine list. Readers on the packet path load a pointer without a lock.
 type Machines struct {
 	current atomic.Pointer[machineView]
 }
@@ -62,8 +60,8 @@
 
 func (machines *Machines) view() *machineView { return machines.current.Load() }
 
-// listOf turns a fixed list of balancers into a machine list.
-func listOf(balancers []settings.Peer) []platform.Machine {
+// machineList converts the fixed list of balancers in the settings into a machine list.
+func machineList(balancers []settings.Peer) []platform.Machine {
 	list := make([]platform.Machine, 0, len(balancers))
 	for _, balancer := range balancers {
 		list = append(list, platform.Machine{
--- a/internal/standin/fabric/metrics.go
+++ b/internal/standin/fabric/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// dropReason tells why a packet was dropped.
+// dropReason is why a packet was dropped.
 type dropReason uint8
 
 // The reasons. Zero means that the packet was not dropped.
@@ -20,11 +20,12 @@
 	dropReasonCount
 )
 
+// dropNames are the values of the reason label, by reason.
 var dropNames = [dropReasonCount]string{
 	"", "no_balancer", "too_large", "malformed", "unexpected_kind", "unknown_address", "loss", "cut", "delay_queue_full", "send",
 }
 
-// metrics has the counters of the fabric.
+// metrics holds the counters of the fabric.
 type metrics struct {
 	ingress prometheus.Counter
 	egress  prometheus.Counter
--- a/internal/standin/fabric/module.go
+++ b/internal/standin/fabric/module.go
@@ -17,18 +17,18 @@
 	"merlinpaddle/internal/settings"
 )
 
-// readinessPart is the fabric's part of the process's readiness: it is ready
-// while it knows a live balancer.
+// readinessPart names the fabric's part of the process's readiness: the fabric is ready while its
+// machine list has a live balancer.
 const readinessPart = "live balancers"
 
 // controlHeaderTimeout bounds the wait for a control request's header.
 const controlHeaderTimeout = 2 * time.Second
 
-// Module returns the parts of the fabric process.
+// Module provides the fabric and runs it, the poller of the machine list and the control endpoint.
 func Module() fx.Option {
 	return fx.Module("fabric",
 		fx.Provide(NewMachines, newFromSettings),
-		fx.Invoke(startCarrying, startPolling, startControl),
+		fx.Invoke(startForwarding, startPolling, startControl),
 	)
 }
 
@@ -55,13 +55,13 @@
 	})
 }
 
-func startCarrying(fabric *Fabric, tasks *process.Tasks) {
+func startForwarding(fabric *Fabric, tasks *process.Tasks) {
 	tasks.Go("fabric", fabric.Run)
 }
 
 func startPolling(chosen settings.Settings, machines *Machines, tasks *process.Tasks, readiness *process.Readiness, logger *zap.Logger) error {
 	onChange := func(live int) { readiness.Set(readinessPart, live > 0) }
-	onChange(machines.Replace(listOf(chosen.Fabric.Balancers)))
+	onChange(machines.Replace(machineList(chosen.Fabric.Balancers)))
 	if chosen.Fabric.Platform == "" {
 		return nil
 	}
--- a/internal/standin/fabric/network_test.go
+++ b/internal/standin/fabric/network_test.go
@@ -32,30 +32,30 @@
 	}
 }
 
-func TestFateOfPackets(t *testing.T) {
+func TestDecisionsUnderImpairments(t *testing.T) {
 	cases := []struct {
 		name        string
 		impairments Impairments
 		zone        string
-		want        fate
+		want        packetDecision
 	}{
-		{"no impairment", Impairments{}, "a", fate{copies: 1}},
-		{"all lost", Impairments{Loss: 1}, "a", fate{reason: dropLoss}},
-		{"all doubled", Impairments{Duplicate: 1}, "a", fate{copies: 2}},
-		{"all held back", Impairments{Reorder: 1, ReorderDelayMilliseconds: 7}, "a", fate{copies: 1, hold: 7 * time.Millisecond}},
-		{"zone cut", Impairments{CutZones: []string{"b", "a"}}, "a", fate{reason: dropCut}},
-		{"other zone cut", Impairments{CutZones: []string{"b"}}, "a", fate{copies: 1}},
+		{"no impairment", Impairments{}, "a", packetDecision{copies: 1}},
+		{"all lost", Impairments{Loss: 1}, "a", packetDecision{reason: dropLoss}},
+		{"all duplicated", Impairments{Duplicate: 1}, "a", packetDecision{copies: 2}},
+		{"all delayed", Impairments{Reorder: 1, ReorderDelayMilliseconds: 7}, "a", packetDecision{copies: 1, extraDelay: 7 * time.Millisecond}},
+		{"zone cut", Impairments{CutZones: []string{"b", "a"}}, "a", packetDecision{reason: dropCut}},
+		{"other zone cut", Impairments{CutZones: []string{"b"}}, "a", packetDecision{copies: 1}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			network := newNetwork(1, nil)
 			network.impairments.Store(&test.impairments)
-			require.Equal(t, test.want, network.fateOf(test.zone))
+			require.Equal(t, test.want, network.decide(test.zone))
 		})
 	}
 }
 
-func TestEqualSeedsGiveEqualFates(t *testing.T) {
+func TestEqualSeedsGiveEqualDecisions(t *testing.T) {
 	first, second := newNetwork(9, nil), newNetwork(9, nil)
 	impairments := Impairments{Loss: 0.3, Duplicate: 0.2, Reorder: 0.5, ReorderDelayMilliseconds: 1}
 	first.impairments.Store(&impairments)
@@ -63,8 +63,8 @@
 	lost := 0
 	const packets = 1000
 	for range packets {
-		decided := first.fateOf("a")
-		require.Equal(t, decided, second.fateOf("a"))
+		decided := first.decide("a")
+		require.Equal(t, decided, second.decide("a"))
 		require.Equal(t, first.choose(5), second.choose(5))
 		if decided.reason == dropLoss {
 			lost++
@@ -82,8 +82,8 @@
 		{"loss above one", Impairments{Loss: 1.1}, "loss"},
 		{"negative duplicates", Impairments{Duplicate: -0.1}, "duplicate"},
 		{"reorder above one", Impairments{Reorder: 2}, "reorder"},
-		{"negative hold", Impairments{ReorderDelayMilliseconds: -1}, "reorder_delay_milliseconds"},
-		{"long hold", Impairments{ReorderDelayMilliseconds: 10_001}, "reorder_delay_milliseconds"},
+		{"negative reorder delay", Impairments{ReorderDelayMilliseconds: -1}, "reorder_delay_milliseconds"},
+		{"reorder delay above the maximum", Impairments{ReorderDelayMilliseconds: 10_001}, "reorder_delay_milliseconds"},
 		{"zone without a name", Impairments{CutZones: []string{""}}, "cut_zones"},
 	}
 	for _, test := range cases {
--- a/internal/standin/fabric/poller.go
+++ b/internal/standin/fabric/poller.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// machineListTimeout bounds one read of the machine list.
+	// machineListTimeout bounds one request for the machine list.
 	machineListTimeout = 2 * time.Second
-	// maximumMachineListBytes bounds the machine list.
+	// maximumMachineListBytes bounds the body of the machine list.
 	maximumMachineListBytes = 16 << 20
 )
 
-// Poller reads the platform's machine list again and again. When the list
-// cannot be read the last one stays in use.
+// Poller reads the platform's machine list at a fixed interval. When the list cannot be read, the
+// previous one stays in use.
 type Poller struct {
 	url      string
 	interval time.Duration
 	client   *http.Client
 	machines *Machines
 	logger   *zap.Logger
-	// onChange is called after each list that was read, with the number of
-	// live balancers.
+	// onChange is called with the number of live balancers after each successful read, even when the
+	// list is unchanged.
 	onChange func(live int)
 }
 
