--- a/internal/standin/platform/history.go
+++ b/internal/standin/platform/history.go
@@ -8,32 +8,31 @@
 	"time"
 )
 
-// version is the list as it was from one moment on.
+// version is the machine list as it was from one moment until the next version.
 type version struct {
 	since    time.Time
 	machines map[string]Machine
 }
 
-// History keeps the versions of the machine list that a late reader may still
-// be shown. Versions are in order of time; a stored version is never written.
+// History holds the versions of the machine list that readers, who see it with a delay, may still be
+// shown. Versions are in order of time; a stored version is immutable. It is safe for concurrent use.
 type History struct {
 	lock     sync.Mutex
 	delay    time.Duration
 	versions []version
 }
 
-// NewHistory returns an empty history whose readers see the list as it was
-// delay ago.
+// NewHistory returns an empty history whose readers see the list as it was delay ago.
 func NewHistory(delay time.Duration) *History {
 	return &History{delay: delay, versions: []version{{machines: map[string]Machine{}}}}
 }
 
-// Put adds or replaces a machine as of now.
+// Put adds a machine, or replaces the one of the same name, as of now.
 func (history *History) Put(now time.Time, machine Machine) {
 	history.change(now, func(machines map[string]Machine) { machines[machine.Name] = machine })
 }
 
-// Remove deletes a machine as of now and tells whether it was listed.
+// Remove deletes a machine as of now and reports whether it was listed.
 func (history *History) Remove(now time.Time, name string) bool {
 	removed := false
 	history.change(now, func(machines map[string]Machine) {
@@ -43,6 +42,7 @@
 	return removed
 }
 
+// change appends a version that differs from the latest one by edit.
 func (history *History) change(now time.Time, edit func(map[string]Machine)) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
@@ -50,16 +50,17 @@
 	machines := maps.Clone(latest.machines)
 	edit(machines)
 	history.versions = append(history.versions, version{since: now, machines: machines})
-	history.forget(now)
+	history.prune(now)
 }
 
-// forget drops versions that no reader can be shown any more: all but the
-// newest one that is at least the delay old.
-func (history *History) forget(now time.Time) {
+// prune removes the versions that can no longer be shown: those older than the newest one that is at
+// least the delay old.
+func (history *History) prune(now time.Time) {
 	visible := history.visibleIndex(now)
 	history.versions = slices.Delete(history.versions, 0, visible)
 }
 
+// visibleIndex returns the index of the version that readers see at now.
 func (history *History) visibleIndex(now time.Time) int {
 	limit := now.Add(-history.delay)
 	visible := 0
@@ -72,7 +73,7 @@
 	return visible
 }
 
-// List returns the machines as they were the delay before now, by name.
+// List returns the machines as they were one delay before now, sorted by name.
 func (history *History) List(now time.Time) []Machine {
 	history.lock.Lock()
 	defer history.lock.Unlock()
--- a/internal/standin/platform/machine.go
+++ b/internal/standin/platform/machine.go
@@ -1,8 +1,7 @@
-// Package platform is the stand-in of the platform's machine list: an HTTP
-// server that lists live and leaving machines, late on purpose.
+// Package platform stands in for the platform's machine list. It is an HTTP server that lists live
+// and leaving machines, with a delay that simulates a lagging list.
 //
-// It provides the interface that the fabric and control read; the tests'
-// harness registers machines with it.
+// The fabric and control read the list; the test harness registers machines with it.
 package platform
 
 import (
@@ -12,12 +11,14 @@
 	"slices"
 )
 
-// State tells whether a machine stays.
+// State is the lifecycle state of a machine.
 type State string
 
 // The states of a machine.
 const (
-	StateLive    State = "live"
+	// StateLive is the state of a machine in service.
+	StateLive State = "live"
+	// StateLeaving is the state of a machine that is about to be removed.
 	StateLeaving State = "leaving"
 )
 
@@ -27,8 +28,8 @@
 	// Role is the role of the process that the machine runs.
 	Role string `json:"role"`
 	Zone string `json:"zone"`
-	// Address is the machine's data address: for balancers the UDP address
-	// that takes Geneve packets.
+	// Address is the machine's IP address and port for data traffic; for balancers, the UDP address
+	// that receives Geneve packets.
 	Address string `json:"address"`
 	State   State  `json:"state"`
 }
@@ -39,7 +40,7 @@
 // knownRoles are the roles a machine may have.
 var knownRoles = []string{"control", "relay", "balancer", "agent", "backend", "fabric", "caller"}
 
-// Validate returns an error that names each wrong field.
+// Validate returns an error that names each invalid field, or nil.
 func (machine Machine) Validate() error {
 	return errors.Join(
 		machine.validateName(),
--- a/internal/standin/platform/module.go
+++ b/internal/standin/platform/module.go
@@ -9,8 +9,8 @@
 	"merlinpaddle/internal/standin/listen"
 )
 
-// Module runs the platform stand-in. It provides nothing and needs the
-// process base.
+// Module runs the platform stand-in. It provides no types and needs the modules that every process
+// has.
 func Module() fx.Option { return fx.Module("platform", fx.Invoke(run)) }
 
 func run(lifecycle fx.Lifecycle, tasks *process.Tasks, readiness *process.Readiness, chosen settings.Settings) error {
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -9,7 +9,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// maximumBodyBytes bounds a registration.
+// maximumBodyBytes bounds the body of a registration.
 const maximumBodyBytes = 64 << 10
 
 // problem is the body of an error answer (RFC 9457).
@@ -21,7 +21,7 @@
 
 // NewHandler returns the platform's HTTP interface:
 //
-//	GET    /machines         the list, as late as the history says
+//	GET    /machines         returns the list with the history's delay
 //	POST   /machines         adds or replaces one machine
 //	DELETE /machines/{name}  removes one machine
 func NewHandler(history *History) http.Handler {
@@ -65,7 +65,7 @@
 func writeProblem(writer http.ResponseWriter, status int, detail string) {
 	writer.Header().Set("Content-Type", "application/problem+json")
 	writer.WriteHeader(status)
-	// The client may be gone; there is nobody else to tell.
+	// A write error means that the client has disconnected, so it cannot be reported.
 	_ = json.NewEncoder(writer).Encode(problem{Title: http.StatusText(status), Status: status, Detail: detail})
 }
 
--- a/internal/standin/platform/server_test.go
+++ b/internal/standin/platform/server_test.go
@@ -58,13 +58,13 @@
 		handler := NewHandler(NewHistory(delay))
 		live := `{"name":"b1","role":"balancer","zone":"z1","address":"127.0.0.1:6081","state":"live"}`
 		require.Equal(t, http.StatusOK, send(handler, http.MethodPost, "/machines", live).Code)
-		require.Empty(t, list(t, handler), "a new machine is not shown before the delay")
+		require.Empty(t, list(t, handler), "a new machine must not be listed before the delay")
 		time.Sleep(delay)
 		require.Len(t, list(t, handler), 1)
 
 		leaving := strings.Replace(live, `"live"`, `"leaving"`, 1)
 		require.Equal(t, http.StatusOK, send(handler, http.MethodPost, "/machines", leaving).Code)
-		require.Equal(t, StateLive, list(t, handler)[0].State, "the change is not shown yet")
+		require.Equal(t, StateLive, list(t, handler)[0].State, "the change must not be listed before the delay")
 		time.Sleep(delay / 2)
 		require.Equal(t, http.StatusNoContent, send(handler, http.MethodDelete, "/machines/b1", "").Code)
 		time.Sleep(delay / 2)
@@ -74,7 +74,7 @@
 	})
 }
 
-func TestHistoryForgetsOldVersions(t *testing.T) {
+func TestHistoryPrunesOldVersions(t *testing.T) {
 	history := NewHistory(time.Second)
 	start := time.Unix(1000, 0)
 	for second := range 100 {
