--- a/internal/packet/batch/batch_test.go
+++ b/internal/packet/batch/batch_test.go
@@ -14,7 +14,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// conditionTimeout is the read deadline of the test sockets. Tests do not depend on its length.
+// conditionTimeout is the time from opening a test socket to its read deadline. Only a failing test
+// waits that long.
 const conditionTimeout = 20 * time.Second
 
 // openSocket returns a UDP socket at address. It skips the test if the machine has no IPv6 loopback.
@@ -88,8 +89,8 @@
 func TestFailedDatagramDoesNotStopTheOthers(t *testing.T) {
 	tooLarge := make([]byte, 70_000)
 	cases := []struct {
-		name    string
-		refused []int
+		name     string
+		rejected []int
 	}{
 		{"first", []int{0}},
 		{"middle", []int{1}},
@@ -101,21 +102,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			sender, receiver := openSocket(t, "127.0.0.1:0"), openSocket(t, "127.0.0.1:0")
 			writer := NewWriter(sender)
-			isRefused := make(map[int]bool)
-			for _, index := range test.refused {
-				isRefused[index] = true
+			isRejected := make(map[int]bool)
+			for _, index := range test.rejected {
+				isRejected[index] = true
 			}
 			var want []string
 			for index := range 4 {
 				body := []byte(fmt.Sprint(index))
-				if isRefused[index] {
+				if isRejected[index] {
 					body = tooLarge
 				} else {
 					want = append(want, string(body))
 				}
 				writer.Put(writer.Header(), body, addressOf(receiver))
 			}
-			require.Equal(t, Outcome{Sent: len(want), Failed: len(test.refused)}, writer.Flush())
+			require.Equal(t, Outcome{Sent: len(want), Failed: len(test.rejected)}, writer.Flush())
 			require.Equal(t, want, readAll(t, receiver, len(want)))
 		})
 	}
--- a/internal/packet/batch/reader.go
+++ b/internal/packet/batch/reader.go
@@ -14,8 +14,9 @@
 // its last packet wait longer until the packets before it are processed.
 const Size = 32
 
-// maximumDatagram is the length of a receive buffer. It holds the largest datagram over loopback.
-const maximumDatagram = 1 << 16
+// receiveBufferLength is the length of the buffer for one received datagram, in bytes. The largest
+// datagram over loopback fits into it.
+const receiveBufferLength = 1 << 16
 
 // Reader receives batches from one socket. It is not safe for concurrent use, but several readers
 // may share a socket.
@@ -30,7 +31,7 @@
 func NewReader(socket *net.UDPConn) *Reader {
 	reader := &Reader{connection: ipv4.NewPacketConn(socket), messages: make([]ipv4.Message, Size)}
 	for index := range reader.messages {
-		reader.messages[index].Buffers = [][]byte{make([]byte, maximumDatagram)}
+		reader.messages[index].Buffers = [][]byte{make([]byte, receiveBufferLength)}
 		reader.messages[index].OOB = make([]byte, controlMessageSpace)
 	}
 	return reader
--- a/internal/packet/contract_test.go
+++ b/internal/packet/contract_test.go
@@ -52,7 +52,7 @@
 }
 
 // TestDatagramWithEveryBitChanged inverts each bit of each datagram in turn. The datagram must be
-// rejected with a code of the packet range, or decode to a packet that can be encoded again.
+// rejected with a code of packet errors, or decode to a packet that can be encoded again.
 func TestDatagramWithEveryBitChanged(t *testing.T) {
 	for name, data := range encodedDatagrams(t) {
 		for bit := range 8 * len(data) {
@@ -137,7 +137,7 @@
 			}
 			decoded, err := Decode(data)
 			if faults.CodeOf(err) != test.code {
-				t.Fatalf("error %v with code %d, want code %d", err, faults.CodeOf(err), test.code)
+				t.Fatalf("error is %v with code %d, want code %d", err, faults.CodeOf(err), test.code)
 			}
 			want := flowIPv4
 			if test.inner[0]>>4 == 6 {
--- a/internal/packet/decoder.go
+++ b/internal/packet/decoder.go
@@ -46,7 +46,7 @@
 
 // Decode overwrites packet with the packet that data encodes and reuses the memory of packet.Chain.
 // The result shares memory with data. After an error the content of packet is unspecified. Errors
-// have a code in the 5000 range (faults.Packet...).
+// have a code from faults.PacketTruncated (5001) to faults.AddressFamiliesDiffer (5014).
 func (decoder *Decoder) Decode(data []byte, packet *Encapsulated) error {
 	*packet = Encapsulated{Chain: packet.Chain[:0]}
 	decoder.feedback.truncated = false
--- a/internal/packet/encapsulated.go
+++ b/internal/packet/encapsulated.go
@@ -39,7 +39,7 @@
 	// Position is the index of the target to which the packet is sent now.
 	Chain    []model.TargetID
 	Position uint8
-	// Stage is how far the decision about an opening packet has come.
+	// Stage is the step that the decision about an opening packet has reached.
 	Stage model.Stage
 	// Passes is the number of times that agents forwarded the packet. It is zero in a packet from a
 	// balancer.
@@ -49,8 +49,8 @@
 	// Owner is the target that owns the flow. It is set in hints only.
 	Owner model.TargetID
 	// PasserLoad is the load of a target that forwarded an opening packet, in thousandths of its
-	// capacity. The receiver compares it with its own load to choose the less loaded of two targets;
-	// steering.Input.PasserLoad says which target's load it is. Zero means none.
+	// capacity. The receiver compares it with its own load to choose the less loaded of two targets.
+	// Which target's load it is depends on Stage, see steering.Input. Zero means none.
 	PasserLoad uint16
 	// Flow is the flow of the inner packet. A balancer sets its protocol to that of the service, so
 	// that all later receivers hash the flow alike. The fabric does not know services; in its
