--- a/internal/routing/compare/chain.go
+++ b/internal/routing/compare/chain.go
@@ -23,7 +23,7 @@
 )
 
 // fullChain is the algorithm of the product. It runs the packages routing (bucket tables), flow
-// (owned flows, caches of balancers) and steering (decisions of agents).
+// (flows that targets own, flow caches of balancers) and steering (decisions of agents).
 type fullChain struct {
 	run            *run
 	configurations *propagation[*model.Configuration]
@@ -38,10 +38,10 @@
 // chainAgent is the agent of one target. It provides steering with the configuration that the agent
 // has applied.
 type chainAgent struct {
-	chain    *fullChain
-	target   model.TargetID
-	owners   *flow.OwnedFlows
-	steering *steering.Steering
+	chain      *fullChain
+	target     model.TargetID
+	ownedFlows *flow.OwnedFlows
+	steering   *steering.Steering
 }
 
 // Current implements steering.Configurations.
@@ -100,11 +100,11 @@
 
 func (chain *fullChain) targetJoined(target model.TargetID) {
 	agent := &chainAgent{chain: chain, target: target}
-	agent.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: comparedService, Target: target})
+	agent.ownedFlows = flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: comparedService, Target: target})
 	agent.steering = steering.New(steering.Options{
 		Target:         target,
 		Configurations: agent,
-		OwnedFlows:     agent.owners,
+		OwnedFlows:     agent.ownedFlows,
 		Load:           func() model.TargetLoad { return chain.run.target(target).load(chain.run.options.Slots) },
 		Started:        chain.run.clock.Now(),
 	})
@@ -150,8 +150,9 @@
 	chain.configurations.publish(next)
 }
 
-// maintain expires idle state at the targets, collects their reports of empty buckets, and commits
-// the rows from which control removes the reported earlier targets.
+// maintain expires idle state at the targets and collects their reports of empty buckets. It commits
+// the rows without the reported earlier targets, together with the rows that Rebalance can change
+// once these are removed.
 func (chain *fullChain) maintain() {
 	current := chain.configurations.newest
 	table := current.Buckets[comparedService]
@@ -161,7 +162,7 @@
 		if !alive {
 			continue
 		}
-		agent.owners.Expire(chain.run.clock.Now())
+		agent.ownedFlows.Expire(chain.run.clock.Now())
 		reports = append(reports, agent.steering.Empty(current.Revision)...)
 	}
 	if len(reports) == 0 {
@@ -260,13 +261,13 @@
 		return
 	}
 	table := agent.Current().Buckets[comparedService]
-	agent.owners.Close(routing.BucketOf(flow.hash, table.Count()), flow.tuple)
+	agent.ownedFlows.Close(routing.BucketOf(flow.hash, table.Count()), flow.tuple)
 }
 
 func (chain *fullChain) state() StateBytes {
 	assignments := 0
 	for _, agent := range chain.agents {
-		assignments += agent.owners.AssignmentCount()
+		assignments += agent.ownedFlows.AssignmentCount()
 	}
 	return StateBytes{
 		Balancers: cacheBytes(chain.run, chain.caches),
--- a/internal/routing/compare/compare.go
+++ b/internal/routing/compare/compare.go
@@ -4,8 +4,9 @@
 
 // Comparison has the results of all algorithms for the same flows.
 type Comparison struct {
-	Seed    uint64   `json:"seed"`
-	Targets int      `json:"targets"`
+	Seed    uint64 `json:"seed"`
+	Targets int    `json:"targets"`
+	// Flows is the number of planned flows.
 	Flows   int      `json:"flows"`
 	Results []Result `json:"results"`
 }
--- a/internal/routing/compare/doc.go
+++ b/internal/routing/compare/doc.go
@@ -6,7 +6,7 @@
 // and steering themselves. Three baselines for the imbalance place each flow with full knowledge,
 // without lag and without faults.
 //
-// The model has these simplifications: Sending and forwarding a packet take no time, so races
-// between copies of a packet do not occur (merlinsim covers them). The fabric loses no packets. A
-// back end is a first-come-first-served queue with a limited number of slots.
+// The model is simplified. Sending and forwarding a packet take no time, so races between copies of
+// a packet do not occur; the simulator merlinsim covers these. The fabric loses no packets. A back
+// end is a first-come-first-served queue with a limited number of slots.
 package compare
--- a/internal/routing/compare/measure.go
+++ b/internal/routing/compare/measure.go
@@ -167,13 +167,15 @@
 	// Opened counts connections that opened, and NotOpened those that callers gave up.
 	Opened    uint64 `json:"opened"`
 	NotOpened uint64 `json:"notOpened"`
-	Packets   uint64 `json:"packets"`
-	Requests  uint64 `json:"requests"`
+	// Packets counts packets after the opening, including retries. Requests counts the requests that
+	// reached the owner of their flow, including those that were shed.
+	Packets  uint64 `json:"packets"`
+	Requests uint64 `json:"requests"`
 	// Shed counts requests that were rejected because the target's queue was full.
 	Shed uint64 `json:"shed"`
 	// BrokenPlanned and BrokenUnplanned count the flows that broke although their target lived, by
-	// whether the latest change was planned. BrokenOnDeadTarget counts the flows that broke because
-	// their target died.
+	// whether the latest change was planned. Flows that broke before the first change count as
+	// BrokenPlanned. BrokenOnDeadTarget counts the flows that broke because their target died.
 	BrokenPlanned      uint64 `json:"brokenPlanned"`
 	BrokenUnplanned    uint64 `json:"brokenUnplanned"`
 	BrokenOnDeadTarget uint64 `json:"brokenOnDeadTarget"`
--- a/internal/routing/compare/options.go
+++ b/internal/routing/compare/options.go
@@ -13,7 +13,7 @@
 	Targets int
 	// Balancers is the number of balancers at the start.
 	Balancers int
-	// FlowsPerSecond is the number of new flows a second for each target of the initial Targets.
+	// FlowsPerSecond is the number of new flows a second for each of the initial targets.
 	FlowsPerSecond float64
 	// Utilization is the fraction of the slots of the initial targets that the offered requests
 	// occupy on average.
--- a/internal/routing/compare/run.go
+++ b/internal/routing/compare/run.go
@@ -281,7 +281,7 @@
 }
 
 // countBroken counts a broken flow, by whether its target died or, if not, whether the latest
-// change was planned.
+// change was planned. Before the first change it counts as planned.
 func (run *run) countBroken(onDeadTarget bool) {
 	switch {
 	case onDeadTarget:
--- a/internal/routing/compare/target.go
+++ b/internal/routing/compare/target.go
@@ -22,7 +22,7 @@
 	drainedAt time.Time
 	// flows is the number of open flows.
 	flows int
-	// rate is the sum of the request rates of the open flows.
+	// rate is the sum of the request rates of the open flows, in requests a second.
 	rate     float64
 	requests *requestQueue
 	// recent is a ring buffer of the number of requests at the latest samples. next is the index of
--- a/internal/routing/compare/way.go
+++ b/internal/routing/compare/way.go
@@ -20,8 +20,8 @@
 // AllAlgorithms returns the algorithms and baselines in the order of the report.
 func AllAlgorithms() []AlgorithmName {
 	return []AlgorithmName{
-		AlgorithmHashing, AlgorithmFlowTable, AlgorithmTwoHop, AlgorithmConnectionID, AlgorithmChain, AlgorithmLeastFlows, AlgorithmLeastRequests,
-		AlgorithmLeastRate,
+		AlgorithmHashing, AlgorithmFlowTable, AlgorithmTwoHop, AlgorithmConnectionID, AlgorithmChain,
+		AlgorithmLeastFlows, AlgorithmLeastRequests, AlgorithmLeastRate,
 	}
 }
 
@@ -34,7 +34,7 @@
 	verdictDelivered verdict = iota + 1
 	// verdictReset is a packet to which a target responded with a reset.
 	verdictReset
-	// verdictLost is a packet that reached no live target.
+	// verdictLost is a packet that reached no live target or that a target dropped.
 	verdictLost
 )
 
@@ -49,8 +49,8 @@
 
 // algorithm is one routing algorithm of the comparison.
 type algorithm interface {
-	// route routes a packet of flow from balancer to the target that accepts or resets it. An
-	// opening packet that is delivered opens the flow at that target.
+	// route routes a packet of flow from balancer until a target accepts or resets it, or until it is
+	// lost. An opening packet that is delivered opens the flow at that target.
 	route(balancer *balancerNode, flow *flowState, opening bool) outcome
 	// flowClosed is called when a flow has ended at its owner.
 	flowClosed(flow *flowState)
