--- a/internal/sim/mutant/consensus.go
+++ b/internal/sim/mutant/consensus.go
@@ -122,7 +122,7 @@
 		Expect: []checker.Invariant{checker.InvariantLinearizable},
 		Story:  storyOf("clock-skew"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
-			parts.Confirm = func(world.ReadConfirmer) world.ReadConfirmer { return confirmsAll{} }
+			parts.ReadConfirmation = func(world.ReadConfirmer) world.ReadConfirmer { return confirmsAll{} }
 		},
 	}
 }
--- a/internal/sim/mutant/request.go
+++ b/internal/sim/mutant/request.go
@@ -66,7 +66,7 @@
 		Story:  storyOf("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			refusals := 0
-			parts.Refused = func(run func()) {
+			parts.AfterRefusal = func(run func()) {
 				refusals++
 				if refusals%refusalsPerRun == 0 {
 					run()
@@ -117,7 +117,7 @@
 		Expect: []checker.Invariant{checker.InvariantAnswerBound},
 		Story:  storyOf("balancer-death"),
 		Variant: spoilResponses(func(previous, response world.Response) world.Response {
-			response.Of = previous.Of
+			response.ExecutedAttempt = previous.ExecutedAttempt
 			return response
 		}),
 	}
--- a/internal/sim/mutant/rollout.go
+++ b/internal/sim/mutant/rollout.go
@@ -89,9 +89,9 @@
 		Expect: []checker.Invariant{checker.InvariantInForce},
 		Story:  storyOf("address-reuse"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
-			standard := parts.Leased
+			standard := parts.LeaseValid
 			held := make(map[*rollout.Lease]bool)
-			parts.Leased = func(lease *rollout.Lease, now time.Time) bool {
+			parts.LeaseValid = func(lease *rollout.Lease, now time.Time) bool {
 				held[lease] = held[lease] || standard(lease, now)
 				return held[lease]
 			}
--- a/internal/sim/mutant/story_control.go
+++ b/internal/sim/mutant/story_control.go
@@ -28,7 +28,7 @@
 		if !created.CreateServices() {
 			return
 		}
-		stop := created.RaceOperators(3, operatorPause)
+		stop := created.StartRacingOperators(3, operatorPause)
 		play(created, run.Random("story"))
 		stop()
 		created.FinishControl()
--- a/internal/sim/scenario/chaos.go
+++ b/internal/sim/scenario/chaos.go
@@ -53,7 +53,7 @@
 	if !fault.cuts {
 		return fault.begin(chaos)
 	}
-	arrive := chaos.MayMissDrains()
+	arrive := chaos.AllowMissedDrains()
 	heal := fault.begin(chaos)
 	return func() {
 		heal()
@@ -84,7 +84,7 @@
 
 func playChaos(world *world.World, random *kernel.Random) {
 	chaos := &chaos{World: world, random: random, operator: world.NewOperator("planner")}
-	stop := world.RaceOperators(2, time.Second)
+	stop := world.StartRacingOperators(2, time.Second)
 	for range chaosRounds {
 		chaos.round()
 	}
@@ -182,7 +182,7 @@
 func (chaos *chaos) freeze() (end func()) {
 	process := chaos.pick()
 	if chaos.isTarget(process) {
-		chaos.MayLoseFlows(process.Name)
+		chaos.AllowFlowLoss(process.Name)
 	}
 	process.Freeze()
 	return process.Thaw
@@ -205,7 +205,7 @@
 func (chaos *chaos) isolate() (end func()) {
 	process := chaos.pick()
 	if chaos.isTarget(process) {
-		chaos.MayLoseFlows(process.Name)
+		chaos.AllowFlowLoss(process.Name)
 	}
 	return chaos.Network().Isolate(process.Name)
 }
@@ -259,19 +259,19 @@
 }
 
 func (chaos *chaos) changeParameters() (end func()) {
-	return chaos.RaceOperators(4, 100*time.Millisecond)
+	return chaos.StartRacingOperators(4, 100*time.Millisecond)
 }
 
 // replaceBalancer lets a balancer leave as planned and a new one join.
 func (chaos *chaos) replaceBalancer() (end func()) {
 	index := chaos.random.Below(len(chaos.Balancers()))
 	process := chaos.Balancers()[index]
-	chaos.Delist(index)
+	chaos.DelistBalancer(index)
 	chaos.pause(2*time.Second, 3*time.Second)
 	process.Kill()
 	return func() {
 		process.Start()
-		chaos.List(index)
+		chaos.ListBalancer(index)
 	}
 }
 
--- a/internal/sim/scenario/control.go
+++ b/internal/sim/scenario/control.go
@@ -48,7 +48,7 @@
 			summary: "answers to operators are lost, and changes are sent again before and after their answer, over leader changes",
 			options: sizedOptions(small).with(func(options *world.Options) {
 				options.Faults = unruly()
-				options.Resends = 0.5
+				options.ResendShare = 0.5
 			}),
 			play: controlOnly(resentChanges),
 		},
@@ -69,7 +69,7 @@
 		if !world.CreateServices() {
 			return
 		}
-		stop := world.RaceOperators(4, operatorPause)
+		stop := world.StartRacingOperators(4, operatorPause)
 		play(world, world.Run().Random("story"))
 		stop()
 		world.FinishControl()
@@ -142,7 +142,7 @@
 }
 
 func resentChanges(world *world.World, random *kernel.Random) {
-	world.LoseAnswers(0.4)
+	world.SetAnswerLoss(0.4)
 	for range 2 {
 		world.Run().Scheduler.RunFor(random.Between(3*time.Second, 6*time.Second))
 		leader, leads := world.AwaitLeader(leaderTime)
@@ -159,9 +159,9 @@
 	operators := world.Checkers().Operators
 	world.Await(resentTime, func() bool {
 		accepted, _, _ := operators.Counts()
-		return accepted >= leastAccepted && world.Resent() > 0
+		return accepted >= leastAccepted && world.AcceptedResends() > 0
 	})
-	world.CheckProgress(world.Resent() > 0, "no change was sent again after its answer")
+	world.CheckProgress(world.AcceptedResends() > 0, "no change was sent again after its answer")
 }
 
 func clockSkew(world *world.World, random *kernel.Random) {
--- a/internal/sim/scenario/partition.go
+++ b/internal/sim/scenario/partition.go
@@ -30,7 +30,7 @@
 			name:    "lagging-machine-list",
 			summary: "the platform's list of machines lags ten seconds while balancers and targets die and return",
 			options: trafficFaults(eitherSize).with(func(options *world.Options) {
-				options.ListLag = 10 * time.Second
+				options.BalancerListLag = 10 * time.Second
 				options.MachineListLag = 10 * time.Second
 			}),
 			play: underTraffic(usualLoad(), laggingList),
@@ -40,7 +40,7 @@
 
 // zonePartition cuts one zone off from the others. Callers reach all zones.
 func zonePartition(world *world.World, random *kernel.Random) {
-	stop := world.RaceOperators(2, time.Second)
+	stop := world.StartRacingOperators(2, time.Second)
 	zone := kernel.Pick(random, world.Zones())
 	var heal func()
 	if random.Chance(0.5) {
@@ -78,7 +78,7 @@
 func agentPartition(world *world.World, random *kernel.Random) {
 	for range 3 {
 		name := kernel.Pick(random, world.Targets(random.Below(2)))
-		world.MayLoseFlows(name)
+		world.AllowFlowLoss(name)
 		var heals []func()
 		direction := random.Below(3)
 		if direction != 0 {
--- a/internal/sim/scenario/registry.go
+++ b/internal/sim/scenario/registry.go
@@ -76,11 +76,11 @@
 // chunks make short runs reach what they are for.
 func sized(preset world.Preset) world.Options {
 	return world.Options{
-		Preset:        preset,
-		SnapshotEvery: 100,
-		SegmentBytes:  8 << 10,
-		ChunkBytes:    4 << 10,
-		ListLag:       time.Second,
+		Preset:          preset,
+		SnapshotEvery:   100,
+		SegmentBytes:    8 << 10,
+		ChunkBytes:      4 << 10,
+		BalancerListLag: time.Second,
 	}
 }
 
--- a/internal/sim/scenario/requests.go
+++ b/internal/sim/scenario/requests.go
@@ -18,7 +18,7 @@
 		{
 			name:    "late-answers",
 			summary: "back ends answer long after their callers gave up and asked again; each answer is its own request's, at-most-once calls run once",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) { options.StalledRuns = 0.15 }),
+			options: trafficFaults(eitherSize).with(func(options *world.Options) { options.StalledRequestShare = 0.15 }),
 			play:    underTraffic(claimLoad(), lateAnswers),
 		},
 		{
@@ -145,7 +145,7 @@
 			world.StartTarget(name)
 			world.Run().Scheduler.RunFor(random.Between(0, 2*time.Second))
 		}
-		world.MayLoseFlows(name)
+		world.AllowFlowLoss(name)
 		world.Target(name).Freeze()
 		// Its connections to the relays do not outlive a long stop.
 		heal := cutFromRelays(world, world.Target(name))
--- a/internal/sim/scenario/rollout.go
+++ b/internal/sim/scenario/rollout.go
@@ -37,7 +37,7 @@
 		if !world.Start() {
 			return
 		}
-		stop := world.RaceOperators(3, operatorPause)
+		stop := world.StartRacingOperators(3, operatorPause)
 		play(world, world.Run().Random("story"))
 		stop()
 		world.FinishNodes()
--- a/internal/sim/scenario/traffic.go
+++ b/internal/sim/scenario/traffic.go
@@ -86,7 +86,7 @@
 // planned mixes every planned change there is.
 func planned(world *world.World, random *kernel.Random) {
 	world.ExpectAnswers()
-	stop := world.RaceOperators(2, time.Second)
+	stop := world.StartRacingOperators(2, time.Second)
 	operator := world.NewOperator("planner")
 	for range 2 {
 		replaceBalancer(world, random)
@@ -99,14 +99,14 @@
 func replaceBalancer(world *world.World, random *kernel.Random) {
 	index := random.Below(len(world.Balancers()))
 	process := world.Balancers()[index]
-	world.Delist(index)
+	world.DelistBalancer(index)
 	// The platform's list is late; the process stops after it.
 	world.Run().Scheduler.RunFor(3 * time.Second)
 	process.Kill()
 	world.Run().Scheduler.RunFor(random.Between(0, 2*time.Second))
 	process.Start()
 	world.Run().Scheduler.RunFor(random.Between(time.Second, 3*time.Second))
-	world.List(index)
+	world.ListBalancer(index)
 }
 
 // drainAndRestart drains a target, waits until it is empty, restarts it and
--- a/internal/sim/world/backend.go
+++ b/internal/sim/world/backend.go
@@ -56,7 +56,7 @@
 		mean = meanUpload
 	}
 	usual := min(backend.random.Exponential(mean)+time.Millisecond, longestRun)
-	if backend.cuts.Chance(backend.world.options.StalledRuns) {
+	if backend.cuts.Chance(backend.world.options.StalledRequestShare) {
 		return requestTimeout + usual
 	}
 	return usual
--- a/internal/sim/world/checks.go
+++ b/internal/sim/world/checks.go
@@ -84,7 +84,7 @@
 		return
 	}
 	configuration := checks.world.parts.Running(balancer.process.Name, balancer.store)
-	leased := checks.world.parts.Leased(balancer.lease, balancer.process.LocalNow())
+	leased := checks.world.parts.LeaseValid(balancer.lease, balancer.process.LocalNow())
 	checks.rollout.Sample(checker.Node(balancer.process.Name), leased, uint64(configuration.Revision), checks.world.run.Elapsed())
 }
 
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -117,9 +117,9 @@
 	agent.process.Kill()
 }
 
-// MayLoseFlows tells the checkers that a target may be taken for dead, because
+// AllowFlowLoss tells the checkers that a target may be taken for dead, because
 // the scenario cut it off for long.
-func (world *World) MayLoseFlows(name model.NodeName) {
+func (world *World) AllowFlowLoss(name model.NodeName) {
 	agent := world.byName[name]
 	if agent.process.Running() {
 		world.check.flows.TargetDied(agent.life.place())
@@ -172,11 +172,11 @@
 	world.check.requests.TargetStopped(agent.life.place(), world.run.Elapsed())
 }
 
-// Delist takes a balancer out of the platform's list before a planned stop.
-func (world *World) Delist(index int) { world.balancers[index].listed = false }
+// DelistBalancer takes a balancer out of the platform's list before a planned stop.
+func (world *World) DelistBalancer(index int) { world.balancers[index].listed = false }
 
-// List puts a balancer into the platform's list.
-func (world *World) List(index int) { world.balancers[index].listed = true }
+// ListBalancer puts a balancer into the platform's list.
+func (world *World) ListBalancer(index int) { world.balancers[index].listed = true }
 
 // CheckProgress reports a violation unless condition holds: the scenario did
 // not do what it is about.
@@ -207,9 +207,9 @@
 	return world.network.Faults(), world.packets.Faults()
 }
 
-// MayMissDrains tells the checkers that the scenario keeps targets from
+// AllowMissedDrains tells the checkers that the scenario keeps targets from
 // learning of their drain, until the returned function is called.
-func (world *World) MayMissDrains() (end func()) {
+func (world *World) AllowMissedDrains() (end func()) {
 	world.check.drain.Suspend()
 	return func() { world.check.drain.Resume(world.run.Elapsed() + rolloutBound) }
 }
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -19,10 +19,10 @@
 	silenceTime = 6 * time.Second
 )
 
-// RaceOperators lets count operators change the parameter of every service
+// StartRacingOperators lets count operators change the parameter of every service
 // until the returned function is called. They read, pause, and write based on
 // what they read, so that several write with the same revision.
-func (world *World) RaceOperators(count int, pause time.Duration) (stop func()) {
+func (world *World) StartRacingOperators(count int, pause time.Duration) (stop func()) {
 	stopped := false
 	for range count {
 		// Each operator has keys of its own, also over several races.
@@ -42,7 +42,7 @@
 				}
 				world.run.Scheduler.After(operator.random.Exponential(pause/4), func() {
 					value := uint64(number)*1_000_000 + uint64(operator.changes)
-					operator.WriteParameter(service, revision, value, func(Answer) {
+					operator.WriteParameter(service, revision, value, func(ChangeOutcome) {
 						world.run.Scheduler.After(operator.random.Exponential(pause), next)
 					})
 				})
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Answer is what an operator learns of one change.
-type Answer struct {
+// ChangeOutcome is what an operator learns of one change.
+type ChangeOutcome struct {
 	// Known is false when the outcome stayed unknown.
 	Known  bool
 	Result state.Result
@@ -61,7 +61,7 @@
 	deadline time.Time
 	sent     int
 	finished bool
-	done     func(Answer)
+	done     func(ChangeOutcome)
 }
 
 // nextChange returns the fields that make a change idempotent.
@@ -76,7 +76,7 @@
 }
 
 // send submits a command until an answer comes or patience ends.
-func (operator *Operator) send(command state.Command, key string, done func(Answer)) {
+func (operator *Operator) send(command state.Command, key string, done func(ChangeOutcome)) {
 	encoded, err := state.EncodeCommand(command)
 	if err != nil {
 		panic(fmt.Sprintf("encode %T: %v", command, err))
@@ -101,7 +101,7 @@
 	operator := change.operator
 	scheduler := operator.world.run.Scheduler
 	if !scheduler.Now().Before(change.deadline) {
-		change.finish(Answer{})
+		change.finish(ChangeOutcome{})
 		return
 	}
 	change.sent++
@@ -137,11 +137,11 @@
 		Accepted: result.Applied(), Revision: uint64(result.Revision),
 	}, world.run.Elapsed())
 	if !change.finished {
-		change.finish(Answer{Known: true, Result: result})
+		change.finish(ChangeOutcome{Known: true, Result: result})
 	}
 }
 
-func (change *change) finish(answer Answer) {
+func (change *change) finish(answer ChangeOutcome) {
 	change.finished = true
 	change.operator.world.pendingChanges--
 	if answer.Known && answer.Result.Applied() {
@@ -160,7 +160,7 @@
 // does that has forgotten its answer. The copy must be answered alike.
 func (change *change) sendAgain() {
 	world := change.operator.world
-	if !world.resending.Chance(world.options.Resends) {
+	if !world.resending.Chance(world.options.ResendShare) {
 		return
 	}
 	world.run.Scheduler.After(world.resending.Between(0, resendWithin), func() {
@@ -211,12 +211,12 @@
 	})
 }
 
-// LoseAnswers loses a share of the answers to operators from now on.
-func (world *World) LoseAnswers(share float64) { world.lostAnswers = share }
+// SetAnswerLoss loses a share of the answers to operators from now on.
+func (world *World) SetAnswerLoss(share float64) { world.lostAnswers = share }
 
-// Resent returns how many changes were sent again after their answer and
+// AcceptedResends returns how many changes were sent again after their answer and
 // accepted once more.
-func (world *World) Resent() int { return world.resent }
+func (world *World) AcceptedResends() int { return world.resent }
 
 // submit hands a command to the member's consensus, if the process lives.
 func (member *member) submit(command []byte, done func(result []byte, err error)) {
@@ -241,7 +241,7 @@
 			return
 		}
 		life := receiver.process.Incarnation()
-		world.parts.Confirm(receiver.controller).ReadBarrier(func(err error) {
+		world.parts.ReadConfirmation(receiver.controller).ReadBarrier(func(err error) {
 			if !receiver.process.Running() || receiver.process.Incarnation() != life {
 				return
 			}
@@ -254,11 +254,11 @@
 
 // WriteParameter changes a service's queue limit to value, based on revision
 // base, and tells the checkers how it ended.
-func (operator *Operator) WriteParameter(service *serviceHandle, base model.Revision, value uint64, done func(Answer)) {
+func (operator *Operator) WriteParameter(service *serviceHandle, base model.Revision, value uint64, done func(ChangeOutcome)) {
 	command := operator.world.putService(service, value)
 	command.Change = operator.nextChange(base)
 	called := operator.world.run.Elapsed()
-	operator.send(command, command.Key, func(answer Answer) {
+	operator.send(command, command.Key, func(answer ChangeOutcome) {
 		operation := checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationWrite, Key: command.Key,
 			Call: called, Return: operator.world.run.Elapsed(), Base: uint64(base), Value: value,
@@ -273,7 +273,7 @@
 }
 
 // resultOf classifies an answer; zero means that nothing was decided.
-func resultOf(answer Answer) checker.OperationResult {
+func resultOf(answer ChangeOutcome) checker.OperationResult {
 	switch {
 	case !answer.Known:
 		return checker.ResultUnknown
@@ -373,7 +373,7 @@
 		command = state.UndrainTarget{Change: change, Target: key}
 	}
 	answered, applied := false, false
-	operator.send(command, change.Key, func(answer Answer) {
+	operator.send(command, change.Key, func(answer ChangeOutcome) {
 		answered = true
 		applied = answer.Known && answer.Result.Applied()
 		if applied && drained {
--- a/internal/sim/world/parts.go
+++ b/internal/sim/world/parts.go
@@ -52,8 +52,8 @@
 	Load(now time.Time) admission.Load
 }
 
-// Installer takes configurations at a node. *rollout.Store implements it.
-type Installer interface {
+// ConfigurationReader returns the configuration that a node runs. *rollout.Store implements it.
+type ConfigurationReader interface {
 	Current() *model.Configuration
 }
 
@@ -81,8 +81,8 @@
 	Kind ResponseKind
 	// Attempt is the attempt that is answered.
 	Attempt checker.AttemptID
-	// Of is the attempt whose run the response tells of.
-	Of checker.AttemptID
+	// ExecutedAttempt is the attempt whose run the response tells of.
+	ExecutedAttempt checker.AttemptID
 	// Whole tells that the back end's body had its full length.
 	Whole bool
 }
@@ -100,10 +100,10 @@
 	Claims func(standard Claims) Claims
 	// Admission wraps an agent's admission.
 	Admission func(standard Admission) Admission
-	// Usable tells whether a grant may still start a run.
-	Usable func(grant claim.Grant, now time.Time) bool
-	// Leased tells whether a balancer's lease holds.
-	Leased func(lease *rollout.Lease, now time.Time) bool
+	// GrantUsable reports whether a grant may still start a run.
+	GrantUsable func(grant claim.Grant, now time.Time) bool
+	// LeaseValid reports whether a balancer's lease holds.
+	LeaseValid func(lease *rollout.Lease, now time.Time) bool
 	// Draining tells whether an agent refuses new requests.
 	Draining func(configuration *model.Configuration, target model.TargetID) bool
 	// Machine wraps the replicated state of a member.
@@ -114,10 +114,10 @@
 	Messages kernel.MessageFilter
 	// Running returns the configuration that a balancer routes by.
 	Running func(node model.NodeName, store *rollout.Store) *model.Configuration
-	// Refused sees a request after its refusal; the standard does nothing.
-	Refused func(run func())
-	// Confirm wraps the confirmation of operators' reads at a member.
-	Confirm func(standard ReadConfirmer) ReadConfirmer
+	// AfterRefusal sees a request after its refusal; the standard does nothing.
+	AfterRefusal func(run func())
+	// ReadConfirmation wraps the confirmation of operators' reads at a member.
+	ReadConfirmation func(standard ReadConfirmer) ReadConfirmer
 	// Respond sees the response to a run before it is sent.
 	Respond func(response Response) Response
 	// Idle tells whether a target may be stopped, from its open flows and from
@@ -130,22 +130,22 @@
 // StandardParts returns the product's own parts.
 func StandardParts() Parts {
 	return Parts{
-		Direct:    directworld.StandardParts(),
-		Chain:     routing.Chain,
-		Steering:  func(_ steering.Options, standard Steerer) Steerer { return standard },
-		Cache:     func(standard OwnerCache) OwnerCache { return standard },
-		Claims:    func(standard Claims) Claims { return standard },
-		Admission: func(standard Admission) Admission { return standard },
-		Usable:    func(grant claim.Grant, now time.Time) bool { return grant.Usable(now) },
-		Leased:    func(lease *rollout.Lease, now time.Time) bool { return lease.Valid(now) },
-		Draining:  drainingInConfiguration,
-		Machine:   func(standard replica.StateMachine) replica.StateMachine { return standard },
-		Disk:      func(standard filesystem.FileSystem) filesystem.FileSystem { return standard },
-		Running:   func(_ model.NodeName, store *rollout.Store) *model.Configuration { return store.Current() },
-		Refused:   func(func()) {},
-		Confirm:   func(standard ReadConfirmer) ReadConfirmer { return standard },
-		Respond:   func(response Response) Response { return response },
-		Idle:      func(flows int, requestsIdle bool) bool { return flows == 0 && requestsIdle },
+		Direct:           directworld.StandardParts(),
+		Chain:            routing.Chain,
+		Steering:         func(_ steering.Options, standard Steerer) Steerer { return standard },
+		Cache:            func(standard OwnerCache) OwnerCache { return standard },
+		Claims:           func(standard Claims) Claims { return standard },
+		Admission:        func(standard Admission) Admission { return standard },
+		GrantUsable:      func(grant claim.Grant, now time.Time) bool { return grant.Usable(now) },
+		LeaseValid:       func(lease *rollout.Lease, now time.Time) bool { return lease.Valid(now) },
+		Draining:         drainingInConfiguration,
+		Machine:          func(standard replica.StateMachine) replica.StateMachine { return standard },
+		Disk:             func(standard filesystem.FileSystem) filesystem.FileSystem { return standard },
+		Running:          func(_ model.NodeName, store *rollout.Store) *model.Configuration { return store.Current() },
+		AfterRefusal:     func(func()) {},
+		ReadConfirmation: func(standard ReadConfirmer) ReadConfirmer { return standard },
+		Respond:          func(response Response) Response { return response },
+		Idle:             func(flows int, requestsIdle bool) bool { return flows == 0 && requestsIdle },
 	}
 }
 
--- a/internal/sim/world/preset.go
+++ b/internal/sim/world/preset.go
@@ -19,13 +19,13 @@
 type Preset struct {
 	Name  string
 	Zones []model.ZoneName
-	// InterZone is the one-way delay between two zones.
-	InterZone time.Duration
-	// IntraZone is the one-way delay inside a zone.
-	IntraZone time.Duration
-	// Callers is the one-way delay between callers and any zone.
-	Callers  time.Duration
-	Services []ServiceSize
+	// InterZoneDelay is the one-way delay between two zones.
+	InterZoneDelay time.Duration
+	// IntraZoneDelay is the one-way delay inside a zone.
+	IntraZoneDelay time.Duration
+	// CallerDelay is the one-way delay between callers and any zone.
+	CallerDelay time.Duration
+	Services    []ServiceSize
 	// Slots is the number of requests that a back end runs at once.
 	Slots     int
 	Members   int
@@ -40,11 +40,11 @@
 // one of 4.
 func Metro() Preset {
 	return Preset{
-		Name:      "metro",
-		Zones:     []model.ZoneName{"metro-1", "metro-2", "metro-3"},
-		InterZone: 500 * time.Microsecond,
-		IntraZone: 100 * time.Microsecond,
-		Callers:   time.Millisecond,
+		Name:           "metro",
+		Zones:          []model.ZoneName{"metro-1", "metro-2", "metro-3"},
+		InterZoneDelay: 500 * time.Microsecond,
+		IntraZoneDelay: 100 * time.Microsecond,
+		CallerDelay:    time.Millisecond,
 		Services: []ServiceSize{
 			{Tenant: "payments", Name: "feeds", Protocol: model.ProtocolQUIC, Targets: 14},
 			{Tenant: "archive", Name: "ledger", Protocol: model.ProtocolTCP, Targets: 4},
@@ -62,7 +62,7 @@
 	preset := Metro()
 	preset.Name = "coastal"
 	preset.Zones = []model.ZoneName{"coast-a", "coast-b", "coast-c"}
-	preset.InterZone = 1500 * time.Microsecond
+	preset.InterZoneDelay = 1500 * time.Microsecond
 	preset.Services = []ServiceSize{
 		{Tenant: "bookings", Name: "core", Protocol: model.ProtocolQUIC, Targets: 14},
 		{Tenant: "media", Name: "photos", Protocol: model.ProtocolQUIC, Targets: 4},
@@ -84,11 +84,11 @@
 	return func(from, to model.ZoneName) time.Duration {
 		switch {
 		case from == callerZone || to == callerZone:
-			return preset.Callers
+			return preset.CallerDelay
 		case from == to:
-			return preset.IntraZone
+			return preset.IntraZoneDelay
 		default:
-			return preset.InterZone
+			return preset.InterZoneDelay
 		}
 	}
 }
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -217,7 +217,7 @@
 // start runs a request. The grant is checked right before.
 func (desk *requestDesk) start(now time.Time, id admission.RequestID, attempt *deskAttempt) {
 	world := desk.life.agent.world
-	if attempt.grant != nil && !world.parts.Usable(*attempt.grant, now) {
+	if attempt.grant != nil && !world.parts.GrantUsable(*attempt.grant, now) {
 		delete(desk.byID, id)
 		desk.release(now, attempt)
 		desk.refuse(attempt, time.Second)
@@ -259,14 +259,14 @@
 // respond passes on the answer of the run of the attempt called of. Of a short
 // answer the caller learns only that the request may have run.
 func (desk *requestDesk) respond(attempt *deskAttempt, of checker.AttemptID, whole bool) {
-	response := Response{Kind: ResponseAnswer, Attempt: attempt.request.attempt, Of: of, Whole: whole}
+	response := Response{Kind: ResponseAnswer, Attempt: attempt.request.attempt, ExecutedAttempt: of, Whole: whole}
 	if !whole {
 		response.Kind = ResponseUnknown
 	}
 	response = desk.life.agent.world.parts.Respond(response)
 	switch response.Kind {
 	case ResponseAnswer:
-		desk.finish(attempt, answer{kind: answerResponse, of: response.Of, whole: response.Whole})
+		desk.finish(attempt, answer{kind: answerResponse, of: response.ExecutedAttempt, whole: response.Whole})
 	case ResponseRefusal:
 		desk.finish(attempt, answer{kind: answerRefusal})
 	default:
@@ -283,7 +283,7 @@
 // refuse answers that the request was not run.
 func (desk *requestDesk) refuse(attempt *deskAttempt, retryAfter time.Duration) {
 	desk.finish(attempt, answer{kind: answerRefusal, retryAfter: retryAfter})
-	desk.life.agent.world.parts.Refused(func() { desk.backend.run(attempt.request, func(bool) {}) })
+	desk.life.agent.world.parts.AfterRefusal(func() { desk.backend.run(attempt.request, func(bool) {}) })
 }
 
 func (desk *requestDesk) finish(attempt *deskAttempt, final answer) {
--- a/internal/sim/world/reuse.go
+++ b/internal/sim/world/reuse.go
@@ -42,7 +42,7 @@
 		return false
 	}
 	created, applied := false, false
-	world.createService(operator, service, func(answer Answer) {
+	world.createService(operator, service, func(answer ChangeOutcome) {
 		created = true
 		applied = answer.Known && answer.Result.Applied()
 	})
@@ -53,7 +53,7 @@
 // await sends a command and runs the world until its answer.
 func (operator *Operator) await(command state.Command, key string) bool {
 	answered, applied := false, false
-	operator.send(command, key, func(answer Answer) {
+	operator.send(command, key, func(answer ChangeOutcome) {
 		answered = true
 		applied = answer.Known && answer.Result.Applied()
 	})
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -93,9 +93,9 @@
 // CreateServices makes the template, the tenants and the services.
 func (world *World) CreateServices() bool {
 	operator := world.NewOperator("setup")
-	var steps []func(done func(Answer))
+	var steps []func(done func(ChangeOutcome))
 	for _, protocol := range []model.Protocol{model.ProtocolQUIC, model.ProtocolTCP, model.ProtocolUDP} {
-		steps = append(steps, func(done func(Answer)) {
+		steps = append(steps, func(done func(ChangeOutcome)) {
 			command := state.PutTemplate{Change: operator.nextChange(0), Name: templateName(protocol), Spec: template(protocol)}
 			operator.send(command, command.Key, done)
 		})
@@ -111,7 +111,7 @@
 			finished = true
 			return
 		}
-		steps[index](func(answer Answer) {
+		steps[index](func(answer ChangeOutcome) {
 			if !answer.Known || !answer.Result.Applied() {
 				created = false
 				world.run.Report.Add(checker.InvariantProgress, world.run.Elapsed(), "setup step %d: %+v", index, answer)
@@ -123,21 +123,21 @@
 	return world.waitFor(setupTime, func() bool { return finished }) && created
 }
 
-func (world *World) createSteps(operator *Operator, service *serviceHandle) []func(done func(Answer)) {
-	return []func(done func(Answer)){
-		func(done func(Answer)) {
+func (world *World) createSteps(operator *Operator, service *serviceHandle) []func(done func(ChangeOutcome)) {
+	return []func(done func(ChangeOutcome)){
+		func(done func(ChangeOutcome)) {
 			command := state.PutTenant{Change: operator.nextChange(0), Name: service.tenant}
 			operator.send(command, command.Key, done)
 		},
-		func(done func(Answer)) { world.createService(operator, service, done) },
+		func(done func(ChangeOutcome)) { world.createService(operator, service, done) },
 	}
 }
 
 // createService creates a service and remembers its ID and revision.
-func (world *World) createService(operator *Operator, service *serviceHandle, done func(Answer)) {
+func (world *World) createService(operator *Operator, service *serviceHandle, done func(ChangeOutcome)) {
 	command := world.putService(service, firstValue)
 	command.Change = operator.nextChange(0)
-	operator.send(command, command.Key, func(answer Answer) {
+	operator.send(command, command.Key, func(answer ChangeOutcome) {
 		if answer.Known && answer.Result.Applied() {
 			service.id = answer.Result.Service
 			service.revision = answer.Result.Revision
--- a/internal/sim/world/targets.go
+++ b/internal/sim/world/targets.go
@@ -53,7 +53,7 @@
 				return
 			}
 			value := uint64(valueOfTargetChange + operator.changes)
-			operator.WriteParameter(service, revision, value, func(answer Answer) {
+			operator.WriteParameter(service, revision, value, func(answer ChangeOutcome) {
 				ended = answer.Known && answer.Result.Applied()
 				accepted = ended
 				if !ended {
--- a/internal/sim/world/world.go
+++ b/internal/sim/world/world.go
@@ -24,8 +24,8 @@
 	SnapshotEvery int
 	SegmentBytes  int64
 	ChunkBytes    int
-	// ListLag is how late the fabric's list of balancers is.
-	ListLag time.Duration
+	// BalancerListLag is how late the fabric's list of balancers is.
+	BalancerListLag time.Duration
 	// Faults are those of all links.
 	Faults kernel.LinkFaults
 	// PacketFaults are those of callers' packets and answers.
@@ -41,12 +41,12 @@
 	// FlowIdleTimeout is the agents' idle time of flows; zero means a short
 	// one, so that short runs show what happens after it.
 	FlowIdleTimeout time.Duration
-	// Resends is the share of answered changes that their operator sends once
+	// ResendShare is the share of answered changes that their operator sends once
 	// more.
-	Resends float64
-	// StalledRuns is the share of requests that back ends answer after their
+	ResendShare float64
+	// StalledRequestShare is the share of requests that back ends answer after their
 	// caller has given up.
-	StalledRuns float64
+	StalledRequestShare float64
 }
 
 // World is one simulated system.
@@ -107,7 +107,7 @@
 	world.resending = run.Random("resending")
 	world.host.SetFilter(world.filterMessage)
 	world.host.SetDelay(world.delayMessage)
-	world.fabric = newFabric(world, options.ListLag)
+	world.fabric = newFabric(world, options.BalancerListLag)
 	world.callers = newCallers(world)
 	world.addProcesses()
 	return world
