--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -20,23 +20,23 @@
 const (
 	flowIdleTimeout    = 10 * time.Second
 	assignmentLifetime = 12 * time.Second
-	coldStart          = 5 * time.Second
+	coldStartTime      = 5 * time.Second
 	// expiryInterval is how often an agent looks for idle flows.
 	expiryInterval = 500 * time.Millisecond
 	// frozenEvents bounds what waits for a frozen agent.
-	frozenEvents = 256
+	maximumQueuedEvents = 256
 )
 
 // agent is one target: the product's subscriber, steering, flow owners,
 // admission and claims on a simulated process, and a back end behind it.
 type agent struct {
-	world   *World
-	process *kernel.Process
-	life    *agentLife
+	world    *World
+	process  *kernel.Process
+	instance *agentInstance
 }
 
 // agentLife is the memory of one life of an agent's process.
-type agentLife struct {
+type agentInstance struct {
 	agent       *agent
 	incarnation model.Incarnation
 	mailbox     *protocol.Mailbox
@@ -47,16 +47,16 @@
 	claims      Claims
 	started     time.Time
 	// expiredAt is when the agent last looked for idle flows.
-	expiredAt time.Time
+	lastExpiry time.Time
 	// stopping tells that the process ends as planned.
 	stopping bool
 	// waiting are events that came while the process was frozen.
-	waiting []func()
+	queuedEvents []func()
 	// target is the target that the agent serves, and what belongs to it.
 	target   model.Target
 	steering Steerer
 	owners   *flow.OwnedFlows
-	requests *requestDesk
+	requests *requestHandler
 }
 
 func (world *World) flowIdleTimeout() time.Duration {
@@ -75,7 +75,7 @@
 
 func (agent *agent) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
-	life := &agentLife{
+	instance := &agentInstance{
 		agent:       agent,
 		incarnation: incarnation,
 		mailbox:     mailbox,
@@ -84,88 +84,88 @@
 		loads:       rollout.NewLoadView(),
 		started:     agent.process.LocalNow(),
 	}
-	agent.life = life
-	life.subscriber = rollout.NewSubscriber(rollout.SubscriberOptions{
+	agent.instance = instance
+	instance.subscriber = rollout.NewSubscriber(rollout.SubscriberOptions{
 		Self:              agent.process.Name,
 		Role:              model.RoleAgent,
 		Zone:              agent.process.Zone,
 		Incarnation:       incarnation,
 		Relays:            agent.world.relayNames(agent.process.Zone),
 		HeartbeatInterval: heartbeatInterval,
-		Pause:             life.pause,
-	}, mailbox, dispatcher, life.store, rollout.NewLease(), life.loads, life)
-	life.claims = agent.world.parts.Claims(claim.NewTracker(claim.Options{
+		Pause:             instance.pause,
+	}, mailbox, dispatcher, instance.store, rollout.NewLease(), instance.loads, instance)
+	instance.claims = agent.world.parts.Claims(claim.NewTracker(claim.Options{
 		Agent:       agent.process.Name,
 		Incarnation: incarnation,
 		Mailbox:     mailbox,
 		Replies:     dispatcher.Handle(protocol.ClaimReply{}),
-		Relay:       life.subscriber,
+		Relay:       instance.subscriber,
 	}))
 	return kernel.Program{
 		Mailbox:     mailbox,
-		Controllers: []board.Controller{dispatcher, life.subscriber, life, life.claims},
-		Stop:        life.end,
+		Controllers: []board.Controller{dispatcher, instance.subscriber, instance, instance.claims},
+		Stop:        instance.end,
 	}
 }
 
 // end runs at the end of a life, planned or not.
-func (life *agentLife) end() {
-	if life.requests != nil {
-		life.requests.end()
+func (instance *agentInstance) end() {
+	if instance.requests != nil {
+		instance.requests.stop()
 	}
 }
 
 // Name implements board.Controller.
-func (life *agentLife) Name() string { return "target" }
+func (instance *agentInstance) Name() string { return "target" }
 
 // Reconcile implements board.Controller.
-func (life *agentLife) Reconcile(now time.Time) {
-	life.findTarget()
-	waiting := life.waiting
-	life.waiting = nil
-	for _, event := range waiting {
+func (instance *agentInstance) Reconcile(now time.Time) {
+	instance.updateTarget()
+	queued := instance.queuedEvents
+	instance.queuedEvents = nil
+	for _, event := range queued {
 		event()
 	}
-	if life.owners == nil {
+	if instance.owners == nil {
 		return
 	}
-	if now.Sub(life.expiredAt) >= expiryInterval {
-		life.expiredAt = now
-		life.owners.Expire(now)
+	if now.Sub(instance.lastExpiry) >= expiryInterval {
+		instance.lastExpiry = now
+		instance.owners.Expire(now)
 	}
-	life.requests.reconcile(now)
+	instance.requests.reconcile(now)
 }
 
 // findTarget looks for the target that carries the agent's name. A target with
 // a new ID is another one: it starts without flows.
-func (life *agentLife) findTarget() {
-	target, found := targetOfNode(life.store.Current(), life.agent.process.Name)
-	if !found || target.ID == life.target.ID {
+func (instance *agentInstance) updateTarget() {
+	target, found := targetOfNode(instance.store.Current(), instance.agent.process.Name)
+	if !found || target.ID == instance.target.ID {
 		if found {
-			life.target = target
+			instance.target = target
 		}
 		return
 	}
-	life.target = target
-	life.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
+	instance.target = target
+	instance.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
 		Service:            target.Service,
 		Target:             target.ID,
 		MaximumFlows:       model.DefaultMaximumConnections,
-		IdleTimeout:        life.agent.world.flowIdleTimeout(),
+		IdleTimeout:        instance.agent.world.flowIdleTimeout(),
 		AssignmentLifetime: assignmentLifetime,
 	})
 	options := steering.Options{
 		Target:             target.ID,
-		Configurations:     life.store,
-		OwnedFlows:         life.owners,
-		Load:               life.ownLoad,
-		Draining:           func() bool { return life.stopping },
-		MayOpen:            life.pause.Over,
-		Started:            life.started,
+		Configurations:     instance.store,
+		OwnedFlows:         instance.owners,
+		Load:               instance.localLoad,
+		Draining:           func() bool { return instance.stopping },
+		MayOpen:            instance.pause.Over,
+		Started:            instance.started,
 		AssignmentLifetime: assignmentLifetime,
 	}
-	life.steering = life.agent.world.parts.Steering(options, steering.New(options))
-	life.requests = newRequestDesk(life)
+	instance.steering = instance.agent.world.parts.Steering(options, steering.New(options))
+	instance.requests = newRequestHandler(instance)
 }
 
 func targetOfNode(configuration *model.Configuration, name model.NodeName) (model.Target, bool) {
@@ -178,25 +178,25 @@
 }
 
 // place is the present life of the target for the checkers.
-func (life *agentLife) place() checker.Place {
-	return checker.Place{Target: uint32(life.target.ID), Incarnation: uint64(life.incarnation)}
+func (instance *agentInstance) place() checker.Place {
+	return checker.Place{Target: uint32(instance.target.ID), Incarnation: uint64(instance.incarnation)}
 }
 
 // Load implements rollout.Reporter.
-func (life *agentLife) Load() *model.TargetLoad {
-	if life.owners == nil {
+func (instance *agentInstance) Load() *model.TargetLoad {
+	if instance.owners == nil {
 		return nil
 	}
-	load := life.ownLoad()
+	load := instance.localLoad()
 	return &load
 }
 
-func (life *agentLife) ownLoad() model.TargetLoad {
-	admitted := life.requests.admission.Load(life.agent.process.LocalNow())
+func (instance *agentInstance) localLoad() model.TargetLoad {
+	admitted := instance.requests.admission.Load(instance.agent.process.LocalNow())
 	return model.TargetLoad{
-		Target:      life.target.ID,
-		Incarnation: life.incarnation,
-		Flows:       uint32(life.owners.Len()),
+		Target:      instance.target.ID,
+		Incarnation: instance.incarnation,
+		Flows:       uint32(instance.owners.Len()),
 		Running:     uint32(admitted.Running),
 		Waiting:     uint32(admitted.Waiting),
 		Slots:       uint32(admitted.Slots),
@@ -206,20 +206,20 @@
 }
 
 // EmptyBuckets implements rollout.Reporter.
-func (life *agentLife) EmptyBuckets(at model.Revision) []model.BucketEmpty {
-	if life.steering == nil {
+func (instance *agentInstance) EmptyBuckets(at model.Revision) []model.BucketEmpty {
+	if instance.steering == nil {
 		return nil
 	}
-	return life.steering.Empty(at)
+	return instance.steering.Empty(at)
 }
 
 // handle runs an event now, or after the thaw when the process is frozen.
-func (life *agentLife) handle(event func()) {
+func (instance *agentInstance) runOrQueue(event func()) {
 	switch {
-	case life.agent.life != life || !life.agent.process.Running():
-	case life.agent.process.Frozen():
-		if len(life.waiting) < frozenEvents {
-			life.waiting = append(life.waiting, event)
+	case instance.agent.instance != instance || !instance.agent.process.Running():
+	case instance.agent.process.Frozen():
+		if len(instance.queuedEvents) < maximumQueuedEvents {
+			instance.queuedEvents = append(instance.queuedEvents, event)
 		}
 	default:
 		event()
@@ -227,94 +227,94 @@
 }
 
 // receive takes a packet of a balancer or another agent.
-func (agent *agent) receive(one forwarded) {
-	if agent.life != nil {
-		life := agent.life
-		life.handle(func() { life.decide(one) })
+func (agent *agent) receive(forwarded forwardedPacket) {
+	if agent.instance != nil {
+		instance := agent.instance
+		instance.runOrQueue(func() { instance.decide(forwarded) })
 	}
 }
 
-func (life *agentLife) decide(one forwarded) {
-	if life.steering == nil {
+func (instance *agentInstance) decide(forwarded forwardedPacket) {
+	if instance.steering == nil {
 		return
 	}
-	now := life.agent.process.LocalNow()
-	decision := life.steering.Decide(now, steering.Input{
-		Flow:       one.packet.tuple,
-		Service:    one.service,
-		Revision:   one.revision,
-		Opening:    one.opening,
-		Chain:      one.chain,
-		Position:   one.position,
-		PasserLoad: one.passerLoad,
-		Stage:      one.stage,
-		Passes:     one.passes,
+	now := instance.agent.process.LocalNow()
+	decision := instance.steering.Decide(now, steering.Input{
+		Flow:       forwarded.packet.tuple,
+		Service:    forwarded.service,
+		Revision:   forwarded.revision,
+		Opening:    forwarded.opening,
+		Chain:      forwarded.chain,
+		Position:   forwarded.position,
+		PasserLoad: forwarded.passerLoad,
+		Stage:      forwarded.stage,
+		Passes:     forwarded.passes,
 	})
-	life.agent.world.note(one.packet.flow, "%s decides on packet %d opening %t chain %v position %d stage %d revision %d (own %d): %+v",
-		life.agent.process.Name, one.packet.sequence, one.opening, one.chain, one.position, one.stage, one.revision,
-		life.store.Current().Revision, decision)
+	instance.agent.world.watchPacket(forwarded.packet.flow, "%s decides on packet %d opening %t chain %v position %d stage %d revision %d (own %d): %+v",
+		instance.agent.process.Name, forwarded.packet.sequence, forwarded.opening, forwarded.chain, forwarded.position, forwarded.stage, forwarded.revision,
+		instance.store.Current().Revision, decision)
 	switch decision.Action {
 	case steering.ActionDeliver:
-		life.deliver(now, one, decision)
+		instance.deliver(now, forwarded, decision)
 	case steering.ActionForward:
-		life.pass(one, decision)
+		instance.forwardToNext(forwarded, decision)
 	case steering.ActionReset:
-		life.answer(answer{flow: one.packet.flow, kind: answerReset, sequence: one.packet.sequence})
+		instance.sendAnswer(answer{flow: forwarded.packet.flow, kind: answerReset, sequence: forwarded.packet.sequence})
 	}
 }
 
-func (life *agentLife) pass(one forwarded, decision steering.Decision) {
-	one.chain = decision.Chain
-	one.position = decision.Position
-	one.revision = decision.Revision
-	one.stage = decision.Stage
-	one.passes = decision.Passes
-	one.passerLoad = decision.PasserLoad
-	world := life.agent.world
-	world.forward(life.agent.process.Endpoint, life.store.Current(), decision.Next, one)
+func (instance *agentInstance) forwardToNext(forwarded forwardedPacket, decision steering.Decision) {
+	forwarded.chain = decision.Chain
+	forwarded.position = decision.Position
+	forwarded.revision = decision.Revision
+	forwarded.stage = decision.Stage
+	forwarded.passes = decision.Passes
+	forwarded.passerLoad = decision.PasserLoad
+	world := instance.agent.world
+	world.forward(instance.agent.process.Endpoint, instance.store.Current(), decision.Next, forwarded)
 }
 
-func (life *agentLife) deliver(now time.Time, one forwarded, decision steering.Decision) {
-	world := life.agent.world
+func (instance *agentInstance) deliver(now time.Time, forwarded forwardedPacket, decision steering.Decision) {
+	world := instance.agent.world
 	elapsed := world.run.Elapsed()
-	world.check.flows.Delivered(checker.Delivery{
-		Flow:      one.packet.flow,
-		Intended:  uint32(one.packet.intended),
-		Delivered: uint32(life.target.Service),
-		Opening:   one.opening,
-		Place:     life.place(),
+	world.checks.flows.Delivered(checker.Delivery{
+		Flow:      forwarded.packet.flow,
+		Intended:  uint32(forwarded.packet.intended),
+		Delivered: uint32(instance.target.Service),
+		Opening:   forwarded.opening,
+		Place:     instance.place(),
 		At:        elapsed,
 	})
-	world.run.Trace.Mix(uint64(one.packet.flow), one.packet.sequence, uint64(life.target.ID), uint64(one.passes))
+	world.run.Trace.Mix(uint64(forwarded.packet.flow), forwarded.packet.sequence, uint64(instance.target.ID), uint64(forwarded.passes))
 	if decision.Opened {
-		world.run.Trace.Addf(string(life.agent.process.Name), "open", "flow %d", one.packet.flow)
-		world.check.drain.Took(uint32(life.target.ID), checker.WorkFlow, elapsed)
+		world.run.Trace.Addf(string(instance.agent.process.Name), "open", "flow %d", forwarded.packet.flow)
+		world.checks.drain.Took(uint32(instance.target.ID), checker.WorkFlow, elapsed)
 	}
 	if decision.Hint {
-		world.sendHint(life, one)
+		world.sendHint(instance, forwarded)
 	}
-	if one.packet.closing {
-		life.close(one.packet.tuple)
+	if forwarded.packet.closing {
+		instance.closeFlow(forwarded.packet.tuple)
 	}
-	life.answer(answer{flow: one.packet.flow, kind: answerEcho, sequence: one.packet.sequence, place: life.place()})
-	if one.packet.request != nil {
-		life.requests.take(now, one.packet)
+	instance.sendAnswer(answer{flow: forwarded.packet.flow, kind: answerEcho, sequence: forwarded.packet.sequence, place: instance.place()})
+	if forwarded.packet.request != nil {
+		instance.requests.receive(now, forwarded.packet)
 	}
 }
 
-func (life *agentLife) close(tuple model.FiveTuple) {
-	table := life.store.Current().Buckets[life.target.Service]
+func (instance *agentInstance) closeFlow(tuple model.FiveTuple) {
+	table := instance.store.Current().Buckets[instance.target.Service]
 	if table != nil {
-		life.owners.Close(routing.BucketOf(routing.FlowHash(tuple), table.Count()), tuple)
+		instance.owners.Close(routing.BucketOf(routing.FlowHash(tuple), table.Count()), tuple)
 	}
 }
 
 // answer sends an answer straight to the caller.
-func (life *agentLife) answer(one answer) {
-	life.agent.world.answerCaller(life.agent.process.Endpoint, one)
+func (instance *agentInstance) sendAnswer(reply answer) {
+	instance.agent.world.answerCaller(instance.agent.process.Endpoint, reply)
 }
 
 // observe tells the checkers what the node runs.
 func (agent *agent) observe() {
-	agent.world.check.observeNode(agent.process, agent.life.store.Current())
+	agent.world.checks.observeNode(agent.process, agent.instance.store.Current())
 }
--- a/internal/sim/world/balancer.go
+++ b/internal/sim/world/balancer.go
@@ -19,7 +19,7 @@
 	heartbeatInterval = 500 * time.Millisecond
 	cacheFlows        = 512
 	// frozenPackets is how many packets wait in a frozen process's socket.
-	frozenPackets = 64
+	maximumQueuedPackets = 64
 )
 
 // balancer is one balancer: the product's subscriber, cache and routing on a
@@ -33,8 +33,8 @@
 	lease  *rollout.Lease
 	cache  OwnerCache
 	// waiting are packets that came while the process was frozen.
-	waiting    []packet
-	subscriber *rollout.Subscriber
+	queuedPackets []packet
+	subscriber    *rollout.Subscriber
 }
 
 func newBalancer(world *World, name model.NodeName, zone model.ZoneName) *balancer {
@@ -50,7 +50,7 @@
 	balancer.store = rollout.NewStore()
 	balancer.lease = rollout.NewLease()
 	balancer.cache = balancer.world.parts.Cache(flow.NewCache(cacheFlows))
-	balancer.waiting = nil
+	balancer.queuedPackets = nil
 	balancer.subscriber = rollout.NewSubscriber(rollout.SubscriberOptions{
 		Self:              balancer.process.Name,
 		Role:              model.RoleBalancer,
@@ -71,28 +71,28 @@
 // Reconcile implements board.Controller: it handles the packets that came
 // while the process was frozen.
 func (balancer *balancer) Reconcile(time.Time) {
-	waiting := balancer.waiting
-	balancer.waiting = nil
-	for _, one := range waiting {
-		balancer.route(one)
+	queued := balancer.queuedPackets
+	balancer.queuedPackets = nil
+	for _, incoming := range queued {
+		balancer.route(incoming)
 	}
 }
 
 // receive takes a packet from the fabric.
-func (balancer *balancer) receive(one packet) {
+func (balancer *balancer) receive(incoming packet) {
 	switch {
 	case balancer.process.Active():
-		balancer.route(one)
-	case balancer.process.Frozen() && len(balancer.waiting) < frozenPackets:
-		balancer.waiting = append(balancer.waiting, one)
+		balancer.route(incoming)
+	case balancer.process.Frozen() && len(balancer.queuedPackets) < maximumQueuedPackets:
+		balancer.queuedPackets = append(balancer.queuedPackets, incoming)
 	}
 }
 
 // route sends a packet to the flow's owner if the cache has it, and otherwise
 // along the chain of its bucket.
-func (balancer *balancer) route(one packet) {
+func (balancer *balancer) route(incoming packet) {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
-	service, known := serviceAt(configuration, one.tuple)
+	service, known := serviceAt(configuration, incoming.tuple)
 	if !known {
 		return
 	}
@@ -100,26 +100,26 @@
 	if table == nil || table.Count() == 0 {
 		return
 	}
-	hash := routing.FlowHash(one.tuple)
+	hash := routing.FlowHash(incoming.tuple)
 	chain := balancer.world.parts.Chain(table.Bucket(routing.BucketOf(hash, table.Count())))
 	if len(chain) == 0 {
 		return
 	}
-	position := balancer.startAt(hash, one.tuple, chain)
-	balancer.world.note(one.flow, "%s sends packet %d along %v from %d at revision %d",
-		balancer.process.Name, one.sequence, chain, position, configuration.Revision)
-	balancer.world.forward(balancer.process.Endpoint, configuration, chain[position], forwarded{
-		packet:   one,
+	position := balancer.startPosition(hash, incoming.tuple, chain)
+	balancer.world.watchPacket(incoming.flow, "%s sends packet %d along %v from %d at revision %d",
+		balancer.process.Name, incoming.sequence, chain, position, configuration.Revision)
+	balancer.world.forward(balancer.process.Endpoint, configuration, chain[position], forwardedPacket{
+		packet:   incoming,
 		service:  service.ID,
 		revision: configuration.Revision,
-		opening:  one.opening,
+		opening:  incoming.opening,
 		chain:    chain,
 		position: position,
 		balancer: balancer.process.Name,
 	})
 }
 
-func (balancer *balancer) startAt(hash uint64, tuple model.FiveTuple, chain []model.TargetID) int {
+func (balancer *balancer) startPosition(hash uint64, tuple model.FiveTuple, chain []model.TargetID) int {
 	owner, cached := balancer.cache.Lookup(hash, tuple)
 	if !cached {
 		return 0
@@ -128,16 +128,16 @@
 }
 
 // learn takes a hint from an agent.
-func (balancer *balancer) learn(one hint) {
+func (balancer *balancer) receiveHint(received hint) {
 	if balancer.process.Active() {
-		balancer.cache.Insert(routing.FlowHash(one.tuple), one.tuple, one.owner)
+		balancer.cache.Insert(routing.FlowHash(received.tuple), received.tuple, received.owner)
 	}
 }
 
 // observe tells the checkers what the node runs.
 func (balancer *balancer) observe() {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
-	balancer.world.check.observeNode(balancer.process, configuration)
+	balancer.world.checks.observeNode(balancer.process, configuration)
 }
 
 func serviceAt(configuration *model.Configuration, tuple model.FiveTuple) (model.Service, bool) {
--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -13,11 +13,11 @@
 // Times of simulated callers.
 const (
 	// openingRetry is the wait before an opening packet is sent again.
-	openingRetry = 250 * time.Millisecond
+	openingRetryInterval = 250 * time.Millisecond
 	// openingTries is how often it is sent before the caller gives up.
-	openingTries = 20
+	maximumOpeningAttempts = 20
 	// requestRetry is the wait before a request's packet is sent again.
-	requestRetry = 400 * time.Millisecond
+	requestRetryInterval = 400 * time.Millisecond
 	// requestTimeout is how long a caller waits for the answer to an attempt.
 	requestTimeout = 10 * time.Second
 	// answerGrace is how long a caller waits beyond a request's deadline, at
@@ -47,19 +47,19 @@
 
 // callers are all callers of a run.
 type callers struct {
-	world    *World
-	random   *kernel.Random
-	endpoint kernel.Endpoint
-	load     Load
-	flows    map[checker.FlowID]*callerFlow
-	open     map[model.ServiceID][]*callerFlow
-	requests map[checker.AttemptID]*callerRequest
-	lastFlow checker.FlowID
-	lastTry  checker.AttemptID
-	lastKey  int
-	stopped  bool
+	world       *World
+	random      *kernel.Random
+	endpoint    kernel.Endpoint
+	load        Load
+	flows       map[checker.FlowID]*callerFlow
+	openFlows   map[model.ServiceID][]*callerFlow
+	requests    map[checker.AttemptID]*callerRequest
+	lastFlow    checker.FlowID
+	lastAttempt checker.AttemptID
+	lastKey     int
+	stopped     bool
 	// waiting counts the attempts without an end.
-	waiting int
+	pendingAttempts int
 	// expectAnswers tells that an attempt without an answer is a violation,
 	// not an unknown outcome: the scenario has no unplanned fault.
 	expectAnswers bool
@@ -75,25 +75,25 @@
 	// intended is the service that had the address when the flow began.
 	intended model.ServiceID
 	// deaf tells that the caller goes on sending after a reset.
-	deaf     bool
-	opened   bool
-	ended    bool
-	endsAt   time.Time
-	feed     bool
-	sequence uint64
-	tries    int
+	ignoresResets   bool
+	opened          bool
+	ended           bool
+	endsAt          time.Time
+	feed            bool
+	sequence        uint64
+	openingAttempts int
 	// pending is the number of attempts that wait for an answer.
-	pending int
+	pendingAttempts int
 }
 
 func newCallers(world *World) *callers {
 	return &callers{
-		world:    world,
-		random:   world.run.Random("callers"),
-		endpoint: kernel.Endpoint{Name: callersName, Zone: callerZone},
-		flows:    make(map[checker.FlowID]*callerFlow),
-		open:     make(map[model.ServiceID][]*callerFlow),
-		requests: make(map[checker.AttemptID]*callerRequest),
+		world:     world,
+		random:    world.run.Random("callers"),
+		endpoint:  kernel.Endpoint{Name: callersName, Zone: callerZone},
+		flows:     make(map[checker.FlowID]*callerFlow),
+		openFlows: make(map[model.ServiceID][]*callerFlow),
+		requests:  make(map[checker.AttemptID]*callerRequest),
 	}
 }
 
@@ -104,7 +104,7 @@
 		for range load.Feeds {
 			callers.world.run.Scheduler.After(callers.random.Between(0, time.Second), func() { callers.openFeed(service) })
 		}
-		callers.repeat(load.FlowsPerSecond, func() {
+		callers.repeatAtRate(load.FlowsPerSecond, func() {
 			if service.id == 0 {
 				return
 			}
@@ -112,7 +112,7 @@
 		})
 		// Only services that speak HTTP/3 carry requests.
 		if service.protocol == model.ProtocolQUIC {
-			callers.repeat(load.RequestsPerSecond, func() { callers.newRequest(service) })
+			callers.repeatAtRate(load.RequestsPerSecond, func() { callers.newRequest(service) })
 		}
 	}
 }
@@ -121,10 +121,10 @@
 func (callers *callers) stop() { callers.stopped = true }
 
 // idle tells whether no attempt waits for its end.
-func (callers *callers) idle() bool { return callers.waiting == 0 }
+func (callers *callers) idle() bool { return callers.pendingAttempts == 0 }
 
 // repeat calls act at random moments with the given rate.
-func (callers *callers) repeat(perSecond float64, act func()) {
+func (callers *callers) repeatAtRate(perSecond float64, action func()) {
 	if perSecond <= 0 {
 		return
 	}
@@ -134,7 +134,7 @@
 		if callers.stopped {
 			return
 		}
-		act()
+		action()
 		callers.world.run.Scheduler.After(callers.random.Exponential(mean), next)
 	}
 	callers.world.run.Scheduler.After(callers.random.Exponential(mean), next)
@@ -146,7 +146,7 @@
 }
 
 // openFlow begins a flow from an address that no flow had before.
-func (callers *callers) openFlow(service *serviceHandle, life time.Duration) *callerFlow {
+func (callers *callers) openFlow(service *serviceHandle, lifetime time.Duration) *callerFlow {
 	callers.lastFlow++
 	id := callers.lastFlow
 	source := netip.AddrFrom4([4]byte{198, 18, byte(id >> 14), byte(id >> 6)})
@@ -159,7 +159,7 @@
 		},
 		service:  service,
 		intended: service.id,
-		endsAt:   callers.world.run.Scheduler.Now().Add(life),
+		endsAt:   callers.world.run.Scheduler.Now().Add(lifetime),
 	}
 	callers.flows[id] = flow
 	callers.sendOpening(flow)
@@ -170,95 +170,95 @@
 	if flow.opened || flow.ended {
 		return
 	}
-	if flow.tries >= openingTries {
+	if flow.openingAttempts >= maximumOpeningAttempts {
 		flow.ended = true
 		callers.abandoned++
-		callers.world.check.flows.Closed(flow.id)
+		callers.world.checks.flows.Closed(flow.id)
 		return
 	}
-	flow.tries++
+	flow.openingAttempts++
 	callers.send(flow, packet{opening: true})
-	callers.world.run.Scheduler.After(openingRetry, func() { callers.sendOpening(flow) })
+	callers.world.run.Scheduler.After(openingRetryInterval, func() { callers.sendOpening(flow) })
 }
 
 // send hands a packet of the flow to the fabric.
-func (callers *callers) send(flow *callerFlow, one packet) {
+func (callers *callers) send(flow *callerFlow, outgoing packet) {
 	flow.sequence++
-	one.flow = flow.id
-	one.tuple = flow.tuple
-	one.intended = flow.intended
-	one.sequence = flow.sequence
+	outgoing.flow = flow.id
+	outgoing.tuple = flow.tuple
+	outgoing.intended = flow.intended
+	outgoing.sequence = flow.sequence
 	// Every datagram of a plain flow may open it.
-	one.opening = one.opening || flow.tuple.Protocol == model.ProtocolUDP
+	outgoing.opening = outgoing.opening || flow.tuple.Protocol == model.ProtocolUDP
 	if flow.opened {
-		callers.world.check.flows.Sent(flow.id, uint32(flow.intended), callers.world.run.Elapsed())
+		callers.world.checks.flows.Sent(flow.id, uint32(flow.intended), callers.world.run.Elapsed())
 	}
-	callers.world.fabric.spray(one)
+	callers.world.fabric.spray(outgoing)
 }
 
 // keepAlive sends the flow's packets until its end.
-func (callers *callers) keepAlive(flow *callerFlow) {
+func (callers *callers) sendPeriodically(flow *callerFlow) {
 	if flow.ended {
 		return
 	}
-	if !callers.world.run.Scheduler.Now().Before(flow.endsAt) && flow.pending == 0 {
+	if !callers.world.run.Scheduler.Now().Before(flow.endsAt) && flow.pendingAttempts == 0 {
 		callers.closeFlow(flow)
 		return
 	}
 	callers.send(flow, packet{})
-	pause := callers.load.PacketInterval/2 + callers.random.Between(0, callers.load.PacketInterval)
-	callers.world.run.Scheduler.After(pause, func() { callers.keepAlive(flow) })
+	interval := callers.load.PacketInterval/2 + callers.random.Between(0, callers.load.PacketInterval)
+	callers.world.run.Scheduler.After(interval, func() { callers.sendPeriodically(flow) })
 }
 
 // closeFlow ends a flow; the last packet is sent twice because it may be lost.
 func (callers *callers) closeFlow(flow *callerFlow) {
-	callers.end(flow)
-	callers.world.check.flows.Closed(flow.id)
+	callers.endFlow(flow)
+	callers.world.checks.flows.Closed(flow.id)
 	callers.send(flow, packet{closing: true})
-	callers.world.run.Scheduler.After(openingRetry, func() { callers.send(flow, packet{closing: true}) })
+	callers.world.run.Scheduler.After(openingRetryInterval, func() { callers.send(flow, packet{closing: true}) })
 }
 
-func (callers *callers) end(flow *callerFlow) {
+func (callers *callers) endFlow(flow *callerFlow) {
 	flow.ended = true
-	remaining := callers.open[flow.intended][:0]
-	for _, other := range callers.open[flow.intended] {
+	remaining := callers.openFlows[flow.intended][:0]
+	for _, other := range callers.openFlows[flow.intended] {
 		if other != flow {
 			remaining = append(remaining, other)
 		}
 	}
-	callers.open[flow.intended] = remaining
+	callers.openFlows[flow.intended] = remaining
 }
 
 // receive takes an answer of an agent.
-func (callers *callers) receive(one answer) {
-	flow := callers.flows[one.flow]
-	switch one.kind {
+func (callers *callers) receive(reply answer) {
+	flow := callers.flows[reply.flow]
+	switch reply.kind {
 	case answerEcho:
 		callers.receiveEcho(flow)
 	case answerReset:
 		callers.receiveReset(flow)
 	default:
-		callers.receiveFinal(one)
+		callers.receiveFinal(reply)
 	}
 }
 
 func (callers *callers) receiveEcho(flow *callerFlow) {
-	callers.world.check.flows.Answered(flow.id)
+	callers.world.checks.flows.Answered(flow.id)
 	if flow.opened || flow.ended {
 		return
 	}
 	flow.opened = true
-	callers.open[flow.intended] = append(callers.open[flow.intended], flow)
-	callers.keepAlive(flow)
+	callers.openFlows[flow.intended] = append(callers.openFlows[flow.intended], flow)
+	callers.sendPeriodically(flow)
 }
 
 func (callers *callers) receiveReset(flow *callerFlow) {
-	if flow.ended || flow.deaf {
+	if flow.ended || flow.ignoresResets {
 		return
 	}
 	callers.world.run.Trace.Add("callers", "reset", fmt.Sprintf("flow %d", flow.id))
-	callers.world.check.flows.Reset(flow.id, callers.world.run.Elapsed())
-	callers.end(flow)
+	callers.world.checks.flows.Reset(flow.id, callers.world.run.Elapsed())
+	callers.endFlow(flow)
 	if flow.feed && !callers.stopped {
 		callers.openFeed(flow.service)
 	}
--- a/internal/sim/world/caller_request.go
+++ b/internal/sim/world/caller_request.go
@@ -25,11 +25,11 @@
 }
 
 // settle ends the present attempt for its caller.
-func (owner *callerRequest) settle() {
-	if owner.current != 0 {
-		owner.current = 0
-		owner.flow.pending--
-		owner.callers.waiting--
+func (request *callerRequest) endAttempt() {
+	if request.current != 0 {
+		request.current = 0
+		request.flow.pendingAttempts--
+		request.callers.pendingAttempts--
 	}
 }
 
@@ -43,40 +43,40 @@
 	if callers.random.Chance(callers.load.Uploads) {
 		request.class = model.ClassUpload
 	}
-	callers.attempt(request, nil)
+	callers.startAttempt(request, nil)
 }
 
 // attempt sends the request once more, not on the flow called avoid.
-func (callers *callers) attempt(again *callerRequest, avoid *callerFlow) {
-	if again.done || again.attempts >= maximumAttempts || again.service.id != again.intended {
+func (callers *callers) startAttempt(request *callerRequest, avoid *callerFlow) {
+	if request.done || request.attempts >= maximumAttempts || request.service.id != request.intended {
 		return
 	}
-	flow := callers.pickFlow(again.service, avoid)
+	flow := callers.pickFlow(request.service, avoid)
 	if flow == nil {
 		return
 	}
-	again.attempts++
-	callers.lastTry++
-	id := callers.lastTry
-	again.current = id
-	again.flow = flow
-	flow.pending++
-	callers.waiting++
-	callers.requests[id] = again
+	request.attempts++
+	callers.lastAttempt++
+	id := callers.lastAttempt
+	request.current = id
+	request.flow = flow
+	flow.pendingAttempts++
+	callers.pendingAttempts++
+	callers.requests[id] = request
 	now := callers.world.run.Scheduler.Now()
-	callers.world.check.requests.Offered(checker.Attempt{ID: id, Key: again.key, Service: uint32(again.intended)}, now.Sub(kernel.Epoch))
-	callers.sendAttempt(flow, again, request{
+	callers.world.checks.requests.Offered(checker.Attempt{ID: id, Key: request.key, Service: uint32(request.intended)}, now.Sub(kernel.Epoch))
+	callers.sendAttempt(flow, request, requestPayload{
 		attempt:     id,
-		key:         again.key,
+		key:         request.key,
 		fingerprint: 1,
-		class:       again.class,
+		class:       request.class,
 		deadline:    now.Add(requestTimeout),
 	})
 }
 
 func (callers *callers) pickFlow(service *serviceHandle, avoid *callerFlow) *callerFlow {
 	var candidates []*callerFlow
-	for _, flow := range callers.open[service.id] {
+	for _, flow := range callers.openFlows[service.id] {
 		if flow != avoid {
 			candidates = append(candidates, flow)
 		}
@@ -88,71 +88,71 @@
 }
 
 // sendAttempt repeats the packet until the attempt ends.
-func (callers *callers) sendAttempt(flow *callerFlow, owner *callerRequest, carried request) {
-	if owner.done || owner.current != carried.attempt {
+func (callers *callers) sendAttempt(flow *callerFlow, request *callerRequest, payload requestPayload) {
+	if request.done || request.current != payload.attempt {
 		return
 	}
 	now := callers.world.run.Scheduler.Now()
-	if flow.ended || !now.Before(carried.deadline.Add(answerGrace)) {
-		callers.giveUp(flow, owner, carried.attempt)
+	if flow.ended || !now.Before(payload.deadline.Add(answerGrace)) {
+		callers.giveUp(flow, request, payload.attempt)
 		return
 	}
-	callers.send(flow, packet{request: &carried})
-	callers.world.run.Scheduler.After(requestRetry, func() { callers.sendAttempt(flow, owner, carried) })
+	callers.send(flow, packet{request: &payload})
+	callers.world.run.Scheduler.After(requestRetryInterval, func() { callers.sendAttempt(flow, request, payload) })
 }
 
 // giveUp ends an attempt without an answer. One that may not be repeated is
 // asked again by its key.
-func (callers *callers) giveUp(flow *callerFlow, owner *callerRequest, attempt checker.AttemptID) {
-	owner.settle()
+func (callers *callers) giveUp(flow *callerFlow, request *callerRequest, attempt checker.AttemptID) {
+	request.endAttempt()
 	if !callers.expectAnswers {
-		callers.world.check.requests.Unknown(attempt)
+		callers.world.checks.requests.Unknown(attempt)
 	}
-	if owner.key != "" {
-		callers.attempt(owner, flow)
+	if request.key != "" {
+		callers.startAttempt(request, flow)
 		return
 	}
-	owner.done = true
+	request.done = true
 }
 
 // receiveFinal takes the final answer to an attempt.
-func (callers *callers) receiveFinal(one answer) {
-	owner, known := callers.requests[one.attempt]
+func (callers *callers) receiveFinal(reply answer) {
+	request, known := callers.requests[reply.attempt]
 	if !known {
-		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, For: one.of, Whole: one.whole, At: callers.world.run.Elapsed()})
+		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, For: reply.executedAttempt, Whole: reply.complete, At: callers.world.run.Elapsed()})
 		return
 	}
-	current := owner.current == one.attempt
-	switch one.kind {
+	current := request.current == reply.attempt
+	switch reply.kind {
 	case answerResponse:
-		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, For: one.of, Whole: one.whole, At: callers.world.run.Elapsed()})
-		callers.answered(owner, one.attempt)
+		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, For: reply.executedAttempt, Whole: reply.complete, At: callers.world.run.Elapsed()})
+		callers.endRequest(request, reply.attempt)
 	case answerRefusal:
-		callers.world.check.requests.Refused(one.attempt, callers.world.run.Elapsed())
-		callers.retryLater(owner, one, current)
+		callers.world.checks.requests.Refused(reply.attempt, callers.world.run.Elapsed())
+		callers.retryLater(request, reply, current)
 	default:
-		callers.world.check.requests.Unknown(one.attempt)
-		callers.retryLater(owner, one, current && owner.key != "")
+		callers.world.checks.requests.Unknown(reply.attempt)
+		callers.retryLater(request, reply, current && request.key != "")
 	}
 }
 
 // answered ends the request. Another attempt that is under way is given up by
 // its caller, who has the answer.
-func (callers *callers) answered(owner *callerRequest, attempt checker.AttemptID) {
-	owner.done = true
-	if owner.current != 0 && owner.current != attempt {
-		callers.world.check.requests.Unknown(owner.current)
+func (callers *callers) endRequest(request *callerRequest, attempt checker.AttemptID) {
+	request.done = true
+	if request.current != 0 && request.current != attempt {
+		callers.world.checks.requests.Unknown(request.current)
 	}
-	owner.settle()
+	request.endAttempt()
 }
 
 // retryLater sends the request again on another flow once the answer says so.
-func (callers *callers) retryLater(owner *callerRequest, one answer, again bool) {
-	if !again || owner.done {
+func (callers *callers) retryLater(request *callerRequest, reply answer, retry bool) {
+	if !retry || request.done {
 		return
 	}
-	owner.settle()
-	pause := one.retryAfter + callers.random.Between(0, 200*time.Millisecond)
-	avoid := callers.flows[one.flow]
-	callers.world.run.Scheduler.After(pause, func() { callers.attempt(owner, avoid) })
+	request.endAttempt()
+	delay := reply.retryAfter + callers.random.Between(0, 200*time.Millisecond)
+	avoid := callers.flows[reply.flow]
+	callers.world.run.Scheduler.After(delay, func() { callers.startAttempt(request, avoid) })
 }
--- a/internal/sim/world/checks.go
+++ b/internal/sim/world/checks.go
@@ -10,12 +10,12 @@
 
 const (
 	// rolloutBound is the time in which an accepted change must be in force.
-	rolloutBound = 7 * time.Second
+	maximumRolloutTime = 7 * time.Second
 	// drainGrace is the time after which a leaving target gets no new work.
 	drainGrace = 3 * time.Second
 	// digestEvery is how many applied entries lie between two comparisons of
 	// the members' whole states.
-	digestEvery = 16
+	digestInterval = 16
 )
 
 // checks are the checkers of one run, and what they were last told.
@@ -43,7 +43,7 @@
 		flows:     checker.NewFlows(report),
 		requests:  checker.NewRequests(report),
 		drain:     checker.NewDrain(report, drainGrace),
-		rollout:   checker.NewRollout(report, rolloutBound),
+		rollout:   checker.NewRollout(report, maximumRolloutTime),
 		replicas:  checker.NewReplicas(report),
 		operators: checker.NewOperators(report),
 		observed:  make(map[model.NodeName]observation),
@@ -66,7 +66,7 @@
 // observeApplied compares members' states now and then.
 func (checks *checks) observeApplied(member *member, index uint64) {
 	checks.world.run.Trace.Mix(index, uint64(member.process.Incarnation()))
-	if index%digestEvery == 0 {
+	if index%digestInterval == 0 {
 		checks.replicas.State(string(member.process.Name), index, member.machine.Digest(), checks.world.run.Elapsed())
 	}
 }
@@ -98,5 +98,5 @@
 
 // Reconcile implements board.Controller.
 func (observer leaseObserver) Reconcile(time.Time) {
-	observer.balancer.world.check.sampleBalancer(observer.balancer)
+	observer.balancer.world.checks.sampleBalancer(observer.balancer)
 }
--- a/internal/sim/world/control.go
+++ b/internal/sim/world/control.go
@@ -11,13 +11,13 @@
 )
 
 // groupAt is a member's consensus with a status as of the process's own clock.
-type groupAt struct {
+type localTimeGroup struct {
 	*replica.Controller
 	member *member
 }
 
 // Status implements control.StatusReader.
-func (group groupAt) Status() replica.Status { return group.member.Status() }
+func (group localTimeGroup) Status() replica.Status { return group.member.Status() }
 
 // controlControllers returns the product's controllers of a control member,
 // apart from consensus.
@@ -25,9 +25,9 @@
 	member.control = control.NewMember(control.Dependencies{
 		Mailbox:    mailbox,
 		Dispatcher: dispatcher,
-		Group:      groupAt{Controller: member.controller, member: member},
+		Group:      localTimeGroup{Controller: member.controller, member: member},
 		Machine:    member.machine,
-		DeadAfter:  deadAfter,
+		DeadAfter:  deadNodeTimeout,
 		Machines:   member.world.machineList,
 	})
 	return member.control.Controllers()
@@ -35,9 +35,9 @@
 
 const (
 	// listReadInterval is how often the platform's list of machines changes.
-	listReadInterval = 500 * time.Millisecond
+	machineListInterval = 500 * time.Millisecond
 	// machineListLag is how late it is.
-	machineListLag = 3 * time.Second
+	defaultMachineListLag = 3 * time.Second
 )
 
 // machineList is the platform's late list of live machines.
@@ -54,21 +54,21 @@
 	return list.live[node], true
 }
 
-func (list *machineList) lag() time.Duration {
+func (list *machineList) effectiveLag() time.Duration {
 	if lag := list.world.options.MachineListLag; lag > 0 {
 		return lag
 	}
-	return machineListLag
+	return defaultMachineListLag
 }
 
 // start begins to follow the machines.
 func (list *machineList) start() {
-	list.world.run.Scheduler.Every(listReadInterval, func() bool {
+	list.world.run.Scheduler.Every(machineListInterval, func() bool {
 		seen := make(map[model.NodeName]bool)
 		for _, process := range list.world.host.Processes() {
 			seen[process.Name] = process.Running()
 		}
-		list.world.run.Scheduler.After(list.lag(), func() { list.live = seen })
+		list.world.run.Scheduler.After(list.effectiveLag(), func() { list.live = seen })
 		return true
 	})
 }
--- a/internal/sim/world/fabric.go
+++ b/internal/sim/world/fabric.go
@@ -8,7 +8,7 @@
 )
 
 // listInterval is how often the fabric reads the list of live balancers.
-const listInterval = 500 * time.Millisecond
+const balancerListInterval = 500 * time.Millisecond
 
 // fabric sprays callers' packets over the balancers that its lagging list has.
 type fabric struct {
@@ -29,7 +29,7 @@
 // start begins to follow the list of live machines.
 func (fabric *fabric) start() {
 	fabric.live = fabric.list()
-	fabric.world.run.Scheduler.Every(listInterval, func() bool {
+	fabric.world.run.Scheduler.Every(balancerListInterval, func() bool {
 		seen := fabric.list()
 		fabric.world.run.Scheduler.After(fabric.lag, func() { fabric.live = seen })
 		return true
@@ -49,7 +49,7 @@
 }
 
 // spray hands a packet to any listed balancer.
-func (fabric *fabric) spray(one packet) {
+func (fabric *fabric) spray(incoming packet) {
 	if len(fabric.live) == 0 {
 		fabric.dropped++
 		return
@@ -57,7 +57,7 @@
 	fabric.sprayed++
 	chosen := kernel.Pick(fabric.random, fabric.live)
 	from := kernel.Endpoint{Name: callersName, Zone: callerZone}
-	fabric.world.packets.Send(from, chosen.process.Endpoint, func() { chosen.receive(one) })
+	fabric.world.packets.Send(from, chosen.process.Endpoint, func() { chosen.receive(incoming) })
 }
 
 // callersName is the network name of all callers together.
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -108,30 +108,32 @@
 
 // KillTarget ends a target and its back end without notice.
 func (world *World) KillTarget(name model.NodeName) {
-	agent := world.byName[name]
+	agent := world.agentsByName[name]
 	if !agent.process.Running() {
 		return
 	}
-	world.check.flows.TargetDied(agent.life.place())
-	world.check.requests.TargetDied(agent.life.place())
+	world.checks.flows.TargetDied(agent.instance.place())
+	world.checks.requests.TargetDied(agent.instance.place())
 	agent.process.Kill()
 }
 
 // AllowFlowLoss tells the checkers that a target may be taken for dead, because
 // the scenario cut it off for long.
 func (world *World) AllowFlowLoss(name model.NodeName) {
-	agent := world.byName[name]
+	agent := world.agentsByName[name]
 	if agent.process.Running() {
-		world.check.flows.TargetDied(agent.life.place())
-		world.check.requests.TargetDied(agent.life.place())
+		world.checks.flows.TargetDied(agent.instance.place())
+		world.checks.requests.TargetDied(agent.instance.place())
 	}
 }
 
 // StartTarget starts a target that was stopped or killed.
-func (world *World) StartTarget(name model.NodeName) { world.byName[name].process.Start() }
+func (world *World) StartTarget(name model.NodeName) { world.agentsByName[name].process.Start() }
 
 // Target returns the process of a target's agent.
-func (world *World) Target(name model.NodeName) *kernel.Process { return world.byName[name].process }
+func (world *World) Target(name model.NodeName) *kernel.Process {
+	return world.agentsByName[name].process
+}
 
 // Targets returns the names of the targets of a service, by its place in the
 // preset.
@@ -145,31 +147,31 @@
 
 // Idle tells whether a target has no flow and no request in progress.
 func (world *World) Idle(name model.NodeName) bool {
-	life := world.byName[name].life
-	return life.owners == nil || world.parts.Idle(life.owners.Len(), life.requests.idle())
+	instance := world.agentsByName[name].instance
+	return instance.owners == nil || world.parts.Idle(instance.owners.Len(), instance.requests.idle())
 }
 
 // StopTarget ends a target as planned, after its last flow.
 func (world *World) StopTarget(name model.NodeName) {
-	agent := world.byName[name]
-	agent.life.stopping = true
-	world.checkStopped(agent)
-	agent.life.subscriber.Leave(agent.process.LocalNow())
+	agent := world.agentsByName[name]
+	agent.instance.stopping = true
+	world.recordPlannedStop(agent)
+	agent.instance.subscriber.Leave(agent.process.LocalNow())
 	agent.process.Wake()
-	life := agent.process.Incarnation()
+	incarnation := agent.process.Incarnation()
 	world.run.Scheduler.After(100*time.Millisecond, func() {
-		if agent.process.Incarnation() == life {
+		if agent.process.Incarnation() == incarnation {
 			// What came since the stop began must not be cut either.
-			world.checkStopped(agent)
+			world.recordPlannedStop(agent)
 			agent.process.Kill()
 		}
 	})
 }
 
 // checkStopped tells the checkers that a target stops as planned.
-func (world *World) checkStopped(agent *agent) {
-	world.check.flows.TargetStopped(agent.life.place(), world.run.Elapsed())
-	world.check.requests.TargetStopped(agent.life.place(), world.run.Elapsed())
+func (world *World) recordPlannedStop(agent *agent) {
+	world.checks.flows.TargetStopped(agent.instance.place(), world.run.Elapsed())
+	world.checks.requests.TargetStopped(agent.instance.place(), world.run.Elapsed())
 }
 
 // DelistBalancer takes a balancer out of the platform's list before a planned stop.
@@ -188,7 +190,7 @@
 
 // stopTime is how long a planned stop of a control member waits for another
 // leader.
-const stopTime = 3 * time.Second
+const leadershipTransferTimeout = 3 * time.Second
 
 // StopMember stops a control member as planned: a leader hands over before its
 // process ends.
@@ -197,7 +199,7 @@
 	if member.controller != nil && member.process.Active() && member.Status().Leading {
 		member.controller.TransferLeadership(func(error) {})
 		member.process.Wake()
-		world.waitFor(stopTime, func() bool { return !member.Status().Leading })
+		world.waitFor(leadershipTransferTimeout, func() bool { return !member.Status().Leading })
 	}
 	member.process.Kill()
 }
@@ -210,6 +212,6 @@
 // AllowMissedDrains tells the checkers that the scenario keeps targets from
 // learning of their drain, until the returned function is called.
 func (world *World) AllowMissedDrains() (end func()) {
-	world.check.drain.Suspend()
-	return func() { world.check.drain.Resume(world.run.Elapsed() + rolloutBound) }
+	world.checks.drain.Suspend()
+	return func() { world.checks.drain.Resume(world.run.Elapsed() + maximumRolloutTime) }
 }
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -11,9 +11,9 @@
 
 const (
 	// convergeTime bounds the time in which a healed world must agree again.
-	convergeTime = 30 * time.Second
+	convergenceTimeout = 30 * time.Second
 	// answerTime is how long callers are given to get their last answers.
-	answerTime = requestTimeout + answerGrace + 2*time.Second
+	answerTimeout = requestTimeout + answerGrace + 2*time.Second
 	// silenceTime is the time in which a flow sends more packets than it may
 	// lose.
 	silenceTime = 6 * time.Second
@@ -26,8 +26,8 @@
 	stopped := false
 	for range count {
 		// Each operator has keys of its own, also over several races.
-		world.racers++
-		number := world.racers
+		world.racingOperators++
+		number := world.racingOperators
 		operator := world.NewOperator(string(numberedName("operator", number)))
 		var next func()
 		next = func() {
@@ -56,18 +56,18 @@
 // FinishControl waits until the members that run agree, compares their states,
 // and checks the operators' whole history against what is left.
 func (world *World) FinishControl() {
-	ended := world.waitFor(operatorPatience+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
+	ended := world.waitFor(changeTimeout+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
 	world.CheckProgress(ended, "%d changes have no end", world.pendingChanges)
-	if !world.waitFor(convergeTime, world.membersAgree) {
+	if !world.waitFor(convergenceTimeout, world.membersAgree) {
 		world.run.Report.Add(checker.InvariantProgress, world.run.Elapsed(), "members did not converge: %s", world.memberSummary())
 		return
 	}
 	for _, member := range world.runningMembers() {
 		status := member.Status()
-		world.check.replicas.State(string(member.process.Name), uint64(status.Applied), member.machine.Digest(), world.run.Elapsed())
+		world.checks.replicas.State(string(member.process.Name), uint64(status.Applied), member.machine.Digest(), world.run.Elapsed())
 	}
 	world.finalReads()
-	world.check.operators.CheckLinearizable()
+	world.checks.operators.CheckLinearizable()
 }
 
 func (world *World) runningMembers() []*member {
@@ -125,31 +125,31 @@
 			world.run.Report.Add(checker.InvariantCommittedKept, world.run.Elapsed(), "service %s is lost", service.name)
 			continue
 		}
-		world.check.operators.Final(service.name, parameterOf(record), uint64(record.Revision), world.run.Elapsed())
+		world.checks.operators.Final(service.name, queueLimitOf(record), uint64(record.Revision), world.run.Elapsed())
 	}
-	for _, target := range world.check.drain.Leaving() {
+	for _, target := range world.checks.drain.Leaving() {
 		known, exists := view.Configuration.Targets[model.TargetID(target)]
 		serving := exists && known.Phase == model.PhaseServing
-		world.check.drain.CheckKept(target, serving, world.run.Elapsed())
+		world.checks.drain.CheckKept(target, serving, world.run.Elapsed())
 	}
 }
 
 // FinishNodes waits until all running balancers and agents run the committed
 // configuration.
 func (world *World) FinishNodes() {
-	converged := world.waitFor(convergeTime, func() bool { return len(world.lagging()) == 0 })
+	converged := world.waitFor(convergenceTimeout, func() bool { return len(world.laggingNodes()) == 0 })
 	if !converged {
-		world.run.Report.Add(checker.InvariantInForce, world.run.Elapsed(), "nodes did not converge: %v", world.lagging())
+		world.run.Report.Add(checker.InvariantInForce, world.run.Elapsed(), "nodes did not converge: %v", world.laggingNodes())
 	}
-	share := world.check.rollout.LeasedShare()
-	world.CheckProgress(share >= leastLeasedShare, "balancers held leases in %.2f of all looks", share)
+	share := world.checks.rollout.LeasedShare()
+	world.CheckProgress(share >= minimumLeasedShare, "balancers held leases in %.2f of all looks", share)
 }
 
 // leastLeasedShare is the share of looks at a balancer in which it must hold a
 // lease; without leases nothing is shown about changes in force.
-const leastLeasedShare = 0.5
+const minimumLeasedShare = 0.5
 
-func (world *World) lagging() []model.NodeName {
+func (world *World) laggingNodes() []model.NodeName {
 	leader, leads := world.Leader()
 	if !leads {
 		return []model.NodeName{"no leader"}
@@ -162,8 +162,8 @@
 			lagging = append(lagging, balancer.process.Name)
 		}
 	}
-	for _, agent := range world.agentList {
-		if agent.process.Active() && agent.life.store.Current().Digest() != digest {
+	for _, agent := range world.agents {
+		if agent.process.Active() && agent.instance.store.Current().Digest() != digest {
 			lagging = append(lagging, agent.process.Name)
 		}
 	}
@@ -178,7 +178,7 @@
 // changes only.
 func (world *World) ExpectAnswers() {
 	world.callers.expectAnswers = true
-	world.check.flows.ExpectSteady()
+	world.checks.flows.ExpectSteady()
 }
 
 // FinishTraffic stops new work, waits for the last answers, and checks that no
@@ -186,25 +186,25 @@
 func (world *World) FinishTraffic() {
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
-	world.check.flows.NetworkHealed()
+	world.checks.flows.NetworkHealed()
 	world.run.Scheduler.RunFor(silenceTime)
-	world.waitFor(answerTime-silenceTime, world.callers.idle)
-	world.check.flows.CheckSilent(world.run.Elapsed())
-	world.check.requests.CheckEnded(stoppedAt, world.run.Elapsed())
+	world.waitFor(answerTimeout-silenceTime, world.callers.idle)
+	world.checks.flows.CheckSilent(world.run.Elapsed())
+	world.checks.requests.CheckEnded(stoppedAt, world.run.Elapsed())
 	if world.callers.expectAnswers {
 		world.checkServed()
 	}
-	world.CheckProgress(world.check.flows.Opened() > 0, "no flow was opened")
-	tally := world.check.requests.Tally()
+	world.CheckProgress(world.checks.flows.Opened() > 0, "no flow was opened")
+	tally := world.checks.requests.Tally()
 	world.CheckProgress(tally.Answered > 0, "no request was answered: %+v", tally)
 	world.run.Trace.Addf("callers", "tally", "flows %d, excused %d, abandoned %d, requests %+v",
-		world.check.flows.Opened(), world.check.flows.Excused(), world.callers.abandoned, tally)
+		world.checks.flows.Opened(), world.checks.flows.Excused(), world.callers.abandoned, tally)
 }
 
 // leastAnsweredShare is the share of attempts that must get the back end's
 // answer under planned changes: a system that refuses everything, or says that
 // everything may have run, breaks no other rule.
-const leastAnsweredShare = 0.5
+const minimumAnsweredShare = 0.5
 
 // checkServed checks what planned changes alone never excuse.
 func (world *World) checkServed() {
@@ -212,8 +212,8 @@
 	if world.callers.abandoned > 0 {
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "%d flows were opened by no target", world.callers.abandoned)
 	}
-	tally := world.check.requests.Tally()
-	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Offered) {
+	tally := world.checks.requests.Tally()
+	if float64(tally.Answered) < minimumAnsweredShare*float64(tally.Offered) {
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Offered)
 	}
 }
@@ -230,10 +230,10 @@
 // Checkers gives scenarios access to the run's checkers.
 func (world *World) Checkers() Checkers {
 	return Checkers{
-		Flows:     world.check.flows,
-		Requests:  world.check.requests,
-		Rollout:   world.check.rollout,
-		Replicas:  world.check.replicas,
-		Operators: world.check.operators,
+		Flows:     world.checks.flows,
+		Requests:  world.checks.requests,
+		Rollout:   world.checks.rollout,
+		Replicas:  world.checks.replicas,
+		Operators: world.checks.operators,
 	}
 }
--- a/internal/sim/world/lag.go
+++ b/internal/sim/world/lag.go
@@ -15,7 +15,7 @@
 	if !isUpdate || world.options.UpdateDelay == 0 || world.isRelay(envelope.To) {
 		return 0
 	}
-	return world.uneven.Between(0, world.options.UpdateDelay)
+	return world.updateDelays.Between(0, world.options.UpdateDelay)
 }
 
 func (world *World) isRelay(name model.NodeName) bool {
@@ -47,7 +47,7 @@
 	return &reportLag{scheduler: scheduler, lag: lag, history: make(map[model.NodeName][]reportedAt)}
 }
 
-func (lag *reportLag) apply(envelope messageEnvelope) messageEnvelope {
+func (lag *reportLag) delayReport(envelope messageEnvelope) messageEnvelope {
 	heartbeat, isHeartbeat := envelope.Message.(protocol.Heartbeat)
 	if !isHeartbeat || lag.lag == 0 {
 		return envelope
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -16,10 +16,10 @@
 
 // Settings of simulated control members.
 const (
-	memberInterval  = 50 * time.Millisecond
-	electionTimeout = time.Second
-	memberHeartbeat = 150 * time.Millisecond
-	deadAfter       = 5 * time.Second
+	memberInterval          = 50 * time.Millisecond
+	electionTimeout         = time.Second
+	memberHeartbeatInterval = 150 * time.Millisecond
+	deadNodeTimeout         = 5 * time.Second
 )
 
 // member is one control member: the product's consensus, state and control
@@ -50,7 +50,7 @@
 func (member *member) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	member.machine = state.NewMachine()
-	observed := &observedMachine{standard: member.world.parts.Machine(member.machine), member: member}
+	observed := &observedMachine{wrapped: member.world.parts.Machine(member.machine), member: member}
 	files := member.world.parts.Disk(member.disk)
 	seed := member.world.run.Random("member/"+string(member.process.Name)).Uint64() + uint64(incarnation)
 	member.controller, member.startError = replica.NewController(replica.Options{
@@ -58,7 +58,7 @@
 		Members:           member.world.memberNames(),
 		Join:              member.join,
 		ElectionTimeout:   electionTimeout,
-		HeartbeatInterval: memberHeartbeat,
+		HeartbeatInterval: memberHeartbeatInterval,
 		SnapshotEvery:     member.snapshotEvery,
 		Seed:              seed,
 		SegmentBytes:      member.world.options.SegmentBytes,
@@ -91,34 +91,34 @@
 	}
 	status := member.Status()
 	if status.Leading {
-		member.world.check.replicas.Leader(status.Term, string(member.process.Name), member.world.run.Elapsed())
+		member.world.checks.replicas.Leader(status.Term, string(member.process.Name), member.world.run.Elapsed())
 	}
 }
 
 // observedMachine tells the checkers what a member applies.
 type observedMachine struct {
-	standard replica.StateMachine
-	member   *member
+	wrapped replica.StateMachine
+	member  *member
 }
 
 // Apply implements replica.StateMachine.
 func (machine *observedMachine) Apply(index model.Revision, at time.Time, command []byte) []byte {
-	result := machine.standard.Apply(index, at, command)
+	result := machine.wrapped.Apply(index, at, command)
 	world := machine.member.world
 	process := machine.member.process
 	life := checker.MemberLife{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
-	world.check.replicas.Applied(life, uint64(index), string(command), world.run.Elapsed())
-	world.check.observeApplied(machine.member, uint64(index))
+	world.checks.replicas.Applied(life, uint64(index), string(command), world.run.Elapsed())
+	world.checks.observeApplied(machine.member, uint64(index))
 	return result
 }
 
 // Snapshot implements replica.StateMachine.
-func (machine *observedMachine) Snapshot() ([]byte, error) { return machine.standard.Snapshot() }
+func (machine *observedMachine) Snapshot() ([]byte, error) { return machine.wrapped.Snapshot() }
 
 // Restore implements replica.StateMachine.
 func (machine *observedMachine) Restore(snapshot []byte) error {
-	return machine.standard.Restore(snapshot)
+	return machine.wrapped.Restore(snapshot)
 }
 
 // Digest implements replica.StateMachine.
-func (machine *observedMachine) Digest() uint64 { return machine.standard.Digest() }
+func (machine *observedMachine) Digest() uint64 { return machine.wrapped.Digest() }
--- a/internal/sim/world/membership.go
+++ b/internal/sim/world/membership.go
@@ -7,7 +7,7 @@
 )
 
 // membershipStep is how often a repair looks how far it has come.
-const membershipStep = 300 * time.Millisecond
+const replacementPollInterval = 300 * time.Millisecond
 
 // ReplaceMember takes a member with an empty disk into the group again: its
 // old identity is removed, a learner of its name is added, the process starts,
@@ -17,11 +17,11 @@
 	world := operator.world
 	replaced := world.members[index]
 	old := world.memberID(index)
-	for waited := time.Duration(0); waited < limit; waited += membershipStep {
-		if world.repairStep(operator, replaced, old) {
+	for waited := time.Duration(0); waited < limit; waited += replacementPollInterval {
+		if world.replacementStep(operator, replaced, old) {
 			return true
 		}
-		world.run.Scheduler.RunFor(membershipStep)
+		world.run.Scheduler.RunFor(replacementPollInterval)
 	}
 	return false
 }
@@ -42,7 +42,7 @@
 }
 
 // repairStep asks the leader for the next step; true when nothing is left.
-func (world *World) repairStep(operator *Operator, replaced *member, old replica.MemberID) bool {
+func (world *World) replacementStep(operator *Operator, replaced *member, old replica.MemberID) bool {
 	leader, leads := world.Leader()
 	if !leads || world.members[leader] == replaced {
 		return false
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -18,9 +18,9 @@
 	// operatorTimeout is how long an operator waits for one answer.
 	operatorTimeout = 1500 * time.Millisecond
 	// operatorPatience is how long an operator resends one change.
-	operatorPatience = 12 * time.Second
+	changeTimeout = 12 * time.Second
 	// operatorRetry is the pause before a change is sent again.
-	operatorRetry = 150 * time.Millisecond
+	operatorRetryInterval = 150 * time.Millisecond
 )
 
 // Operator sends changes to the control group and resends them when the answer
@@ -31,8 +31,8 @@
 	endpoint kernel.Endpoint
 	random   *kernel.Random
 	// guess is the member that answered last.
-	guess   int
-	changes int
+	memberIndex int
+	changes     int
 }
 
 // NewOperator returns an operator with a name of its own.
@@ -54,14 +54,14 @@
 
 // change is one change with its resends.
 type change struct {
-	operator *Operator
-	encoded  []byte
-	key      string
-	called   time.Duration
-	deadline time.Time
-	sent     int
-	finished bool
-	done     func(ChangeOutcome)
+	operator    *Operator
+	encoded     []byte
+	key         string
+	submittedAt time.Duration
+	deadline    time.Time
+	attempts    int
+	finished    bool
+	done        func(ChangeOutcome)
 }
 
 // nextChange returns the fields that make a change idempotent.
@@ -83,18 +83,18 @@
 	}
 	scheduler := operator.world.run.Scheduler
 	sent := &change{
-		operator: operator,
-		encoded:  encoded,
-		key:      key,
-		called:   operator.world.run.Elapsed(),
-		deadline: scheduler.Now().Add(operatorPatience),
-		done:     done,
+		operator:    operator,
+		encoded:     encoded,
+		key:         key,
+		submittedAt: operator.world.run.Elapsed(),
+		deadline:    scheduler.Now().Add(changeTimeout),
+		done:        done,
 	}
 	operator.world.pendingChanges++
-	sent.try()
+	sent.attempt()
 }
 
-func (change *change) try() {
+func (change *change) attempt() {
 	if change.finished {
 		return
 	}
@@ -104,28 +104,28 @@
 		change.finish(ChangeOutcome{})
 		return
 	}
-	change.sent++
-	number := change.sent
-	target := operator.world.members[operator.guess%len(operator.world.members)]
-	operator.world.call(operator.endpoint, target, change.encoded, func(result []byte, err error) {
-		change.answered(number, result, err)
+	change.attempts++
+	number := change.attempts
+	target := operator.world.members[operator.memberIndex%len(operator.world.members)]
+	operator.world.sendCommand(operator.endpoint, target, change.encoded, func(result []byte, err error) {
+		change.receiveAnswer(number, result, err)
 	})
 	scheduler.After(operatorTimeout, func() { change.retry(number) })
 }
 
 // retry sends the change again, to the next member, unless that happened.
 func (change *change) retry(number int) {
-	if change.finished || change.sent != number {
+	if change.finished || change.attempts != number {
 		return
 	}
-	change.operator.guess++
-	change.try()
+	change.operator.memberIndex++
+	change.attempt()
 }
 
 // answered takes one answer. The checkers see late ones as well.
-func (change *change) answered(number int, encoded []byte, err error) {
+func (change *change) receiveAnswer(number int, encoded []byte, err error) {
 	if err != nil {
-		change.operator.world.run.Scheduler.After(operatorRetry, func() { change.retry(number) })
+		change.operator.world.run.Scheduler.After(operatorRetryInterval, func() { change.retry(number) })
 		return
 	}
 	result, decodeErr := state.DecodeResult(encoded)
@@ -133,7 +133,7 @@
 		return
 	}
 	world := change.operator.world
-	world.check.operators.Answered(change.key, checker.ChangeAnswer{
+	world.checks.operators.Answered(change.key, checker.ChangeAnswer{
 		Accepted: result.Applied(), Revision: uint64(result.Revision),
 	}, world.run.Elapsed())
 	if !change.finished {
@@ -145,50 +145,50 @@
 	change.finished = true
 	change.operator.world.pendingChanges--
 	if answer.Known && answer.Result.Applied() {
-		change.operator.world.noteAccepted(change.key, answer.Result)
+		change.operator.world.recordAccepted(change.key, answer.Result)
 	}
 	change.done(answer)
 	if answer.Known {
-		change.sendAgain()
+		change.maybeResend()
 	}
 }
 
 // resendWithin bounds the time after which an answered change is sent again.
-const resendWithin = 6 * time.Second
+const maximumResendDelay = 6 * time.Second
 
 // sendAgain repeats some changes that were answered already, as automation
 // does that has forgotten its answer. The copy must be answered alike.
-func (change *change) sendAgain() {
+func (change *change) maybeResend() {
 	world := change.operator.world
-	if !world.resending.Chance(world.options.ResendShare) {
+	if !world.resendDecisions.Chance(world.options.ResendShare) {
 		return
 	}
-	world.run.Scheduler.After(world.resending.Between(0, resendWithin), func() {
+	world.run.Scheduler.After(world.resendDecisions.Between(0, maximumResendDelay), func() {
 		for _, receiver := range world.members {
-			world.call(change.operator.endpoint, receiver, change.encoded, change.answeredAgain)
+			world.sendCommand(change.operator.endpoint, receiver, change.encoded, change.receiveResendAnswer)
 		}
 	})
 }
 
 // answeredAgain takes the answer to a copy of an answered change.
-func (change *change) answeredAgain(encoded []byte, err error) {
+func (change *change) receiveResendAnswer(encoded []byte, err error) {
 	result, decodeErr := state.DecodeResult(encoded)
 	if err == nil && decodeErr == nil && result.Applied() {
-		change.operator.world.resent++
-		change.operator.world.noteAccepted(change.key, result)
+		change.operator.world.acceptedResends++
+		change.operator.world.recordAccepted(change.key, result)
 	}
 }
 
 // noteAccepted tells the checkers of an accepted change.
-func (world *World) noteAccepted(key string, result state.Result) {
+func (world *World) recordAccepted(key string, result state.Result) {
 	world.run.Trace.Addf("operators", "accepted", "%s at revision %d", key, result.Revision)
-	world.check.rollout.Committed(uint64(world.configured(result.Revision)), world.run.Elapsed())
+	world.checks.rollout.Committed(uint64(world.configurationRevision(result.Revision)), world.run.Elapsed())
 }
 
 // configured returns the revision of the configuration that an accepted change
 // left behind: its own, or an earlier one if the change is no part of what
 // nodes run, as that of a template. The member that answered has applied it.
-func (world *World) configured(changed model.Revision) model.Revision {
+func (world *World) configurationRevision(changed model.Revision) model.Revision {
 	latest := model.Revision(0)
 	for _, member := range world.members {
 		if member.machine != nil {
@@ -200,10 +200,10 @@
 
 // call carries a command to a member and the answer back. Either may be lost
 // or doubled.
-func (world *World) call(from kernel.Endpoint, receiver *member, command []byte, done func(result []byte, err error)) {
+func (world *World) sendCommand(from kernel.Endpoint, receiver *member, command []byte, done func(result []byte, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
 		receiver.submit(command, func(result []byte, err error) {
-			if world.resending.Chance(world.lostAnswers) {
+			if world.resendDecisions.Chance(world.lostAnswerShare) {
 				return
 			}
 			world.network.Send(receiver.process.Endpoint, from, func() { done(result, err) })
@@ -212,21 +212,21 @@
 }
 
 // SetAnswerLoss loses a share of the answers to operators from now on.
-func (world *World) SetAnswerLoss(share float64) { world.lostAnswers = share }
+func (world *World) SetAnswerLoss(share float64) { world.lostAnswerShare = share }
 
 // AcceptedResends returns how many changes were sent again after their answer and
 // accepted once more.
-func (world *World) AcceptedResends() int { return world.resent }
+func (world *World) AcceptedResends() int { return world.acceptedResends }
 
 // submit hands a command to the member's consensus, if the process lives.
 func (member *member) submit(command []byte, done func(result []byte, err error)) {
 	if !member.process.Running() || member.controller == nil {
 		return
 	}
-	life := member.process.Incarnation()
+	incarnation := member.process.Incarnation()
 	member.controller.Submit(command, func(result []byte, err error) {
 		// An answer of a process that has died meanwhile was never sent.
-		if member.process.Running() && member.process.Incarnation() == life {
+		if member.process.Running() && member.process.Incarnation() == incarnation {
 			done(result, err)
 		}
 	})
@@ -235,14 +235,14 @@
 
 // read asks a member for a linearizable read: it answers once leadership was
 // confirmed after the call.
-func (world *World) read(from kernel.Endpoint, receiver *member, done func(view *state.View, err error)) {
+func (world *World) sendRead(from kernel.Endpoint, receiver *member, done func(view *state.View, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
 		if !receiver.process.Running() || receiver.controller == nil {
 			return
 		}
-		life := receiver.process.Incarnation()
+		incarnation := receiver.process.Incarnation()
 		world.parts.ReadConfirmation(receiver.controller).ReadBarrier(func(err error) {
-			if !receiver.process.Running() || receiver.process.Incarnation() != life {
+			if !receiver.process.Running() || receiver.process.Incarnation() != incarnation {
 				return
 			}
 			view := receiver.machine.View()
@@ -266,7 +266,7 @@
 		}
 		operation.Result = resultOf(answer)
 		if operation.Result != 0 {
-			operator.world.check.operators.Ended(operation)
+			operator.world.checks.operators.Ended(operation)
 		}
 		done(answer)
 	})
@@ -289,21 +289,21 @@
 // when no answer came.
 func (operator *Operator) ReadParameter(service *serviceHandle, done func(value uint64, revision model.Revision, known bool)) {
 	called := operator.world.run.Elapsed()
-	target := operator.world.members[operator.guess%len(operator.world.members)]
+	target := operator.world.members[operator.memberIndex%len(operator.world.members)]
 	answered := false
-	operator.world.read(operator.endpoint, target, func(view *state.View, err error) {
+	operator.world.sendRead(operator.endpoint, target, func(view *state.View, err error) {
 		if answered {
 			return
 		}
 		answered = true
 		record, known := view.Service(service.key())
 		if err != nil || !known {
-			operator.guess++
+			operator.memberIndex++
 			done(0, 0, false)
 			return
 		}
-		value := parameterOf(record)
-		operator.world.check.operators.Ended(checker.Operation{
+		value := queueLimitOf(record)
+		operator.world.checks.operators.Ended(checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationRead, Call: called,
 			Return: operator.world.run.Elapsed(), Value: value, Revision: uint64(record.Revision), Result: checker.ResultAccepted,
 		})
@@ -312,7 +312,7 @@
 	operator.world.run.Scheduler.After(operatorTimeout, func() {
 		if !answered {
 			answered = true
-			operator.guess++
+			operator.memberIndex++
 			done(0, 0, false)
 		}
 	})
@@ -323,12 +323,12 @@
 }
 
 // valueParameter is the template's parameter that operators change.
-const valueParameter = "queue"
+const queueLimitParameter = "queue"
 
 // parameterOf reads the value that the last accepted change gave.
-func parameterOf(record *state.ServiceRecord) uint64 {
+func queueLimitOf(record *state.ServiceRecord) uint64 {
 	for _, parameter := range record.Parameters {
-		if parameter.Name == valueParameter {
+		if parameter.Name == queueLimitParameter {
 			value, err := strconv.ParseUint(string(parameter.Value), 10, 64)
 			if err == nil {
 				return value
@@ -364,7 +364,7 @@
 		return false
 	}
 	if !drained {
-		operator.world.check.drain.Undrained(uint32(target))
+		operator.world.checks.drain.Undrained(uint32(target))
 	}
 	var command state.Command
 	change := operator.nextChange(revision)
@@ -377,10 +377,10 @@
 		answered = true
 		applied = answer.Known && answer.Result.Applied()
 		if applied && drained {
-			operator.world.check.drain.Accepted(uint32(target), operator.world.run.Elapsed())
+			operator.world.checks.drain.Accepted(uint32(target), operator.world.run.Elapsed())
 		}
 	})
-	operator.world.waitFor(operatorPatience+operatorTimeout, func() bool { return answered })
+	operator.world.waitFor(changeTimeout+operatorTimeout, func() bool { return answered })
 	return applied
 }
 
@@ -390,7 +390,7 @@
 
 // targetState returns a target's revision and ID as the leader has them.
 func (world *World) targetState(key state.TargetKey) (model.Revision, model.TargetID, bool) {
-	leader, leads := world.AwaitLeader(operatorPatience)
+	leader, leads := world.AwaitLeader(changeTimeout)
 	if !leads {
 		return 0, 0, false
 	}
--- a/internal/sim/world/packet.go
+++ b/internal/sim/world/packet.go
@@ -17,11 +17,11 @@
 	sequence uint64
 	// closing tells that the caller ends the flow.
 	closing bool
-	request *request
+	request *requestPayload
 }
 
 // request is one request of a caller, as carried by packets.
-type request struct {
+type requestPayload struct {
 	attempt     checker.AttemptID
 	key         string
 	fingerprint uint64
@@ -30,7 +30,7 @@
 }
 
 // forwarded is a packet on its way from a balancer along a chain of targets.
-type forwarded struct {
+type forwardedPacket struct {
 	packet     packet
 	service    model.ServiceID
 	revision   model.Revision
@@ -74,9 +74,9 @@
 	sequence uint64
 	attempt  checker.AttemptID
 	// of is the attempt whose run the answer tells of.
-	of checker.AttemptID
+	executedAttempt checker.AttemptID
 	// whole tells that a response has its full length.
-	whole      bool
+	complete   bool
 	retryAfter time.Duration
 	place      checker.Place
 }
--- a/internal/sim/world/relay.go
+++ b/internal/sim/world/relay.go
@@ -25,7 +25,7 @@
 	controller *relay.Controller
 }
 
-func newRelay(world *World, name model.NodeName, zone model.ZoneName) *relayNode {
+func newRelayNode(world *World, name model.NodeName, zone model.ZoneName) *relayNode {
 	created := &relayNode{world: world}
 	created.process = world.host.Add(kernel.Endpoint{Name: name, Zone: zone}, relayInterval, created.build)
 	return created
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -11,11 +11,11 @@
 
 const (
 	// firstValue is the queue limit that services start with.
-	firstValue = 64
+	initialQueueLimit = 64
 	// setupTime bounds the virtual time until the world serves.
-	setupTime = 40 * time.Second
+	setupTimeout = 40 * time.Second
 	// setupStep is how often setup looks whether the world serves.
-	setupStep = 100 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
 	// settleTime lets leases, targets and loads come into place.
 	settleTime = 8 * time.Second
 )
@@ -30,13 +30,13 @@
 	for _, balancer := range world.balancers {
 		balancer.process.Start()
 	}
-	for _, agent := range world.agentList {
+	for _, agent := range world.agents {
 		agent.process.Start()
 	}
 	if !world.CreateServices() {
 		return false
 	}
-	if !world.waitFor(setupTime, world.allServe) {
+	if !world.waitFor(setupTimeout, world.allNodesServe) {
 		world.run.Report.Add(checker.InvariantProgress, world.run.Elapsed(), "the world did not come up")
 		return false
 	}
@@ -56,24 +56,24 @@
 
 // waitFor runs the world until condition holds; false when it never did.
 func (world *World) waitFor(limit time.Duration, condition func() bool) bool {
-	for waited := time.Duration(0); waited < limit; waited += setupStep {
+	for waited := time.Duration(0); waited < limit; waited += pollInterval {
 		if condition() {
 			return true
 		}
-		world.run.Scheduler.RunFor(setupStep)
+		world.run.Scheduler.RunFor(pollInterval)
 	}
 	return condition()
 }
 
 // allServe tells whether every balancer and agent runs all services.
-func (world *World) allServe() bool {
+func (world *World) allNodesServe() bool {
 	for _, balancer := range world.balancers {
 		if len(balancer.store.Current().Services) < len(world.services) {
 			return false
 		}
 	}
-	for _, agent := range world.agentList {
-		if agent.life.steering == nil {
+	for _, agent := range world.agents {
+		if agent.instance.steering == nil {
 			return false
 		}
 	}
@@ -85,7 +85,7 @@
 
 func (world *World) startSampling() {
 	world.run.Scheduler.Every(sampleInterval, func() bool {
-		world.check.sample()
+		world.checks.sample()
 		return true
 	})
 }
@@ -120,7 +120,7 @@
 		})
 	}
 	next(0)
-	return world.waitFor(setupTime, func() bool { return finished }) && created
+	return world.waitFor(setupTimeout, func() bool { return finished }) && created
 }
 
 func (world *World) createSteps(operator *Operator, service *serviceHandle) []func(done func(ChangeOutcome)) {
@@ -135,13 +135,13 @@
 
 // createService creates a service and remembers its ID and revision.
 func (world *World) createService(operator *Operator, service *serviceHandle, done func(ChangeOutcome)) {
-	command := world.putService(service, firstValue)
+	command := world.putService(service, initialQueueLimit)
 	command.Change = operator.nextChange(0)
 	operator.send(command, command.Key, func(answer ChangeOutcome) {
 		if answer.Known && answer.Result.Applied() {
 			service.id = answer.Result.Service
 			service.revision = answer.Result.Revision
-			world.check.operators.Created(service.name, checker.Initial{Value: firstValue, Revision: uint64(service.revision)})
+			world.checks.operators.Created(service.name, checker.Initial{Value: initialQueueLimit, Revision: uint64(service.revision)})
 		}
 		done(answer)
 	})
@@ -156,7 +156,7 @@
 		Parameters: []state.Parameter{
 			{Name: "address", Value: mustMarshal(service.address)},
 			{Name: "targets", Value: mustMarshal(service.targetParameters())},
-			{Name: valueParameter, Value: mustMarshal(value)},
+			{Name: queueLimitParameter, Value: mustMarshal(value)},
 		},
 	}
 }
@@ -186,7 +186,7 @@
 		Parameters: []state.ParameterDefinition{
 			{Name: "address", Kind: state.KindAddress, Sets: state.PropertyAddress},
 			{Name: "targets", Kind: state.KindTargets, Sets: state.PropertyTargets},
-			{Name: valueParameter, Kind: state.KindInteger, Sets: state.PropertyMaximumQueue, Default: mustMarshal(firstValue)},
+			{Name: queueLimitParameter, Kind: state.KindInteger, Sets: state.PropertyMaximumQueue, Default: mustMarshal(initialQueueLimit)},
 		},
 	}
 	if protocol == model.ProtocolQUIC {
--- a/internal/sim/world/targets.go
+++ b/internal/sim/world/targets.go
@@ -8,7 +8,7 @@
 
 // valueOfTargetChange is the first of the values that changes of the list of
 // targets write, apart from those of racing operators.
-const valueOfTargetChange = 900_000_000
+const firstTargetChangeValue = 900_000_000
 
 // RemoveTarget takes a target out of the list that its service's parameters
 // have. It drains the target.
@@ -22,7 +22,7 @@
 	if !operator.writeTargets(handle) {
 		return false
 	}
-	operator.world.check.drain.Accepted(uint32(target), operator.world.run.Elapsed())
+	operator.world.checks.drain.Accepted(uint32(target), operator.world.run.Elapsed())
 	return true
 }
 
@@ -30,7 +30,7 @@
 func (operator *Operator) AddTarget(service int, name model.NodeName) bool {
 	handle := operator.world.services[service]
 	if _, target, known := operator.world.targetState(handle.targetKey(name)); known {
-		operator.world.check.drain.Undrained(uint32(target))
+		operator.world.checks.drain.Undrained(uint32(target))
 	}
 	delete(handle.removed, name)
 	return operator.writeTargets(handle)
@@ -39,30 +39,30 @@
 // writeTargets writes the parameters of a service until a change is accepted.
 func (operator *Operator) writeTargets(service *serviceHandle) bool {
 	ended, accepted := false, false
-	var try func()
-	again := func() { operator.world.run.Scheduler.After(operatorRetry, try) }
-	deadline := operator.world.run.Scheduler.Now().Add(operatorPatience)
-	try = func() {
+	var attempt func()
+	retry := func() { operator.world.run.Scheduler.After(operatorRetryInterval, attempt) }
+	deadline := operator.world.run.Scheduler.Now().Add(changeTimeout)
+	attempt = func() {
 		if !operator.world.run.Scheduler.Now().Before(deadline) {
 			ended = true
 			return
 		}
 		operator.ReadParameter(service, func(_ uint64, revision model.Revision, known bool) {
 			if !known {
-				again()
+				retry()
 				return
 			}
-			value := uint64(valueOfTargetChange + operator.changes)
+			value := uint64(firstTargetChangeValue + operator.changes)
 			operator.WriteParameter(service, revision, value, func(answer ChangeOutcome) {
 				ended = answer.Known && answer.Result.Applied()
 				accepted = ended
 				if !ended {
-					again()
+					retry()
 				}
 			})
 		})
 	}
-	try()
-	operator.world.waitFor(2*operatorPatience+2*time.Second, func() bool { return ended })
+	attempt()
+	operator.world.waitFor(2*changeTimeout+2*time.Second, func() bool { return ended })
 	return accepted
 }
--- a/internal/sim/world/world.go
+++ b/internal/sim/world/world.go
@@ -51,33 +51,33 @@
 
 // World is one simulated system.
 type World struct {
-	run       *sim.Run
-	options   Options
-	preset    Preset
-	parts     Parts
-	host      *kernel.Host
-	network   *kernel.Network
-	packets   *kernel.Network
-	members   []*member
-	relays    []*relayNode
-	balancers []*balancer
-	agents    map[netip.AddrPort]*agent
-	agentList []*agent
-	byName    map[model.NodeName]*agent
-	fabric    *fabric
-	callers   *callers
-	services  []*serviceHandle
-	check     *checks
-	reports   *reportLag
+	run             *sim.Run
+	options         Options
+	preset          Preset
+	parts           Parts
+	host            *kernel.Host
+	network         *kernel.Network
+	packets         *kernel.Network
+	members         []*member
+	relays          []*relayNode
+	balancers       []*balancer
+	agentsByAddress map[netip.AddrPort]*agent
+	agents          []*agent
+	agentsByName    map[model.NodeName]*agent
+	fabric          *fabric
+	callers         *callers
+	services        []*serviceHandle
+	checks          *checks
+	reportLag       *reportLag
 	// uneven draws the delays of updates, and resending what operators repeat.
-	uneven    *kernel.Random
-	resending *kernel.Random
+	updateDelays    *kernel.Random
+	resendDecisions *kernel.Random
 	// lostAnswers is the share of answers to operators that are lost.
-	lostAnswers float64
+	lostAnswerShare float64
 	// resent counts the changes that were sent again after their answer.
-	resent int
+	acceptedResends int
 	// racers counts the operators that race or raced.
-	racers int
+	racingOperators int
 	// pendingChanges counts the operators' changes that have no end yet.
 	pendingChanges int
 	// machineList is the platform's list as control reads it.
@@ -90,21 +90,21 @@
 	network.SetFaults(options.Faults)
 	packets := network.Sibling(run.Random("packets"), options.PacketFaults)
 	world := &World{
-		run:     run,
-		options: options,
-		preset:  options.Preset,
-		parts:   options.Parts,
-		host:    kernel.NewHost(run.Scheduler, network, run.Trace),
-		network: network,
-		packets: packets,
-		agents:  make(map[netip.AddrPort]*agent),
-		byName:  make(map[model.NodeName]*agent),
+		run:             run,
+		options:         options,
+		preset:          options.Preset,
+		parts:           options.Parts,
+		host:            kernel.NewHost(run.Scheduler, network, run.Trace),
+		network:         network,
+		packets:         packets,
+		agentsByAddress: make(map[netip.AddrPort]*agent),
+		agentsByName:    make(map[model.NodeName]*agent),
 	}
-	world.check = newChecks(world)
+	world.checks = newChecks(world)
 	world.machineList = &machineList{world: world}
-	world.reports = newReportLag(run.Scheduler, options.ReportLag)
-	world.uneven = run.Random("updates")
-	world.resending = run.Random("resending")
+	world.reportLag = newReportLag(run.Scheduler, options.ReportLag)
+	world.updateDelays = run.Random("updates")
+	world.resendDecisions = run.Random("resending")
 	world.host.SetFilter(world.filterMessage)
 	world.host.SetDelay(world.delayMessage)
 	world.fabric = newFabric(world, options.BalancerListLag)
@@ -118,7 +118,7 @@
 		world.members = append(world.members, newMember(world, numberedName("control", number+1), world.preset.zone(number)))
 	}
 	for number := range world.preset.Relays {
-		world.relays = append(world.relays, newRelay(world, numberedName("relay", number+1), world.preset.zone(number)))
+		world.relays = append(world.relays, newRelayNode(world, numberedName("relay", number+1), world.preset.zone(number)))
 	}
 	for number := range world.preset.Balancers {
 		world.balancers = append(world.balancers, newBalancer(world, numberedName("balancer", number+1), world.preset.zone(number)))
@@ -140,9 +140,9 @@
 		name := model.NodeName(fmt.Sprintf("%s-%d", size.Name, number+1))
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{192, 0, 2, byte(index*64 + number + 1)}), 6081)
 		created := newAgent(world, name, world.preset.zone(number))
-		world.agents[address] = created
-		world.byName[name] = created
-		world.agentList = append(world.agentList, created)
+		world.agentsByAddress[address] = created
+		world.agentsByName[name] = created
+		world.agents = append(world.agents, created)
 		service.targets = append(service.targets, targetHandle{name: name, zone: created.process.Zone, address: address, agent: created})
 	}
 	world.services = append(world.services, service)
@@ -150,7 +150,7 @@
 
 // filterMessage applies the variant's filter and the lag of reports.
 func (world *World) filterMessage(envelope messageEnvelope) []messageEnvelope {
-	envelope = world.reports.apply(envelope)
+	envelope = world.reportLag.delayReport(envelope)
 	if world.parts.Messages == nil {
 		return []messageEnvelope{envelope}
 	}
@@ -158,7 +158,7 @@
 }
 
 // note tells a watcher what happened to a packet of a flow.
-func (world *World) note(flow checker.FlowID, format string, arguments ...any) {
+func (world *World) watchPacket(flow checker.FlowID, format string, arguments ...any) {
 	if world.run.Watch != nil {
 		world.run.Watch(uint64(flow), fmt.Sprintf(format, arguments...))
 	}
@@ -177,44 +177,44 @@
 
 // relayNames lists the relays for a node: its own zone's first.
 func (world *World) relayNames(zone model.ZoneName) []model.NodeName {
-	var own, others []model.NodeName
+	var local, remote []model.NodeName
 	for _, relay := range world.relays {
 		if relay.process.Zone == zone {
-			own = append(own, relay.process.Name)
+			local = append(local, relay.process.Name)
 		} else {
-			others = append(others, relay.process.Name)
+			remote = append(remote, relay.process.Name)
 		}
 	}
-	return append(own, others...)
+	return append(local, remote...)
 }
 
 // forward sends a packet to the agent of a target, as a configuration has it.
-func (world *World) forward(from kernel.Endpoint, configuration *model.Configuration, next model.TargetID, one forwarded) {
+func (world *World) forward(from kernel.Endpoint, configuration *model.Configuration, next model.TargetID, forwarded forwardedPacket) {
 	target, known := configuration.Targets[next]
 	if !known {
 		return
 	}
-	receiver, exists := world.agents[target.Agent]
+	receiver, exists := world.agentsByAddress[target.Agent]
 	if !exists {
 		return
 	}
-	world.packets.Send(from, receiver.process.Endpoint, func() { receiver.receive(one) })
+	world.packets.Send(from, receiver.process.Endpoint, func() { receiver.receive(forwarded) })
 }
 
 // sendHint tells the balancer that sent a packet which target owns its flow.
-func (world *World) sendHint(life *agentLife, one forwarded) {
+func (world *World) sendHint(instance *agentInstance, forwarded forwardedPacket) {
 	for _, candidate := range world.balancers {
-		if candidate.process.Name == one.balancer {
-			told := hint{tuple: one.packet.tuple, owner: life.target.ID}
-			world.packets.Send(life.agent.process.Endpoint, candidate.process.Endpoint, func() { candidate.learn(told) })
+		if candidate.process.Name == forwarded.balancer {
+			ownerHint := hint{tuple: forwarded.packet.tuple, owner: instance.target.ID}
+			world.packets.Send(instance.agent.process.Endpoint, candidate.process.Endpoint, func() { candidate.receiveHint(ownerHint) })
 			return
 		}
 	}
 }
 
 // answerCaller carries an answer past the balancers.
-func (world *World) answerCaller(from kernel.Endpoint, one answer) {
-	world.packets.Send(from, world.callers.endpoint, func() { world.callers.receive(one) })
+func (world *World) answerCaller(from kernel.Endpoint, reply answer) {
+	world.packets.Send(from, world.callers.endpoint, func() { world.callers.receive(reply) })
 }
 
 // serviceHandle is a service as scenarios and callers name it.
