--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -15,27 +15,28 @@
 	"merlinpaddle/internal/steering"
 )
 
-// Times of simulated agents. They are shorter than the defaults so that a
-// short run shows what happens after them.
+// Times of simulated agents. They are shorter than the product's defaults so that short runs also
+// cover what happens after they have passed.
 const (
 	flowIdleTimeout    = 10 * time.Second
 	assignmentLifetime = 12 * time.Second
 	coldStartTime      = 5 * time.Second
-	// expiryInterval is how often an agent looks for idle flows.
+	// expiryInterval is how often an agent removes idle flows.
 	expiryInterval = 500 * time.Millisecond
-	// frozenEvents bounds what waits for a frozen agent.
+	// maximumQueuedEvents bounds the events queued for a frozen agent.
 	maximumQueuedEvents = 256
 )
 
-// agent is one target: the product's subscriber, steering, flow owners,
-// admission and claims on a simulated process, and a back end behind it.
+// agent simulates one target: the product's subscriber, steering, owned flows, admission and claims
+// on a simulated process, with a simulated back end behind it.
 type agent struct {
 	world    *World
 	process  *kernel.Process
 	instance *agentInstance
 }
 
-// agentLife is the memory of one life of an agent's process.
+// agentInstance is the in-memory state of one incarnation of an agent's process. It is lost when the
+// process ends.
 type agentInstance struct {
 	agent       *agent
 	incarnation model.Incarnation
@@ -46,19 +47,21 @@
 	subscriber  *rollout.Subscriber
 	claims      Claims
 	started     time.Time
-	// expiredAt is when the agent last looked for idle flows.
+	// lastExpiry is when the agent last removed idle flows.
 	lastExpiry time.Time
-	// stopping tells that the process ends as planned.
+	// stopping is true once a planned stop of the process has begun.
 	stopping bool
-	// waiting are events that came while the process was frozen.
+	// queuedEvents are events that arrived while the process was frozen.
 	queuedEvents []func()
-	// target is the target that the agent serves, and what belongs to it.
+	// target is the target that the agent serves. The fields below belong to it and are nil until
+	// the configuration has a target with the agent's name.
 	target   model.Target
 	steering Steerer
 	owners   *flow.OwnedFlows
 	requests *requestHandler
 }
 
+// flowIdleTimeout returns the idle time after which agents remove a flow.
 func (world *World) flowIdleTimeout() time.Duration {
 	if world.options.FlowIdleTimeout > 0 {
 		return world.options.FlowIdleTimeout
@@ -73,6 +76,7 @@
 	return created
 }
 
+// build starts a new incarnation with empty state.
 func (agent *agent) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	instance := &agentInstance{
@@ -108,7 +112,7 @@
 	}
 }
 
-// end runs at the end of a life, planned or not.
+// end stops the back end when the process ends, planned or not.
 func (instance *agentInstance) end() {
 	if instance.requests != nil {
 		instance.requests.stop()
@@ -136,8 +140,8 @@
 	instance.requests.reconcile(now)
 }
 
-// findTarget looks for the target that carries the agent's name. A target with
-// a new ID is another one: it starts without flows.
+// updateTarget finds the target with the agent's name in the current configuration. A target with a
+// new ID is a different target and starts without flows.
 func (instance *agentInstance) updateTarget() {
 	target, found := targetOfNode(instance.store.Current(), instance.agent.process.Name)
 	if !found || target.ID == instance.target.ID {
@@ -168,6 +172,7 @@
 	instance.requests = newRequestHandler(instance)
 }
 
+// targetOfNode returns the target with the given name, and reports whether there is one.
 func targetOfNode(configuration *model.Configuration, name model.NodeName) (model.Target, bool) {
 	for _, target := range configuration.Targets {
 		if target.Name == string(name) {
@@ -177,7 +182,7 @@
 	return model.Target{}, false
 }
 
-// place is the present life of the target for the checkers.
+// place identifies this incarnation of the target to the checkers.
 func (instance *agentInstance) place() checker.Place {
 	return checker.Place{Target: uint32(instance.target.ID), Incarnation: uint64(instance.incarnation)}
 }
@@ -191,6 +196,7 @@
 	return &load
 }
 
+// localLoad returns the target's current load from its own flows and admission.
 func (instance *agentInstance) localLoad() model.TargetLoad {
 	admitted := instance.requests.admission.Load(instance.agent.process.LocalNow())
 	return model.TargetLoad{
@@ -213,7 +219,8 @@
 	return instance.steering.Empty(at)
 }
 
-// handle runs an event now, or after the thaw when the process is frozen.
+// runOrQueue runs an event now, or when the process resumes if it is frozen. It drops the event if
+// this incarnation has ended or too many events are queued.
 func (instance *agentInstance) runOrQueue(event func()) {
 	switch {
 	case instance.agent.instance != instance || !instance.agent.process.Running():
@@ -226,7 +233,7 @@
 	}
 }
 
-// receive takes a packet of a balancer or another agent.
+// receive handles a packet from a balancer or another agent.
 func (agent *agent) receive(forwarded forwardedPacket) {
 	if agent.instance != nil {
 		instance := agent.instance
@@ -234,6 +241,7 @@
 	}
 }
 
+// decide delivers, forwards, resets or drops a packet as the steering decides.
 func (instance *agentInstance) decide(forwarded forwardedPacket) {
 	if instance.steering == nil {
 		return
@@ -263,6 +271,7 @@
 	}
 }
 
+// forwardToNext sends the packet to the next target of its chain, with the state of the decision.
 func (instance *agentInstance) forwardToNext(forwarded forwardedPacket, decision steering.Decision) {
 	forwarded.chain = decision.Chain
 	forwarded.position = decision.Position
@@ -274,6 +283,7 @@
 	world.forward(instance.agent.process.Endpoint, instance.store.Current(), decision.Next, forwarded)
 }
 
+// deliver hands the packet to the target, reports it to the checkers and answers the caller.
 func (instance *agentInstance) deliver(now time.Time, forwarded forwardedPacket, decision steering.Decision) {
 	world := instance.agent.world
 	elapsed := world.run.Elapsed()
@@ -302,6 +312,7 @@
 	}
 }
 
+// closeFlow removes a flow that its caller has closed.
 func (instance *agentInstance) closeFlow(tuple model.FiveTuple) {
 	table := instance.store.Current().Buckets[instance.target.Service]
 	if table != nil {
@@ -309,12 +320,12 @@
 	}
 }
 
-// answer sends an answer straight to the caller.
+// sendAnswer sends an answer to the caller without passing a balancer.
 func (instance *agentInstance) sendAnswer(reply answer) {
 	instance.agent.world.answerCaller(instance.agent.process.Endpoint, reply)
 }
 
-// observe tells the checkers what the node runs.
+// observe reports the configuration that the node runs to the checkers.
 func (agent *agent) observe() {
 	agent.world.checks.observeNode(agent.process, agent.instance.store.Current())
 }
--- a/internal/sim/world/backend.go
+++ b/internal/sim/world/backend.go
@@ -8,22 +8,22 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// What the back end's work takes and how it ends.
+// Service times and failures of back ends.
 const (
-	// shortBodies is the share of answers whose body is cut short.
+	// truncatedShare is the share of answers whose body is truncated.
 	truncatedShare = 0.005
 	meanCallTime   = 40 * time.Millisecond
 	meanUploadTime = 1200 * time.Millisecond
-	// longestRun bounds a service time.
+	// maximumServiceTime bounds the service time of a request that does not stall.
 	maximumServiceTime = 8 * time.Second
 )
 
-// backend is the stand-in for a back end: it runs what it is given and writes
-// a ledger of what truly ran. It belongs to one life of its target.
+// backend simulates a target's back end: it runs requests and reports to the checkers which of them
+// really ran. It belongs to one incarnation of its target.
 type backend struct {
 	world  *World
 	random *kernel.Random
-	// cuts decides which answers are cut short.
+	// truncation decides which answers are truncated and which requests stall.
 	truncation *kernel.Random
 	place      checker.Place
 	stopped    bool
@@ -35,8 +35,8 @@
 	return &backend{world: world, random: random, truncation: truncation, place: place}
 }
 
-// run executes one request and calls done at its end, unless the back end
-// dies before. whole tells that the answer has its full length.
+// run executes one request and calls done when it ends, unless the back end stops before. complete
+// reports whether the answer has its full length.
 func (backend *backend) run(payload requestPayload, done func(complete bool)) {
 	backend.running++
 	backend.world.checks.requests.Ran(payload.attempt, backend.place, backend.world.run.Elapsed())
@@ -50,6 +50,8 @@
 	})
 }
 
+// serviceTime returns how long a request runs. A stalled request ends only after its caller has
+// given up.
 func (backend *backend) serviceTime(class model.RequestClass) time.Duration {
 	mean := meanCallTime
 	if class == model.ClassUpload {
--- a/internal/sim/world/balancer.go
+++ b/internal/sim/world/balancer.go
@@ -18,21 +18,21 @@
 	nodeInterval      = 50 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
 	cacheFlows        = 512
-	// frozenPackets is how many packets wait in a frozen process's socket.
+	// maximumQueuedPackets is the number of packets that fit into a frozen process's socket buffer.
 	maximumQueuedPackets = 64
 )
 
-// balancer is one balancer: the product's subscriber, cache and routing on a
+// balancer simulates one balancer: the product's subscriber, cache of flow owners and routing on a
 // simulated process.
 type balancer struct {
 	world   *World
 	process *kernel.Process
-	// listed tells that the platform's list has the machine.
+	// listed reports whether the machine is in the platform's list, to which the fabric sends.
 	listed bool
 	store  *rollout.Store
 	lease  *rollout.Lease
 	cache  OwnerCache
-	// waiting are packets that came while the process was frozen.
+	// queuedPackets are packets that arrived while the process was frozen.
 	queuedPackets []packet
 	subscriber    *rollout.Subscriber
 }
@@ -45,6 +45,7 @@
 	return created
 }
 
+// build starts a new incarnation with empty state.
 func (balancer *balancer) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	balancer.store = rollout.NewStore()
@@ -68,8 +69,8 @@
 // Name implements board.Controller.
 func (balancer *balancer) Name() string { return "packets" }
 
-// Reconcile implements board.Controller: it handles the packets that came
-// while the process was frozen.
+// Reconcile implements board.Controller: it routes the packets that arrived while the process was
+// frozen.
 func (balancer *balancer) Reconcile(time.Time) {
 	queued := balancer.queuedPackets
 	balancer.queuedPackets = nil
@@ -78,7 +79,8 @@
 	}
 }
 
-// receive takes a packet from the fabric.
+// receive routes a packet from the fabric, or queues it while the process is frozen. Further packets
+// are lost.
 func (balancer *balancer) receive(incoming packet) {
 	switch {
 	case balancer.process.Active():
@@ -88,8 +90,8 @@
 	}
 }
 
-// route sends a packet to the flow's owner if the cache has it, and otherwise
-// along the chain of its bucket.
+// route sends a packet along the chain of its bucket, starting at the flow's owner if the cache
+// knows it and at the first target otherwise. It drops packets without a service or a chain.
 func (balancer *balancer) route(incoming packet) {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
 	service, known := serviceAt(configuration, incoming.tuple)
@@ -119,6 +121,7 @@
 	})
 }
 
+// startPosition returns the index in chain of the flow's cached owner, or 0.
 func (balancer *balancer) startPosition(hash uint64, tuple model.FiveTuple, chain []model.TargetID) int {
 	owner, cached := balancer.cache.Lookup(hash, tuple)
 	if !cached {
@@ -127,19 +130,20 @@
 	return max(slices.Index(chain, owner), 0)
 }
 
-// learn takes a hint from an agent.
+// receiveHint caches the owner of a flow that an agent reported.
 func (balancer *balancer) receiveHint(received hint) {
 	if balancer.process.Active() {
 		balancer.cache.Insert(routing.FlowHash(received.tuple), received.tuple, received.owner)
 	}
 }
 
-// observe tells the checkers what the node runs.
+// observe reports the configuration that the node runs to the checkers.
 func (balancer *balancer) observe() {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
 	balancer.world.checks.observeNode(balancer.process, configuration)
 }
 
+// serviceAt returns the service at the destination of a packet, and reports whether there is one.
 func serviceAt(configuration *model.Configuration, tuple model.FiveTuple) (model.Service, bool) {
 	for _, service := range configuration.Services {
 		if service.Address == tuple.Destination && service.Protocol == tuple.Protocol {
--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -12,40 +12,41 @@
 
 // Times of simulated callers.
 const (
-	// openingRetry is the wait before an opening packet is sent again.
+	// openingRetryInterval is the wait before an opening packet is sent again.
 	openingRetryInterval = 250 * time.Millisecond
-	// openingTries is how often it is sent before the caller gives up.
+	// maximumOpeningAttempts is how often it is sent before the caller gives up.
 	maximumOpeningAttempts = 20
-	// requestRetry is the wait before a request's packet is sent again.
+	// requestRetryInterval is the wait before a request's packet is sent again.
 	requestRetryInterval = 400 * time.Millisecond
 	// requestTimeout is how long a caller waits for the answer to an attempt.
 	requestTimeout = 10 * time.Second
-	// answerGrace is how long a caller waits beyond a request's deadline, at
-	// which the agent answers.
+	// answerGrace is how long a caller waits after a request's deadline. At the deadline the agent
+	// answers that the outcome is unknown, and that answer needs time to arrive.
 	answerGrace = time.Second
 	// maximumAttempts bounds the attempts of one request.
 	maximumAttempts = 6
 )
 
-// Load is what callers do.
+// Load describes the traffic that callers generate.
 type Load struct {
 	// FlowsPerSecond is the rate of new flows of each service.
 	FlowsPerSecond float64
-	// ShortestFlow and LongestFlow bound the heavy-tailed lives of flows.
+	// ShortestFlow and LongestFlow bound the heavy-tailed (Pareto) lifetimes of flows.
 	ShortestFlow time.Duration
 	LongestFlow  time.Duration
-	// Feeds is the number of flows of each service that last for the run.
+	// Feeds is the number of flows of each service that stay open for the whole run.
 	Feeds int
 	// PacketInterval is the mean time between packets of a flow.
 	PacketInterval time.Duration
-	// RequestsPerSecond is the rate of requests of each service.
+	// RequestsPerSecond is the rate of requests to each service that speaks HTTP/3.
 	RequestsPerSecond float64
-	// AtMostOnce and Uploads are shares of the requests.
+	// AtMostOnce is the share of requests that have a key and may run at most once, and Uploads the
+	// share of requests that are uploads.
 	AtMostOnce float64
 	Uploads    float64
 }
 
-// callers are all callers of a run.
+// callers simulates all callers of a run.
 type callers struct {
 	world       *World
 	random      *kernel.Random
@@ -58,10 +59,10 @@
 	lastAttempt checker.AttemptID
 	lastKey     int
 	stopped     bool
-	// waiting counts the attempts without an end.
+	// pendingAttempts counts the attempts of requests whose outcome the callers still wait for.
 	pendingAttempts int
-	// expectAnswers tells that an attempt without an answer is a violation,
-	// not an unknown outcome: the scenario has no unplanned fault.
+	// expectAnswers makes an attempt without an answer a violation instead of an unknown outcome. It
+	// is set in scenarios without unplanned faults.
 	expectAnswers bool
 	// abandoned counts flows that no target opened.
 	abandoned int
@@ -74,7 +75,7 @@
 	service *serviceHandle
 	// intended is the service that had the address when the flow began.
 	intended model.ServiceID
-	// deaf tells that the caller goes on sending after a reset.
+	// ignoresResets makes the caller continue to send after a reset.
 	ignoresResets   bool
 	opened          bool
 	ended           bool
@@ -82,7 +83,7 @@
 	feed            bool
 	sequence        uint64
 	openingAttempts int
-	// pending is the number of attempts that wait for an answer.
+	// pendingAttempts is the number of attempts on this flow that wait for an answer.
 	pendingAttempts int
 }
 
@@ -97,7 +98,7 @@
 	}
 }
 
-// start begins the load.
+// start begins to open flows and to send requests as load says.
 func (callers *callers) start(load Load) {
 	callers.load = load
 	for _, service := range callers.world.services {
@@ -117,13 +118,13 @@
 	}
 }
 
-// stop ends new flows and requests; what is open goes on.
+// stop starts no more flows and requests. Those in progress continue.
 func (callers *callers) stop() { callers.stopped = true }
 
-// idle tells whether no attempt waits for its end.
+// idle reports whether no attempt waits for an answer.
 func (callers *callers) idle() bool { return callers.pendingAttempts == 0 }
 
-// repeat calls act at random moments with the given rate.
+// repeatAtRate calls action at random times with the given mean rate until the callers stop.
 func (callers *callers) repeatAtRate(perSecond float64, action func()) {
 	if perSecond <= 0 {
 		return
@@ -140,12 +141,13 @@
 	callers.world.run.Scheduler.After(callers.random.Exponential(mean), next)
 }
 
+// openFeed opens a flow that lasts longer than any run.
 func (callers *callers) openFeed(service *serviceHandle) {
 	flow := callers.openFlow(service, 24*time.Hour)
 	flow.feed = true
 }
 
-// openFlow begins a flow from an address that no flow had before.
+// openFlow begins a flow with a source address and port that no earlier flow had.
 func (callers *callers) openFlow(service *serviceHandle, lifetime time.Duration) *callerFlow {
 	callers.lastFlow++
 	id := callers.lastFlow
@@ -166,6 +168,8 @@
 	return flow
 }
 
+// sendOpening sends the opening packet and repeats it until a target answers. After
+// maximumOpeningAttempts it gives the flow up.
 func (callers *callers) sendOpening(flow *callerFlow) {
 	if flow.opened || flow.ended {
 		return
@@ -181,14 +185,14 @@
 	callers.world.run.Scheduler.After(openingRetryInterval, func() { callers.sendOpening(flow) })
 }
 
-// send hands a packet of the flow to the fabric.
+// send completes a packet with the fields of its flow and hands it to the fabric.
 func (callers *callers) send(flow *callerFlow, outgoing packet) {
 	flow.sequence++
 	outgoing.flow = flow.id
 	outgoing.tuple = flow.tuple
 	outgoing.intended = flow.intended
 	outgoing.sequence = flow.sequence
-	// Every datagram of a plain flow may open it.
+	// Every datagram of a UDP flow may open it.
 	outgoing.opening = outgoing.opening || flow.tuple.Protocol == model.ProtocolUDP
 	if flow.opened {
 		callers.world.checks.flows.Sent(flow.id, uint32(flow.intended), callers.world.run.Elapsed())
@@ -196,7 +200,8 @@
 	callers.world.fabric.spray(outgoing)
 }
 
-// keepAlive sends the flow's packets until its end.
+// sendPeriodically sends packets of the flow until its end. A flow with pending attempts is not
+// closed yet.
 func (callers *callers) sendPeriodically(flow *callerFlow) {
 	if flow.ended {
 		return
@@ -210,7 +215,7 @@
 	callers.world.run.Scheduler.After(interval, func() { callers.sendPeriodically(flow) })
 }
 
-// closeFlow ends a flow; the last packet is sent twice because it may be lost.
+// closeFlow ends a flow. It sends the closing packet twice because one may be lost.
 func (callers *callers) closeFlow(flow *callerFlow) {
 	callers.endFlow(flow)
 	callers.world.checks.flows.Closed(flow.id)
@@ -218,6 +223,7 @@
 	callers.world.run.Scheduler.After(openingRetryInterval, func() { callers.send(flow, packet{closing: true}) })
 }
 
+// endFlow removes a flow from the open flows of its service.
 func (callers *callers) endFlow(flow *callerFlow) {
 	flow.ended = true
 	remaining := callers.openFlows[flow.intended][:0]
@@ -229,7 +235,7 @@
 	callers.openFlows[flow.intended] = remaining
 }
 
-// receive takes an answer of an agent.
+// receive handles an answer of an agent.
 func (callers *callers) receive(reply answer) {
 	flow := callers.flows[reply.flow]
 	switch reply.kind {
@@ -242,6 +248,7 @@
 	}
 }
 
+// receiveEcho marks a flow as opened by the first acknowledgement.
 func (callers *callers) receiveEcho(flow *callerFlow) {
 	callers.world.checks.flows.Answered(flow.id)
 	if flow.opened || flow.ended {
@@ -252,6 +259,7 @@
 	callers.sendPeriodically(flow)
 }
 
+// receiveReset ends the flow. A feed is opened again.
 func (callers *callers) receiveReset(flow *callerFlow) {
 	if flow.ended || flow.ignoresResets {
 		return
--- a/internal/sim/world/caller_request.go
+++ b/internal/sim/world/caller_request.go
@@ -9,7 +9,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// callerRequest is one request with all its attempts.
+// callerRequest is one request of a caller, over all its attempts.
 type callerRequest struct {
 	callers *callers
 	service *serviceHandle
@@ -19,12 +19,12 @@
 	class    model.RequestClass
 	attempts int
 	done     bool
-	// current is the attempt that is under way, on flow.
+	// current is the attempt in progress, on flow, or 0.
 	current checker.AttemptID
 	flow    *callerFlow
 }
 
-// settle ends the present attempt for its caller.
+// endAttempt marks that the caller no longer waits for the current attempt.
 func (request *callerRequest) endAttempt() {
 	if request.current != 0 {
 		request.current = 0
@@ -33,7 +33,8 @@
 	}
 }
 
-// newRequest sends a request on an open flow of the service.
+// newRequest sends a new request on an open flow of the service. Some requests have a key and may
+// run at most once.
 func (callers *callers) newRequest(service *serviceHandle) {
 	request := &callerRequest{callers: callers, service: service, intended: service.id, class: model.ClassCall}
 	if callers.random.Chance(callers.load.AtMostOnce) {
@@ -46,7 +47,8 @@
 	callers.startAttempt(request, nil)
 }
 
-// attempt sends the request once more, not on the flow called avoid.
+// startAttempt sends the request on a random open flow other than avoid. It does nothing if the
+// request is done, has no attempts left, or its address belongs to another service by now.
 func (callers *callers) startAttempt(request *callerRequest, avoid *callerFlow) {
 	if request.done || request.attempts >= maximumAttempts || request.service.id != request.intended {
 		return
@@ -74,6 +76,7 @@
 	})
 }
 
+// pickFlow returns a random open flow of the service other than avoid, or nil.
 func (callers *callers) pickFlow(service *serviceHandle, avoid *callerFlow) *callerFlow {
 	var candidates []*callerFlow
 	for _, flow := range callers.openFlows[service.id] {
@@ -87,7 +90,7 @@
 	return kernel.Pick(callers.random, candidates)
 }
 
-// sendAttempt repeats the packet until the attempt ends.
+// sendAttempt sends the request's packet, and repeats it until the attempt ends or times out.
 func (callers *callers) sendAttempt(flow *callerFlow, request *callerRequest, payload requestPayload) {
 	if request.done || request.current != payload.attempt {
 		return
@@ -101,8 +104,8 @@
 	callers.world.run.Scheduler.After(requestRetryInterval, func() { callers.sendAttempt(flow, request, payload) })
 }
 
-// giveUp ends an attempt without an answer. One that may not be repeated is
-// asked again by its key.
+// giveUp ends an attempt without an answer. A request with a key is attempted again, because its key
+// keeps it from running twice. Any other request ends.
 func (callers *callers) giveUp(flow *callerFlow, request *callerRequest, attempt checker.AttemptID) {
 	request.endAttempt()
 	if !callers.expectAnswers {
@@ -115,7 +118,7 @@
 	request.done = true
 }
 
-// receiveFinal takes the final answer to an attempt.
+// receiveFinal handles the final answer to an attempt.
 func (callers *callers) receiveFinal(reply answer) {
 	request, known := callers.requests[reply.attempt]
 	if !known {
@@ -136,8 +139,8 @@
 	}
 }
 
-// answered ends the request. Another attempt that is under way is given up by
-// its caller, who has the answer.
+// endRequest ends the request that attempt answered. If a different attempt is in progress, the
+// caller gives that one up, as it has its answer.
 func (callers *callers) endRequest(request *callerRequest, attempt checker.AttemptID) {
 	request.done = true
 	if request.current != 0 && request.current != attempt {
@@ -146,7 +149,8 @@
 	request.endAttempt()
 }
 
-// retryLater sends the request again on another flow once the answer says so.
+// retryLater attempts the request again, on another flow and after the delay that the answer asks
+// for.
 func (callers *callers) retryLater(request *callerRequest, reply answer, retry bool) {
 	if !retry || request.done {
 		return
--- a/internal/sim/world/checks.go
+++ b/internal/sim/world/checks.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// rolloutBound is the time in which an accepted change must be in force.
+	// maximumRolloutTime is the time within which an accepted change must be in force.
 	maximumRolloutTime = 7 * time.Second
-	// drainGrace is the time after which a leaving target gets no new work.
+	// drainGrace is the time after which a draining target must get no new work.
 	drainGrace = 3 * time.Second
-	// digestEvery is how many applied entries lie between two comparisons of
-	// the members' whole states.
+	// digestInterval is the number of applied log entries between two comparisons of the digests of
+	// the members' states.
 	digestInterval = 16
 )
 
-// checks are the checkers of one run, and what they were last told.
+// checks holds the checkers of one run, and what they last observed of each node.
 type checks struct {
 	world     *World
 	flows     *checker.Flows
@@ -30,7 +30,7 @@
 	observed  map[model.NodeName]observation
 }
 
-// observation is what a node was last seen to run.
+// observation is the configuration revision that an incarnation of a node was last seen to run.
 type observation struct {
 	incarnation model.Incarnation
 	revision    model.Revision
@@ -50,8 +50,8 @@
 	}
 }
 
-// observeNode records which configuration a node runs when that changed. The
-// empty configuration of a node that has just started runs nothing.
+// observeNode records which configuration a node runs if that has changed. It ignores the empty
+// configuration of a node that has just started.
 func (checks *checks) observeNode(process *kernel.Process, configuration *model.Configuration) {
 	seen := observation{incarnation: process.Incarnation(), revision: configuration.Revision}
 	if configuration.Revision == 0 || checks.observed[process.Name] == seen {
@@ -63,7 +63,8 @@
 	checks.rollout.Applied(checker.Node(process.Name), uint64(configuration.Revision), digest, checks.world.run.Elapsed())
 }
 
-// observeApplied compares members' states now and then.
+// observeApplied records that a member applied a log entry. Every digestInterval entries it gives the
+// digest of the member's state to the checker, which compares it with those of the other members.
 func (checks *checks) observeApplied(member *member, index uint64) {
 	checks.world.run.Trace.Mix(index, uint64(member.process.Incarnation()))
 	if index%digestInterval == 0 {
@@ -71,14 +72,15 @@
 	}
 }
 
-// sample asks all balancers for their lease and revision.
+// sample records the lease and the configuration revision of every balancer.
 func (checks *checks) sample() {
 	for _, balancer := range checks.world.balancers {
 		checks.sampleBalancer(balancer)
 	}
 }
 
-// sampleBalancer records what a balancer that is awake would say of itself.
+// sampleBalancer records the lease and the configuration revision of a balancer that is neither
+// stopped nor frozen.
 func (checks *checks) sampleBalancer(balancer *balancer) {
 	if !balancer.process.Active() {
 		return
@@ -88,9 +90,8 @@
 	checks.rollout.Sample(checker.Node(balancer.process.Name), leased, uint64(configuration.Revision), checks.world.run.Elapsed())
 }
 
-// leaseObserver is the first controller of a balancer: it sees the lease and
-// the configuration of a balancer that has just woken, before the updates that
-// waited for it are taken.
+// leaseObserver is the first controller of a balancer. After a freeze it therefore samples the lease
+// and the configuration before the balancer applies the updates that have queued up.
 type leaseObserver struct{ balancer *balancer }
 
 // Name implements board.Controller.
--- a/internal/sim/world/control.go
+++ b/internal/sim/world/control.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/replica"
 )
 
-// groupAt is a member's consensus with a status as of the process's own clock.
+// localTimeGroup is a member's consensus controller whose status is as of the process's own clock.
 type localTimeGroup struct {
 	*replica.Controller
 	member *member
@@ -19,8 +19,7 @@
 // Status implements control.StatusReader.
 func (group localTimeGroup) Status() replica.Status { return group.member.Status() }
 
-// controlControllers returns the product's controllers of a control member,
-// apart from consensus.
+// controlControllers returns the product's controllers of a control member, apart from consensus.
 func (member *member) controlControllers(mailbox *protocol.Mailbox, dispatcher *protocol.Dispatcher) []board.Controller {
 	member.control = control.NewMember(control.Dependencies{
 		Mailbox:    mailbox,
@@ -34,13 +33,13 @@
 }
 
 const (
-	// listReadInterval is how often the platform's list of machines changes.
+	// machineListInterval is how often the platform's list of machines is refreshed.
 	machineListInterval = 500 * time.Millisecond
-	// machineListLag is how late it is.
+	// defaultMachineListLag is the time after which a refreshed list becomes visible.
 	defaultMachineListLag = 3 * time.Second
 )
 
-// machineList is the platform's late list of live machines.
+// machineList simulates the platform's list of live machines, which lags behind their real state.
 type machineList struct {
 	world *World
 	live  map[model.NodeName]bool
@@ -54,6 +53,7 @@
 	return list.live[node], true
 }
 
+// effectiveLag returns the lag that the options set, or the default.
 func (list *machineList) effectiveLag() time.Duration {
 	if lag := list.world.options.MachineListLag; lag > 0 {
 		return lag
@@ -61,7 +61,7 @@
 	return defaultMachineListLag
 }
 
-// start begins to follow the machines.
+// start begins to refresh the list.
 func (list *machineList) start() {
 	list.world.run.Scheduler.Every(machineListInterval, func() bool {
 		seen := make(map[model.NodeName]bool)
--- a/internal/sim/world/fabric.go
+++ b/internal/sim/world/fabric.go
@@ -7,17 +7,18 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// listInterval is how often the fabric reads the list of live balancers.
+// balancerListInterval is how often the fabric reads the list of live balancers.
 const balancerListInterval = 500 * time.Millisecond
 
-// fabric sprays callers' packets over the balancers that its lagging list has.
+// fabric simulates the network fabric. It spreads callers' packets over the balancers in its list,
+// which lags behind their real state.
 type fabric struct {
 	world  *World
 	random *kernel.Random
-	// lag is how late the list is.
+	// lag is the delay after which a change of the list takes effect.
 	lag  time.Duration
 	live []*balancer
-	// sprayed and dropped count packets; dropped ones found no balancer.
+	// sprayed counts the packets sent to a balancer, and dropped those sent while the list was empty.
 	sprayed uint64
 	dropped uint64
 }
@@ -26,7 +27,7 @@
 	return &fabric{world: world, random: world.run.Random("fabric"), lag: lag}
 }
 
-// start begins to follow the list of live machines.
+// start begins to read the list of live balancers.
 func (fabric *fabric) start() {
 	fabric.live = fabric.list()
 	fabric.world.run.Scheduler.Every(balancerListInterval, func() bool {
@@ -36,8 +37,8 @@
 	})
 }
 
-// list returns the balancers whose machines run. A frozen process still counts
-// as live: the platform sees the machine only.
+// list returns the balancers whose machines run. A frozen process counts as live, because the
+// platform sees only the machine.
 func (fabric *fabric) list() []*balancer {
 	var live []*balancer
 	for _, candidate := range fabric.world.balancers {
@@ -48,7 +49,7 @@
 	return live
 }
 
-// spray hands a packet to any listed balancer.
+// spray sends a packet to a random balancer of the list.
 func (fabric *fabric) spray(incoming packet) {
 	if len(fabric.live) == 0 {
 		fabric.dropped++
@@ -60,5 +61,5 @@
 	fabric.world.packets.Send(from, chosen.process.Endpoint, func() { chosen.receive(incoming) })
 }
 
-// callersName is the network name of all callers together.
+// callersName is the one network name that all callers share.
 const callersName model.NodeName = "callers"
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -9,13 +9,13 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Run returns the run that the world belongs to.
+// Run returns the simulation run that the world belongs to.
 func (world *World) Run() *sim.Run { return world.run }
 
-// Network returns the network, for cuts and faults.
+// Network returns the control network, on which scenarios inject partitions and faults.
 func (world *World) Network() *kernel.Network { return world.network }
 
-// SetFaults sets the faults of control links and of packets.
+// SetFaults sets the faults of the control network (messages) and of the network of callers' packets.
 func (world *World) SetFaults(messages, packets kernel.LinkFaults) {
 	world.network.SetFaults(messages)
 	world.packets.SetFaults(packets)
@@ -51,7 +51,7 @@
 	return processes
 }
 
-// Leader returns the index of the member that leads, or false.
+// Leader returns the index of the leading member, and reports whether there is one.
 func (world *World) Leader() (int, bool) {
 	for index, member := range world.members {
 		if member.controller != nil && member.process.Active() && member.Status().Leading {
@@ -61,7 +61,7 @@
 	return 0, false
 }
 
-// AwaitLeader runs the world until a member leads.
+// AwaitLeader runs the world until a member leads or limit has passed, and returns what Leader does.
 func (world *World) AwaitLeader(limit time.Duration) (int, bool) {
 	world.waitFor(limit, func() bool {
 		_, leads := world.Leader()
@@ -70,7 +70,7 @@
 	return world.Leader()
 }
 
-// WipeDisk loses a stopped member's disk. The member joins anew.
+// WipeDisk erases a stopped member's disk. When the member starts again, it joins the running group.
 func (world *World) WipeDisk(index int) {
 	member := world.members[index]
 	member.disk.Wipe()
@@ -78,8 +78,7 @@
 	world.run.Trace.Add(string(member.process.Name), "disk lost", "")
 }
 
-// CorruptLog flips a byte in a stopped member's log and tells whether there
-// was one to flip.
+// CorruptLog flips a byte in a stopped member's log, and reports whether the log had one to flip.
 func (world *World) CorruptLog(index int, random *kernel.Random) bool {
 	member := world.members[index]
 	names, err := member.disk.ReadDir(walFolder)
@@ -91,22 +90,22 @@
 	if err != nil || size < 2 {
 		return false
 	}
-	// The first half of the log is never a torn tail.
+	// Corruption in the first half of the log cannot be mistaken for a torn tail.
 	offset := int64(random.Below(int(size / 2)))
 	world.run.Trace.Addf(string(member.process.Name), "corrupt", "%s at %d", name, offset)
 	return member.disk.Corrupt(name, offset) == nil
 }
 
-// walFolder is where members keep their log.
+// walFolder is the folder in which members keep their write-ahead log.
 const walFolder = "consensus/wal"
 
 // FailSyncs makes the next syncs of a member's disk fail.
 func (world *World) FailSyncs(index, count int) { world.members[index].disk.FailSyncs(count) }
 
-// StartError returns why a member refused to start, or nil.
+// StartError returns the error with which a member refused to start, or nil.
 func (world *World) StartError(index int) error { return world.members[index].startError }
 
-// KillTarget ends a target and its back end without notice.
+// KillTarget ends a target and its back end without notice, and reports the failure to the checkers.
 func (world *World) KillTarget(name model.NodeName) {
 	agent := world.agentsByName[name]
 	if !agent.process.Running() {
@@ -117,8 +116,8 @@
 	agent.process.Kill()
 }
 
-// AllowFlowLoss tells the checkers that a target may be taken for dead, because
-// the scenario cut it off for long.
+// AllowFlowLoss tells the checkers that a target may lose its flows. Scenarios call it when they cut
+// a target off for so long that it may be considered dead.
 func (world *World) AllowFlowLoss(name model.NodeName) {
 	agent := world.agentsByName[name]
 	if agent.process.Running() {
@@ -135,8 +134,7 @@
 	return world.agentsByName[name].process
 }
 
-// Targets returns the names of the targets of a service, by its place in the
-// preset.
+// Targets returns the names of the targets of a service, by the service's index in the preset.
 func (world *World) Targets(service int) []model.NodeName {
 	var names []model.NodeName
 	for _, target := range world.services[service].targets {
@@ -145,13 +143,14 @@
 	return names
 }
 
-// Idle tells whether a target has no flow and no request in progress.
+// Idle reports whether a target has no flow and no request in progress, as the parts decide it.
 func (world *World) Idle(name model.NodeName) bool {
 	instance := world.agentsByName[name].instance
 	return instance.owners == nil || world.parts.Idle(instance.owners.Len(), instance.requests.idle())
 }
 
-// StopTarget ends a target as planned, after its last flow.
+// StopTarget stops an idle target as planned: the target announces that it leaves, and its process
+// ends 100 ms later.
 func (world *World) StopTarget(name model.NodeName) {
 	agent := world.agentsByName[name]
 	agent.instance.stopping = true
@@ -161,39 +160,40 @@
 	incarnation := agent.process.Incarnation()
 	world.run.Scheduler.After(100*time.Millisecond, func() {
 		if agent.process.Incarnation() == incarnation {
-			// What came since the stop began must not be cut either.
+			// Work that has arrived since the stop began must not be interrupted either.
 			world.recordPlannedStop(agent)
 			agent.process.Kill()
 		}
 	})
 }
 
-// checkStopped tells the checkers that a target stops as planned.
+// recordPlannedStop tells the checkers that a target stops as planned, so that it must not have any
+// flow or request left.
 func (world *World) recordPlannedStop(agent *agent) {
 	world.checks.flows.TargetStopped(agent.instance.place(), world.run.Elapsed())
 	world.checks.requests.TargetStopped(agent.instance.place(), world.run.Elapsed())
 }
 
-// DelistBalancer takes a balancer out of the platform's list before a planned stop.
+// DelistBalancer removes a balancer from the platform's list before a planned stop.
 func (world *World) DelistBalancer(index int) { world.balancers[index].listed = false }
 
-// ListBalancer puts a balancer into the platform's list.
+// ListBalancer adds a balancer to the platform's list.
 func (world *World) ListBalancer(index int) { world.balancers[index].listed = true }
 
-// CheckProgress reports a violation unless condition holds: the scenario did
-// not do what it is about.
+// CheckProgress reports a violation of progress unless condition holds. Scenarios use it to check
+// that they did what they are meant to do.
 func (world *World) CheckProgress(condition bool, format string, arguments ...any) {
 	if !condition {
 		world.run.Report.Add(checker.InvariantProgress, world.run.Elapsed(), format, arguments...)
 	}
 }
 
-// stopTime is how long a planned stop of a control member waits for another
-// leader.
+// leadershipTransferTimeout is how long a planned stop of a control member waits until the member no
+// longer leads.
 const leadershipTransferTimeout = 3 * time.Second
 
-// StopMember stops a control member as planned: a leader hands over before its
-// process ends.
+// StopMember stops a control member as planned: a leader transfers its leadership before its process
+// ends.
 func (world *World) StopMember(index int) {
 	member := world.members[index]
 	if member.controller != nil && member.process.Active() && member.Status().Leading {
@@ -204,13 +204,14 @@
 	member.process.Kill()
 }
 
-// Faults returns the faults of control links and of packets.
+// Faults returns the faults of the control network (messages) and of the network of callers' packets.
 func (world *World) Faults() (messages, packets kernel.LinkFaults) {
 	return world.network.Faults(), world.packets.Faults()
 }
 
-// AllowMissedDrains tells the checkers that the scenario keeps targets from
-// learning of their drain, until the returned function is called.
+// AllowMissedDrains tells the checkers that draining targets may get new work, because the scenario
+// keeps them from learning of the drain. After the returned function is called, targets must learn of
+// their drains within maximumRolloutTime.
 func (world *World) AllowMissedDrains() (end func()) {
 	world.checks.drain.Suspend()
 	return func() { world.checks.drain.Resume(world.run.Elapsed() + maximumRolloutTime) }
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// convergeTime bounds the time in which a healed world must agree again.
+	// convergenceTimeout bounds the time within which nodes must agree again once all faults ended.
 	convergenceTimeout = 30 * time.Second
-	// answerTime is how long callers are given to get their last answers.
+	// answerTimeout is how long callers may take to get their last answers.
 	answerTimeout = requestTimeout + answerGrace + 2*time.Second
-	// silenceTime is the time in which a flow sends more packets than it may
-	// lose.
+	// silenceTime is a time in which a flow sends more packets than it may lose.
 	silenceTime = 6 * time.Second
 )
 
-// StartRacingOperators lets count operators change the parameter of every service
-// until the returned function is called. They read, pause, and write based on
-// what they read, so that several write with the same revision.
+// StartRacingOperators starts count operators that change a parameter of random services until the
+// returned function is called. They read, pause, and write based on the revision that they read, so
+// that several of them write with the same base revision. pause is the mean time between two changes
+// of an operator.
 func (world *World) StartRacingOperators(count int, pause time.Duration) (stop func()) {
 	stopped := false
 	for range count {
-		// Each operator has keys of its own, also over several races.
+		// Operators of later calls get other numbers, so that no two operators share a key.
 		world.racingOperators++
 		number := world.racingOperators
 		operator := world.NewOperator(string(numberedName("operator", number)))
@@ -53,8 +53,8 @@
 	return func() { stopped = true }
 }
 
-// FinishControl waits until the members that run agree, compares their states,
-// and checks the operators' whole history against what is left.
+// FinishControl waits until the running members agree, compares their states, and checks that the
+// complete history of the operators' changes is linearizable and ends in the final state.
 func (world *World) FinishControl() {
 	ended := world.waitFor(changeTimeout+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
 	world.CheckProgress(ended, "%d changes have no end", world.pendingChanges)
@@ -70,6 +70,7 @@
 	world.checks.operators.CheckLinearizable()
 }
 
+// runningMembers returns the members that run, are not frozen, and belong to the group.
 func (world *World) runningMembers() []*member {
 	var running []*member
 	for _, member := range world.members {
@@ -80,6 +81,8 @@
 	return running
 }
 
+// membersAgree reports whether a majority runs, one leads, and all that run have applied what the
+// leader committed.
 func (world *World) membersAgree() bool {
 	running := world.runningMembers()
 	leader, leads := world.Leader()
@@ -95,6 +98,7 @@
 	return true
 }
 
+// memberSummary describes every member's state for the report of a violation.
 func (world *World) memberSummary() string {
 	summary := ""
 	for _, member := range world.members {
@@ -112,7 +116,8 @@
 	return summary
 }
 
-// finalReads reads every service from the leader.
+// finalReads gives the leader's final state of every service and of every target that drains to the
+// checkers.
 func (world *World) finalReads() {
 	leader, leads := world.Leader()
 	if !leads {
@@ -134,8 +139,8 @@
 	}
 }
 
-// FinishNodes waits until all running balancers and agents run the committed
-// configuration.
+// FinishNodes waits until all running balancers and agents run the committed configuration, and
+// checks that balancers held leases often enough.
 func (world *World) FinishNodes() {
 	converged := world.waitFor(convergenceTimeout, func() bool { return len(world.laggingNodes()) == 0 })
 	if !converged {
@@ -145,10 +150,11 @@
 	world.CheckProgress(share >= minimumLeasedShare, "balancers held leases in %.2f of all looks", share)
 }
 
-// leastLeasedShare is the share of looks at a balancer in which it must hold a
-// lease; without leases nothing is shown about changes in force.
+// minimumLeasedShare is the share of samples of balancers in which they must hold a lease. Without
+// leases a run proves nothing about when changes are in force.
 const minimumLeasedShare = 0.5
 
+// laggingNodes returns the running balancers and agents that do not run the leader's configuration.
 func (world *World) laggingNodes() []model.NodeName {
 	leader, leads := world.Leader()
 	if !leads {
@@ -170,19 +176,18 @@
 	return lagging
 }
 
-// StartLoad lets callers begin.
+// StartLoad starts the callers' traffic.
 func (world *World) StartLoad(load Load) { world.callers.start(load) }
 
-// ExpectAnswers makes an attempt that gets no answer, a flow that no target
-// opens and a silence of an open flow violations: the scenario has planned
-// changes only.
+// ExpectAnswers makes it a violation when an attempt gets no answer, when no target opens a flow, or
+// when an open flow gets no answers for a time. It is for scenarios with planned changes only.
 func (world *World) ExpectAnswers() {
 	world.callers.expectAnswers = true
 	world.checks.flows.ExpectSteady()
 }
 
-// FinishTraffic stops new work, waits for the last answers, and checks that no
-// flow is silent and every request ended.
+// FinishTraffic stops new work, waits for the last answers, and checks that every open flow gets
+// answers and that every request ended.
 func (world *World) FinishTraffic() {
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
@@ -201,12 +206,13 @@
 		world.checks.flows.Opened(), world.checks.flows.Excused(), world.callers.abandoned, tally)
 }
 
-// leastAnsweredShare is the share of attempts that must get the back end's
-// answer under planned changes: a system that refuses everything, or says that
-// everything may have run, breaks no other rule.
+// minimumAnsweredShare is the share of attempts that must get the back end's answer under planned
+// changes. A system that refuses every request, or answers that each may have run, violates no other
+// invariant.
 const minimumAnsweredShare = 0.5
 
-// checkServed checks what planned changes alone never excuse.
+// checkServed checks that flows were opened and requests answered. Planned changes alone excuse
+// neither failure.
 func (world *World) checkServed() {
 	elapsed := world.run.Elapsed()
 	if world.callers.abandoned > 0 {
@@ -218,7 +224,7 @@
 	}
 }
 
-// Checkers are the checkers of a run that scenarios read.
+// Checkers holds the checkers of a run that scenarios read.
 type Checkers struct {
 	Flows     *checker.Flows
 	Requests  *checker.Requests
@@ -227,7 +233,7 @@
 	Operators *checker.Operators
 }
 
-// Checkers gives scenarios access to the run's checkers.
+// Checkers returns the run's checkers.
 func (world *World) Checkers() Checkers {
 	return Checkers{
 		Flows:     world.checks.flows,
--- a/internal/sim/world/lag.go
+++ b/internal/sim/world/lag.go
@@ -8,8 +8,8 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// delayMessage holds updates to balancers and agents back, each by a time of
-// its own, so that nodes run different revisions.
+// delayMessage returns a random delay for each update to a balancer or an agent, so that nodes run
+// different revisions. Other messages are not delayed.
 func (world *World) delayMessage(envelope messageEnvelope) time.Duration {
 	_, isUpdate := envelope.Message.(protocol.PackedUpdate)
 	if !isUpdate || world.options.UpdateDelay == 0 || world.isRelay(envelope.To) {
@@ -27,15 +27,15 @@
 	return false
 }
 
-// reportLag makes the loads and empty buckets in heartbeats late. That the
-// node lives, and what it runs, stays current.
+// reportLag replaces the loads and empty buckets in heartbeats by those of lag earlier. The node's
+// liveness and the revision that it runs stay current.
 type reportLag struct {
 	scheduler *kernel.Scheduler
 	lag       time.Duration
 	history   map[model.NodeName][]reportedAt
 }
 
-// reportedAt is what a node reported at a time.
+// reportedAt is what a node reported at one time.
 type reportedAt struct {
 	at          time.Time
 	incarnation model.Incarnation
@@ -47,6 +47,8 @@
 	return &reportLag{scheduler: scheduler, lag: lag, history: make(map[model.NodeName][]reportedAt)}
 }
 
+// delayReport returns the message with the latest report that is at least lag old, or without a
+// report if there is none of the same incarnation.
 func (lag *reportLag) delayReport(envelope messageEnvelope) messageEnvelope {
 	heartbeat, isHeartbeat := envelope.Message.(protocol.Heartbeat)
 	if !isHeartbeat || lag.lag == 0 {
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -22,20 +22,20 @@
 	deadNodeTimeout         = 5 * time.Second
 )
 
-// member is one control member: the product's consensus, state and control
-// controllers on a simulated process with a simulated disk.
+// member simulates one control member: the product's consensus, state and control controllers on a
+// simulated process with a simulated disk.
 type member struct {
 	world   *World
 	process *kernel.Process
 	disk    *memory.Disk
-	// join tells that the member joins a running group.
+	// join is true if the member joins a running group instead of founding one.
 	join bool
-	// snapshotEvery is the number of entries between snapshots.
+	// snapshotEvery is the number of log entries between snapshots; zero means the product's default.
 	snapshotEvery int
 	machine       *state.Machine
 	controller    *replica.Controller
 	control       *control.Member
-	// startError is why the member refused to start, or nil.
+	// startError is the error with which the member refused to start, or nil.
 	startError error
 }
 
@@ -47,6 +47,8 @@
 	return created
 }
 
+// build starts a new incarnation from what its disk holds. If consensus refuses to start, the process
+// runs without controllers.
 func (member *member) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	member.machine = state.NewMachine()
@@ -79,7 +81,7 @@
 	return member.controller.StatusAt(member.process.LocalNow())
 }
 
-// observe tells the checkers what the member says of itself.
+// observe reports to the checkers that the member leads, and ends a member whose consensus failed.
 func (member *member) observe() {
 	if member.controller == nil {
 		return
@@ -95,7 +97,8 @@
 	}
 }
 
-// observedMachine tells the checkers what a member applies.
+// observedMachine is a member's state machine that also reports every applied command to the
+// checkers.
 type observedMachine struct {
 	wrapped replica.StateMachine
 	member  *member
--- a/internal/sim/world/membership.go
+++ b/internal/sim/world/membership.go
@@ -6,13 +6,13 @@
 	"merlinpaddle/internal/replica"
 )
 
-// membershipStep is how often a repair looks how far it has come.
+// replacementPollInterval is how often ReplaceMember checks its progress.
 const replacementPollInterval = 300 * time.Millisecond
 
-// ReplaceMember takes a member with an empty disk into the group again: its
-// old identity is removed, a learner of its name is added, the process starts,
-// and the learner is promoted once it has caught up. It repeats each step
-// until the group shows its result, and returns false when limit passed.
+// ReplaceMember brings a member with an empty disk back into the group: it removes the member's old
+// identity, adds a learner with the same name, starts the process, and promotes the learner once it
+// has caught up. It repeats each step until the group's membership shows its result, and returns
+// false if that takes longer than limit.
 func (operator *Operator) ReplaceMember(index int, limit time.Duration) bool {
 	world := operator.world
 	replaced := world.members[index]
@@ -26,7 +26,7 @@
 	return false
 }
 
-// memberID returns the identity by which the group knows a member.
+// memberID returns the identity by which the group knows a member, or 0.
 func (world *World) memberID(index int) replica.MemberID {
 	for _, other := range world.members {
 		if other.controller == nil || !other.process.Active() {
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// repairStep asks the leader for the next step; true when nothing is left.
+// replacementStep asks the leader for the next step, and reports whether the replacement is complete.
 func (world *World) replacementStep(operator *Operator, replaced *member, old replica.MemberID) bool {
 	leader, leads := world.Leader()
 	if !leads || world.members[leader] == replaced {
@@ -66,6 +66,7 @@
 	return false
 }
 
+// findMember returns the group's entry for a member, and reports whether it has one.
 func findMember(members []replica.Member, wanted *member) (replica.Member, bool) {
 	for _, known := range members {
 		if known.Name == wanted.process.Name {
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -15,27 +15,29 @@
 
 // Times of simulated operators.
 const (
-	// operatorTimeout is how long an operator waits for one answer.
+	// operatorTimeout is how long an operator waits for an answer before it asks the next member.
 	operatorTimeout = 1500 * time.Millisecond
-	// operatorPatience is how long an operator resends one change.
+	// changeTimeout is how long an operator attempts one change before its outcome stays unknown.
 	changeTimeout = 12 * time.Second
-	// operatorRetry is the pause before a change is sent again.
+	// operatorRetryInterval is the wait before a change that failed is sent again.
 	operatorRetryInterval = 150 * time.Millisecond
 )
 
-// Operator sends changes to the control group and resends them when the answer
-// is lost, as automation does.
+// Operator simulates automation that sends changes to the control group and resends a change when its
+// answer is lost.
 type Operator struct {
 	world    *World
 	name     string
 	endpoint kernel.Endpoint
 	random   *kernel.Random
-	// guess is the member that answered last.
+	// memberIndex, modulo the number of members, is the member that requests go to. It advances when
+	// a member does not answer or fails a request.
 	memberIndex int
 	changes     int
 }
 
-// NewOperator returns an operator with a name of its own.
+// NewOperator returns an operator. Its name must be unique in the run, as the keys of its changes and
+// its random numbers derive from it.
 func (world *World) NewOperator(name string) *Operator {
 	return &Operator{
 		world:    world,
@@ -45,14 +47,14 @@
 	}
 }
 
-// ChangeOutcome is what an operator learns of one change.
+// ChangeOutcome is what an operator learns about the outcome of one change.
 type ChangeOutcome struct {
 	// Known is false when the outcome stayed unknown.
 	Known  bool
 	Result state.Result
 }
 
-// change is one change with its resends.
+// change is one change of an operator, over all its attempts.
 type change struct {
 	operator    *Operator
 	encoded     []byte
@@ -64,7 +66,8 @@
 	done        func(ChangeOutcome)
 }
 
-// nextChange returns the fields that make a change idempotent.
+// nextChange returns the fields that identify the operator's next change, so that a resend is not
+// applied twice.
 func (operator *Operator) nextChange(base model.Revision) state.Change {
 	operator.changes++
 	return state.Change{
@@ -75,7 +78,7 @@
 	}
 }
 
-// send submits a command until an answer comes or patience ends.
+// send attempts a command until an answer arrives or changeTimeout has passed, and then calls done.
 func (operator *Operator) send(command state.Command, key string, done func(ChangeOutcome)) {
 	encoded, err := state.EncodeCommand(command)
 	if err != nil {
@@ -94,6 +97,7 @@
 	sent.attempt()
 }
 
+// attempt sends the command to the current member, and again to the next one after operatorTimeout.
 func (change *change) attempt() {
 	if change.finished {
 		return
@@ -113,7 +117,8 @@
 	scheduler.After(operatorTimeout, func() { change.retry(number) })
 }
 
-// retry sends the change again, to the next member, unless that happened.
+// retry sends the change again, to the next member, unless it has finished or attempt number is not
+// the latest.
 func (change *change) retry(number int) {
 	if change.finished || change.attempts != number {
 		return
@@ -122,7 +127,8 @@
 	change.attempt()
 }
 
-// answered takes one answer. The checkers see late ones as well.
+// receiveAnswer handles the answer to attempt number. The checkers also see answers to a change that
+// has finished.
 func (change *change) receiveAnswer(number int, encoded []byte, err error) {
 	if err != nil {
 		change.operator.world.run.Scheduler.After(operatorRetryInterval, func() { change.retry(number) })
@@ -141,6 +147,7 @@
 	}
 }
 
+// finish ends the change with its outcome, and may resend it if it was answered.
 func (change *change) finish(answer ChangeOutcome) {
 	change.finished = true
 	change.operator.world.pendingChanges--
@@ -153,11 +160,11 @@
 	}
 }
 
-// resendWithin bounds the time after which an answered change is sent again.
+// maximumResendDelay bounds the random delay after which an answered change is sent again.
 const maximumResendDelay = 6 * time.Second
 
-// sendAgain repeats some changes that were answered already, as automation
-// does that has forgotten its answer. The copy must be answered alike.
+// maybeResend sends some answered changes again to all members, like automation that lost its record
+// of the answer. The resend must get the same answer.
 func (change *change) maybeResend() {
 	world := change.operator.world
 	if !world.resendDecisions.Chance(world.options.ResendShare) {
@@ -170,7 +177,7 @@
 	})
 }
 
-// answeredAgain takes the answer to a copy of an answered change.
+// receiveResendAnswer handles the answer to the resend of an answered change.
 func (change *change) receiveResendAnswer(encoded []byte, err error) {
 	result, decodeErr := state.DecodeResult(encoded)
 	if err == nil && decodeErr == nil && result.Applied() {
@@ -179,15 +186,15 @@
 	}
 }
 
-// noteAccepted tells the checkers of an accepted change.
+// recordAccepted reports an accepted change to the checkers.
 func (world *World) recordAccepted(key string, result state.Result) {
 	world.run.Trace.Addf("operators", "accepted", "%s at revision %d", key, result.Revision)
 	world.checks.rollout.Committed(uint64(world.configurationRevision(result.Revision)), world.run.Elapsed())
 }
 
-// configured returns the revision of the configuration that an accepted change
-// left behind: its own, or an earlier one if the change is no part of what
-// nodes run, as that of a template. The member that answered has applied it.
+// configurationRevision returns the revision of the configuration after an accepted change: the
+// change's own, or an earlier one if the change is not part of what nodes run, such as a change of a
+// template. The member that answered has applied the change.
 func (world *World) configurationRevision(changed model.Revision) model.Revision {
 	latest := model.Revision(0)
 	for _, member := range world.members {
@@ -198,8 +205,8 @@
 	return min(changed, latest)
 }
 
-// call carries a command to a member and the answer back. Either may be lost
-// or doubled.
+// sendCommand sends a command to a member, and its answer back to the sender. The network may lose or
+// duplicate both.
 func (world *World) sendCommand(from kernel.Endpoint, receiver *member, command []byte, done func(result []byte, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
 		receiver.submit(command, func(result []byte, err error) {
@@ -211,21 +218,21 @@
 	})
 }
 
-// SetAnswerLoss loses a share of the answers to operators from now on.
+// SetAnswerLoss sets the share, from 0 to 1, of answers to operators that are lost from now on.
 func (world *World) SetAnswerLoss(share float64) { world.lostAnswerShare = share }
 
-// AcceptedResends returns how many changes were sent again after their answer and
-// accepted once more.
+// AcceptedResends returns how many answers to changes that were resent after their first answer said
+// again that the change was accepted.
 func (world *World) AcceptedResends() int { return world.acceptedResends }
 
-// submit hands a command to the member's consensus, if the process lives.
+// submit hands a command to the member's consensus. It does nothing if the process does not run.
 func (member *member) submit(command []byte, done func(result []byte, err error)) {
 	if !member.process.Running() || member.controller == nil {
 		return
 	}
 	incarnation := member.process.Incarnation()
 	member.controller.Submit(command, func(result []byte, err error) {
-		// An answer of a process that has died meanwhile was never sent.
+		// A process that ended in the meantime has not sent its answer.
 		if member.process.Running() && member.process.Incarnation() == incarnation {
 			done(result, err)
 		}
@@ -233,7 +240,7 @@
 	member.process.Wake()
 }
 
-// read asks a member for a linearizable read: it answers once leadership was
+// sendRead asks a member for a linearizable read. The member answers once its leadership has been
 // confirmed after the call.
 func (world *World) sendRead(from kernel.Endpoint, receiver *member, done func(view *state.View, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
@@ -252,8 +259,8 @@
 	})
 }
 
-// WriteParameter changes a service's queue limit to value, based on revision
-// base, and tells the checkers how it ended.
+// WriteParameter changes a service's queue limit to value, based on revision base, and reports the
+// outcome to the checkers.
 func (operator *Operator) WriteParameter(service *serviceHandle, base model.Revision, value uint64, done func(ChangeOutcome)) {
 	command := operator.world.putService(service, value)
 	command.Change = operator.nextChange(base)
@@ -272,7 +279,8 @@
 	})
 }
 
-// resultOf classifies an answer; zero means that nothing was decided.
+// resultOf classifies an outcome for the checkers. Zero means that the change was neither accepted nor
+// in conflict with another one.
 func resultOf(answer ChangeOutcome) checker.OperationResult {
 	switch {
 	case !answer.Known:
@@ -285,8 +293,8 @@
 	return 0
 }
 
-// ReadParameter reads a service's queue limit and revision. done gets false
-// when no answer came.
+// ReadParameter reads a service's queue limit and revision. done gets known as false if no answer
+// arrived or the read failed.
 func (operator *Operator) ReadParameter(service *serviceHandle, done func(value uint64, revision model.Revision, known bool)) {
 	called := operator.world.run.Elapsed()
 	target := operator.world.members[operator.memberIndex%len(operator.world.members)]
@@ -322,10 +330,10 @@
 	return state.ServiceKey{Tenant: service.tenant, Name: service.name}
 }
 
-// valueParameter is the template's parameter that operators change.
+// queueLimitParameter is the template's parameter that operators change.
 const queueLimitParameter = "queue"
 
-// parameterOf reads the value that the last accepted change gave.
+// queueLimitOf returns the queue limit that the last accepted change set, or 0.
 func queueLimitOf(record *state.ServiceRecord) uint64 {
 	for _, parameter := range record.Parameters {
 		if parameter.Name == queueLimitParameter {
@@ -346,17 +354,18 @@
 	return encoded
 }
 
-// Drain drains a target and waits for the answer. It tells the checkers when
-// the drain was accepted.
+// Drain drains a target, waits for the answer, and reports whether the drain was accepted. The
+// checkers then expect that the target gets no new work.
 func (operator *Operator) Drain(service int, name model.NodeName) bool {
 	return operator.setDrained(service, name, true)
 }
 
-// Undrain lets a drained target take new flows again.
+// Undrain lets a drained target take new flows again, and reports whether that was accepted.
 func (operator *Operator) Undrain(service int, name model.NodeName) bool {
 	return operator.setDrained(service, name, false)
 }
 
+// setDrained sends the change that drains or undrains a target, and reports whether it was accepted.
 func (operator *Operator) setDrained(service int, name model.NodeName, drained bool) bool {
 	key := operator.world.services[service].targetKey(name)
 	revision, target, known := operator.world.targetState(key)
@@ -388,7 +397,7 @@
 	return state.TargetKey{Tenant: service.tenant, Service: service.name, Name: string(name)}
 }
 
-// targetState returns a target's revision and ID as the leader has them.
+// targetState returns a target's revision and ID in the leader's state.
 func (world *World) targetState(key state.TargetKey) (model.Revision, model.TargetID, bool) {
 	leader, leads := world.AwaitLeader(changeTimeout)
 	if !leads {
@@ -398,7 +407,7 @@
 	return record.Revision, target.ID, known
 }
 
-// Await runs the world until condition holds; false when it never did.
+// Await runs the world until condition holds, and reports whether it did within limit.
 func (world *World) Await(limit time.Duration, condition func() bool) bool {
 	return world.waitFor(limit, condition)
 }
--- a/internal/sim/world/packet.go
+++ b/internal/sim/world/packet.go
@@ -7,7 +7,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// packet is one caller's packet, without bytes.
+// packet is a caller's packet, as fields instead of bytes.
 type packet struct {
 	flow  checker.FlowID
 	tuple model.FiveTuple
@@ -15,12 +15,12 @@
 	intended model.ServiceID
 	opening  bool
 	sequence uint64
-	// closing tells that the caller ends the flow.
+	// closing is true if the caller ends the flow.
 	closing bool
 	request *requestPayload
 }
 
-// request is one request of a caller, as carried by packets.
+// requestPayload is a caller's request, as carried by a packet.
 type requestPayload struct {
 	attempt     checker.AttemptID
 	key         string
@@ -29,7 +29,7 @@
 	deadline    time.Time
 }
 
-// forwarded is a packet on its way from a balancer along a chain of targets.
+// forwardedPacket is a packet on its way from a balancer along a chain of targets.
 type forwardedPacket struct {
 	packet     packet
 	service    model.ServiceID
@@ -43,39 +43,40 @@
 	balancer   model.NodeName
 }
 
-// hint tells a balancer which target owns a flow.
+// hint is an agent's message to a balancer about which target owns a flow.
 type hint struct {
 	tuple model.FiveTuple
 	owner model.TargetID
 }
 
-// answerKind tells what an answer to a packet says.
+// answerKind is the kind of an answer to a packet.
 type answerKind uint8
 
 const (
 	// answerEcho acknowledges a packet of a flow.
 	answerEcho answerKind = iota + 1
-	// answerReset tells that no target owns the flow.
+	// answerReset means that no target owns the flow.
 	answerReset
 	// answerResponse carries the back end's answer to a request.
 	answerResponse
-	// answerRefusal tells that a request was not run.
+	// answerRefusal means that a request was not run.
 	answerRefusal
-	// answerUnknown tells that a request may have run.
+	// answerUnknown means that a request may have run.
 	answerUnknown
-	// answerInProgress tells that another attempt of the request runs.
+	// answerInProgress means that another attempt of the request is running.
 	answerInProgress
 )
 
-// answer travels from an agent to a caller.
+// answer is an agent's message to a caller.
 type answer struct {
 	flow     checker.FlowID
 	kind     answerKind
 	sequence uint64
 	attempt  checker.AttemptID
-	// of is the attempt whose run the answer tells of.
+	// executedAttempt is the attempt whose run produced the response. It differs from attempt if the
+	// recorded outcome of another attempt is sent.
 	executedAttempt checker.AttemptID
-	// whole tells that a response has its full length.
+	// complete reports whether a response has its full length.
 	complete   bool
 	retryAfter time.Duration
 	place      checker.Place
--- a/internal/sim/world/parts.go
+++ b/internal/sim/world/parts.go
@@ -18,21 +18,19 @@
 	"merlinpaddle/internal/steering"
 )
 
-// Steerer decides about packets at an agent. *steering.Steering implements it.
+// Steerer decides what an agent does with a packet. *steering.Steering implements it.
 type Steerer interface {
 	Decide(now time.Time, input steering.Input) steering.Decision
 	Empty(at model.Revision) []model.BucketEmpty
 }
 
-// OwnerCache remembers the owners of flows at a balancer. *flow.Cache
-// implements it.
+// OwnerCache caches the owners of flows at a balancer. *flow.Cache implements it.
 type OwnerCache interface {
 	Lookup(hash uint64, tuple model.FiveTuple) (model.TargetID, bool)
 	Insert(hash uint64, tuple model.FiveTuple, owner model.TargetID)
 }
 
-// Claims claims requests that may run at most once. *claim.Tracker implements
-// it.
+// Claims claims the right to run requests that may run at most once. *claim.Tracker implements it.
 type Claims interface {
 	Name() string
 	Reconcile(now time.Time)
@@ -42,7 +40,7 @@
 	Forget(grant claim.Grant)
 }
 
-// Admission decides which request runs. *admission.Controller implements it.
+// Admission decides which requests run, wait or are refused. *admission.Controller implements it.
 type Admission interface {
 	Offer(now time.Time, request admission.Request) []admission.Decision
 	Forecast(now time.Time, request admission.Request) (admission.Decision, bool)
@@ -57,22 +55,22 @@
 	Current() *model.Configuration
 }
 
-// ReadConfirmer confirms that a member's state has every change that was
-// committed before the call. *replica.Controller implements it.
+// ReadConfirmer confirms that a member's state includes every change that was committed before the
+// call. *replica.Controller implements it.
 type ReadConfirmer interface {
 	ReadBarrier(done func(err error))
 }
 
-// ResponseKind is what an agent tells a caller after a run.
+// ResponseKind is the kind of response that an agent sends to a caller after a run.
 type ResponseKind uint8
 
 // The kinds of responses.
 const (
-	// ResponseAnswer passes the back end's answer on as whole.
+	// ResponseAnswer forwards the back end's answer as a complete one.
 	ResponseAnswer ResponseKind = iota + 1
-	// ResponseUnknown tells that the request may have run.
+	// ResponseUnknown means that the request may have run.
 	ResponseUnknown
-	// ResponseRefusal tells that the request was not run.
+	// ResponseRefusal means that the request was not run.
 	ResponseRefusal
 )
 
@@ -81,16 +79,16 @@
 	Kind ResponseKind
 	// Attempt is the attempt that is answered.
 	Attempt checker.AttemptID
-	// ExecutedAttempt is the attempt whose run the response tells of.
+	// ExecutedAttempt is the attempt whose run produced the response.
 	ExecutedAttempt checker.AttemptID
-	// Whole tells that the back end's body had its full length.
+	// Whole reports whether the back end's body had its full length.
 	Whole bool
 }
 
-// Parts are the pieces that the world composes. The standard parts are the
-// product's own; a variant replaces or wraps one of them.
+// Parts are the components that the world is composed of. The standard parts are the product's own. A
+// variant with a deliberate fault replaces or wraps one of them.
 type Parts struct {
-	// Chain turns a bucket into the chain that balancers send along.
+	// Chain returns the chain of targets along which balancers send the packets of a bucket.
 	Chain func(bucket model.Bucket) []model.TargetID
 	// Steering wraps an agent's steering.
 	Steering func(options steering.Options, standard Steerer) Steerer
@@ -100,30 +98,32 @@
 	Claims func(standard Claims) Claims
 	// Admission wraps an agent's admission.
 	Admission func(standard Admission) Admission
-	// GrantUsable reports whether a grant may still start a run.
+	// GrantUsable reports whether a request may still be started with a grant.
 	GrantUsable func(grant claim.Grant, now time.Time) bool
-	// LeaseValid reports whether a balancer's lease holds.
+	// LeaseValid reports whether a balancer's lease is valid.
 	LeaseValid func(lease *rollout.Lease, now time.Time) bool
-	// Draining tells whether an agent refuses new requests.
+	// Draining reports whether an agent refuses new requests because its target drains.
 	Draining func(configuration *model.Configuration, target model.TargetID) bool
-	// Machine wraps the replicated state of a member.
+	// Machine wraps a member's replicated state machine.
 	Machine func(standard replica.StateMachine) replica.StateMachine
 	// Disk wraps a member's disk.
 	Disk func(standard filesystem.FileSystem) filesystem.FileSystem
-	// Messages sees every message before it is sent.
+	// Messages filters every message between processes before it is sent, and returns the messages to
+	// send instead. A nil Messages filters nothing.
 	Messages kernel.MessageFilter
-	// Running returns the configuration that a balancer routes by.
+	// Running returns the configuration that a balancer routes packets with.
 	Running func(node model.NodeName, store *rollout.Store) *model.Configuration
-	// AfterRefusal sees a request after its refusal; the standard does nothing.
+	// AfterRefusal is called after a request was refused, with a function that runs the request at the
+	// back end nevertheless. The standard part does nothing.
 	AfterRefusal func(run func())
-	// ReadConfirmation wraps the confirmation of operators' reads at a member.
+	// ReadConfirmation wraps the check that a member makes before it answers an operator's read.
 	ReadConfirmation func(standard ReadConfirmer) ReadConfirmer
-	// Respond sees the response to a run before it is sent.
+	// Respond returns the response to send in place of the given one.
 	Respond func(response Response) Response
-	// Idle tells whether a target may be stopped, from its open flows and from
-	// whether no request runs or waits.
+	// Idle reports whether a target may be stopped, given the number of its open flows and whether it
+	// has no running or waiting request.
 	Idle func(flows int, requestsIdle bool) bool
-	// Direct are the parts of the world of direct services.
+	// Direct are the parts of directworld, the simulated world of direct services.
 	Direct directworld.Parts
 }
 
@@ -149,6 +149,7 @@
 	}
 }
 
+// drainingInConfiguration reports whether the configuration has the target in its draining phase.
 func drainingInConfiguration(configuration *model.Configuration, target model.TargetID) bool {
 	return configuration.Targets[target].Phase == model.PhaseDraining
 }
--- a/internal/sim/world/preset.go
+++ b/internal/sim/world/preset.go
@@ -7,7 +7,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// ServiceSize is one service of a preset.
+// ServiceSize describes one service of a preset and its number of targets.
 type ServiceSize struct {
 	Tenant   model.TenantName
 	Name     string
@@ -15,7 +15,7 @@
 	Targets  int
 }
 
-// Preset is the size of a simulated world.
+// Preset is the size and layout of a simulated world.
 type Preset struct {
 	Name  string
 	Zones []model.ZoneName
@@ -23,21 +23,21 @@
 	InterZoneDelay time.Duration
 	// IntraZoneDelay is the one-way delay inside a zone.
 	IntraZoneDelay time.Duration
-	// CallerDelay is the one-way delay between callers and any zone.
+	// CallerDelay is the one-way delay between callers or operators and any zone.
 	CallerDelay time.Duration
 	Services    []ServiceSize
-	// Slots is the number of requests that a back end runs at once.
+	// Slots is the number of requests that a back end runs concurrently.
 	Slots     int
 	Members   int
 	Relays    int
 	Balancers int
 }
 
-// callerZone is the zone of all callers and operators; it is never cut.
+// callerZone is the zone of all callers and operators. Scenarios never partition it.
 const callerZone model.ZoneName = "callers"
 
-// Metro is the preset of three close zones, with a service of 14 targets and
-// one of 4.
+// Metro returns the preset of three zones close to each other, with a service of 14 targets and one
+// of 4.
 func Metro() Preset {
 	return Preset{
 		Name:           "metro",
@@ -56,8 +56,7 @@
 	}
 }
 
-// Coastal is the preset of three zones farther apart, with a service of 14
-// targets and one of 4.
+// Coastal returns the preset of three zones farther apart, with a service of 14 targets and one of 4.
 func Coastal() Preset {
 	preset := Metro()
 	preset.Name = "coastal"
@@ -70,7 +69,7 @@
 	return preset
 }
 
-// Small is a world for scenarios about control alone.
+// Small returns a preset for scenarios that only concern the control members.
 func Small() Preset {
 	preset := Metro()
 	preset.Name = "small"
@@ -93,9 +92,10 @@
 	}
 }
 
-// zone spreads numbered processes over the zones.
+// zone returns the zone of a numbered process. Successive numbers take the zones in turn.
 func (preset Preset) zone(number int) model.ZoneName { return preset.Zones[number%len(preset.Zones)] }
 
+// numberedName returns a node name such as control-1.
 func numberedName(prefix string, number int) model.NodeName {
 	return model.NodeName(fmt.Sprintf("%s-%d", prefix, number))
 }
--- a/internal/sim/world/relay.go
+++ b/internal/sim/world/relay.go
@@ -18,7 +18,7 @@
 // messageEnvelope is a message between processes.
 type messageEnvelope = protocol.Envelope
 
-// relayNode is one relay: the product's controller on a simulated process.
+// relayNode simulates one relay: the product's controller on a simulated process.
 type relayNode struct {
 	world      *World
 	process    *kernel.Process
@@ -31,6 +31,7 @@
 	return created
 }
 
+// build starts a new incarnation with empty state.
 func (node *relayNode) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	node.controller = relay.NewController(relay.Options{
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -11,38 +11,39 @@
 	"merlinpaddle/internal/protocol"
 )
 
-// claimTimeout bounds the wait for a grant.
+// claimTimeout bounds the wait for the answer to a claim.
 const claimTimeout = 3 * time.Second
 
-// waitInDrain is how long requests wait for a slot after a drain began, as in
-// the product's agent.
+// maximumDrainWait is how long requests may wait for a slot after a drain has begun, as in the
+// product's agent.
 const maximumDrainWait = 2 * time.Second
 
-// requestDesk is how a simulated agent passes requests to its back end. It
-// takes the same steps as the product's request handler, which waits in
-// goroutines: forecast, claim, admission, check of the grant, run, record.
+// requestHandler passes requests from a simulated agent to its back end. It takes the same steps as
+// the product's request handler: forecast, claim, admission, check of the grant, run, record. The
+// product's handler waits in goroutines; this one continues in callbacks.
 type requestHandler struct {
 	instance      *agentInstance
 	admission     Admission
 	backend       *backend
 	lastRequestID admission.RequestID
-	// drainingSince is when the target began to drain, or zero.
+	// drainingSince is when the target began to drain, or zero if it does not drain.
 	drainingSince time.Time
-	// attempts has each attempt that came, so that a packet that was sent
-	// again is not a second attempt.
-	attempts          map[checker.AttemptID]*targetAttempt
+	// attempts has every attempt received, so that a packet that was sent again is not taken for a
+	// second attempt.
+	attempts map[checker.AttemptID]*targetAttempt
+	// attemptsByRequest has the attempts that wait for admission or run.
 	attemptsByRequest map[admission.RequestID]*targetAttempt
 }
 
-// deskAttempt is one attempt at one target.
+// targetAttempt is one attempt of a request, at one target.
 type targetAttempt struct {
 	flow    checker.FlowID
 	request requestPayload
-	// deadline is the request's deadline by the agent's own clock.
+	// deadline is the request's deadline on the agent's own clock.
 	deadline time.Time
 	grant    *claim.Grant
 	running  bool
-	// final is the answer once there is one.
+	// finalAnswer is the answer sent to the caller, or nil before that.
 	finalAnswer *answer
 }
 
@@ -68,11 +69,13 @@
 
 func (handler *requestHandler) stop() { handler.backend.stopped = true }
 
-// idle tells whether no request runs or waits.
+// idle reports whether no request runs or waits.
 func (handler *requestHandler) idle() bool {
 	return len(handler.attemptsByRequest) == 0 && handler.backend.running == 0
 }
 
+// reconcile closes admission maximumDrainWait after a drain has begun and opens it when the drain ends.
+// It then carries out admission's decisions that are due.
 func (handler *requestHandler) reconcile(now time.Time) {
 	switch {
 	case !handler.isDraining():
@@ -85,14 +88,14 @@
 	handler.applyDecisions(now, handler.admission.Reconcile(now))
 }
 
-// isDraining tells whether the target takes no new requests.
+// isDraining reports whether the target takes no new requests.
 func (handler *requestHandler) isDraining() bool {
 	instance := handler.instance
 	return instance.stopping || instance.agent.world.parts.Draining(instance.store.Current(), instance.target.ID)
 }
 
-// expire ends a run at its deadline: the caller learns that the request may
-// have run, and the back end's late answer is dropped with its connection.
+// expire ends a run at its deadline. The caller is told that the request may have run, and the back
+// end's answer, if it still arrives, is ignored.
 func (handler *requestHandler) expire(id admission.RequestID, attempt *targetAttempt) {
 	if attempt.finalAnswer != nil {
 		return
@@ -106,7 +109,8 @@
 	handler.applyDecisions(now, handler.admission.Finish(now, id, admission.ResultFailed))
 }
 
-// take handles a delivered packet that carries a request.
+// receive handles a delivered packet that carries a request. A repeated packet gets the same answer
+// again once there is one.
 func (handler *requestHandler) receive(now time.Time, incoming packet) {
 	if known, seen := handler.attempts[incoming.request.attempt]; seen {
 		if known.finalAnswer != nil {
@@ -128,8 +132,8 @@
 	handler.claim(now, attempt)
 }
 
-// claim asks for the right to run a request once, unless admission would
-// refuse it anyway.
+// claim asks for the right to run a request once, unless admission forecasts that it would refuse the
+// request anyway.
 func (handler *requestHandler) claim(now time.Time, attempt *targetAttempt) {
 	if decision, refused := handler.admission.Forecast(now, handler.admissionRequest(now, attempt, attempt.deadline)); refused {
 		handler.refuse(attempt, decision.RetryAfter)
@@ -149,6 +153,8 @@
 	return protocol.ClaimKey{Tenant: service.Tenant, Service: service.Name, Key: attempt.request.key}
 }
 
+// receiveClaimAnswer offers the request to admission if the claim was granted. Otherwise it answers
+// the attempt.
 func (handler *requestHandler) receiveClaimAnswer(attempt *targetAttempt, result claim.Answer) {
 	now := handler.instance.agent.process.LocalNow()
 	switch result.State {
@@ -168,8 +174,8 @@
 	}
 }
 
-// replay answers with the recorded outcome of another attempt, whose number
-// the body carries.
+// answerFromRecord answers with the recorded outcome of another attempt. The recorded body is the
+// number of that attempt.
 func (handler *requestHandler) answerFromRecord(attempt *targetAttempt, outcome *protocol.ClaimOutcome) {
 	if outcome == nil || outcome.Status == 0 {
 		handler.answerAttempt(attempt, answer{kind: answerUnknown})
@@ -182,6 +188,7 @@
 	handler.respond(attempt, checker.AttemptID(number), true)
 }
 
+// admissionRequest returns the request that admission decides about, with the next ID.
 func (handler *requestHandler) admissionRequest(now time.Time, attempt *targetAttempt, deadline time.Time) admission.Request {
 	return admission.Request{
 		ID:       handler.lastRequestID + 1,
@@ -192,6 +199,7 @@
 	}
 }
 
+// offer hands an attempt to admission, which runs, queues or refuses it.
 func (handler *requestHandler) offer(now time.Time, attempt *targetAttempt, deadline time.Time) {
 	offered := handler.admissionRequest(now, attempt, deadline)
 	handler.lastRequestID = offered.ID
@@ -199,7 +207,7 @@
 	handler.applyDecisions(now, handler.admission.Offer(now, offered))
 }
 
-// apply carries out the decisions of admission.
+// applyDecisions carries out the decisions of admission.
 func (handler *requestHandler) applyDecisions(now time.Time, decisions []admission.Decision) {
 	for _, decision := range decisions {
 		attempt, known := handler.attemptsByRequest[decision.ID]
@@ -216,7 +224,7 @@
 	}
 }
 
-// start runs a request. The grant is checked right before.
+// start runs a request. It checks immediately before whether the grant is still usable.
 func (handler *requestHandler) start(now time.Time, id admission.RequestID, attempt *targetAttempt) {
 	world := handler.instance.agent.world
 	if attempt.grant != nil && !world.parts.GrantUsable(*attempt.grant, now) {
@@ -236,8 +244,8 @@
 	})
 }
 
-// ended takes the back end's answer. One that is cut short has no outcome to
-// record: its claim stays taken, so that the request never runs again.
+// finishRun handles the back end's answer. A truncated answer has no outcome to record. Its claim is
+// not released, so that the request never runs again.
 func (handler *requestHandler) finishRun(id admission.RequestID, attempt *targetAttempt, complete bool) {
 	if attempt.finalAnswer != nil {
 		return
@@ -258,8 +266,8 @@
 	handler.applyDecisions(now, handler.admission.Finish(now, id, admission.ResultAnswered))
 }
 
-// respond passes on the answer of the run of the attempt called of. Of a short
-// answer the caller learns only that the request may have run.
+// respond forwards the answer that the run of executedAttempt produced. For a truncated answer the
+// caller is told only that the request may have run.
 func (handler *requestHandler) respond(attempt *targetAttempt, executedAttempt checker.AttemptID, complete bool) {
 	response := Response{Kind: ResponseAnswer, Attempt: attempt.request.attempt, ExecutedAttempt: executedAttempt, Whole: complete}
 	if !complete {
@@ -276,6 +284,7 @@
 	}
 }
 
+// release gives the attempt's grant back, if it has one, because the request was not run.
 func (handler *requestHandler) release(now time.Time, attempt *targetAttempt) {
 	if attempt.grant != nil {
 		handler.instance.claims.Release(now, *attempt.grant)
@@ -288,6 +297,7 @@
 	handler.instance.agent.world.parts.AfterRefusal(func() { handler.backend.run(attempt.request, func(bool) {}) })
 }
 
+// answerAttempt sends the final answer to an attempt and keeps it for repeated packets.
 func (handler *requestHandler) answerAttempt(attempt *targetAttempt, final answer) {
 	final.flow = attempt.flow
 	final.attempt = attempt.request.attempt
--- a/internal/sim/world/reuse.go
+++ b/internal/sim/world/reuse.go
@@ -7,11 +7,11 @@
 	"merlinpaddle/internal/state"
 )
 
-// lateSending is how long callers of a removed service go on sending.
+// orphanedSendingTime is how long callers continue to send on the flows of a deleted service.
 const orphanedSendingTime = 4 * time.Second
 
-// DeleteService removes a service at once, with its flows. Its callers do not
-// know and go on sending for a while.
+// DeleteService deletes a service at once, together with its flows, and reports whether that was
+// accepted. Its callers are not informed and continue to send for a while.
 func (operator *Operator) DeleteService(index int) bool {
 	world := operator.world
 	service := world.services[index]
@@ -30,8 +30,8 @@
 	return operator.sendAndWait(command, command.Key)
 }
 
-// TakeOverAddress gives the address and the machines of a removed service to
-// a service of another tenant.
+// TakeOverAddress creates a service of another tenant with the address and the machines of a deleted
+// service, and reports whether that was accepted.
 func (operator *Operator) TakeOverAddress(index int, tenant model.TenantName, name string) bool {
 	world := operator.world
 	service := world.services[index]
@@ -50,7 +50,8 @@
 	return applied
 }
 
-// await sends a command and runs the world until its answer.
+// sendAndWait sends a command, runs the world until it is answered, and reports whether the change was
+// accepted.
 func (operator *Operator) sendAndWait(command state.Command, key string) bool {
 	answered, applied := false, false
 	operator.send(command, key, func(answer ChangeOutcome) {
@@ -61,8 +62,8 @@
 	return applied
 }
 
-// orphan ends what the checkers expect of a service's flows. The callers go on
-// sending on them as if nothing had happened.
+// orphanFlows ends what the checkers expect of the flows of a service that is being deleted. The
+// callers continue to send on them, and ignore resets.
 func (callers *callers) orphanFlows(service *serviceHandle) {
 	flows := callers.openFlows[service.id]
 	callers.openFlows[service.id] = nil
@@ -74,12 +75,12 @@
 	}
 	for _, flow := range callers.flows {
 		if flow.service == service && !flow.opened && !flow.ended {
-			// What opens a flow after the address changed hands is a packet of
-			// the new service, whatever its caller believes.
+			// A packet that opens a flow once the address belongs to a new service is for that
+			// service, even if its caller means the deleted one.
 			flow.ended = true
 			callers.world.checks.flows.Closed(flow.id)
 		}
 	}
-	// No new flow begins until the address has a service again.
+	// Without an ID, no new flow begins until the address has a service again.
 	service.id = 0
 }
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// firstValue is the queue limit that services start with.
+	// initialQueueLimit is the queue limit that services start with.
 	initialQueueLimit = 64
-	// setupTime bounds the virtual time until the world serves.
+	// setupTimeout bounds the virtual time until all nodes serve.
 	setupTimeout = 40 * time.Second
-	// setupStep is how often setup looks whether the world serves.
+	// pollInterval is the virtual time between two checks of a condition that the world waits for.
 	pollInterval = 100 * time.Millisecond
-	// settleTime lets leases, targets and loads come into place.
+	// settleTime is the time in which leases, targets and loads settle before the load begins.
 	settleTime = 8 * time.Second
 )
 
-// Start starts all processes, creates the services and waits until every
-// balancer serves them. It returns false, and reports it, when that fails.
+// Start starts all processes, creates the services and waits until every balancer and agent serves
+// them. If that fails, it reports a violation and returns false.
 func (world *World) Start() bool {
 	world.StartControl()
 	for _, relay := range world.relays {
@@ -54,7 +54,7 @@
 	}
 }
 
-// waitFor runs the world until condition holds; false when it never did.
+// waitFor runs the world until condition holds, and reports whether it did within limit.
 func (world *World) waitFor(limit time.Duration, condition func() bool) bool {
 	for waited := time.Duration(0); waited < limit; waited += pollInterval {
 		if condition() {
@@ -65,7 +65,7 @@
 	return condition()
 }
 
-// allServe tells whether every balancer and agent runs all services.
+// allNodesServe reports whether every balancer has all services and every agent has found its target.
 func (world *World) allNodesServe() bool {
 	for _, balancer := range world.balancers {
 		if len(balancer.store.Current().Services) < len(world.services) {
@@ -80,9 +80,10 @@
 	return true
 }
 
-// sampleInterval is how often the balancers' leases are looked at.
+// sampleInterval is how often the balancers' leases are sampled.
 const sampleInterval = 250 * time.Millisecond
 
+// startSampling begins to sample the balancers' leases for the checkers.
 func (world *World) startSampling() {
 	world.run.Scheduler.Every(sampleInterval, func() bool {
 		world.checks.sample()
@@ -90,7 +91,8 @@
 	})
 }
 
-// CreateServices makes the template, the tenants and the services.
+// CreateServices creates the templates, the tenants and the services one after the other, and reports
+// whether all were accepted.
 func (world *World) CreateServices() bool {
 	operator := world.NewOperator("setup")
 	var steps []func(done func(ChangeOutcome))
@@ -123,6 +125,7 @@
 	return world.waitFor(setupTimeout, func() bool { return finished }) && created
 }
 
+// createSteps returns the steps that create a service: its tenant and the service itself.
 func (world *World) createSteps(operator *Operator, service *serviceHandle) []func(done func(ChangeOutcome)) {
 	return []func(done func(ChangeOutcome)){
 		func(done func(ChangeOutcome)) {
@@ -133,7 +136,7 @@
 	}
 }
 
-// createService creates a service and remembers its ID and revision.
+// createService creates a service and stores its ID and revision in the handle.
 func (world *World) createService(operator *Operator, service *serviceHandle, done func(ChangeOutcome)) {
 	command := world.putService(service, initialQueueLimit)
 	command.Change = operator.nextChange(0)
@@ -147,7 +150,8 @@
 	})
 }
 
-// putService returns the command that gives a service its targets and value.
+// putService returns the command that sets a service's address, its targets, and value as its queue
+// limit.
 func (world *World) putService(service *serviceHandle, value uint64) state.PutService {
 	return state.PutService{
 		Tenant:   service.tenant,
@@ -161,6 +165,7 @@
 	}
 }
 
+// targetParameters returns the service's targets that are not removed at present.
 func (service *serviceHandle) targetParameters() []state.TargetParameter {
 	var parameters []state.TargetParameter
 	for _, target := range service.targets {
@@ -179,7 +184,7 @@
 	return "standard-" + string(state.NameOfProtocol(protocol))
 }
 
-// template is the template of services of one protocol.
+// template returns the template of the services of one protocol.
 func template(protocol model.Protocol) state.TemplateSpec {
 	spec := state.TemplateSpec{
 		Protocol: state.NameOfProtocol(protocol),
--- a/internal/sim/world/targets.go
+++ b/internal/sim/world/targets.go
@@ -6,12 +6,12 @@
 	"merlinpaddle/internal/model"
 )
 
-// valueOfTargetChange is the first of the values that changes of the list of
-// targets write, apart from those of racing operators.
+// firstTargetChangeValue is the first queue limit that changes of the list of targets write. It is
+// high enough that these values differ from those that racing operators write.
 const firstTargetChangeValue = 900_000_000
 
-// RemoveTarget takes a target out of the list that its service's parameters
-// have. It drains the target.
+// RemoveTarget removes a target from the list in its service's parameters, which drains the target. It
+// reports whether the change was accepted.
 func (operator *Operator) RemoveTarget(service int, name model.NodeName) bool {
 	handle := operator.world.services[service]
 	_, target, known := operator.world.targetState(handle.targetKey(name))
@@ -26,7 +26,7 @@
 	return true
 }
 
-// AddTarget lists a removed target again.
+// AddTarget adds a removed target to the list again, and reports whether the change was accepted.
 func (operator *Operator) AddTarget(service int, name model.NodeName) bool {
 	handle := operator.world.services[service]
 	if _, target, known := operator.world.targetState(handle.targetKey(name)); known {
@@ -36,7 +36,8 @@
 	return operator.writeTargets(handle)
 }
 
-// writeTargets writes the parameters of a service until a change is accepted.
+// writeTargets writes the parameters of a service until a change is accepted or changeTimeout has
+// passed, and reports whether one was.
 func (operator *Operator) writeTargets(service *serviceHandle) bool {
 	ended, accepted := false, false
 	var attempt func()
--- a/internal/sim/world/world.go
+++ b/internal/sim/world/world.go
@@ -1,7 +1,7 @@
-// Package world composes a whole system for simulation: control members,
-// relays, balancers, agents with back ends, the fabric, callers and operators.
-// The controllers and decision functions are the product's own; the clock, the
-// network, the disks, the packets and the outside world are simulated.
+// Package world composes a complete system for simulation: control members, relays, balancers, agents
+// with back ends, the network fabric, callers and operators. The controllers and decision functions
+// are the product's own. The clock, the network, the disks, the packets, and everything outside the
+// product are simulated.
 package world
 
 import (
@@ -15,7 +15,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Options say how a world is built.
+// Options describes how a world is built.
 type Options struct {
 	Preset Preset
 	Parts  Parts
@@ -24,28 +24,26 @@
 	SnapshotEvery int
 	SegmentBytes  int64
 	ChunkBytes    int
-	// BalancerListLag is how late the fabric's list of balancers is.
+	// BalancerListLag is the lag of the fabric's list of live balancers.
 	BalancerListLag time.Duration
-	// Faults are those of all links.
+	// Faults are the faults of all control links.
 	Faults kernel.LinkFaults
-	// PacketFaults are those of callers' packets and answers.
+	// PacketFaults are the faults of callers' packets and of the answers to them.
 	PacketFaults kernel.LinkFaults
-	// ReportLag is how old the loads and empty buckets in heartbeats are.
+	// ReportLag is the age of the loads and empty buckets in heartbeats.
 	ReportLag time.Duration
-	// UpdateDelay bounds the random time for which each update to a balancer
-	// or agent is held back.
+	// UpdateDelay bounds the random delay of each update to a balancer or agent.
 	UpdateDelay time.Duration
-	// MachineListLag is how late the platform's list is that control reads;
-	// zero means machineListLag.
+	// MachineListLag is the lag of the platform's list of live machines that control members read.
+	// Zero means defaultMachineListLag.
 	MachineListLag time.Duration
-	// FlowIdleTimeout is the agents' idle time of flows; zero means a short
-	// one, so that short runs show what happens after it.
+	// FlowIdleTimeout is the idle time after which agents remove a flow. Zero means a short one, so
+	// that short runs also cover what happens after it.
 	FlowIdleTimeout time.Duration
-	// ResendShare is the share of answered changes that their operator sends once
-	// more.
+	// ResendShare is the share of answered changes that their operator sends again.
 	ResendShare float64
-	// StalledRequestShare is the share of requests that back ends answer after their
-	// caller has given up.
+	// StalledRequestShare is the share of requests that back ends answer only after their caller has
+	// given up.
 	StalledRequestShare float64
 }
 
@@ -69,18 +67,19 @@
 	services        []*serviceHandle
 	checks          *checks
 	reportLag       *reportLag
-	// uneven draws the delays of updates, and resending what operators repeat.
+	// updateDelays draws the delays of updates. resendDecisions draws which changes operators resend,
+	// when they do, and which answers to operators are lost.
 	updateDelays    *kernel.Random
 	resendDecisions *kernel.Random
-	// lostAnswers is the share of answers to operators that are lost.
+	// lostAnswerShare is the share of answers to operators that are lost.
 	lostAnswerShare float64
-	// resent counts the changes that were sent again after their answer.
+	// acceptedResends counts the answers that said again, after a resend, that a change was accepted.
 	acceptedResends int
-	// racers counts the operators that race or raced.
+	// racingOperators counts the operators that StartRacingOperators has ever started.
 	racingOperators int
-	// pendingChanges counts the operators' changes that have no end yet.
+	// pendingChanges counts the operators' changes whose outcome is not decided yet.
 	pendingChanges int
-	// machineList is the platform's list as control reads it.
+	// machineList is the platform's list of live machines, as control members read it.
 	machineList *machineList
 }
 
@@ -128,6 +127,8 @@
 	}
 }
 
+// addService adds a service of the preset with its agents. Both get addresses from the ranges reserved
+// for documentation.
 func (world *World) addService(index int, size ServiceSize) {
 	service := &serviceHandle{
 		tenant:   size.Tenant,
@@ -148,7 +149,8 @@
 	world.services = append(world.services, service)
 }
 
-// filterMessage applies the variant's filter and the lag of reports.
+// filterMessage applies the lag of reports and then the variant's filter, and returns the messages to
+// send.
 func (world *World) filterMessage(envelope messageEnvelope) []messageEnvelope {
 	envelope = world.reportLag.delayReport(envelope)
 	if world.parts.Messages == nil {
@@ -157,7 +159,7 @@
 	return world.parts.Messages(envelope)
 }
 
-// note tells a watcher what happened to a packet of a flow.
+// watchPacket reports an event of a flow's packet to the run's watcher, if it has one.
 func (world *World) watchPacket(flow checker.FlowID, format string, arguments ...any) {
 	if world.run.Watch != nil {
 		world.run.Watch(uint64(flow), fmt.Sprintf(format, arguments...))
@@ -175,7 +177,7 @@
 	return names
 }
 
-// relayNames lists the relays for a node: its own zone's first.
+// relayNames returns the relays in a node's order of preference: first those in its own zone.
 func (world *World) relayNames(zone model.ZoneName) []model.NodeName {
 	var local, remote []model.NodeName
 	for _, relay := range world.relays {
@@ -188,7 +190,7 @@
 	return append(local, remote...)
 }
 
-// forward sends a packet to the agent of a target, as a configuration has it.
+// forward sends a packet to the agent address that a configuration has for a target.
 func (world *World) forward(from kernel.Endpoint, configuration *model.Configuration, next model.TargetID, forwarded forwardedPacket) {
 	target, known := configuration.Targets[next]
 	if !known {
@@ -201,7 +203,7 @@
 	world.packets.Send(from, receiver.process.Endpoint, func() { receiver.receive(forwarded) })
 }
 
-// sendHint tells the balancer that sent a packet which target owns its flow.
+// sendHint tells the balancer that sent a packet which target owns the packet's flow.
 func (world *World) sendHint(instance *agentInstance, forwarded forwardedPacket) {
 	for _, candidate := range world.balancers {
 		if candidate.process.Name == forwarded.balancer {
@@ -212,18 +214,18 @@
 	}
 }
 
-// answerCaller carries an answer past the balancers.
+// answerCaller sends an answer to its caller without passing a balancer.
 func (world *World) answerCaller(from kernel.Endpoint, reply answer) {
 	world.packets.Send(from, world.callers.endpoint, func() { world.callers.receive(reply) })
 }
 
-// serviceHandle is a service as scenarios and callers name it.
+// serviceHandle is a service as scenarios and callers refer to it.
 type serviceHandle struct {
 	tenant   model.TenantName
 	name     string
 	protocol model.Protocol
 	address  netip.AddrPort
-	// id is the service's present ID, once it was created.
+	// id is the service's current ID, or 0 while the address has no service.
 	id       model.ServiceID
 	revision model.Revision
 	targets  []targetHandle
@@ -231,7 +233,7 @@
 	removed map[model.NodeName]bool
 }
 
-// targetHandle is a target as scenarios name it.
+// targetHandle is a target as scenarios refer to it.
 type targetHandle struct {
 	name    model.NodeName
 	zone    model.ZoneName
