--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -223,7 +223,7 @@
 	callers.world.run.Scheduler.After(openingRetryInterval, func() { callers.send(flow, packet{closing: true}) })
 }
 
-// endFlow removes a flow from the open flows of its service.
+// endFlow marks a flow as ended and removes it from the open flows of its service.
 func (callers *callers) endFlow(flow *callerFlow) {
 	flow.ended = true
 	remaining := callers.openFlows[flow.intended][:0]
--- a/internal/sim/world/lag.go
+++ b/internal/sim/world/lag.go
@@ -27,11 +27,11 @@
 	return false
 }
 
-// reportLag replaces the loads and empty buckets in heartbeats by those of lag earlier. The node's
+// reportLag replaces the loads and empty buckets in heartbeats by those of age earlier. The node's
 // liveness and the revision that it runs stay current.
 type reportLag struct {
 	scheduler *kernel.Scheduler
-	lag       time.Duration
+	age       time.Duration
 	history   map[model.NodeName][]reportedAt
 }
 
@@ -44,28 +44,28 @@
 }
 
 func newReportLag(scheduler *kernel.Scheduler, lag time.Duration) *reportLag {
-	return &reportLag{scheduler: scheduler, lag: lag, history: make(map[model.NodeName][]reportedAt)}
+	return &reportLag{scheduler: scheduler, age: lag, history: make(map[model.NodeName][]reportedAt)}
 }
 
-// delayReport returns the message with the latest report that is at least lag old, or without a
+// delayReport returns the message with the latest report that is at least age old, or without a
 // report if there is none of the same incarnation.
 func (lag *reportLag) delayReport(envelope messageEnvelope) messageEnvelope {
 	heartbeat, isHeartbeat := envelope.Message.(protocol.Heartbeat)
-	if !isHeartbeat || lag.lag == 0 {
+	if !isHeartbeat || lag.age == 0 {
 		return envelope
 	}
 	now := lag.scheduler.Now()
 	history := append(lag.history[envelope.From], reportedAt{
 		at: now, incarnation: heartbeat.Incarnation, load: heartbeat.Load, empty: heartbeat.Empty,
 	})
-	for len(history) > 1 && !history[1].at.After(now.Add(-lag.lag)) {
+	for len(history) > 1 && !history[1].at.After(now.Add(-lag.age)) {
 		history = history[1:]
 	}
 	lag.history[envelope.From] = history
 	heartbeat.Load = nil
 	heartbeat.Empty = nil
 	oldest := history[0]
-	if oldest.incarnation == heartbeat.Incarnation && !oldest.at.After(now.Add(-lag.lag)) {
+	if oldest.incarnation == heartbeat.Incarnation && !oldest.at.After(now.Add(-lag.age)) {
 		heartbeat.Load = oldest.load
 		heartbeat.Empty = oldest.empty
 	}
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -75,7 +75,7 @@
 }
 
 // reconcile closes admission maximumDrainWait after a drain has begun and opens it when the drain ends.
-// It then carries out admission's decisions that are due.
+// It also carries out the decisions that admission makes as time passes.
 func (handler *requestHandler) reconcile(now time.Time) {
 	switch {
 	case !handler.isDraining():
@@ -94,8 +94,8 @@
 	return instance.stopping || instance.agent.world.parts.Draining(instance.store.Current(), instance.target.ID)
 }
 
-// expire ends a run at its deadline. The caller is told that the request may have run, and the back
-// end's answer, if it still arrives, is ignored.
+// expire ends a run at its deadline. The caller is told that the request may have run. A later answer
+// of the back end is dropped, as the product drops it by closing the connection.
 func (handler *requestHandler) expire(id admission.RequestID, attempt *targetAttempt) {
 	if attempt.finalAnswer != nil {
 		return
