--- a/internal/sim/world/balancer.go
+++ b/internal/sim/world/balancer.go
@@ -18,23 +18,23 @@
 	nodeInterval      = 50 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
 	cacheFlows        = 512
-	// frozenPackets is how many packets wait in a frozen process's socket.
-	frozenPackets = 64
+	// maximumQueuedPackets is the number of packets that fit into a frozen process's socket buffer.
+	maximumQueuedPackets = 64
 )
 
-// balancer is one balancer: the product's subscriber, cache and routing on a
+// balancer simulates one balancer: the product's subscriber, cache of flow owners and routing on a
 // simulated process.
 type balancer struct {
 	world   *World
 	process *kernel.Process
-	// listed tells that the platform's list has the machine.
+	// listed reports whether the machine is in the platform's list, to which the fabric sends.
 	listed bool
 	store  *rollout.Store
 	lease  *rollout.Lease
 	cache  OwnerCache
-	// waiting are packets that came while the process was frozen.
-	waiting    []packet
-	subscriber *rollout.Subscriber
+	// queuedPackets are packets that arrived while the process was frozen.
+	queuedPackets []packet
+	subscriber    *rollout.Subscriber
 }
 
 func newBalancer(world *World, name model.NodeName, zone model.ZoneName) *balancer {
@@ -45,12 +45,13 @@
 	return created
 }
 
+// build starts a new incarnation with empty state.
 func (balancer *balancer) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	balancer.store = rollout.NewStore()
 	balancer.lease = rollout.NewLease()
 	balancer.cache = balancer.world.parts.Cache(flow.NewCache(cacheFlows))
-	balancer.waiting = nil
+	balancer.queuedPackets = nil
 	balancer.subscriber = rollout.NewSubscriber(rollout.SubscriberOptions{
 		Self:              balancer.process.Name,
 		Role:              model.RoleBalancer,
@@ -68,31 +69,32 @@
 // Name implements board.Controller.
 func (balancer *balancer) Name() string { return "packets" }
 
-// Reconcile implements board.Controller: it handles the packets that came
-// while the process was frozen.
+// Reconcile implements board.Controller: it routes the packets that arrived while the process was
+// frozen.
 func (balancer *balancer) Reconcile(time.Time) {
-	waiting := balancer.waiting
-	balancer.waiting = nil
-	for _, one := range waiting {
-		balancer.route(one)
+	queued := balancer.queuedPackets
+	balancer.queuedPackets = nil
+	for _, incoming := range queued {
+		balancer.route(incoming)
 	}
 }
 
-// receive takes a packet from the fabric.
-func (balancer *balancer) receive(one packet) {
+// receive routes a packet from the fabric, or queues it while the process is frozen. Further packets
+// are lost.
+func (balancer *balancer) receive(incoming packet) {
 	switch {
 	case balancer.process.Active():
-		balancer.route(one)
-	case balancer.process.Frozen() && len(balancer.waiting) < frozenPackets:
-		balancer.waiting = append(balancer.waiting, one)
+		balancer.route(incoming)
+	case balancer.process.Frozen() && len(balancer.queuedPackets) < maximumQueuedPackets:
+		balancer.queuedPackets = append(balancer.queuedPackets, incoming)
 	}
 }
 
-// route sends a packet to the flow's owner if the cache has it, and otherwise
-// along the chain of its bucket.
-func (balancer *balancer) route(one packet) {
+// route sends a packet along the chain of its bucket, starting at the flow's owner if the cache
+// knows it and at the first target otherwise. It drops packets without a service or a chain.
+func (balancer *balancer) route(incoming packet) {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
-	service, known := serviceAt(configuration, one.tuple)
+	service, known := serviceAt(configuration, incoming.tuple)
 	if !known {
 		return
 	}
@@ -100,26 +102,27 @@
 	if table == nil || table.Count() == 0 {
 		return
 	}
-	hash := routing.FlowHash(one.tuple)
+	hash := routing.FlowHash(incoming.tuple)
 	chain := balancer.world.parts.Chain(table.Bucket(routing.BucketOf(hash, table.Count())))
 	if len(chain) == 0 {
 		return
 	}
-	position := balancer.startAt(hash, one.tuple, chain)
-	balancer.world.note(one.flow, "%s sends packet %d along %v from %d at revision %d",
-		balancer.process.Name, one.sequence, chain, position, configuration.Revision)
-	balancer.world.forward(balancer.process.Endpoint, configuration, chain[position], forwarded{
-		packet:   one,
+	position := balancer.startPosition(hash, incoming.tuple, chain)
+	balancer.world.watchPacket(incoming.flow, "%s sends packet %d along %v from %d at revision %d",
+		balancer.process.Name, incoming.sequence, chain, position, configuration.Revision)
+	balancer.world.forward(balancer.process.Endpoint, configuration, chain[position], forwardedPacket{
+		packet:   incoming,
 		service:  service.ID,
 		revision: configuration.Revision,
-		opening:  one.opening,
+		opening:  incoming.opening,
 		chain:    chain,
 		position: position,
 		balancer: balancer.process.Name,
 	})
 }
 
-func (balancer *balancer) startAt(hash uint64, tuple model.FiveTuple, chain []model.TargetID) int {
+// startPosition returns the index in chain of the flow's cached owner, or 0.
+func (balancer *balancer) startPosition(hash uint64, tuple model.FiveTuple, chain []model.TargetID) int {
 	owner, cached := balancer.cache.Lookup(hash, tuple)
 	if !cached {
 		return 0
@@ -127,19 +130,20 @@
 	return max(slices.Index(chain, owner), 0)
 }
 
-// learn takes a hint from an agent.
-func (balancer *balancer) learn(one hint) {
+// receiveHint caches the owner of a flow that an agent reported.
+func (balancer *balancer) receiveHint(received hint) {
 	if balancer.process.Active() {
-		balancer.cache.Insert(routing.FlowHash(one.tuple), one.tuple, one.owner)
+		balancer.cache.Insert(routing.FlowHash(received.tuple), received.tuple, received.owner)
 	}
 }
 
-// observe tells the checkers what the node runs.
+// observe reports the configuration that the node runs to the checkers.
 func (balancer *balancer) observe() {
 	configuration := balancer.world.parts.Running(balancer.process.Name, balancer.store)
-	balancer.world.check.observeNode(balancer.process, configuration)
+	balancer.world.checks.observeNode(balancer.process, configuration)
 }
 
+// serviceAt returns the service at the destination of a packet, and reports whether there is one.
 func serviceAt(configuration *model.Configuration, tuple model.FiveTuple) (model.Service, bool) {
 	for _, service := range configuration.Services {
 		if service.Address == tuple.Destination && service.Protocol == tuple.Protocol {
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// convergeTime bounds the time in which a healed world must agree again.
-	convergeTime = 30 * time.Second
-	// answerTime is how long callers are given to get their last answers.
-	answerTime = requestTimeout + answerGrace + 2*time.Second
-	// silenceTime is the time in which a flow sends more packets than it may
-	// lose.
+	// convergenceTimeout bounds the time within which nodes must agree again once all faults ended.
+	convergenceTimeout = 30 * time.Second
+	// answerTimeout is how long callers may take to get their last answers.
+	answerTimeout = requestTimeout + answerGrace + 2*time.Second
+	// silenceTime is a time in which a flow sends more packets than it may lose.
 	silenceTime = 6 * time.Second
 )
 
-// RaceOperators lets count operators change the parameter of every service
-// until the returned function is called. They read, pause, and write based on
-// what they read, so that several write with the same revision.
-func (world *World) RaceOperators(count int, pause time.Duration) (stop func()) {
+// StartRacingOperators starts count operators that change a parameter of random services until the
+// returned function is called. They read, pause, and write based on the revision that they read, so
+// that several of them write with the same base revision. pause is the mean time between two changes
+// of an operator.
+func (world *World) StartRacingOperators(count int, pause time.Duration) (stop func()) {
 	stopped := false
 	for range count {
-		// Each operator has keys of its own, also over several races.
-		world.racers++
-		number := world.racers
+		// Operators of later calls get other numbers, so that no two operators share a key.
+		world.racingOperators++
+		number := world.racingOperators
 		operator := world.NewOperator(string(numberedName("operator", number)))
 		var next func()
 		next = func() {
@@ -42,7 +42,7 @@
 				}
 				world.run.Scheduler.After(operator.random.Exponential(pause/4), func() {
 					value := uint64(number)*1_000_000 + uint64(operator.changes)
-					operator.WriteParameter(service, revision, value, func(Answer) {
+					operator.WriteParameter(service, revision, value, func(ChangeOutcome) {
 						world.run.Scheduler.After(operator.random.Exponential(pause), next)
 					})
 				})
@@ -53,23 +53,24 @@
 	return func() { stopped = true }
 }
 
-// FinishControl waits until the members that run agree, compares their states,
-// and checks the operators' whole history against what is left.
+// FinishControl waits until the running members agree, compares their states, and checks that the
+// complete history of the operators' changes is linearizable and ends in the final state.
 func (world *World) FinishControl() {
-	ended := world.waitFor(operatorPatience+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
+	ended := world.waitFor(changeTimeout+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
 	world.CheckProgress(ended, "%d changes have no end", world.pendingChanges)
-	if !world.waitFor(convergeTime, world.membersAgree) {
+	if !world.waitFor(convergenceTimeout, world.membersAgree) {
 		world.run.Report.Add(checker.InvariantProgress, world.run.Elapsed(), "members did not converge: %s", world.memberSummary())
 		return
 	}
 	for _, member := range world.runningMembers() {
 		status := member.Status()
-		world.check.replicas.State(string(member.process.Name), uint64(status.Applied), member.machine.Digest(), world.run.Elapsed())
+		world.checks.replicas.State(string(member.process.Name), uint64(status.Applied), member.machine.Digest(), world.run.Elapsed())
 	}
 	world.finalReads()
-	world.check.operators.CheckLinearizable()
+	world.checks.operators.CheckLinearizable()
 }
 
+// runningMembers returns the members that run, are not frozen, and belong to the group.
 func (world *World) runningMembers() []*member {
 	var running []*member
 	for _, member := range world.members {
@@ -80,6 +81,8 @@
 	return running
 }
 
+// membersAgree reports whether a majority runs, one leads, and all that run have applied what the
+// leader committed.
 func (world *World) membersAgree() bool {
 	running := world.runningMembers()
 	leader, leads := world.Leader()
@@ -95,6 +98,7 @@
 	return true
 }
 
+// memberSummary describes every member's state for the report of a violation.
 func (world *World) memberSummary() string {
 	summary := ""
 	for _, member := range world.members {
@@ -112,7 +116,8 @@
 	return summary
 }
 
-// finalReads reads every service from the leader.
+// finalReads gives the leader's final state of every service and of every target that drains to the
+// checkers.
 func (world *World) finalReads() {
 	leader, leads := world.Leader()
 	if !leads {
@@ -125,31 +130,32 @@
 			world.run.Report.Add(checker.InvariantCommittedKept, world.run.Elapsed(), "service %s is lost", service.name)
 			continue
 		}
-		world.check.operators.Final(service.name, parameterOf(record), uint64(record.Revision), world.run.Elapsed())
+		world.checks.operators.Final(service.name, queueLimitOf(record), uint64(record.Revision), world.run.Elapsed())
 	}
-	for _, target := range world.check.drain.Leaving() {
+	for _, target := range world.checks.drain.Leaving() {
 		known, exists := view.Configuration.Targets[model.TargetID(target)]
 		serving := exists && known.Phase == model.PhaseServing
-		world.check.drain.CheckKept(target, serving, world.run.Elapsed())
+		world.checks.drain.CheckKept(target, serving, world.run.Elapsed())
 	}
 }
 
-// FinishNodes waits until all running balancers and agents run the committed
-// configuration.
+// FinishNodes waits until all running balancers and agents run the committed configuration, and
+// checks that balancers held leases often enough.
 func (world *World) FinishNodes() {
-	converged := world.waitFor(convergeTime, func() bool { return len(world.lagging()) == 0 })
+	converged := world.waitFor(convergenceTimeout, func() bool { return len(world.laggingNodes()) == 0 })
 	if !converged {
-		world.run.Report.Add(checker.InvariantInForce, world.run.Elapsed(), "nodes did not converge: %v", world.lagging())
+		world.run.Report.Add(checker.InvariantInForce, world.run.Elapsed(), "nodes did not converge: %v", world.laggingNodes())
 	}
-	share := world.check.rollout.LeasedShare()
-	world.CheckProgress(share >= leastLeasedShare, "balancers held leases in %.2f of all looks", share)
+	share := world.checks.rollout.LeasedShare()
+	world.CheckProgress(share >= minimumLeasedShare, "balancers held leases in %.2f of all looks", share)
 }
 
-// leastLeasedShare is the share of looks at a balancer in which it must hold a
-// lease; without leases nothing is shown about changes in force.
-const leastLeasedShare = 0.5
+// minimumLeasedShare is the share of samples of balancers in which they must hold a lease. Without
+// leases a run proves nothing about when changes are in force.
+const minimumLeasedShare = 0.5
 
-func (world *World) lagging() []model.NodeName {
+// laggingNodes returns the running balancers and agents that do not run the leader's configuration.
+func (world *World) laggingNodes() []model.NodeName {
 	leader, leads := world.Leader()
 	if !leads {
 		return []model.NodeName{"no leader"}
@@ -162,63 +168,63 @@
 			lagging = append(lagging, balancer.process.Name)
 		}
 	}
-	for _, agent := range world.agentList {
-		if agent.process.Active() && agent.life.store.Current().Digest() != digest {
+	for _, agent := range world.agents {
+		if agent.process.Active() && agent.instance.store.Current().Digest() != digest {
 			lagging = append(lagging, agent.process.Name)
 		}
 	}
 	return lagging
 }
 
-// StartLoad lets callers begin.
+// StartLoad starts the callers' traffic.
 func (world *World) StartLoad(load Load) { world.callers.start(load) }
 
-// ExpectAnswers makes an attempt that gets no answer, a flow that no target
-// opens and a silence of an open flow violations: the scenario has planned
-// changes only.
+// ExpectAnswers makes it a violation when an attempt gets no answer, when no target opens a flow, or
+// when an open flow gets no answers for a time. It is for scenarios with planned changes only.
 func (world *World) ExpectAnswers() {
 	world.callers.expectAnswers = true
-	world.check.flows.ExpectSteady()
+	world.checks.flows.ExpectSteady()
 }
 
-// FinishTraffic stops new work, waits for the last answers, and checks that no
-// flow is silent and every request ended.
+// FinishTraffic stops new work, waits for the last answers, and checks that every open flow gets
+// answers and that every request ended.
 func (world *World) FinishTraffic() {
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
-	world.check.flows.NetworkHealed()
+	world.checks.flows.NetworkHealed()
 	world.run.Scheduler.RunFor(silenceTime)
-	world.waitFor(answerTime-silenceTime, world.callers.idle)
-	world.check.flows.CheckSilent(world.run.Elapsed())
-	world.check.requests.CheckEnded(stoppedAt, world.run.Elapsed())
+	world.waitFor(answerTimeout-silenceTime, world.callers.idle)
+	world.checks.flows.CheckSilent(world.run.Elapsed())
+	world.checks.requests.CheckEnded(stoppedAt, world.run.Elapsed())
 	if world.callers.expectAnswers {
 		world.checkServed()
 	}
-	world.CheckProgress(world.check.flows.Opened() > 0, "no flow was opened")
-	tally := world.check.requests.Tally()
+	world.CheckProgress(world.checks.flows.Opened() > 0, "no flow was opened")
+	tally := world.checks.requests.Tally()
 	world.CheckProgress(tally.Answered > 0, "no request was answered: %+v", tally)
 	world.run.Trace.Addf("callers", "tally", "flows %d, excused %d, abandoned %d, requests %+v",
-		world.check.flows.Opened(), world.check.flows.Excused(), world.callers.abandoned, tally)
+		world.checks.flows.Opened(), world.checks.flows.Excused(), world.callers.abandoned, tally)
 }
 
-// leastAnsweredShare is the share of attempts that must get the back end's
-// answer under planned changes: a system that refuses everything, or says that
-// everything may have run, breaks no other rule.
-const leastAnsweredShare = 0.5
+// minimumAnsweredShare is the share of attempts that must get the back end's answer under planned
+// changes. A system that refuses every request, or answers that each may have run, violates no other
+// invariant.
+const minimumAnsweredShare = 0.5
 
-// checkServed checks what planned changes alone never excuse.
+// checkServed checks that flows were opened and requests answered. Planned changes alone excuse
+// neither failure.
 func (world *World) checkServed() {
 	elapsed := world.run.Elapsed()
 	if world.callers.abandoned > 0 {
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "%d flows were opened by no target", world.callers.abandoned)
 	}
-	tally := world.check.requests.Tally()
-	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Offered) {
+	tally := world.checks.requests.Tally()
+	if float64(tally.Answered) < minimumAnsweredShare*float64(tally.Offered) {
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Offered)
 	}
 }
 
-// Checkers are the checkers of a run that scenarios read.
+// Checkers holds the checkers of a run that scenarios read.
 type Checkers struct {
 	Flows     *checker.Flows
 	Requests  *checker.Requests
@@ -227,13 +233,13 @@
 	Operators *checker.Operators
 }
 
-// Checkers gives scenarios access to the run's checkers.
+// Checkers returns the run's checkers.
 func (world *World) Checkers() Checkers {
 	return Checkers{
-		Flows:     world.check.flows,
-		Requests:  world.check.requests,
-		Rollout:   world.check.rollout,
-		Replicas:  world.check.replicas,
-		Operators: world.check.operators,
+		Flows:     world.checks.flows,
+		Requests:  world.checks.requests,
+		Rollout:   world.checks.rollout,
+		Replicas:  world.checks.replicas,
+		Operators: world.checks.operators,
 	}
 }
--- a/internal/sim/world/lag.go
+++ b/internal/sim/world/lag.go
@@ -8,14 +8,14 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// delayMessage holds updates to balancers and agents back, each by a time of
-// its own, so that nodes run different revisions.
+// delayMessage returns a random delay for each update to a balancer or an agent, so that nodes run
+// different revisions. Other messages are not delayed.
 func (world *World) delayMessage(envelope messageEnvelope) time.Duration {
 	_, isUpdate := envelope.Message.(protocol.PackedUpdate)
 	if !isUpdate || world.options.UpdateDelay == 0 || world.isRelay(envelope.To) {
 		return 0
 	}
-	return world.uneven.Between(0, world.options.UpdateDelay)
+	return world.updateDelays.Between(0, world.options.UpdateDelay)
 }
 
 func (world *World) isRelay(name model.NodeName) bool {
@@ -27,15 +27,15 @@
 	return false
 }
 
-// reportLag makes the loads and empty buckets in heartbeats late. That the
-// node lives, and what it runs, stays current.
+// reportLag replaces the loads and empty buckets in heartbeats by those of age earlier. The node's
+// liveness and the revision that it runs stay current.
 type reportLag struct {
 	scheduler *kernel.Scheduler
-	lag       time.Duration
+	age       time.Duration
 	history   map[model.NodeName][]reportedAt
 }
 
-// reportedAt is what a node reported at a time.
+// reportedAt is what a node reported at one time.
 type reportedAt struct {
 	at          time.Time
 	incarnation model.Incarnation
@@ -44,26 +44,28 @@
 }
 
 func newReportLag(scheduler *kernel.Scheduler, lag time.Duration) *reportLag {
-	return &reportLag{scheduler: scheduler, lag: lag, history: make(map[model.NodeName][]reportedAt)}
+	return &reportLag{scheduler: scheduler, age: lag, history: make(map[model.NodeName][]reportedAt)}
 }
 
-func (lag *reportLag) apply(envelope messageEnvelope) messageEnvelope {
+// delayReport returns the message with the latest report that is at least age old, or without a
+// report if there is none of the same incarnation.
+func (lag *reportLag) delayReport(envelope messageEnvelope) messageEnvelope {
 	heartbeat, isHeartbeat := envelope.Message.(protocol.Heartbeat)
-	if !isHeartbeat || lag.lag == 0 {
+	if !isHeartbeat || lag.age == 0 {
 		return envelope
 	}
 	now := lag.scheduler.Now()
 	history := append(lag.history[envelope.From], reportedAt{
 		at: now, incarnation: heartbeat.Incarnation, load: heartbeat.Load, empty: heartbeat.Empty,
 	})
-	for len(history) > 1 && !history[1].at.After(now.Add(-lag.lag)) {
+	for len(history) > 1 && !history[1].at.After(now.Add(-lag.age)) {
 		history = history[1:]
 	}
 	lag.history[envelope.From] = history
 	heartbeat.Load = nil
 	heartbeat.Empty = nil
 	oldest := history[0]
-	if oldest.incarnation == heartbeat.Incarnation && !oldest.at.After(now.Add(-lag.lag)) {
+	if oldest.incarnation == heartbeat.Incarnation && !oldest.at.After(now.Add(-lag.age)) {
 		heartbeat.Load = oldest.load
 		heartbeat.Empty = oldest.empty
 	}
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -15,27 +15,29 @@
 
 // Times of simulated operators.
 const (
-	// operatorTimeout is how long an operator waits for one answer.
+	// operatorTimeout is how long an operator waits for an answer before it asks the next member.
 	operatorTimeout = 1500 * time.Millisecond
-	// operatorPatience is how long an operator resends one change.
-	operatorPatience = 12 * time.Second
-	// operatorRetry is the pause before a change is sent again.
-	operatorRetry = 150 * time.Millisecond
+	// changeTimeout is how long an operator attempts one change before its outcome stays unknown.
+	changeTimeout = 12 * time.Second
+	// operatorRetryInterval is the wait before a change that failed is sent again.
+	operatorRetryInterval = 150 * time.Millisecond
 )
 
-// Operator sends changes to the control group and resends them when the answer
-// is lost, as automation does.
+// Operator simulates automation that sends changes to the control group and resends a change when its
+// answer is lost.
 type Operator struct {
 	world    *World
 	name     string
 	endpoint kernel.Endpoint
 	random   *kernel.Random
-	// guess is the member that answered last.
-	guess   int
-	changes int
+	// memberIndex, modulo the number of members, is the member that requests go to. It advances when
+	// a member does not answer or fails a request.
+	memberIndex int
+	changes     int
 }
 
-// NewOperator returns an operator with a name of its own.
+// NewOperator returns an operator. Its name must be unique in the run, as the keys of its changes and
+// its random numbers derive from it.
 func (world *World) NewOperator(name string) *Operator {
 	return &Operator{
 		world:    world,
@@ -45,26 +47,27 @@
 	}
 }
 
-// Answer is what an operator learns of one change.
-type Answer struct {
+// ChangeOutcome is what an operator learns about the outcome of one change.
+type ChangeOutcome struct {
 	// Known is false when the outcome stayed unknown.
 	Known  bool
 	Result state.Result
 }
 
-// change is one change with its resends.
+// change is one change of an operator, over all its attempts.
 type change struct {
-	operator *Operator
-	encoded  []byte
-	key      string
-	called   time.Duration
-	deadline time.Time
-	sent     int
-	finished bool
-	done     func(Answer)
+	operator    *Operator
+	encoded     []byte
+	key         string
+	submittedAt time.Duration
+	deadline    time.Time
+	attempts    int
+	finished    bool
+	done        func(ChangeOutcome)
 }
 
-// nextChange returns the fields that make a change idempotent.
+// nextChange returns the fields that identify the operator's next change, so that a resend is not
+// applied twice.
 func (operator *Operator) nextChange(base model.Revision) state.Change {
 	operator.changes++
 	return state.Change{
@@ -75,57 +78,60 @@
 	}
 }
 
-// send submits a command until an answer comes or patience ends.
-func (operator *Operator) send(command state.Command, key string, done func(Answer)) {
+// send attempts a command until an answer arrives or changeTimeout has passed, and then calls done.
+func (operator *Operator) send(command state.Command, key string, done func(ChangeOutcome)) {
 	encoded, err := state.EncodeCommand(command)
 	if err != nil {
 		panic(fmt.Sprintf("encode %T: %v", command, err))
 	}
 	scheduler := operator.world.run.Scheduler
 	sent := &change{
-		operator: operator,
-		encoded:  encoded,
-		key:      key,
-		called:   operator.world.run.Elapsed(),
-		deadline: scheduler.Now().Add(operatorPatience),
-		done:     done,
+		operator:    operator,
+		encoded:     encoded,
+		key:         key,
+		submittedAt: operator.world.run.Elapsed(),
+		deadline:    scheduler.Now().Add(changeTimeout),
+		done:        done,
 	}
 	operator.world.pendingChanges++
-	sent.try()
+	sent.attempt()
 }
 
-func (change *change) try() {
+// attempt sends the command to the current member, and again to the next one after operatorTimeout.
+func (change *change) attempt() {
 	if change.finished {
 		return
 	}
 	operator := change.operator
 	scheduler := operator.world.run.Scheduler
 	if !scheduler.Now().Before(change.deadline) {
-		change.finish(Answer{})
+		change.finish(ChangeOutcome{})
 		return
 	}
-	change.sent++
-	number := change.sent
-	target := operator.world.members[operator.guess%len(operator.world.members)]
-	operator.world.call(operator.endpoint, target, change.encoded, func(result []byte, err error) {
-		change.answered(number, result, err)
+	change.attempts++
+	number := change.attempts
+	target := operator.world.members[operator.memberIndex%len(operator.world.members)]
+	operator.world.sendCommand(operator.endpoint, target, change.encoded, func(result []byte, err error) {
+		change.receiveAnswer(number, result, err)
 	})
 	scheduler.After(operatorTimeout, func() { change.retry(number) })
 }
 
-// retry sends the change again, to the next member, unless that happened.
+// retry sends the change again, to the next member, unless it has finished or attempt number is not
+// the latest.
 func (change *change) retry(number int) {
-	if change.finished || change.sent != number {
+	if change.finished || change.attempts != number {
 		return
 	}
-	change.operator.guess++
-	change.try()
+	change.operator.memberIndex++
+	change.attempt()
 }
 
-// answered takes one answer. The checkers see late ones as well.
-func (change *change) answered(number int, encoded []byte, err error) {
+// receiveAnswer handles the answer to attempt number. The checkers also see answers to a change that
+// has finished.
+func (change *change) receiveAnswer(number int, encoded []byte, err error) {
 	if err != nil {
-		change.operator.world.run.Scheduler.After(operatorRetry, func() { change.retry(number) })
+		change.operator.world.run.Scheduler.After(operatorRetryInterval, func() { change.retry(number) })
 		return
 	}
 	result, decodeErr := state.DecodeResult(encoded)
@@ -133,62 +139,63 @@
 		return
 	}
 	world := change.operator.world
-	world.check.operators.Answered(change.key, checker.ChangeAnswer{
+	world.checks.operators.Answered(change.key, checker.ChangeAnswer{
 		Accepted: result.Applied(), Revision: uint64(result.Revision),
 	}, world.run.Elapsed())
 	if !change.finished {
-		change.finish(Answer{Known: true, Result: result})
+		change.finish(ChangeOutcome{Known: true, Result: result})
 	}
 }
 
-func (change *change) finish(answer Answer) {
+// finish ends the change with its outcome, and may resend it if it was answered.
+func (change *change) finish(answer ChangeOutcome) {
 	change.finished = true
 	change.operator.world.pendingChanges--
 	if answer.Known && answer.Result.Applied() {
-		change.operator.world.noteAccepted(change.key, answer.Result)
+		change.operator.world.recordAccepted(change.key, answer.Result)
 	}
 	change.done(answer)
 	if answer.Known {
-		change.sendAgain()
+		change.maybeResend()
 	}
 }
 
-// resendWithin bounds the time after which an answered change is sent again.
-const resendWithin = 6 * time.Second
+// maximumResendDelay bounds the random delay after which an answered change is sent again.
+const maximumResendDelay = 6 * time.Second
 
-// sendAgain repeats some changes that were answered already, as automation
-// does that has forgotten its answer. The copy must be answered alike.
-func (change *change) sendAgain() {
+// maybeResend sends some answered changes again to all members, like automation that lost its record
+// of the answer. The resend must get the same answer.
+func (change *change) maybeResend() {
 	world := change.operator.world
-	if !world.resending.Chance(world.options.Resends) {
+	if !world.resendDecisions.Chance(world.options.ResendShare) {
 		return
 	}
-	world.run.Scheduler.After(world.resending.Between(0, resendWithin), func() {
+	world.run.Scheduler.After(world.resendDecisions.Between(0, maximumResendDelay), func() {
 		for _, receiver := range world.members {
-			world.call(change.operator.endpoint, receiver, change.encoded, change.answeredAgain)
+			world.sendCommand(change.operator.endpoint, receiver, change.encoded, change.receiveResendAnswer)
 		}
 	})
 }
 
-// answeredAgain takes the answer to a copy of an answered change.
-func (change *change) answeredAgain(encoded []byte, err error) {
+// receiveResendAnswer handles the answer to the resend of an answered change.
+func (change *change) receiveResendAnswer(encoded []byte, err error) {
 	result, decodeErr := state.DecodeResult(encoded)
 	if err == nil && decodeErr == nil && result.Applied() {
-		change.operator.world.resent++
-		change.operator.world.noteAccepted(change.key, result)
+		change.operator.world.acceptedResends++
+		change.operator.world.recordAccepted(change.key, result)
 	}
 }
 
-// noteAccepted tells the checkers of an accepted change.
-func (world *World) noteAccepted(key string, result state.Result) {
+// recordAccepted reports an accepted change to the checkers.
+func (world *World) recordAccepted(key string, result state.Result) {
 	world.run.Trace.Addf("operators", "accepted", "%s at revision %d", key, result.Revision)
-	world.check.rollout.Committed(uint64(world.configured(result.Revision)), world.run.Elapsed())
+	world.checks.rollout.Committed(uint64(world.configurationRevision(result.Revision)), world.run.Elapsed())
 }
 
-// configured returns the revision of the configuration that an accepted change
-// left behind: its own, or an earlier one if the change is no part of what
-// nodes run, as that of a template. The member that answered has applied it.
-func (world *World) configured(changed model.Revision) model.Revision {
+// configurationRevision returns the revision of the configuration after an accepted change: the
+// change's own, or an earlier one if the change is not part of what nodes run, such as a change of a
+// template. The member that answered has applied the change.
+func (world *World) configurationRevision(changed model.Revision) model.Revision {
 	latest := model.Revision(0)
 	for _, member := range world.members {
 		if member.machine != nil {
@@ -198,12 +205,12 @@
 	return min(changed, latest)
 }
 
-// call carries a command to a member and the answer back. Either may be lost
-// or doubled.
-func (world *World) call(from kernel.Endpoint, receiver *member, command []byte, done func(result []byte, err error)) {
+// sendCommand sends a command to a member, and its answer back to the sender. The network may lose or
+// duplicate both.
+func (world *World) sendCommand(from kernel.Endpoint, receiver *member, command []byte, done func(result []byte, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
 		receiver.submit(command, func(result []byte, err error) {
-			if world.resending.Chance(world.lostAnswers) {
+			if world.resendDecisions.Chance(world.lostAnswerShare) {
 				return
 			}
 			world.network.Send(receiver.process.Endpoint, from, func() { done(result, err) })
@@ -211,38 +218,38 @@
 	})
 }
 
-// LoseAnswers loses a share of the answers to operators from now on.
-func (world *World) LoseAnswers(share float64) { world.lostAnswers = share }
+// SetAnswerLoss sets the share, from 0 to 1, of answers to operators that are lost from now on.
+func (world *World) SetAnswerLoss(share float64) { world.lostAnswerShare = share }
 
-// Resent returns how many changes were sent again after their answer and
-// accepted once more.
-func (world *World) Resent() int { return world.resent }
+// AcceptedResends returns how many answers to changes that were resent after their first answer said
+// again that the change was accepted.
+func (world *World) AcceptedResends() int { return world.acceptedResends }
 
-// submit hands a command to the member's consensus, if the process lives.
+// submit hands a command to the member's consensus. It does nothing if the process does not run.
 func (member *member) submit(command []byte, done func(result []byte, err error)) {
 	if !member.process.Running() || member.controller == nil {
 		return
 	}
-	life := member.process.Incarnation()
+	incarnation := member.process.Incarnation()
 	member.controller.Submit(command, func(result []byte, err error) {
-		// An answer of a process that has died meanwhile was never sent.
-		if member.process.Running() && member.process.Incarnation() == life {
+		// A process that ended in the meantime has not sent its answer.
+		if member.process.Running() && member.process.Incarnation() == incarnation {
 			done(result, err)
 		}
 	})
 	member.process.Wake()
 }
 
-// read asks a member for a linearizable read: it answers once leadership was
+// sendRead asks a member for a linearizable read. The member answers once its leadership has been
 // confirmed after the call.
-func (world *World) read(from kernel.Endpoint, receiver *member, done func(view *state.View, err error)) {
+func (world *World) sendRead(from kernel.Endpoint, receiver *member, done func(view *state.View, err error)) {
 	world.network.Send(from, receiver.process.Endpoint, func() {
 		if !receiver.process.Running() || receiver.controller == nil {
 			return
 		}
-		life := receiver.process.Incarnation()
-		world.parts.Confirm(receiver.controller).ReadBarrier(func(err error) {
-			if !receiver.process.Running() || receiver.process.Incarnation() != life {
+		incarnation := receiver.process.Incarnation()
+		world.parts.ReadConfirmation(receiver.controller).ReadBarrier(func(err error) {
+			if !receiver.process.Running() || receiver.process.Incarnation() != incarnation {
 				return
 			}
 			view := receiver.machine.View()
@@ -252,13 +259,13 @@
 	})
 }
 
-// WriteParameter changes a service's queue limit to value, based on revision
-// base, and tells the checkers how it ended.
-func (operator *Operator) WriteParameter(service *serviceHandle, base model.Revision, value uint64, done func(Answer)) {
+// WriteParameter changes a service's queue limit to value, based on revision base, and reports the
+// outcome to the checkers.
+func (operator *Operator) WriteParameter(service *serviceHandle, base model.Revision, value uint64, done func(ChangeOutcome)) {
 	command := operator.world.putService(service, value)
 	command.Change = operator.nextChange(base)
 	called := operator.world.run.Elapsed()
-	operator.send(command, command.Key, func(answer Answer) {
+	operator.send(command, command.Key, func(answer ChangeOutcome) {
 		operation := checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationWrite, Key: command.Key,
 			Call: called, Return: operator.world.run.Elapsed(), Base: uint64(base), Value: value,
@@ -266,14 +273,15 @@
 		}
 		operation.Result = resultOf(answer)
 		if operation.Result != 0 {
-			operator.world.check.operators.Ended(operation)
+			operator.world.checks.operators.Ended(operation)
 		}
 		done(answer)
 	})
 }
 
-// resultOf classifies an answer; zero means that nothing was decided.
-func resultOf(answer Answer) checker.OperationResult {
+// resultOf classifies an outcome for the checkers. Zero means that the change was neither accepted nor
+// in conflict with another one.
+func resultOf(answer ChangeOutcome) checker.OperationResult {
 	switch {
 	case !answer.Known:
 		return checker.ResultUnknown
@@ -285,25 +293,25 @@
 	return 0
 }
 
-// ReadParameter reads a service's queue limit and revision. done gets false
-// when no answer came.
+// ReadParameter reads a service's queue limit and revision. done gets known as false if no answer
+// arrived or the read failed.
 func (operator *Operator) ReadParameter(service *serviceHandle, done func(value uint64, revision model.Revision, known bool)) {
 	called := operator.world.run.Elapsed()
-	target := operator.world.members[operator.guess%len(operator.world.members)]
+	target := operator.world.members[operator.memberIndex%len(operator.world.members)]
 	answered := false
-	operator.world.read(operator.endpoint, target, func(view *state.View, err error) {
+	operator.world.sendRead(operator.endpoint, target, func(view *state.View, err error) {
 		if answered {
 			return
 		}
 		answered = true
 		record, known := view.Service(service.key())
 		if err != nil || !known {
-			operator.guess++
+			operator.memberIndex++
 			done(0, 0, false)
 			return
 		}
-		value := parameterOf(record)
-		operator.world.check.operators.Ended(checker.Operation{
+		value := queueLimitOf(record)
+		operator.world.checks.operators.Ended(checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationRead, Call: called,
 			Return: operator.world.run.Elapsed(), Value: value, Revision: uint64(record.Revision), Result: checker.ResultAccepted,
 		})
@@ -312,7 +320,7 @@
 	operator.world.run.Scheduler.After(operatorTimeout, func() {
 		if !answered {
 			answered = true
-			operator.guess++
+			operator.memberIndex++
 			done(0, 0, false)
 		}
 	})
@@ -322,13 +330,13 @@
 	return state.ServiceKey{Tenant: service.tenant, Name: service.name}
 }
 
-// valueParameter is the template's parameter that operators change.
-const valueParameter = "queue"
+// queueLimitParameter is the template's parameter that operators change.
+const queueLimitParameter = "queue"
 
-// parameterOf reads the value that the last accepted change gave.
-func parameterOf(record *state.ServiceRecord) uint64 {
+// queueLimitOf returns the queue limit that the last accepted change set, or 0.
+func queueLimitOf(record *state.ServiceRecord) uint64 {
 	for _, parameter := range record.Parameters {
-		if parameter.Name == valueParameter {
+		if parameter.Name == queueLimitParameter {
 			value, err := strconv.ParseUint(string(parameter.Value), 10, 64)
 			if err == nil {
 				return value
@@ -346,17 +354,18 @@
 	return encoded
 }
 
-// Drain drains a target and waits for the answer. It tells the checkers when
-// the drain was accepted.
+// Drain drains a target, waits for the answer, and reports whether the drain was accepted. The
+// checkers then expect that the target gets no new work.
 func (operator *Operator) Drain(service int, name model.NodeName) bool {
 	return operator.setDrained(service, name, true)
 }
 
-// Undrain lets a drained target take new flows again.
+// Undrain lets a drained target take new flows again, and reports whether that was accepted.
 func (operator *Operator) Undrain(service int, name model.NodeName) bool {
 	return operator.setDrained(service, name, false)
 }
 
+// setDrained sends the change that drains or undrains a target, and reports whether it was accepted.
 func (operator *Operator) setDrained(service int, name model.NodeName, drained bool) bool {
 	key := operator.world.services[service].targetKey(name)
 	revision, target, known := operator.world.targetState(key)
@@ -364,7 +373,7 @@
 		return false
 	}
 	if !drained {
-		operator.world.check.drain.Undrained(uint32(target))
+		operator.world.checks.drain.Undrained(uint32(target))
 	}
 	var command state.Command
 	change := operator.nextChange(revision)
@@ -373,14 +382,14 @@
 		command = state.UndrainTarget{Change: change, Target: key}
 	}
 	answered, applied := false, false
-	operator.send(command, change.Key, func(answer Answer) {
+	operator.send(command, change.Key, func(answer ChangeOutcome) {
 		answered = true
 		applied = answer.Known && answer.Result.Applied()
 		if applied && drained {
-			operator.world.check.drain.Accepted(uint32(target), operator.world.run.Elapsed())
+			operator.world.checks.drain.Accepted(uint32(target), operator.world.run.Elapsed())
 		}
 	})
-	operator.world.waitFor(operatorPatience+operatorTimeout, func() bool { return answered })
+	operator.world.waitFor(changeTimeout+operatorTimeout, func() bool { return answered })
 	return applied
 }
 
@@ -388,9 +397,9 @@
 	return state.TargetKey{Tenant: service.tenant, Service: service.name, Name: string(name)}
 }
 
-// targetState returns a target's revision and ID as the leader has them.
+// targetState returns a target's revision and ID in the leader's state.
 func (world *World) targetState(key state.TargetKey) (model.Revision, model.TargetID, bool) {
-	leader, leads := world.AwaitLeader(operatorPatience)
+	leader, leads := world.AwaitLeader(changeTimeout)
 	if !leads {
 		return 0, 0, false
 	}
@@ -398,7 +407,7 @@
 	return record.Revision, target.ID, known
 }
 
-// Await runs the world until condition holds; false when it never did.
+// Await runs the world until condition holds, and reports whether it did within limit.
 func (world *World) Await(limit time.Duration, condition func() bool) bool {
 	return world.waitFor(limit, condition)
 }
--- a/internal/sim/world/relay.go
+++ b/internal/sim/world/relay.go
@@ -18,19 +18,20 @@
 // messageEnvelope is a message between processes.
 type messageEnvelope = protocol.Envelope
 
-// relayNode is one relay: the product's controller on a simulated process.
+// relayNode simulates one relay: the product's controller on a simulated process.
 type relayNode struct {
 	world      *World
 	process    *kernel.Process
 	controller *relay.Controller
 }
 
-func newRelay(world *World, name model.NodeName, zone model.ZoneName) *relayNode {
+func newRelayNode(world *World, name model.NodeName, zone model.ZoneName) *relayNode {
 	created := &relayNode{world: world}
 	created.process = world.host.Add(kernel.Endpoint{Name: name, Zone: zone}, relayInterval, created.build)
 	return created
 }
 
+// build starts a new incarnation with empty state.
 func (node *relayNode) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	node.controller = relay.NewController(relay.Options{
