--- a/internal/sim/directworld/balancer.go
+++ b/internal/sim/directworld/balancer.go
@@ -122,8 +122,8 @@
 }
 
 // pickBalancer returns the balancer that gets one packet of a flow, as a router would choose it, or
-// nil if no active balancer has a table. With Options.Affine the choice depends on the caller's
-// port and on the number of active balancers; otherwise it is random.
+// nil if no active balancer has a table. With Options.Affine the choice depends only on the caller's
+// port and on the active balancers that have a table; otherwise it is random.
 func (world *World) pickBalancer(flow *flow) *balancer {
 	var active []*balancer
 	for _, candidate := range world.balancers {
--- a/internal/sim/directworld/caller.go
+++ b/internal/sim/directworld/caller.go
@@ -106,8 +106,8 @@
 	// attempt was recorded.
 	call      *call
 	callEnded bool
-	// transfer is the upload that the flow serves, or nil.
-	transfer *uploadFlow
+	// uploadAttempt is the attempt of an upload that the flow serves, or nil.
+	uploadAttempt *uploadAttempt
 }
 
 func (flow *flow) endpoint() kernel.Endpoint { return endpoint(flow.caller.String(), flow.zone) }
@@ -135,7 +135,8 @@
 	})
 }
 
-// openFlow opens one flow to a random service with requests at each dataInterval.
+// openFlow opens one flow, to a random service unless Options.CallsOnly reserves the feed service,
+// and later records whether it opened.
 func (callers *callers) openFlow() {
 	service := routeFeed
 	if callers.random.Chance(0.25) || callers.world.options.CallsOnly {
@@ -212,15 +213,16 @@
 	flow.target = target
 	flow.token = token
 	flow.openedAt = flow.world.Now()
-	if flow.transfer != nil {
-		flow.transfer.start()
+	if flow.uploadAttempt != nil {
+		flow.uploadAttempt.start()
 		return
 	}
 	flow.sendData()
 }
 
-// sendData sends one data packet of the open flow and schedules the next one. It closes the flow
-// once its time is over.
+// sendData sends one data packet of the open flow and schedules the next one. The packet carries a
+// new request, or the previous one again if that is not answered yet. sendData closes the flow once
+// its time is over.
 func (flow *flow) sendData() {
 	if flow.ended {
 		return
@@ -288,7 +290,7 @@
 	if flow.call != nil {
 		flow.call.flowEnded(flow, false)
 	}
-	if flow.transfer != nil {
-		flow.transfer.handleFailure()
+	if flow.uploadAttempt != nil {
+		flow.uploadAttempt.handleFailure()
 	}
 }
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// drainBound is how long after its acknowledged drain or departure a target may get new flows.
+	// drainBound is how long after its acknowledged drain or departure a target may still get new
+	// flows.
 	drainBound = 3 * time.Second
 	// applyBound is how long after the acknowledgement of a version balancers may still decide
 	// with an older one.
@@ -27,17 +28,20 @@
 	zones *zoneChecks
 	world *World
 	// sentContents has the contents that were declared under each version.
-	sentContents        map[uint64]map[string]bool
+	sentContents map[uint64]map[string]bool
+	// readContents has the content that was read under each version.
 	readContents        map[uint64]string
 	highestAcknowledged uint64
 	// acknowledgedAt is when each version was first acknowledged.
 	acknowledgedAt map[uint64]time.Time
 	// allowedServices has the services that any declared configuration gave to each route.
 	allowedServices map[netip.AddrPort]map[string]bool
-	leaders         map[uint64]string
+	// leaders has the name of the leader of each term.
+	leaders map[uint64]string
 	// balancerVersions has the latest version of each balancer.
 	balancerVersions map[*balancer]incarnationVersion
-	reads            int
+	// reads counts the answered reads.
+	reads int
 }
 
 // incarnationVersion is the version that a balancer had in one incarnation.
@@ -141,9 +145,9 @@
 	checks.balancerVersions[balancer] = incarnationVersion{incarnation: incarnation, version: version}
 }
 
-// decided checks a balancer's decision about a packet. In a settled world, a balancer that has run
-// for settleTime must not choose a dead target, nor decide with a version older than applyBound
-// allows.
+// decided checks a balancer's decision about a packet. A reset for lack of a route is always a
+// violation. In a settled world, a balancer that has run for settleTime must not send a new flow to
+// a dead target, nor decide about one with a version older than applyBound allows.
 func (checks *checks) decided(balancer *balancer, packet packet, decision steer.Decision) {
 	world := checks.world
 	if decision.Action == steer.Reset && decision.Reason == steer.ReasonNoRoute {
@@ -179,7 +183,7 @@
 		evidence.Gaps.Share, evidence.Gaps.Samples, evidence.Unanswered.Share, evidence.Unanswered.Samples, evidence.ServingFor)
 }
 
-// deadTargetBound is how long after a target died new flows may be sent to it.
+// deadTargetBound is how long after a target died new flows may still be sent to it.
 const deadTargetBound = 7 * time.Second
 
 // checkDeadTarget checks that a new flow is not forwarded to a target process that died more than
--- a/internal/sim/directworld/member.go
+++ b/internal/sim/directworld/member.go
@@ -28,8 +28,10 @@
 	heartbeatInterval = 80 * time.Millisecond
 	flowLifetime      = 60 * time.Second
 	renewalInterval   = 1200 * time.Millisecond
-	answerTimeout     = 850 * time.Millisecond
-	probeTimeout      = 180 * time.Millisecond
+	// answerTimeout bounds the time in which a member answers a call; it is shorter than
+	// callTimeout.
+	answerTimeout = 850 * time.Millisecond
+	probeTimeout  = 180 * time.Millisecond
 )
 
 // Member is a member of the control group on a simulated process and disk.
--- a/internal/sim/directworld/operator.go
+++ b/internal/sim/directworld/operator.go
@@ -111,7 +111,7 @@
 		invalid.Routes[0].Pool[0].Weight = 0
 	}
 	world := operator.world
-	world.call(operator.endpoint(), kernel.Pick(operator.random, world.members),
+	world.callMember(operator.endpoint(), kernel.Pick(operator.random, world.members),
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Declare(now, invalid, deadline, done)
 		}, func(err error) {
@@ -135,7 +135,7 @@
 		return
 	}
 	world := operator.world
-	world.call(operator.endpoint(), world.members[memberIndex%len(world.members)],
+	world.callMember(operator.endpoint(), world.members[memberIndex%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Declare(now, configuration, deadline, done)
 		}, func(err error) {
@@ -153,7 +153,7 @@
 	expected := world.checks.highestAcknowledged
 	member := kernel.Pick(operator.random, world.members)
 	var configuration *declared.Configuration
-	world.call(operator.endpoint(), member,
+	world.callMember(operator.endpoint(), member,
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			world.options.Parts.ReadConfiguration(member, now, deadline, func(read *declared.Configuration, err error) {
 				configuration = read
--- a/internal/sim/directworld/stories.go
+++ b/internal/sim/directworld/stories.go
@@ -110,7 +110,7 @@
 	},
 	{
 		name:    "direct-narrow-links",
-		summary: "uploads and calls share narrow links of balancers, whose capacity is half as much again as is requested",
+		summary: "uploads and calls share narrow links of balancers, whose capacity is one and a half times the demand",
 		change:  narrowLinkOptions,
 		play:    narrowLinks,
 	},
@@ -240,8 +240,8 @@
 	})
 }
 
-// targetDeaths crashes targets, every second time with their machines, and gives their addresses to
-// targets of the other service.
+// targetDeaths crashes targets, in every second round together with their machines, and gives their
+// addresses to targets of the other service.
 func targetDeaths(world *World) {
 	for round := range 4 {
 		for _, target := range world.pickReadyTargets(2) {
@@ -332,7 +332,8 @@
 // another balancer.
 const peerFailoverTime = 3 * time.Second
 
-// cutBalancers cuts two balancers off from all members. They have to stay current through their peers.
+// cutBalancers cuts two balancers off from all members. They have to stay current through their
+// peers.
 func cutBalancers(world *World) {
 	for round := range 4 {
 		cut := []*balancer{world.balancers[round%len(world.balancers)], world.balancers[(round+1)%len(world.balancers)]}
--- a/internal/sim/directworld/stories_links.go
+++ b/internal/sim/directworld/stories_links.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// narrowLinkRate is the capacity of each link in the scenarios, in bytes per second. An upload
-// takes a quarter of a second of it.
+// narrowLinkRate is the capacity of each balancer's link in the scenarios, in bytes per second. The
+// transmission of one upload takes a quarter of a second.
 const narrowLinkRate = 250_000
 
 // uploadsPerSecond is the rate of uploads, about half of what the links of all balancers can carry.
 const uploadsPerSecond = 8
 
-// narrowLinkOptions sets narrow links, which routers use per flow.
+// narrowLinkOptions sets narrow links, makes routers keep flows on one balancer and reserves the feed
+// service for calls.
 func narrowLinkOptions(options *Options) {
 	options.Affine = true
 	options.CallsOnly = true
@@ -35,8 +36,9 @@
 	world.checks.checkTimelyUploads(0.2, 2.5)
 }
 
-// runAtRate starts uploads at a mean rate while others runs, for 24 seconds. It counts the uploads
-// that begin after the first 4 seconds, when the calls of others are counted too.
+// runAtRate starts uploads at a mean rate for 24 seconds, while others runs the world with calls. It
+// counts the uploads that begin after the first 4 seconds, when the calls of others are counted too,
+// and finally runs the world for uploadDeadline, so that the last uploads can end.
 func (uploads *uploads) runAtRate(perSecond int, others func()) {
 	uploads.perSecond = perSecond
 	uploads.running = true
--- a/internal/sim/directworld/stories_load.go
+++ b/internal/sim/directworld/stories_load.go
@@ -71,7 +71,8 @@
 	world.checks.checkTimelyCalls(0.6, 1.05)
 }
 
-// largeBalancerCount is a number of balancers at which they do not report load to each other.
+// largeBalancerCount is a number of balancers at which they no longer report load to each other, but
+// to a member, which sums it up.
 const largeBalancerCount = 24
 
 // largeOptions sets calls and a large number of balancers.
--- a/internal/sim/directworld/stories_zones.go
+++ b/internal/sim/directworld/stories_zones.go
@@ -35,7 +35,7 @@
 	}
 	world := operator.world
 	waiting := true
-	world.call(operator.endpoint(), world.members[memberIndex%len(world.members)],
+	world.callMember(operator.endpoint(), world.members[memberIndex%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			order := registrar.ZoneOrder{Zone: string(zone), End: end, CallerWaiting: func() bool { return waiting }}
 			member.Registrar.Evacuate(now, order, deadline, done)
--- a/internal/sim/directworld/target.go
+++ b/internal/sim/directworld/target.go
@@ -11,7 +11,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// callTimeout is how long targets and operators wait for the answer to a call.
+// callTimeout is how long targets and operators wait for a member's answer to a call.
 const callTimeout = time.Second
 
 // target simulates one incarnation of a target.
@@ -35,7 +35,7 @@
 	drainAckedAt time.Time
 	diedAt       time.Time
 	// hangShare is the probability that the target accepts a request and never answers it.
-	// hungRequests has the number of that request for each flow that has one.
+	// hungRequests has, for each flow with such a request, the number of the latest one.
 	hangShare    float64
 	hungRequests map[*flow]int
 	// coldUntil is when the target stops being cold. coldFlows are the times of new flows in the
@@ -109,7 +109,7 @@
 	world := target.world
 	target.sequence++
 	registration := target.registration()
-	world.call(target.endpoint(), world.members[target.nextMember%len(world.members)],
+	world.callMember(target.endpoint(), world.members[target.nextMember%len(world.members)],
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Register(now, registration, deadline, done)
 		},
@@ -149,10 +149,10 @@
 	}
 }
 
-// call runs start at a member and returns its answer over the control network. A member that is not
-// active drops the call. No answer within callTimeout is an error. done is called at most once, and
-// not after the world has ended.
-func (world *World) call(from kernel.Endpoint, member *Member,
+// callMember runs start at a member and returns its answer over the control network. A member that
+// is not active drops the call. No answer within callTimeout is an error. done is called at most
+// once, and not after the world has ended.
+func (world *World) callMember(from kernel.Endpoint, member *Member,
 	start func(member *Member, now, deadline time.Time, done func(error)), done func(error)) {
 	ended := false
 	finish := func(err error) {
@@ -190,7 +190,7 @@
 		return
 	}
 	target.state = directory.TargetLeft
-	world.call(target.endpoint(), kernel.Pick(world.random, world.members),
+	world.callMember(target.endpoint(), kernel.Pick(world.random, world.members),
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Leave(now, target.departure(), deadline, done)
 		}, func(error) {})
@@ -208,7 +208,7 @@
 // leaveUntilAcknowledged repeats the departure notice until it is acknowledged.
 func (target *target) leaveUntilAcknowledged() {
 	world := target.world
-	world.call(target.endpoint(), kernel.Pick(world.random, world.members),
+	world.callMember(target.endpoint(), kernel.Pick(world.random, world.members),
 		func(member *Member, now, deadline time.Time, done func(error)) {
 			member.Registrar.Leave(now, target.departure(), deadline, done)
 		}, func(err error) {
@@ -221,15 +221,15 @@
 		})
 }
 
-// scheduleLateRenewal sends a renewal with the present state of the target after a delay, even if
-// the target has ended by then.
+// scheduleLateRenewal prepares a renewal with the present state of the target and sends it after a
+// delay, even if the target has ended by then.
 func (target *target) scheduleLateRenewal(delay time.Duration) {
 	target.sequence++
 	registration := target.registration()
 	world := target.world
 	world.after(delay, func() {
 		world.run.Trace.Add(target.address.String(), "late renewal", "")
-		world.call(target.endpoint(), kernel.Pick(world.random, world.members),
+		world.callMember(target.endpoint(), kernel.Pick(world.random, world.members),
 			func(member *Member, now, deadline time.Time, done func(error)) {
 				member.Registrar.Register(now, registration, deadline, done)
 			}, func(error) {})
@@ -309,7 +309,7 @@
 }
 
 // handlePacket handles a packet that reached this target: it accepts a new flow, rejects a flow of
-// another target or incarnation, and otherwise processes the request.
+// another target or incarnation, and otherwise serves the request that the packet carries, if any.
 func (target *target) handlePacket(sender *balancer, packet packet, decision steer.Decision) {
 	world := target.world
 	flow := packet.flow
@@ -326,8 +326,8 @@
 		return
 	}
 	target.flows[flow] = true
-	if flow.transfer != nil {
-		flow.transfer.receiveChunk(target, packet.chunk)
+	if flow.uploadAttempt != nil {
+		flow.uploadAttempt.receiveChunk(target, packet.chunk)
 		return
 	}
 	if flow.call != nil {
--- a/internal/sim/directworld/uploads.go
+++ b/internal/sim/directworld/uploads.go
@@ -36,11 +36,11 @@
 	attempts  int
 	done      bool
 	// latestAttempt is the latest attempt; there is one at a time.
-	latestAttempt *uploadFlow
+	latestAttempt *uploadAttempt
 }
 
 // uploadFlow is one attempt of an upload on its own flow.
-type uploadFlow struct {
+type uploadAttempt struct {
 	upload *upload
 	flow   *flow
 	// acknowledged has the chunks that the target acknowledged. next is the number of the first
@@ -56,15 +56,15 @@
 func (upload *upload) openFlow() {
 	upload.attempts++
 	opened := upload.world.callers.newFlow(routeUpload, time.Minute)
-	opened.transfer = &uploadFlow{
+	opened.uploadAttempt = &uploadAttempt{
 		upload: upload, flow: opened, next: 1,
 		acknowledged: make(map[int]bool), received: make(map[int]bool),
 	}
-	upload.latestAttempt = opened.transfer
+	upload.latestAttempt = opened.uploadAttempt
 	opened.sendOpening()
 	upload.world.after(openTimeout, func() {
 		if opened.target == nil {
-			opened.transfer.handleFailure()
+			opened.uploadAttempt.handleFailure()
 		}
 	})
 }
@@ -72,13 +72,13 @@
 // handleFailure handles the end of a flow before the upload was answered. An upload whose flow had
 // opened may have been executed and is not retried. Failures of earlier attempts are ignored: a
 // flow that was reset while it opened has failed already when its openTimeout expires.
-func (transfer *uploadFlow) handleFailure() {
-	upload := transfer.upload
-	if upload.latestAttempt != transfer {
+func (attempt *uploadAttempt) handleFailure() {
+	upload := attempt.upload
+	if upload.latestAttempt != attempt {
 		return
 	}
-	opened := transfer.flow.target != nil
-	transfer.flow.end()
+	opened := attempt.flow.target != nil
+	attempt.flow.end()
 	if upload.done {
 		return
 	}
@@ -90,66 +90,66 @@
 }
 
 // start sends the first window of chunks.
-func (transfer *uploadFlow) start() {
-	world := transfer.upload.world
+func (attempt *uploadAttempt) start() {
+	world := attempt.upload.world
 	world.after(uploadDeadline, func() {
-		if !transfer.upload.done {
-			transfer.upload.done = true
-			transfer.flow.sendClosing()
-			transfer.flow.end()
+		if !attempt.upload.done {
+			attempt.upload.done = true
+			attempt.flow.sendClosing()
+			attempt.flow.end()
 		}
 	})
-	transfer.fillWindow()
+	attempt.fillWindow()
 }
 
 // fillWindow sends further chunks while the window allows it.
-func (transfer *uploadFlow) fillWindow() {
-	for transfer.inFlight < uploadWindow && transfer.next <= uploadChunks {
-		chunk := transfer.next
-		transfer.next++
-		transfer.inFlight++
-		transfer.sendChunk(chunk, minRetransmitWait)
+func (attempt *uploadAttempt) fillWindow() {
+	for attempt.inFlight < uploadWindow && attempt.next <= uploadChunks {
+		chunk := attempt.next
+		attempt.next++
+		attempt.inFlight++
+		attempt.sendChunk(chunk, minRetransmitWait)
 	}
 }
 
 // sendChunk sends a chunk and retransmits it until it is acknowledged or the flow ends.
-func (transfer *uploadFlow) sendChunk(chunk int, wait time.Duration) {
-	if transfer.flow.ended || transfer.acknowledged[chunk] {
+func (attempt *uploadAttempt) sendChunk(chunk int, wait time.Duration) {
+	if attempt.flow.ended || attempt.acknowledged[chunk] {
 		return
 	}
-	flow := transfer.flow
+	flow := attempt.flow
 	flow.send(packet{flow: flow, token: flow.token, chunk: chunk, requested: 1, answered: flow.answered})
-	transfer.upload.world.after(wait, func() { transfer.sendChunk(chunk, min(2*wait, maxRetransmitWait)) })
+	attempt.upload.world.after(wait, func() { attempt.sendChunk(chunk, min(2*wait, maxRetransmitWait)) })
 }
 
 // receiveChunk runs at the target. It acknowledges each chunk and answers once all of them have
 // arrived.
-func (transfer *uploadFlow) receiveChunk(target *target, chunk int) {
-	world := transfer.upload.world
-	alreadyComplete := len(transfer.received) == uploadChunks
-	transfer.received[chunk] = true
-	world.packets.Send(target.endpoint(), transfer.flow.endpoint(), func() { transfer.handleAck(chunk) })
-	if alreadyComplete || len(transfer.received) < uploadChunks {
+func (attempt *uploadAttempt) receiveChunk(target *target, chunk int) {
+	world := attempt.upload.world
+	alreadyComplete := len(attempt.received) == uploadChunks
+	attempt.received[chunk] = true
+	world.packets.Send(target.endpoint(), attempt.flow.endpoint(), func() { attempt.handleAck(chunk) })
+	if alreadyComplete || len(attempt.received) < uploadChunks {
 		return
 	}
 	world.after(uploadWorkTime, func() {
-		world.packets.Send(target.endpoint(), transfer.flow.endpoint(), transfer.handleAnswer)
+		world.packets.Send(target.endpoint(), attempt.flow.endpoint(), attempt.handleAnswer)
 	})
 }
 
 // handleAck records an acknowledgement at the caller.
-func (transfer *uploadFlow) handleAck(chunk int) {
-	if transfer.acknowledged[chunk] || transfer.flow.ended {
+func (attempt *uploadAttempt) handleAck(chunk int) {
+	if attempt.acknowledged[chunk] || attempt.flow.ended {
 		return
 	}
-	transfer.acknowledged[chunk] = true
-	transfer.inFlight--
-	transfer.fillWindow()
+	attempt.acknowledged[chunk] = true
+	attempt.inFlight--
+	attempt.fillWindow()
 }
 
 // handleAnswer ends the upload at the caller after its answer.
-func (transfer *uploadFlow) handleAnswer() {
-	flow := transfer.flow
+func (attempt *uploadAttempt) handleAnswer() {
+	flow := attempt.flow
 	if flow.ended {
 		return
 	}
@@ -157,8 +157,8 @@
 	flow.handleAnswer(1, requestBytes)
 	flow.sendClosing()
 	flow.end()
-	transfer.upload.done = true
-	transfer.upload.world.uploads.recordServed(transfer.upload)
+	attempt.upload.done = true
+	attempt.upload.world.uploads.recordServed(attempt.upload)
 }
 
 // uploads starts uploads at a constant mean rate and counts their results.
--- a/internal/sim/directworld/work.go
+++ b/internal/sim/directworld/work.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// call is one request with a flow of its own. It is retried with a new flow when it fails.
+// call is a caller's request with a flow of its own. It is retried with a new flow when it fails.
 type call struct {
 	world     *World
 	startedAt time.Time
--- a/internal/sim/directworld/world.go
+++ b/internal/sim/directworld/world.go
@@ -2,8 +2,9 @@
 // of members and balancers on simulated processes, and simulated targets that register themselves,
 // callers, routers that spread packets over the balancers, and operators.
 //
-// A packet may pass through any active balancer. Control messages and calls use the control network
-// with the faults of the options; packets and probes use the packet network, which shares its cuts.
+// A packet may pass through any active balancer. Control messages, and the calls of targets and
+// operators to members, use the control network with the faults of the options; packets and probes
+// use the packet network, which shares its cuts.
 package directworld
 
 import (
@@ -22,7 +23,8 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Parts are the components and options that a variant may replace or change.
+// Parts are the components and options that a variant of the system may replace or change, such as
+// the deliberately broken ones of package mutant.
 type Parts struct {
 	// Decide makes a balancer's decision about a packet.
 	Decide func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision
@@ -70,7 +72,7 @@
 	// Faults are the faults of the control network.
 	Faults kernel.LinkFaults
 	// Affine makes the routers send all packets of a flow to one balancer as long as the set of
-	// active balancers does not change; otherwise each packet goes to a random one.
+	// active balancers does not change. Without it, each packet goes to a random one.
 	Affine bool
 	// CallsOnly reserves the feed service for calls, which take time to serve and use the slots
 	// of targets.
@@ -117,8 +119,7 @@
 	routeUpload = netip.MustParseAddrPort("198.18.0.3:443")
 )
 
-// settleTime is how long after its last disturbance the system has to satisfy the invariants that
-// have a time bound.
+// settleTime is how long after a disturbance the invariants that have a time bound are not checked.
 const settleTime = 4 * time.Second
 
 // World is one simulated system.
--- a/internal/sim/directworld/zone_checks.go
+++ b/internal/sim/directworld/zone_checks.go
@@ -7,8 +7,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// evacuateBound is how long after an acknowledged order to evacuate a zone its targets may get new
-// flows.
+// evacuateBound is how long after an acknowledged order to evacuate a zone its targets may still get
+// new flows.
 const evacuateBound = 5 * time.Second
 
 // zoneState is the state of a zone that the operator can infer from its orders.
@@ -91,7 +91,8 @@
 	coldSlack   = 5
 )
 
-// checkColdRate checks the rate of new flows at a cold target, summed over all balancers.
+// checkColdRate records a new flow at a cold target and checks the rate of its new flows, summed
+// over all balancers.
 func (checks *checks) checkColdRate(target *target) {
 	limit := checks.world.options.ColdLimit
 	if !limit.Bounded() || target.remainingCold() == 0 {
--- a/internal/sim/kernel/kernel_test.go
+++ b/internal/sim/kernel/kernel_test.go
@@ -127,7 +127,7 @@
 	require.Equal(t, []string{"pong"}, echoes["a"].received)
 }
 
-func TestFrozenProcessSendsItsOldMessagesWhenItThaws(t *testing.T) {
+func TestFrozenProcessSendsUnsentMessagesOnThaw(t *testing.T) {
 	host, echoes := newEchoHost(1)
 	host.Scheduler.RunFor(time.Second)
 	echoes["a"].mailbox.Send("b", "ping")
@@ -143,7 +143,7 @@
 	require.Greater(t, len(echoes["a"].runTimes), runs)
 }
 
-func TestKilledProcessLosesWhatItHadNotSent(t *testing.T) {
+func TestKilledProcessLosesUnsentMessages(t *testing.T) {
 	host, echoes := newEchoHost(1)
 	host.Scheduler.RunFor(time.Second)
 	echoes["a"].mailbox.Send("b", "ping")
--- a/internal/sim/kernel/network.go
+++ b/internal/sim/kernel/network.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// Reachable reports whether no cut blocks the way from from to to. A process always reaches itself.
+// Reachable reports whether no cut drops what from sends to to. A process always reaches itself.
 func (network *Network) Reachable(from, to Endpoint) bool {
 	if from.Name == to.Name {
 		return true
@@ -148,6 +148,7 @@
 	}
 }
 
+// sendCopy sends one copy, or counts it as lost.
 func (network *Network) sendCopy(from, to Endpoint, deliver func()) {
 	if !network.Reachable(from, to) || network.random.Chance(network.faults.Loss) {
 		network.lost++
--- a/internal/sim/kernel/process.go
+++ b/internal/sim/kernel/process.go
@@ -183,7 +183,8 @@
 	}
 }
 
-// SetRunDelay sets an extra delay before each run of the controllers.
+// SetRunDelay sets an extra delay before each later run of the controllers, which simulates a slow
+// process.
 func (process *Process) SetRunDelay(delay time.Duration) { process.runDelay = delay }
 
 // tick wakes the process at each interval until its incarnation ends.
@@ -210,6 +211,8 @@
 	})
 }
 
+// run runs the controllers and collects their messages. It does nothing while the process is
+// frozen; Thaw schedules another run.
 func (process *Process) run() {
 	if process.frozen {
 		return
--- a/internal/sim/kernel/random.go
+++ b/internal/sim/kernel/random.go
@@ -30,7 +30,7 @@
 	return random.source.IntN(bound)
 }
 
-// Chance returns true with the given probability.
+// Chance reports true with the given probability.
 func (random *Random) Chance(probability float64) bool {
 	return probability > 0 && random.source.Float64() < probability
 }
