--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -97,7 +97,7 @@
 func (history *history) ended(operation checker.Operation) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
-	history.operators.Ended(operation)
+	history.operators.Completed(operation)
 	phase := history.present()
 	if operation.Kind == checker.OperationRead {
 		phase.reads++
--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -98,7 +98,7 @@
 		}
 		made := register{key: key, spec: present.Spec}
 		run.registers = append(run.registers, made)
-		run.history.operators.Created(made.name(), checker.Initial{Value: value, Revision: uint64(present.Revision)})
+		run.history.operators.Created(made.name(), checker.InitialState{Value: value, Revision: uint64(present.Revision)})
 		run.history.latest[made.name()] = present.Revision
 	}
 	return nil
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -8,11 +8,11 @@
 )
 
 var (
-	placeOne        = Place{Target: 1, Incarnation: 1}
-	placeOneAgain   = Place{Target: 1, Incarnation: 2}
-	placeTwo        = Place{Target: 2, Incarnation: 1}
-	ownService      = uint32(10)
-	strangerService = uint32(20)
+	targetOne          = TargetIncarnation{Target: 1, Incarnation: 1}
+	targetOneRestarted = TargetIncarnation{Target: 1, Incarnation: 2}
+	targetTwo          = TargetIncarnation{Target: 2, Incarnation: 1}
+	ownService         = uint32(10)
+	otherService       = uint32(20)
 )
 
 func TestReportKeepsEveryInvariant(t *testing.T) {
@@ -22,16 +22,16 @@
 	}
 	report.Add(InvariantInForce, 0, "late")
 	require.Equal(t, 1000, report.Count(InvariantSameConfiguration))
-	require.Len(t, report.Violations(), maximumViolations+1)
-	require.Equal(t, InvariantInForce, report.Violations()[maximumViolations].Invariant)
+	require.Len(t, report.Violations(), maxViolationsPerInvariant+1)
+	require.Equal(t, InvariantInForce, report.Violations()[maxViolationsPerInvariant].Invariant)
 }
 
-func deliver(flow FlowID, service uint32, place Place) Delivery {
-	return Delivery{Flow: flow, Intended: ownService, Delivered: service, Opening: true, Place: place}
+func deliver(flow FlowID, service uint32, place TargetIncarnation) Delivery {
+	return Delivery{Flow: flow, Intended: ownService, Delivered: service, Opening: true, Target: place}
 }
 
-func deliverLater(flow FlowID, place Place) Delivery {
-	return Delivery{Flow: flow, Intended: ownService, Delivered: ownService, Place: place}
+func deliverLater(flow FlowID, place TargetIncarnation) Delivery {
+	return Delivery{Flow: flow, Intended: ownService, Delivered: ownService, Target: place}
 }
 
 func TestFlows(t *testing.T) {
@@ -42,101 +42,101 @@
 	}{
 		{"kept", func(flows *Flows) {
 			flows.Sent(1, ownService, 0)
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.Answered(1)
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.CheckSilent(0)
 		}, ""},
 		{"other service", func(flows *Flows) {
-			flows.Delivered(deliver(1, strangerService, placeOne))
+			flows.Delivered(deliver(1, otherService, targetOne))
 		}, InvariantServiceIsolation},
 		{"second owner", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.Delivered(deliver(1, ownService, placeTwo))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.Delivered(deliver(1, ownService, targetTwo))
 		}, InvariantOneOwner},
 		{"delivered after a restart", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.Delivered(deliver(1, ownService, placeOneAgain))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.Delivered(deliver(1, ownService, targetOneRestarted))
 		}, InvariantOneOwner},
 		{"second owner after the first died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			flows.Delivered(deliver(1, ownService, placeTwo))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			flows.Delivered(deliver(1, ownService, targetTwo))
 		}, ""},
 		{"late copy after its caller ended it", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.Closed(1)
-			flows.Delivered(deliver(1, ownService, placeTwo))
+			flows.Delivered(deliver(1, ownService, targetTwo))
 		}, ""},
 		{"late copy after its end at another service", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.Closed(1)
-			flows.Delivered(deliver(1, strangerService, placeTwo))
+			flows.Delivered(deliver(1, otherService, targetTwo))
 		}, InvariantServiceIsolation},
 		{"reset", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.Reset(1, 0)
 		}, InvariantFlowKept},
 		{"reset after its target died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
 			flows.Reset(1, 0)
 		}, ""},
 		{"reset after another target died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeTwo)
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetTwo)
 			flows.Reset(1, 0)
 		}, InvariantFlowKept},
 		{"planned stop under a flow", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetStopped(placeOne, 0)
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetStopped(targetOne, 0)
 		}, InvariantFlowKept},
 		{"planned stop after its flows closed", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
 			flows.Closed(1)
-			flows.TargetStopped(placeOne, 0)
+			flows.TargetStopped(targetOne, 0)
 		}, ""},
 		{"silent", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			for range maximumUnanswered + 1 {
+			flows.Delivered(deliver(1, ownService, targetOne))
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
 			flows.CheckSilent(0)
 		}, InvariantFlowKept},
 		{"silent after its target died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			for range maximumUnanswered + 1 {
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
 			flows.CheckSilent(0)
 		}, InvariantFlowKept},
 		{"told after its target died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			for range maximumUnanswered + 1 {
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
 			flows.Reset(1, 0)
 			flows.CheckSilent(0)
 		}, ""},
 		{"silent for a while under planned changes", func(flows *Flows) {
-			flows.ExpectSteady()
-			flows.Delivered(deliver(1, ownService, placeOne))
-			for range maximumUnanswered + 1 {
+			flows.ExpectAnswers()
+			flows.Delivered(deliver(1, ownService, targetOne))
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
-			flows.Sent(1, ownService, wayAndBack)
+			flows.Sent(1, ownService, maxRoundTrip)
 			flows.Answered(1)
-			flows.CheckSilent(wayAndBack)
+			flows.CheckSilent(maxRoundTrip)
 		}, InvariantFlowKept},
 		// drain-lagging-reports seed 226: two packets of a flow were lost, half a percent of
 		// them are on each hop, and three were sent within 10 ms. The check took these for lost
 		// as well while they were under way: the trace has each of them at its target within
 		// 11 ms. Four may be lost.
 		{"packets under way under planned changes", func(flows *Flows) {
-			flows.ExpectSteady()
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.ExpectAnswers()
+			flows.Delivered(deliver(1, ownService, targetOne))
 			for _, at := range []time.Duration{32349, 32606, 33163, 33171, 33174} {
 				flows.Sent(1, ownService, at*time.Millisecond)
 			}
@@ -144,57 +144,57 @@
 			flows.CheckSilent(33200 * time.Millisecond)
 		}, ""},
 		{"five lost and one under way under planned changes", func(flows *Flows) {
-			flows.ExpectSteady()
-			flows.Delivered(deliver(1, ownService, placeOne))
-			for number := range maximumUnanswered + 2 {
+			flows.ExpectAnswers()
+			flows.Delivered(deliver(1, ownService, targetOne))
+			for number := range maxUnanswered + 2 {
 				flows.Sent(1, ownService, time.Duration(number)*250*time.Millisecond)
 			}
 			flows.Answered(1)
 		}, InvariantFlowKept},
 		{"silent for a while under faults", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			for range maximumUnanswered + 1 {
+			flows.Delivered(deliver(1, ownService, targetOne))
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
 			flows.Answered(1)
 			flows.CheckSilent(0)
 		}, ""},
 		{"packet of an open flow", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.Delivered(deliverLater(1, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.Delivered(deliverLater(1, targetOne))
 		}, ""},
 		{"packet of a flow that was not opened", func(flows *Flows) {
-			flows.Delivered(deliverLater(1, placeOne))
+			flows.Delivered(deliverLater(1, targetOne))
 		}, InvariantOneOwner},
 		{"restarted target takes an old flow's packet", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			flows.Delivered(deliverLater(1, placeOneAgain))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			flows.Delivered(deliverLater(1, targetOneRestarted))
 		}, InvariantOneOwner},
 		{"third owner after the first died", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			flows.Delivered(deliver(1, ownService, placeTwo))
-			flows.Delivered(deliver(1, ownService, placeOneAgain))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			flows.Delivered(deliver(1, ownService, targetTwo))
+			flows.Delivered(deliver(1, ownService, targetOneRestarted))
 		}, InvariantOneOwner},
 		{"planned stop of the second owner", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			flows.Delivered(deliver(1, ownService, placeTwo))
-			flows.TargetStopped(placeTwo, 0)
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			flows.Delivered(deliver(1, ownService, targetTwo))
+			flows.TargetStopped(targetTwo, 0)
 		}, InvariantFlowKept},
 		{"late copy at a dead place", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			flows.TargetDied(placeOne)
-			flows.Delivered(deliver(1, ownService, placeTwo))
-			flows.Delivered(deliver(1, ownService, placeOne))
+			flows.Delivered(deliver(1, ownService, targetOne))
+			flows.TargetDied(targetOne)
+			flows.Delivered(deliver(1, ownService, targetTwo))
+			flows.Delivered(deliver(1, ownService, targetOne))
 		}, ""},
 		{"silent during a cut", func(flows *Flows) {
-			flows.Delivered(deliver(1, ownService, placeOne))
-			for range maximumUnanswered + 1 {
+			flows.Delivered(deliver(1, ownService, targetOne))
+			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
-			flows.NetworkHealed()
+			flows.ClearUnanswered()
 			flows.CheckSilent(0)
 		}, ""},
 	}
@@ -210,9 +210,9 @@
 func TestFlowsCountExcusedFlows(t *testing.T) {
 	var report Report
 	flows := NewFlows(&report)
-	flows.Delivered(deliver(1, ownService, placeOne))
-	flows.Delivered(deliver(2, ownService, placeTwo))
-	flows.TargetDied(placeOne)
+	flows.Delivered(deliver(1, ownService, targetOne))
+	flows.Delivered(deliver(2, ownService, targetTwo))
+	flows.TargetDied(targetOne)
 	flows.Reset(1, 0)
 	flows.Reset(1, 0)
 	require.Empty(t, report.Violations())
@@ -221,66 +221,66 @@
 }
 
 func TestRequests(t *testing.T) {
-	whole := func(attempt, of AttemptID) Answer { return Answer{Attempt: attempt, For: of, Whole: true} }
+	whole := func(attempt, of AttemptID) Answer { return Answer{Attempt: attempt, Origin: of, Complete: true} }
 	table := []struct {
 		name    string
 		play    func(*Requests)
 		violate Invariant
 	}{
 		{"answered", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
+			requests.Ran(1, targetOne, 0)
 			requests.Finished(1)
 			requests.Answered(whole(1, 1))
-			requests.TargetStopped(placeOne, 0)
+			requests.TargetStopped(targetOne, 0)
 		}, ""},
 		{"crossed answer", func(requests *Requests) {
-			requests.Ran(2, placeOne, 0)
+			requests.Ran(2, targetOne, 0)
 			requests.Answered(whole(1, 2))
 		}, InvariantAnswerBound},
 		{"short answer", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
-			requests.Answered(Answer{Attempt: 1, For: 1})
+			requests.Ran(1, targetOne, 0)
+			requests.Answered(Answer{Attempt: 1, Origin: 1})
 		}, InvariantAnswerBound},
 		{"answer of the same key", func(requests *Requests) {
-			requests.Ran(4, placeOne, 0)
+			requests.Ran(4, targetOne, 0)
 			requests.Answered(whole(3, 4))
 		}, ""},
 		{"answer without a run", func(requests *Requests) { requests.Answered(whole(1, 1)) }, InvariantAnswerBound},
 		{"recorded answer without a run", func(requests *Requests) { requests.Answered(whole(3, 4)) }, InvariantAnswerBound},
 		{"answer to nobody", func(requests *Requests) { requests.Answered(whole(9, 9)) }, InvariantAnswerBound},
-		{"ran for nobody", func(requests *Requests) { requests.Ran(9, placeOne, 0) }, InvariantAnswerBound},
+		{"ran for nobody", func(requests *Requests) { requests.Ran(9, targetOne, 0) }, InvariantAnswerBound},
 		{"refused, then ran", func(requests *Requests) {
 			requests.Refused(1, 0)
-			requests.Ran(1, placeOne, 0)
+			requests.Ran(1, targetOne, 0)
 		}, InvariantRefusedNotRun},
 		{"ran, then refused", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
+			requests.Ran(1, targetOne, 0)
 			requests.Refused(1, 0)
 		}, InvariantRefusedNotRun},
 		{"refused, then told as unknown, then ran", func(requests *Requests) {
 			requests.Refused(1, 0)
 			requests.Unknown(1)
-			requests.Ran(1, placeOne, 0)
+			requests.Ran(1, targetOne, 0)
 		}, InvariantRefusedNotRun},
 		{"other attempt ran after a refusal", func(requests *Requests) {
 			requests.Refused(3, 0)
-			requests.Ran(4, placeOne, 0)
+			requests.Ran(4, targetOne, 0)
 		}, ""},
 		{"repeatable ran twice", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
-			requests.Ran(2, placeOne, 0)
+			requests.Ran(1, targetOne, 0)
+			requests.Ran(2, targetOne, 0)
 		}, ""},
 		{"key ran twice", func(requests *Requests) {
-			requests.Ran(3, placeOne, 0)
-			requests.Ran(4, placeTwo, 0)
+			requests.Ran(3, targetOne, 0)
+			requests.Ran(4, targetTwo, 0)
 		}, InvariantAtMostOnce},
 		{"cut by a planned stop", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
-			requests.TargetStopped(placeOne, 0)
+			requests.Ran(1, targetOne, 0)
+			requests.TargetStopped(targetOne, 0)
 		}, InvariantStopCutsNothing},
 		{"cut by a death", func(requests *Requests) {
-			requests.Ran(1, placeOne, 0)
-			requests.TargetDied(placeOne)
+			requests.Ran(1, targetOne, 0)
+			requests.TargetDied(targetOne)
 			requests.CheckEnded(time.Second, time.Minute)
 		}, InvariantRequestAnswered}, // attempts 2 to 4 have no end either
 	}
@@ -288,10 +288,10 @@
 		t.Run(row.name, func(t *testing.T) {
 			var report Report
 			requests := NewRequests(&report)
-			requests.Offered(Attempt{ID: 1}, 0)
-			requests.Offered(Attempt{ID: 2}, 0)
-			requests.Offered(Attempt{ID: 3, Key: "key"}, 0)
-			requests.Offered(Attempt{ID: 4, Key: "key"}, 0)
+			requests.Sent(Attempt{ID: 1}, 0)
+			requests.Sent(Attempt{ID: 2}, 0)
+			requests.Sent(Attempt{ID: 3, Key: "key"}, 0)
+			requests.Sent(Attempt{ID: 4, Key: "key"}, 0)
 			row.play(requests)
 			requireViolation(t, &report, row.violate)
 		})
@@ -301,19 +301,19 @@
 func TestRequestsCheckEnded(t *testing.T) {
 	var report Report
 	requests := NewRequests(&report)
-	requests.Offered(Attempt{ID: 1}, 0)
-	requests.Offered(Attempt{ID: 2}, 0)
-	requests.Offered(Attempt{ID: 3}, 0)
-	requests.Offered(Attempt{ID: 4}, time.Minute)
-	requests.Ran(1, placeTwo, 0)
-	requests.Answered(Answer{Attempt: 1, For: 1, Whole: true})
-	requests.Ran(2, placeOne, 0)
-	requests.TargetDied(placeOne)
+	requests.Sent(Attempt{ID: 1}, 0)
+	requests.Sent(Attempt{ID: 2}, 0)
+	requests.Sent(Attempt{ID: 3}, 0)
+	requests.Sent(Attempt{ID: 4}, time.Minute)
+	requests.Ran(1, targetTwo, 0)
+	requests.Answered(Answer{Attempt: 1, Origin: 1, Complete: true})
+	requests.Ran(2, targetOne, 0)
+	requests.TargetDied(targetOne)
 	requests.CheckEnded(time.Second, time.Minute)
 	require.Len(t, report.Violations(), 1)
 	require.Equal(t, InvariantRequestAnswered, report.Violations()[0].Invariant)
 	require.Contains(t, report.Violations()[0].Detail, "attempt 3")
-	require.Equal(t, Tally{Offered: 4, Answered: 1, Runs: 2}, requests.Tally())
+	require.Equal(t, Tally{Sent: 4, Answered: 1, Runs: 2}, requests.Tally())
 }
 
 func TestDrain(t *testing.T) {
@@ -322,32 +322,32 @@
 		play    func(*Drain)
 		violate Invariant
 	}{
-		{"not drained", func(drain *Drain) { drain.Took(1, WorkFlow, time.Minute) }, ""},
+		{"not drained", func(drain *Drain) { drain.WorkStarted(1, WorkFlow, time.Minute) }, ""},
 		{"within grace", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
-			drain.Took(1, WorkFlow, 4*time.Second)
+			drain.WorkStarted(1, WorkFlow, 4*time.Second)
 		}, ""},
 		{"late flow", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
-			drain.Took(1, WorkFlow, 4*time.Second+1)
+			drain.WorkStarted(1, WorkFlow, 4*time.Second+1)
 		}, InvariantDrain},
 		{"while the target is cut off", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
 			drain.Suspend()
-			drain.Took(1, WorkFlow, 9*time.Second)
+			drain.WorkStarted(1, WorkFlow, 9*time.Second)
 			drain.Resume(20 * time.Second)
-			drain.Took(1, WorkFlow, 23*time.Second)
+			drain.WorkStarted(1, WorkFlow, 23*time.Second)
 		}, ""},
 		{"late after a cut", func(drain *Drain) {
 			drain.Suspend()
 			drain.Accepted(1, time.Second)
 			drain.Resume(20 * time.Second)
-			drain.Took(1, WorkFlow, 23*time.Second+1)
+			drain.WorkStarted(1, WorkFlow, 23*time.Second+1)
 		}, InvariantDrain},
 		{"late request after a resent drain", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
 			drain.Accepted(1, 4*time.Second)
-			drain.Took(1, WorkRequest, 5*time.Second)
+			drain.WorkStarted(1, WorkRequest, 5*time.Second)
 		}, InvariantDrain},
 		{"kept", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
@@ -366,7 +366,7 @@
 		{"undrained", func(drain *Drain) {
 			drain.Accepted(1, time.Second)
 			drain.Undrained(1)
-			drain.Took(1, WorkFlow, time.Minute)
+			drain.WorkStarted(1, WorkFlow, time.Minute)
 		}, ""},
 	}
 	for _, row := range table {
@@ -416,8 +416,8 @@
 	}
 }
 
-func lifeOf(member string, incarnation uint64) MemberLife {
-	return MemberLife{Member: member, Incarnation: incarnation}
+func memberIncarnation(member string, incarnation uint64) MemberIncarnation {
+	return MemberIncarnation{Member: member, Incarnation: incarnation}
 }
 
 func TestReplicas(t *testing.T) {
@@ -429,9 +429,9 @@
 		{"agree", func(replicas *Replicas) {
 			replicas.State("a", 5, 1, 0)
 			replicas.State("b", 5, 1, 0)
-			replicas.Applied(lifeOf("a", 1), 5, "x", 0)
-			replicas.Applied(lifeOf("b", 1), 5, "x", 0)
-			replicas.Applied(lifeOf("a", 2), 5, "x", 0)
+			replicas.Applied(memberIncarnation("a", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("b", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("a", 2), 5, "x", 0)
 			replicas.Leader(1, "a", 0)
 			replicas.Leader(2, "b", 0)
 		}, ""},
@@ -440,16 +440,16 @@
 			replicas.State("b", 5, 2, 0)
 		}, InvariantReplicasAgree},
 		{"command replaced", func(replicas *Replicas) {
-			replicas.Applied(lifeOf("a", 1), 5, "x", 0)
-			replicas.Applied(lifeOf("b", 1), 5, "y", 0)
+			replicas.Applied(memberIncarnation("a", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("b", 1), 5, "y", 0)
 		}, InvariantCommittedKept},
 		{"command applied again", func(replicas *Replicas) {
-			replicas.Applied(lifeOf("a", 1), 5, "x", 0)
-			replicas.Applied(lifeOf("a", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("a", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("a", 1), 5, "x", 0)
 		}, InvariantReplicasAgree},
 		{"log applied backwards", func(replicas *Replicas) {
-			replicas.Applied(lifeOf("a", 1), 5, "x", 0)
-			replicas.Applied(lifeOf("a", 1), 4, "w", 0)
+			replicas.Applied(memberIncarnation("a", 1), 5, "x", 0)
+			replicas.Applied(memberIncarnation("a", 1), 4, "w", 0)
 		}, InvariantReplicasAgree},
 		{"two leaders", func(replicas *Replicas) {
 			replicas.Leader(1, "a", 0)
--- a/internal/checker/drain.go
+++ b/internal/checker/drain.go
@@ -21,7 +21,7 @@
 	grace   time.Duration
 	drained map[uint32]time.Duration
 	// late counts work taken within the grace period.
-	late int
+	withinGrace int
 	// suspended counts the reasons for which drains cannot arrive at present.
 	suspended int
 }
@@ -39,7 +39,7 @@
 }
 
 // Leaving returns the targets that were drained and not asked back, in order.
-func (drain *Drain) Leaving() []uint32 { return slices.Sorted(maps.Keys(drain.drained)) }
+func (drain *Drain) Draining() []uint32 { return slices.Sorted(maps.Keys(drain.drained)) }
 
 // CheckKept reports a drain that was accepted and has no effect any more;
 // serving tells that the target takes new work again.
@@ -66,7 +66,7 @@
 func (drain *Drain) Undrained(target uint32) { delete(drain.drained, target) }
 
 // Took records new work at a target.
-func (drain *Drain) Took(target uint32, work Work, at time.Duration) {
+func (drain *Drain) WorkStarted(target uint32, work Work, at time.Duration) {
 	since, leaving := drain.drained[target]
 	if !leaving || drain.suspended > 0 {
 		return
@@ -75,8 +75,8 @@
 		drain.report.Add(InvariantDrain, at, "target %d took a new %s %s after its drain was accepted", target, work, at-since)
 		return
 	}
-	drain.late++
+	drain.withinGrace++
 }
 
 // WithinGrace returns how much work came within the grace period.
-func (drain *Drain) WithinGrace() int { return drain.late }
+func (drain *Drain) WithinGrace() int { return drain.withinGrace }
--- a/internal/checker/flow.go
+++ b/internal/checker/flow.go
@@ -11,13 +11,13 @@
 type FlowID uint64
 
 // Place is one life of one target: a restarted target has lost its flows.
-type Place struct {
+type TargetIncarnation struct {
 	Target      uint32
 	Incarnation uint64
 }
 
 // String names the place.
-func (place Place) String() string {
+func (place TargetIncarnation) String() string {
 	return fmt.Sprintf("target %d/%d", place.Target, place.Incarnation)
 }
 
@@ -30,22 +30,22 @@
 	Delivered uint32
 	// Opening tells that the packet may open a flow.
 	Opening bool
-	Place   Place
+	Target  TargetIncarnation
 	At      time.Duration
 }
 
 // maximumUnanswered is the number of packets in a row that a live flow may
 // lose on a network without cuts before it counts as broken.
-const maximumUnanswered = 4
+const maxUnanswered = 4
 
 // wayAndBack is how long a packet and its answer may take on a network without cuts. What was
 // sent later than that is under way, and not lost.
-const wayAndBack = 100 * time.Millisecond
+const maxRoundTrip = 100 * time.Millisecond
 
 type flowRecord struct {
 	id      FlowID
 	service uint32
-	owner   Place
+	owner   TargetIncarnation
 	owned   bool
 	// unanswered has the times at which the packets since the last answer were sent.
 	unanswered []time.Duration
@@ -57,9 +57,9 @@
 type Flows struct {
 	report *Report
 	flows  map[FlowID]*flowRecord
-	dead   map[Place]bool
+	dead   map[TargetIncarnation]bool
 	// steady tells that a flow may not be silent at any time.
-	steady bool
+	expectAnswers bool
 	// excused counts the flows broken by the death of their own target.
 	excused int
 	opened  int
@@ -67,7 +67,7 @@
 
 // NewFlows returns a checker that writes into report.
 func NewFlows(report *Report) *Flows {
-	return &Flows{report: report, flows: make(map[FlowID]*flowRecord), dead: make(map[Place]bool)}
+	return &Flows{report: report, flows: make(map[FlowID]*flowRecord), dead: make(map[TargetIncarnation]bool)}
 }
 
 func (flows *Flows) record(id FlowID) *flowRecord {
@@ -82,13 +82,13 @@
 // ExpectSteady makes every silence of a live flow a violation, also one that
 // ends later: the scenario has planned changes only, and a feed that freezes
 // for a while is broken for its caller.
-func (flows *Flows) ExpectSteady() { flows.steady = true }
+func (flows *Flows) ExpectAnswers() { flows.expectAnswers = true }
 
 // Sent records that the caller sent a packet on a flow.
 func (flows *Flows) Sent(id FlowID, service uint32, at time.Duration) {
 	record := flows.record(id)
 	record.service = service
-	if flows.steady && record.live() && record.lost(at) > maximumUnanswered {
+	if flows.expectAnswers && record.live() && record.lost(at) > maxUnanswered {
 		flows.breakSilent(record, at)
 	}
 	record.unanswered = append(record.unanswered, at)
@@ -98,35 +98,35 @@
 func (flows *Flows) Delivered(delivery Delivery) {
 	if delivery.Delivered != delivery.Intended {
 		flows.report.Add(InvariantServiceIsolation, delivery.At, "flow %d of service %d delivered to service %d at %s",
-			delivery.Flow, delivery.Intended, delivery.Delivered, delivery.Place)
+			delivery.Flow, delivery.Intended, delivery.Delivered, delivery.Target)
 	}
 	record := flows.record(delivery.Flow)
 	if !record.owned {
 		record.owned = true
 		flows.opened++
-		flows.take(record, delivery)
+		flows.setOwner(record, delivery)
 		return
 	}
 	// A late copy of an opening packet may open a flow again after its caller
 	// ended it; the life of the flow that is checked here is over.
-	if record.owner == delivery.Place || record.closed || flows.dead[delivery.Place] {
+	if record.owner == delivery.Target || record.closed || flows.dead[delivery.Target] {
 		return
 	}
 	if flows.dead[record.owner] {
 		// The flow opened anew at a target that lives, and stays there.
-		flows.take(record, delivery)
+		flows.setOwner(record, delivery)
 		return
 	}
 	flows.report.Add(InvariantOneOwner, delivery.At, "flow %d of %s delivered to %s",
-		delivery.Flow, record.owner, delivery.Place)
+		delivery.Flow, record.owner, delivery.Target)
 }
 
 // take records where a flow lives. A target knows only flows that were opened
 // at it: it must not take another packet for one of them.
-func (flows *Flows) take(record *flowRecord, delivery Delivery) {
-	record.owner = delivery.Place
+func (flows *Flows) setOwner(record *flowRecord, delivery Delivery) {
+	record.owner = delivery.Target
 	if !delivery.Opening {
-		flows.report.Add(InvariantOneOwner, delivery.At, "flow %d delivered to %s, where it was not opened", delivery.Flow, delivery.Place)
+		flows.report.Add(InvariantOneOwner, delivery.At, "flow %d delivered to %s, where it was not opened", delivery.Flow, delivery.Target)
 	}
 }
 
@@ -143,11 +143,11 @@
 
 // TargetDied records the unplanned end of one life of a target. Its flows may
 // break.
-func (flows *Flows) TargetDied(place Place) { flows.dead[place] = true }
+func (flows *Flows) TargetDied(place TargetIncarnation) { flows.dead[place] = true }
 
 // TargetStopped records the planned end of one life of a target; it must own
 // no open flow.
-func (flows *Flows) TargetStopped(place Place, at time.Duration) {
+func (flows *Flows) TargetStopped(place TargetIncarnation, at time.Duration) {
 	for _, record := range flows.sorted() {
 		if record.owned && record.owner == place && !record.closed && !record.broken {
 			flows.breakFlow(record, at, "planned stop of its target")
@@ -157,7 +157,7 @@
 
 // NetworkHealed forgives unanswered packets of a time in which the scenario
 // itself cut the caller's path.
-func (flows *Flows) NetworkHealed() {
+func (flows *Flows) ClearUnanswered() {
 	for _, record := range flows.flows {
 		record.unanswered = nil
 	}
@@ -190,7 +190,7 @@
 func (record *flowRecord) lost(at time.Duration) int {
 	lost := 0
 	for _, sentAt := range record.unanswered {
-		if at-sentAt >= wayAndBack {
+		if at-sentAt >= maxRoundTrip {
 			lost++
 		}
 	}
@@ -199,7 +199,7 @@
 
 // silent tells whether the packets of a flow that is still open vanish.
 func (record *flowRecord) silent() bool {
-	return record.live() && len(record.unanswered) > maximumUnanswered
+	return record.live() && len(record.unanswered) > maxUnanswered
 }
 
 // live tells whether a target has the flow, and nothing ended it.
@@ -236,10 +236,10 @@
 func (flows *Flows) Excused() int { return flows.excused }
 
 // Owner returns where a flow lives.
-func (flows *Flows) Owner(id FlowID) (Place, bool) {
+func (flows *Flows) Owner(id FlowID) (TargetIncarnation, bool) {
 	record, known := flows.flows[id]
 	if !known || !record.owned {
-		return Place{}, false
+		return TargetIncarnation{}, false
 	}
 	return record.owner, true
 }
--- a/internal/checker/linearizability.go
+++ b/internal/checker/linearizability.go
@@ -51,7 +51,7 @@
 }
 
 // Initial is the state of an object before its history.
-type Initial struct {
+type InitialState struct {
 	Value    uint64
 	Revision uint64
 }
@@ -60,7 +60,7 @@
 const never = time.Duration(math.MaxInt64)
 
 // maximumSearch bounds the states that one object's search may visit.
-const maximumSearch = 2_000_000
+const maxSearchStates = 2_000_000
 
 // register is the sequential specification: the latest value and revision.
 // After a write of unknown outcome the revision is not known until a later
@@ -117,7 +117,7 @@
 // CheckLinearizable searches, for each object on its own, an order of its
 // operations that keeps real time and the register's rules (the algorithm of
 // Wing and Gong with the memory of Lowe). initial has the objects' first states.
-func CheckLinearizable(report *Report, history []Operation, initial map[string]Initial) {
+func CheckLinearizable(report *Report, history []Operation, initial map[string]InitialState) {
 	byObject := make(map[string][]Operation)
 	var objects []string
 	for _, operation := range history {
@@ -135,14 +135,14 @@
 }
 
 type search struct {
-	operations []Operation
-	first      register
-	visited    map[string]struct{}
-	done       []bool
-	longest    int
-	exhausted  bool
+	operations    []Operation
+	first         register
+	visited       map[string]struct{}
+	placed        []bool
+	longestPrefix int
+	exhausted     bool
 	// maximum bounds the states that are visited.
-	maximum int
+	maxStates int
 }
 
 func newSearch(operations []Operation, first register) *search {
@@ -157,8 +157,8 @@
 		operations: sorted,
 		first:      first,
 		visited:    make(map[string]struct{}),
-		done:       make([]bool, len(sorted)),
-		maximum:    maximumSearch,
+		placed:     make([]bool, len(sorted)),
+		maxStates:  maxSearchStates,
 	}
 }
 
@@ -167,16 +167,16 @@
 		return
 	}
 	if search.exhausted {
-		report.Add(InvariantLinearizable, 0, "object %s: no order found within %d states", object, search.maximum)
+		report.Add(InvariantLinearizable, 0, "object %s: no order found within %d states", object, search.maxStates)
 		return
 	}
 	report.Add(InvariantLinearizable, 0, "object %s: no order of its %d operations; the longest legal prefix has %d",
-		object, len(search.operations), search.longest)
+		object, len(search.operations), search.longestPrefix)
 }
 
 // explore extends a legal prefix of count operations that left state.
 func (search *search) explore(state register, count int) bool {
-	search.longest = max(search.longest, count)
+	search.longestPrefix = max(search.longestPrefix, count)
 	if search.complete() {
 		return true
 	}
@@ -188,18 +188,18 @@
 		if operation.Call > earliestReturn {
 			break
 		}
-		if search.done[index] {
+		if search.placed[index] {
 			continue
 		}
 		next, possible := state.apply(operation)
 		if !possible {
 			continue
 		}
-		search.done[index] = true
+		search.placed[index] = true
 		if search.explore(next, count+1) {
 			return true
 		}
-		search.done[index] = false
+		search.placed[index] = false
 	}
 	return false
 }
@@ -208,7 +208,7 @@
 // write of unknown outcome may never take effect.
 func (search *search) complete() bool {
 	for index, operation := range search.operations {
-		if !search.done[index] && operation.Result != ResultUnknown {
+		if !search.placed[index] && operation.Result != ResultUnknown {
 			return false
 		}
 	}
@@ -218,7 +218,7 @@
 func (search *search) earliestReturn() time.Duration {
 	earliest := never
 	for index, operation := range search.operations {
-		if !search.done[index] {
+		if !search.placed[index] {
 			earliest = min(earliest, operation.Return)
 		}
 	}
@@ -228,12 +228,12 @@
 // visit remembers the pair of placed operations and state; it returns false
 // when the pair was seen before or the search is too long.
 func (search *search) visit(state register) bool {
-	if len(search.visited) >= search.maximum {
+	if len(search.visited) >= search.maxStates {
 		search.exhausted = true
 		return false
 	}
-	key := make([]byte, 0, len(search.done)+17)
-	for _, done := range search.done {
+	key := make([]byte, 0, len(search.placed)+17)
+	for _, done := range search.placed {
 		if done {
 			key = append(key, 1)
 		} else {
--- a/internal/checker/linearizability_test.go
+++ b/internal/checker/linearizability_test.go
@@ -53,7 +53,7 @@
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
 			var report Report
-			CheckLinearizable(&report, row.history, map[string]Initial{"service": {Revision: 5}})
+			CheckLinearizable(&report, row.history, map[string]InitialState{"service": {Revision: 5}})
 			require.Equal(t, row.legal, len(report.Violations()) == 0, report.Violations())
 		})
 	}
@@ -69,7 +69,7 @@
 		revision = next
 	}
 	var report Report
-	CheckLinearizable(&report, history, map[string]Initial{"service": {Revision: 5}})
+	CheckLinearizable(&report, history, map[string]InitialState{"service": {Revision: 5}})
 	require.Empty(t, report.Violations())
 }
 
@@ -78,7 +78,7 @@
 func TestSearchThatIsCutShortIsNoPass(t *testing.T) {
 	history := []Operation{write("a", 1, 2, 5, 1, 6, ResultAccepted), read(3, 4, 1, 6)}
 	search := newSearch(history, register{revision: 5, known: true})
-	search.maximum = 1
+	search.maxStates = 1
 	var report Report
 	search.report(&report, "service")
 	require.Len(t, report.Violations(), 1)
@@ -88,7 +88,7 @@
 
 // drawHistory returns a legal history: operations take effect one after the
 // other, at a moment between their call and their return, and overlap.
-func drawHistory(random *rand.Rand, length int) []Operation {
+func randomHistory(random *rand.Rand, length int) []Operation {
 	const step = 100
 	revision, value := uint64(5), uint64(0)
 	var history []Operation
@@ -110,7 +110,7 @@
 
 func isLegal(history []Operation) bool {
 	var report Report
-	CheckLinearizable(&report, history, map[string]Initial{"service": {Revision: 5}})
+	CheckLinearizable(&report, history, map[string]InitialState{"service": {Revision: 5}})
 	return len(report.Violations()) == 0
 }
 
@@ -119,10 +119,10 @@
 	parameters.MinSuccessfulTests = 300
 	properties := gopter.NewProperties(parameters)
 	properties.Property("legal histories pass", prop.ForAll(func(seed uint64) bool {
-		return isLegal(drawHistory(rand.New(rand.NewPCG(seed, 1)), 40))
+		return isLegal(randomHistory(rand.New(rand.NewPCG(seed, 1)), 40))
 	}, gen.UInt64()))
 	properties.Property("a value that nobody wrote is found", prop.ForAll(func(seed uint64) bool {
-		history := drawHistory(rand.New(rand.NewPCG(seed, 2)), 40)
+		history := randomHistory(rand.New(rand.NewPCG(seed, 2)), 40)
 		for place := range history {
 			if history[place].Kind == OperationRead {
 				history[place].Value += 1_000_000
@@ -132,7 +132,7 @@
 		return true
 	}, gen.UInt64()))
 	properties.Property("a read of the state before an earlier answer is found", prop.ForAll(func(seed uint64) bool {
-		history := drawHistory(rand.New(rand.NewPCG(seed, 3)), 40)
+		history := randomHistory(rand.New(rand.NewPCG(seed, 3)), 40)
 		for _, earlier := range history {
 			if earlier.Kind == OperationWrite && earlier.Result == ResultAccepted {
 				stale := read(0, 0, earlier.Value-1, earlier.Base)
@@ -152,15 +152,15 @@
 		violate Invariant
 	}{
 		{"fine", func(operators *Operators) {
-			operators.Ended(write("a", 1, 2, 5, 1, 6, ResultAccepted))
+			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 6}, 2)
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 6}, 3)
 			operators.Answered("b", ChangeAnswer{Revision: 6}, 3)
 			operators.Final("service", 1, 6, seconds(9))
 		}, ""},
 		{"two winners", func(operators *Operators) {
-			operators.Ended(write("a", 1, 2, 5, 1, 6, ResultAccepted))
-			operators.Ended(write("b", 1, 2, 5, 2, 7, ResultAccepted))
+			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
+			operators.Completed(write("b", 1, 2, 5, 2, 7, ResultAccepted))
 		}, InvariantOneWinner},
 		{"resent change applied again", func(operators *Operators) {
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 6}, 2)
@@ -175,12 +175,12 @@
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 7}, 3)
 		}, InvariantAppliedOnce},
 		{"accepted change lost", func(operators *Operators) {
-			operators.Ended(write("a", 1, 2, 5, 1, 6, ResultAccepted))
+			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
 			operators.Final("service", 0, 5, seconds(9))
 		}, InvariantCommittedKept},
 		{"stale end", func(operators *Operators) {
-			operators.Created("service", Initial{Revision: 5})
-			operators.Ended(write("a", 1, 2, 5, 1, 6, ResultAccepted))
+			operators.Created("service", InitialState{Revision: 5})
+			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
 			operators.Final("service", 2, 6, seconds(9))
 			operators.CheckLinearizable()
 		}, InvariantLinearizable},
--- a/internal/checker/operator.go
+++ b/internal/checker/operator.go
@@ -9,7 +9,7 @@
 type Operators struct {
 	report  *Report
 	history []Operation
-	initial map[string]Initial
+	initial map[string]InitialState
 	winners map[objectRevision]string
 	byKey   map[string]ChangeAnswer
 }
@@ -23,17 +23,19 @@
 func NewOperators(report *Report) *Operators {
 	return &Operators{
 		report:  report,
-		initial: make(map[string]Initial),
+		initial: make(map[string]InitialState),
 		winners: make(map[objectRevision]string),
 		byKey:   make(map[string]ChangeAnswer),
 	}
 }
 
 // Created records the first state of an object.
-func (operators *Operators) Created(object string, first Initial) { operators.initial[object] = first }
+func (operators *Operators) Created(object string, first InitialState) {
+	operators.initial[object] = first
+}
 
 // Ended records one operation with its result.
-func (operators *Operators) Ended(operation Operation) {
+func (operators *Operators) Completed(operation Operation) {
 	operators.history = append(operators.history, operation)
 	if operation.Kind == OperationWrite && operation.Result == ResultAccepted {
 		operators.checkWinner(operation)
--- a/internal/checker/replica.go
+++ b/internal/checker/replica.go
@@ -10,11 +10,11 @@
 	leaders map[uint64]string
 	applied map[uint64]string
 	// latest has the place that each life of a member applied last.
-	latest map[MemberLife]uint64
+	lastIndex map[MemberIncarnation]uint64
 }
 
 // MemberLife is one life of one member's process.
-type MemberLife struct {
+type MemberIncarnation struct {
 	Member      string
 	Incarnation uint64
 }
@@ -27,11 +27,11 @@
 // NewReplicas returns a checker that writes into report.
 func NewReplicas(report *Report) *Replicas {
 	return &Replicas{
-		report:  report,
-		digests: make(map[uint64]replicaDigest),
-		leaders: make(map[uint64]string),
-		applied: make(map[uint64]string),
-		latest:  make(map[MemberLife]uint64),
+		report:    report,
+		digests:   make(map[uint64]replicaDigest),
+		leaders:   make(map[uint64]string),
+		applied:   make(map[uint64]string),
+		lastIndex: make(map[MemberIncarnation]uint64),
 	}
 }
 
@@ -50,11 +50,11 @@
 
 // Applied records that a member applied a command at index. One life of a
 // member goes forward along the log.
-func (replicas *Replicas) Applied(life MemberLife, index uint64, command string, at time.Duration) {
-	if latest := replicas.latest[life]; index <= latest {
+func (replicas *Replicas) Applied(life MemberIncarnation, index uint64, command string, at time.Duration) {
+	if latest := replicas.lastIndex[life]; index <= latest {
 		replicas.report.Add(InvariantReplicasAgree, at, "%s applied index %d after %d", life.Member, index, latest)
 	}
-	replicas.latest[life] = index
+	replicas.lastIndex[life] = index
 	known, seen := replicas.applied[index]
 	if !seen {
 		replicas.applied[index] = command
@@ -79,4 +79,4 @@
 func (replicas *Replicas) Terms() int { return len(replicas.leaders) }
 
 // Indices returns the number of log places that any member applied.
-func (replicas *Replicas) Indices() int { return len(replicas.applied) }
+func (replicas *Replicas) AppliedIndices() int { return len(replicas.applied) }
--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -23,10 +23,10 @@
 	Attempt AttemptID
 	// For is the attempt whose work the answer tells of. Answers of attempts
 	// with the same key are each other's.
-	For AttemptID
+	Origin AttemptID
 	// Whole tells that the body had its full length.
-	Whole bool
-	At    time.Duration
+	Complete bool
+	At       time.Duration
 }
 
 // Outcome is how an attempt ended for its caller.
@@ -38,7 +38,7 @@
 	outcomeAnswered
 	outcomeRefused
 	outcomeUnknown
-	outcomeCut
+	outcomeInterrupted
 )
 
 type attemptRecord struct {
@@ -49,7 +49,7 @@
 	// runs counts entries in the back ends' ledger.
 	runs    int
 	running bool
-	place   Place
+	target  TargetIncarnation
 	sentAt  time.Duration
 }
 
@@ -58,7 +58,7 @@
 	report   *Report
 	attempts map[AttemptID]*attemptRecord
 	keyRuns  map[string]int
-	dead     map[Place]bool
+	dead     map[TargetIncarnation]bool
 }
 
 // NewRequests returns a checker that writes into report.
@@ -67,17 +67,17 @@
 		report:   report,
 		attempts: make(map[AttemptID]*attemptRecord),
 		keyRuns:  make(map[string]int),
-		dead:     make(map[Place]bool),
+		dead:     make(map[TargetIncarnation]bool),
 	}
 }
 
 // Offered records that a caller sent an attempt.
-func (requests *Requests) Offered(attempt Attempt, at time.Duration) {
+func (requests *Requests) Sent(attempt Attempt, at time.Duration) {
 	requests.attempts[attempt.ID] = &attemptRecord{attempt: attempt, sentAt: at}
 }
 
 // Ran records an entry of a back end's ledger: the run began.
-func (requests *Requests) Ran(id AttemptID, place Place, at time.Duration) {
+func (requests *Requests) Ran(id AttemptID, place TargetIncarnation, at time.Duration) {
 	record, known := requests.attempts[id]
 	if !known {
 		requests.report.Add(InvariantAnswerBound, at, "attempt %d ran and nobody sent it", id)
@@ -85,7 +85,7 @@
 	}
 	record.runs++
 	record.running = true
-	record.place = place
+	record.target = place
 	if record.refused {
 		requests.report.Add(InvariantRefusedNotRun, at, "attempt %d ran at %s after its refusal", id, place)
 	}
@@ -113,13 +113,13 @@
 		requests.report.Add(InvariantAnswerBound, answer.At, "answer to attempt %d that nobody sent", answer.Attempt)
 		return
 	}
-	if !requests.sameRequest(record, answer.For) {
-		requests.report.Add(InvariantAnswerBound, answer.At, "attempt %d got the answer of attempt %d", answer.Attempt, answer.For)
+	if !requests.sameRequest(record, answer.Origin) {
+		requests.report.Add(InvariantAnswerBound, answer.At, "attempt %d got the answer of attempt %d", answer.Attempt, answer.Origin)
 	}
-	if origin, sent := requests.attempts[answer.For]; sent && origin.runs == 0 {
-		requests.report.Add(InvariantAnswerBound, answer.At, "attempt %d got the answer of attempt %d, which did not run", answer.Attempt, answer.For)
+	if origin, sent := requests.attempts[answer.Origin]; sent && origin.runs == 0 {
+		requests.report.Add(InvariantAnswerBound, answer.At, "attempt %d got the answer of attempt %d, which did not run", answer.Attempt, answer.Origin)
 	}
-	if !answer.Whole {
+	if !answer.Complete {
 		requests.report.Add(InvariantAnswerBound, answer.At, "attempt %d got a short answer as whole", answer.Attempt)
 	}
 	record.outcome = outcomeAnswered
@@ -140,7 +140,7 @@
 		return
 	}
 	if record.runs > 0 {
-		requests.report.Add(InvariantRefusedNotRun, at, "attempt %d refused as not run after it ran at %s", id, record.place)
+		requests.report.Add(InvariantRefusedNotRun, at, "attempt %d refused as not run after it ran at %s", id, record.target)
 	}
 	record.outcome = outcomeRefused
 	record.refused = true
@@ -155,13 +155,13 @@
 
 // TargetDied records the unplanned end of one life of a target. Its requests
 // in progress may be cut.
-func (requests *Requests) TargetDied(place Place) { requests.dead[place] = true }
+func (requests *Requests) TargetDied(place TargetIncarnation) { requests.dead[place] = true }
 
 // TargetStopped records a planned end; no request may be running there.
-func (requests *Requests) TargetStopped(place Place, at time.Duration) {
+func (requests *Requests) TargetStopped(place TargetIncarnation, at time.Duration) {
 	for _, record := range requests.sorted() {
-		if record.running && record.place == place && !requests.dead[place] {
-			record.outcome = outcomeCut
+		if record.running && record.target == place && !requests.dead[place] {
+			record.outcome = outcomeInterrupted
 			requests.report.Add(InvariantStopCutsNothing, at, "attempt %d cut by the planned stop of %s", record.attempt.ID, place)
 		}
 	}
@@ -171,7 +171,7 @@
 // except those whose target died.
 func (requests *Requests) CheckEnded(sentBefore, at time.Duration) {
 	for _, record := range requests.sorted() {
-		if record.outcome == outcomeOpen && record.sentAt < sentBefore && !requests.dead[record.place] {
+		if record.outcome == outcomeOpen && record.sentAt < sentBefore && !requests.dead[record.target] {
 			requests.report.Add(InvariantRequestAnswered, at, "attempt %d sent at %s has no end", record.attempt.ID, record.sentAt)
 		}
 	}
@@ -179,14 +179,14 @@
 
 // Tally counts attempts by their outcome.
 type Tally struct {
-	Offered, Answered, Refused, Unknown, Runs int
+	Sent, Answered, Refused, Unknown, Runs int
 }
 
 // Tally returns the present counts.
 func (requests *Requests) Tally() Tally {
 	var tally Tally
 	for _, record := range requests.attempts {
-		tally.Offered++
+		tally.Sent++
 		tally.Runs += record.runs
 		switch record.outcome {
 		case outcomeAnswered:
--- a/internal/checker/violation.go
+++ b/internal/checker/violation.go
@@ -107,7 +107,7 @@
 func (report *Report) Observe(observer func(Violation)) { report.observer = observer }
 
 // maximumViolations bounds the violations of one invariant in a report.
-const maximumViolations = 10
+const maxViolationsPerInvariant = 10
 
 // Add records a violation.
 func (report *Report) Add(invariant Invariant, at time.Duration, format string, arguments ...any) {
@@ -115,7 +115,7 @@
 		report.counts = make(map[Invariant]int)
 	}
 	report.counts[invariant]++
-	if report.counts[invariant] > maximumViolations {
+	if report.counts[invariant] > maxViolationsPerInvariant {
 		return
 	}
 	violation := Violation{Invariant: invariant, At: at, Detail: fmt.Sprintf(format, arguments...)}
--- a/internal/sim/cli/cli_test.go
+++ b/internal/sim/cli/cli_test.go
@@ -16,7 +16,7 @@
 )
 
 // oddFails is a scenario that violates an invariant for odd seeds.
-func oddFails(name string) sim.Scenario {
+func failsOddSeeds(name string) sim.Scenario {
 	return sim.Scenario{Name: name, Play: func(run *sim.Run) {
 		run.Trace.Add("test", "event", "the last one")
 		if run.Seed%2 == 1 {
@@ -49,7 +49,7 @@
 // TestKnownRedRunsFailNothingElse: a run that is listed is printed and passed over, and the
 // next one that fails is not.
 func TestKnownRedRunsFailNothingElse(t *testing.T) {
-	selected := selection{scenarios: []sim.Scenario{oddFails("first")}, seeds: sim.SeedRange{First: 2, Last: 4}, workers: 1}
+	selected := selection{scenarios: []sim.Scenario{failsOddSeeds("first")}, seeds: sim.SeedRange{First: 2, Last: 4}, workers: 1}
 	path := knownRedFile(t, "a line about another test", "simulation first seed 3; seen: odd; issue 1")
 	output, err := runOutput(t, selected, runFlags{knownRed: path})
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 
 func TestRunGoesOnWithTheNextScenarioAfterAViolation(t *testing.T) {
 	selected := selection{
-		scenarios: []sim.Scenario{oddFails("first"), passes("second")},
+		scenarios: []sim.Scenario{failsOddSeeds("first"), passes("second")},
 		seeds:     sim.SeedRange{First: 2, Last: 9},
 		workers:   3,
 	}
@@ -96,7 +96,7 @@
 }
 
 func TestRunKeepsGoing(t *testing.T) {
-	selected := selection{scenarios: []sim.Scenario{oddFails("first")}, seeds: sim.SeedRange{First: 2, Last: 9}, workers: 3}
+	selected := selection{scenarios: []sim.Scenario{failsOddSeeds("first")}, seeds: sim.SeedRange{First: 2, Last: 9}, workers: 3}
 	output, err := runOutput(t, selected, runFlags{keep: true})
 	require.ErrorIs(t, err, errFailed)
 	require.Equal(t, 4, strings.Count(output, "FAILED"))
@@ -104,7 +104,7 @@
 }
 
 func TestRunWritesOneObjectForEachRun(t *testing.T) {
-	selected := selection{scenarios: []sim.Scenario{oddFails("first")}, seeds: sim.SeedRange{First: 2, Last: 3}, workers: 1}
+	selected := selection{scenarios: []sim.Scenario{failsOddSeeds("first")}, seeds: sim.SeedRange{First: 2, Last: 3}, workers: 1}
 	output, err := runOutput(t, selected, runFlags{asJSON: true})
 	require.ErrorIs(t, err, errFailed)
 	lines := strings.Split(strings.TrimSpace(output), "\n")
--- a/internal/sim/cli/digest.go
+++ b/internal/sim/cli/digest.go
@@ -57,7 +57,7 @@
 	total := 0
 	for _, scenario := range selected.scenarios {
 		seeds, different := 0, 0
-		sim.Repeat(scenario, selected.seeds, selected.workers, func(first, second sim.Result) bool {
+		sim.RunTwice(scenario, selected.seeds, selected.workers, func(first, second sim.Result) bool {
 			seeds++
 			if !first.SameRun(second) {
 				different++
--- a/internal/sim/cli/knownred.go
+++ b/internal/sim/cli/knownred.go
@@ -11,7 +11,7 @@
 )
 
 // mostKnownRed is how many runs may be known to fail. A list that grows hides what breaks.
-const mostKnownRed = 3
+const maxKnownRed = 3
 
 // knownRun names one run.
 type knownRun struct {
@@ -47,14 +47,14 @@
 		}
 		known[run] = strings.TrimSpace(line)
 	}
-	if len(known) > mostKnownRed {
-		return nil, fmt.Errorf("%s: %d runs are known to fail; at most %d may be", path, len(known), mostKnownRed)
+	if len(known) > maxKnownRed {
+		return nil, fmt.Errorf("%s: %d runs are known to fail; at most %d may be", path, len(known), maxKnownRed)
 	}
 	return known, nil
 }
 
 // passesOver tells whether a failed run is known to fail.
-func (known knownRed) passesOver(result sim.Result) (line string, passes bool) {
+func (known knownRed) knownFailure(result sim.Result) (line string, passes bool) {
 	line, listed := known[knownRun{scenario: result.Scenario, seed: result.Seed}]
 	return line, listed && result.Failed()
 }
--- a/internal/sim/cli/mutants.go
+++ b/internal/sim/cli/mutants.go
@@ -89,14 +89,14 @@
 	if finding.Caught {
 		invariant = string(finding.Violation.Invariant)
 	}
-	fmt.Fprintf(output, mutantFormat, finding.Mutant.Name, finding.Mutant.Story.Name, invariant, finding.Seeds, finding.Mutant.Breaks)
+	fmt.Fprintf(output, mutantFormat, finding.Mutant.Name, finding.Mutant.Scenario.Name, invariant, finding.Seeds, finding.Mutant.Breaks)
 	if finding.Caught {
 		return
 	}
 	if finding.FailedUnbroken > 0 {
 		fmt.Fprintf(output, "  %d seeds do not count: they fail without the mutant too\n", finding.FailedUnbroken)
 	}
-	if len(finding.Others) > 0 {
-		fmt.Fprintf(output, "  other invariants violated: %v\n", finding.Others)
+	if len(finding.OtherInvariants) > 0 {
+		fmt.Fprintf(output, "  other invariants violated: %v\n", finding.OtherInvariants)
 	}
 }
--- a/internal/sim/cli/mutants_test.go
+++ b/internal/sim/cli/mutants_test.go
@@ -13,12 +13,12 @@
 )
 
 // quiet is a mutant that violates what it should, or nothing.
-func quiet(caught bool) mutant.Mutant {
+func stubMutant(caught bool) mutant.Mutant {
 	return mutant.Mutant{
 		Name:   "quiet",
 		Breaks: "nothing of worth",
 		Expect: []checker.Invariant{checker.InvariantDrain},
-		Story: mutant.Story{Name: "story", Play: func(run *sim.Run, parts world.Parts) {
+		Scenario: mutant.Scenario{Name: "story", Play: func(run *sim.Run, parts world.Parts) {
 			if caught && parts.Chain == nil {
 				run.Report.Add(checker.InvariantDrain, 0, "late")
 			}
@@ -35,8 +35,8 @@
 		output  string
 	}{
 		{name: "none", want: errNoMutants},
-		{name: "all caught", mutants: []mutant.Mutant{quiet(true), quiet(true)}, output: "2 of 2 caught"},
-		{name: "one escapes", mutants: []mutant.Mutant{quiet(true), quiet(false)}, want: errEscaped, output: "1 of 2 caught"},
+		{name: "all caught", mutants: []mutant.Mutant{stubMutant(true), stubMutant(true)}, output: "2 of 2 caught"},
+		{name: "one escapes", mutants: []mutant.Mutant{stubMutant(true), stubMutant(false)}, want: errEscaped, output: "1 of 2 caught"},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/sim/cli/progress.go
+++ b/internal/sim/cli/progress.go
@@ -12,12 +12,12 @@
 
 // progress writes one line that it overwrites, if it writes to a terminal.
 type progress struct {
-	output  io.Writer
-	seeds   uint64
-	count   int
-	started time.Time
-	shownAt time.Time
-	shown   bool
+	output        io.Writer
+	seeds         uint64
+	scenarioCount int
+	started       time.Time
+	shownAt       time.Time
+	shown         bool
 }
 
 // newProgress returns the progress of a selection; it stays silent unless
@@ -26,7 +26,7 @@
 	if !isTerminal(output) {
 		output = nil
 	}
-	return &progress{output: output, seeds: selected.seeds.Count(), count: len(selected.scenarios), started: time.Now()}
+	return &progress{output: output, seeds: selected.seeds.Count(), scenarioCount: len(selected.scenarios), started: time.Now()}
 }
 
 func isTerminal(output io.Writer) bool {
--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -96,7 +96,7 @@
 	// knownRed counts the failed runs that are known to fail.
 	knownRed int
 	// cut tells that seeds were left out after a violation.
-	cut bool
+	stoppedEarly bool
 }
 
 func runScenarios(output io.Writer, progress *progress, selected selection, known knownRed, flags runFlags) error {
@@ -106,7 +106,7 @@
 		counted := &summary{name: scenario.Name}
 		summaries = append(summaries, counted)
 		sim.Sweep([]sim.Scenario{scenario}, selected.seeds, selected.workers, func(result sim.Result) bool {
-			line, passedOver := known.passesOver(result)
+			line, passedOver := known.knownFailure(result)
 			counted.add(result, passedOver)
 			if flags.asJSON || result.Failed() {
 				progress.clear()
@@ -119,7 +119,7 @@
 			return flags.keep || passedOver || !result.Failed()
 		})
 		failures += counted.failed
-		counted.cut = uint64(counted.runs) < selected.seeds.Count()
+		counted.stoppedEarly = uint64(counted.runs) < selected.seeds.Count()
 	}
 	progress.clear()
 	if !flags.asJSON {
@@ -204,7 +204,7 @@
 	fmt.Fprintf(output, "%-24s %8s %8s %14s %14s\n", "scenario", "seeds", "failed", "events", "virtual time")
 	for _, one := range summaries {
 		note := ""
-		if one.cut {
+		if one.stoppedEarly {
 			note = "  stopped at the first failure"
 		}
 		if one.knownRed > 0 {
--- a/internal/sim/determinism.go
+++ b/internal/sim/determinism.go
@@ -1,7 +1,7 @@
 package sim
 
 // digestChunk is how many seeds are run before they are run again.
-const digestChunk = 64
+const chunkSeeds = 64
 
 // SameRun tells whether two runs of one seed went the same way.
 func (result Result) SameRun(other Result) bool {
@@ -14,26 +14,26 @@
 // Repeat runs every seed of a scenario twice, with different numbers of
 // workers, and calls report for each pair in order. It stops early once report
 // returns false.
-func Repeat(scenario Scenario, seeds SeedRange, workers int, report func(first, second Result) bool) {
-	for first := seeds.First; ; first += digestChunk {
+func RunTwice(scenario Scenario, seeds SeedRange, workers int, report func(first, second Result) bool) {
+	for first := seeds.First; ; first += chunkSeeds {
 		chunk := SeedRange{First: first, Last: seeds.Last}
-		if chunk.Last-first >= digestChunk {
-			chunk.Last = first + digestChunk - 1
+		if chunk.Last-first >= chunkSeeds {
+			chunk.Last = first + chunkSeeds - 1
 		}
-		if !repeatChunk(scenario, chunk, workers, report) || chunk.Last == seeds.Last {
+		if !runChunkTwice(scenario, chunk, workers, report) || chunk.Last == seeds.Last {
 			return
 		}
 	}
 }
 
-func repeatChunk(scenario Scenario, seeds SeedRange, workers int, report func(first, second Result) bool) bool {
+func runChunkTwice(scenario Scenario, seeds SeedRange, workers int, report func(first, second Result) bool) bool {
 	var earlier []Result
-	sweepOne(scenario, seeds, workers, func(result Result) bool {
+	sweepScenario(scenario, seeds, workers, func(result Result) bool {
 		earlier = append(earlier, result)
 		return true
 	})
 	place := 0
-	return sweepOne(scenario, seeds, otherWorkers(workers), func(result Result) bool {
+	return sweepScenario(scenario, seeds, differentWorkers(workers), func(result Result) bool {
 		first := earlier[place]
 		place++
 		return report(first, result)
@@ -41,7 +41,7 @@
 }
 
 // otherWorkers returns a number of workers that differs from the given one.
-func otherWorkers(workers int) int {
+func differentWorkers(workers int) int {
 	if workers > 1 {
 		return (workers + 1) / 2
 	}
--- a/internal/sim/determinism_test.go
+++ b/internal/sim/determinism_test.go
@@ -19,7 +19,7 @@
 	}}
 	for _, workers := range []int{1, 4} {
 		var seeds, different []uint64
-		Repeat(unstable, SeedRange{First: 1, Last: 200}, workers, func(first, second Result) bool {
+		RunTwice(unstable, SeedRange{First: 1, Last: 200}, workers, func(first, second Result) bool {
 			require.Equal(t, first.Seed, second.Seed)
 			seeds = append(seeds, first.Seed)
 			if !first.SameRun(second) {
@@ -34,7 +34,7 @@
 
 func TestRepeatAtTheEndOfTheRange(t *testing.T) {
 	count := 0
-	Repeat(drawing(), SeedRange{First: math.MaxUint64 - 127, Last: math.MaxUint64}, 2, func(first, second Result) bool {
+	RunTwice(randomScenario(), SeedRange{First: math.MaxUint64 - 127, Last: math.MaxUint64}, 2, func(first, second Result) bool {
 		count++
 		return first.SameRun(second)
 	})
@@ -42,7 +42,7 @@
 }
 
 func TestSameRun(t *testing.T) {
-	run := Execute(drawing(), 3)
+	run := Execute(randomScenario(), 3)
 	table := []struct {
 		name   string
 		change func(result *Result)
--- a/internal/sim/mutant/claim.go
+++ b/internal/sim/mutant/claim.go
@@ -14,10 +14,10 @@
 
 func claimSkipped() Mutant {
 	return Mutant{
-		Name:   "claim-skipped",
-		Breaks: "an agent runs a request that may run once without a claim",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-skipped",
+		Breaks:   "an agent runs a request that may run once without a claim",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Claims = func(standard world.Claims) world.Claims { return grantsAll{Claims: standard} }
 		},
@@ -36,10 +36,10 @@
 
 func claimReleasedAfterRun() Mutant {
 	return Mutant{
-		Name:   "claim-released-after-run",
-		Breaks: "an agent reports a claimed request that ran as not run",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-released-after-run",
+		Breaks:   "an agent reports a claimed request that ran as not run",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Claims = func(standard world.Claims) world.Claims { return &releasesAll{Claims: standard} }
 		},
@@ -68,10 +68,10 @@
 
 func claimGrantedToEachAgent() Mutant {
 	return Mutant{
-		Name:   "claim-granted-to-each",
-		Breaks: "claims of different agents for the same key do not exclude each other",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-granted-to-each",
+		Breaks:   "claims of different agents for the same key do not exclude each other",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 				return []protocol.Envelope{withKeyOfAgent(envelope)}
--- a/internal/sim/mutant/consensus.go
+++ b/internal/sim/mutant/consensus.go
@@ -25,8 +25,8 @@
 		Name:   "vote-given-twice",
 		Breaks: "a member votes for every candidate of a term",
 		// The core stops itself by a panic once it meets the other leader.
-		Expect: []checker.Invariant{checker.InvariantOneLeader, checker.InvariantNoPanic},
-		Story:  slowElections(),
+		Expect:   []checker.Invariant{checker.InvariantOneLeader, checker.InvariantNoPanic},
+		Scenario: slowElections(),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			changeConsensus(parts, func(_ protocol.Envelope, message raft.Message) raft.Message {
 				if message.Kind == raft.MessageVoteReply {
@@ -40,10 +40,10 @@
 
 func appendAcknowledgedUnstored() Mutant {
 	return Mutant{
-		Name:   "append-unstored",
-		Breaks: "a follower acknowledges all that was sent to it, stored or not",
-		Expect: []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
-		Story:  storyOf("leader-loss"),
+		Name:     "append-unstored",
+		Breaks:   "a follower acknowledges all that was sent to it, stored or not",
+		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
+		Scenario: namedScenario("leader-loss"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			sent := make(map[model.NodeName]uint64)
 			changeConsensus(parts, func(envelope protocol.Envelope, message raft.Message) raft.Message {
@@ -65,10 +65,10 @@
 
 func learnerPromotedEarly() Mutant {
 	return Mutant{
-		Name:   "learner-promoted-early",
-		Breaks: "a new member counts as caught up before it has the log",
-		Expect: []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
-		Story:  storyOf("lost-disk"),
+		Name:     "learner-promoted-early",
+		Breaks:   "a new member counts as caught up before it has the log",
+		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
+		Scenario: namedScenario("lost-disk"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			var committed uint64
 			changeConsensus(parts, func(_ protocol.Envelope, message raft.Message) raft.Message {
@@ -85,15 +85,15 @@
 
 func memberBackUnderOldID() Mutant {
 	return Mutant{
-		Name:   "member-back-under-old-id",
-		Breaks: "a member that lost its disk takes its former place and votes again",
-		Expect: []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
-		Story:  disksLostUnnoticed(),
+		Name:     "member-back-under-old-id",
+		Breaks:   "a member that lost its disk takes its former place and votes again",
+		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
+		Scenario: disksLostUnnoticed(),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			places := make(map[model.NodeName]replica.JoinReply)
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 				if reply, isReply := envelope.Message.(replica.JoinReply); isReply {
-					envelope.Message = formerPlace(places, envelope.To, reply)
+					envelope.Message = previousJoinReply(places, envelope.To, reply)
 				}
 				return []protocol.Envelope{envelope}
 			}
@@ -102,7 +102,7 @@
 }
 
 // formerPlace remembers the place that a member was given and gives it again.
-func formerPlace(places map[model.NodeName]replica.JoinReply, member model.NodeName, reply replica.JoinReply) replica.JoinReply {
+func previousJoinReply(places map[model.NodeName]replica.JoinReply, member model.NodeName, reply replica.JoinReply) replica.JoinReply {
 	if reply.Accepted {
 		places[member] = reply
 		return reply
@@ -117,10 +117,10 @@
 
 func readNotConfirmed() Mutant {
 	return Mutant{
-		Name:   "read-not-confirmed",
-		Breaks: "a member answers reads without confirming that it still leads",
-		Expect: []checker.Invariant{checker.InvariantLinearizable},
-		Story:  storyOf("clock-skew"),
+		Name:     "read-not-confirmed",
+		Breaks:   "a member answers reads without confirming that it still leads",
+		Expect:   []checker.Invariant{checker.InvariantLinearizable},
+		Scenario: namedScenario("clock-skew"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Confirm = func(world.ReadConfirmer) world.ReadConfirmer { return confirmsAll{} }
 		},
--- a/internal/sim/mutant/direct.go
+++ b/internal/sim/mutant/direct.go
@@ -57,10 +57,10 @@
 func directMutants() []Mutant {
 	return []Mutant{
 		{
-			Name:   "direct-read-unconfirmed",
-			Breaks: "a member answers a read of the declared configuration from its own copy",
-			Expect: []checker.Invariant{checker.InvariantLinearizable},
-			Story:  storyOf("direct-core-cuts"),
+			Name:     "direct-read-unconfirmed",
+			Breaks:   "a member answers a read of the declared configuration from its own copy",
+			Expect:   []checker.Invariant{checker.InvariantLinearizable},
+			Scenario: namedScenario("direct-core-cuts"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Read = func(member *directworld.Member, _, _ time.Time, done func(*declared.Configuration, error)) {
 					done(member.Directory.Configuration(), nil)
@@ -68,20 +68,20 @@
 			},
 		},
 		{
-			Name:   "direct-token-ignored",
-			Breaks: "a balancer chooses a target for every packet anew instead of following the token",
-			Expect: []checker.Invariant{checker.InvariantFlowKept},
-			Story:  storyOf("direct-planned"),
+			Name:     "direct-token-ignored",
+			Breaks:   "a balancer chooses a target for every packet anew instead of following the token",
+			Expect:   []checker.Invariant{checker.InvariantFlowKept},
+			Scenario: namedScenario("direct-planned"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
 				segment.Opening = true
 				return table.Decide(segment, now)
 			}),
 		},
 		{
-			Name:   "direct-lost-token-reset",
-			Breaks: "balancers lose some tokens and reset the flows that carry them",
-			Expect: []checker.Invariant{checker.InvariantFlowKept},
-			Story:  storyOf("direct-target-deaths"),
+			Name:     "direct-lost-token-reset",
+			Breaks:   "balancers lose some tokens and reset the flows that carry them",
+			Expect:   []checker.Invariant{checker.InvariantFlowKept},
+			Scenario: namedScenario("direct-target-deaths"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
 				if !segment.Opening && segment.Token%8 == 7 {
 					segment.Token += 1 << 20
@@ -94,10 +94,10 @@
 			}),
 		},
 		{
-			Name:   "direct-former-starts-reset",
-			Breaks: "balancers reset the flows that carry the token of a target's former start",
-			Expect: []checker.Invariant{checker.InvariantFlowKept},
-			Story:  storyOf("direct-restarted-targets"),
+			Name:     "direct-former-starts-reset",
+			Breaks:   "balancers reset the flows that carry the token of a target's former start",
+			Expect:   []checker.Invariant{checker.InvariantFlowKept},
+			Scenario: namedScenario("direct-restarted-targets"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
 				decision := table.Decide(segment, now)
 				if decision.Reason == steer.ReasonRestarted {
@@ -107,10 +107,10 @@
 			}),
 		},
 		{
-			Name:   "direct-drain-ignored",
-			Breaks: "balancers learn of draining targets as if they were ready",
-			Expect: []checker.Invariant{checker.InvariantDrain},
-			Story:  storyOf("direct-planned"),
+			Name:     "direct-drain-ignored",
+			Breaks:   "balancers learn of draining targets as if they were ready",
+			Expect:   []checker.Invariant{checker.InvariantDrain},
+			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
 				if target.State == directory.TargetDraining {
 					target.State = directory.TargetReady
@@ -118,10 +118,10 @@
 			}),
 		},
 		{
-			Name:   "direct-service-crossed",
-			Breaks: "balancers take targets of one service for those of another",
-			Expect: []checker.Invariant{checker.InvariantServiceIsolation},
-			Story:  storyOf("direct-planned"),
+			Name:     "direct-service-crossed",
+			Breaks:   "balancers take targets of one service for those of another",
+			Expect:   []checker.Invariant{checker.InvariantServiceIsolation},
+			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
 				if target.Token%4 == 1 {
 					target.Service = "ledger"
@@ -129,10 +129,10 @@
 			}),
 		},
 		{
-			Name:   "direct-update-partly-lost",
-			Breaks: "an update loses some of its targets and counts as whole",
-			Expect: []checker.Invariant{checker.InvariantSameConfiguration},
-			Story:  storyOf("direct-planned"),
+			Name:     "direct-update-partly-lost",
+			Breaks:   "an update loses some of its targets and counts as whole",
+			Expect:   []checker.Invariant{checker.InvariantSameConfiguration},
+			Scenario: namedScenario("direct-planned"),
 			Variant: directUpdates(func(update *feed.Update) {
 				if len(update.Changes.Targets) == 1 && update.Changes.Targets[0].Token%3 == 0 {
 					update.Changes.Targets = nil
@@ -140,32 +140,32 @@
 			}),
 		},
 		{
-			Name:   "direct-updates-stale",
-			Breaks: "members tell balancers that they are current without having heard from a leader",
-			Expect: []checker.Invariant{checker.InvariantInForce},
-			Story:  storyOf("direct-bad-disks"),
+			Name:     "direct-updates-stale",
+			Breaks:   "members tell balancers that they are current without having heard from a leader",
+			Expect:   []checker.Invariant{checker.InvariantInForce},
+			Scenario: namedScenario("direct-bad-disks"),
 			Variant: directUpdates(func(update *feed.Update) {
 				update.Fresh = true
 			}),
 		},
 		{
-			Name:   "direct-entries-not-synced",
-			Breaks: "registrations and declarations are acknowledged before they are written",
-			Expect: []checker.Invariant{checker.InvariantLinearizable, checker.InvariantCommittedKept},
-			Story:  storyOf("direct-power-loss"),
+			Name:     "direct-entries-not-synced",
+			Breaks:   "registrations and declarations are acknowledged before they are written",
+			Expect:   []checker.Invariant{checker.InvariantLinearizable, checker.InvariantCommittedKept},
+			Scenario: namedScenario("direct-power-loss"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Disk = func(standard filesystem.FileSystem) filesystem.FileSystem {
 					return brokenLog{FileSystem: standard, wrap: func(file filesystem.File) filesystem.File {
-						return &lateFile{File: file}
+						return &delayedFile{File: file}
 					}}
 				}
 			},
 		},
 		{
-			Name:   "direct-living-target-failed",
-			Breaks: "balancers take every target that drains for a dead one",
-			Expect: []checker.Invariant{checker.InvariantFlowKept},
-			Story:  storyOf("direct-planned"),
+			Name:     "direct-living-target-failed",
+			Breaks:   "balancers take every target that drains for a dead one",
+			Expect:   []checker.Invariant{checker.InvariantFlowKept},
+			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
 				if target.State == directory.TargetDraining {
 					target.State = directory.TargetFailed
@@ -173,65 +173,65 @@
 			}),
 		},
 		{
-			Name:    "direct-choice-blind",
-			Breaks:  "balancers choose targets by hash alone, whatever is open there",
-			Expect:  []checker.Invariant{checker.InvariantTimely},
-			Story:   storyOf("direct-heavy-load"),
-			Variant: directChoice(func(options *steer.Options) { options.Candidates, options.SpilloverCandidates = 1, 0 }),
+			Name:     "direct-choice-blind",
+			Breaks:   "balancers choose targets by hash alone, whatever is open there",
+			Expect:   []checker.Invariant{checker.InvariantTimely},
+			Scenario: namedScenario("direct-heavy-load"),
+			Variant:  directChoice(func(options *steer.Options) { options.Candidates, options.SpilloverCandidates = 1, 0 }),
 		},
 		{
-			Name:    "direct-admission-off",
-			Breaks:  "balancers let every flow in, however much there is to do",
-			Expect:  []checker.Invariant{checker.InvariantTimely},
-			Story:   storyOf("direct-overload"),
-			Variant: directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0 }),
+			Name:     "direct-admission-off",
+			Breaks:   "balancers let every flow in, however much there is to do",
+			Expect:   []checker.Invariant{checker.InvariantTimely},
+			Scenario: namedScenario("direct-overload"),
+			Variant:  directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0 }),
 		},
 		{
-			Name:    "direct-refuses-early",
-			Breaks:  "balancers refuse flows that targets could serve in time",
-			Expect:  []checker.Invariant{checker.InvariantTimely},
-			Story:   storyOf("direct-heavy-load"),
-			Variant: directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0.05 }),
+			Name:     "direct-refuses-early",
+			Breaks:   "balancers refuse flows that targets could serve in time",
+			Expect:   []checker.Invariant{checker.InvariantTimely},
+			Scenario: namedScenario("direct-heavy-load"),
+			Variant:  directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0.05 }),
 		},
 		{
-			Name:   "direct-load-not-added-up",
-			Breaks: "members of a large system tell balancers nothing of the load",
-			Expect: []checker.Invariant{checker.InvariantTimely},
-			Story:  storyOf("direct-large-overload"),
+			Name:     "direct-load-not-added-up",
+			Breaks:   "members of a large system tell balancers nothing of the load",
+			Expect:   []checker.Invariant{checker.InvariantTimely},
+			Scenario: namedScenario("direct-large-overload"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Collecting = func(options *load.CollectorOptions) { options.Interval = 0 }
 			},
 		},
 		{
-			Name:   "direct-links-admit-all",
-			Breaks: "balancers take every upload, however full their links are",
-			Expect: []checker.Invariant{checker.InvariantTimely},
-			Story:  storyOf("direct-full-links"),
+			Name:     "direct-links-admit-all",
+			Breaks:   "balancers take every upload, however full their links are",
+			Expect:   []checker.Invariant{checker.InvariantTimely},
+			Scenario: namedScenario("direct-full-links"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Transfers = func(options *transfer.Options) { options.ObjectiveShare = 0 }
 			},
 		},
 		{
-			Name:    "direct-evacuation-ignored",
-			Breaks:  "balancers do not learn which zones are emptied",
-			Expect:  []checker.Invariant{checker.InvariantEvacuated},
-			Story:   storyOf("direct-evacuations"),
-			Variant: directUpdates(func(update *feed.Update) { update.Changes.Zones = nil }),
+			Name:     "direct-evacuation-ignored",
+			Breaks:   "balancers do not learn which zones are emptied",
+			Expect:   []checker.Invariant{checker.InvariantEvacuated},
+			Scenario: namedScenario("direct-evacuations"),
+			Variant:  directUpdates(func(update *feed.Update) { update.Changes.Zones = nil }),
 		},
 		{
-			Name:   "direct-counts-unproven",
-			Breaks: "balancers refuse flows by counts of requests before they know whether they see whole flows",
-			Expect: []checker.Invariant{checker.InvariantProgress},
-			Story:  storyOf("direct-relayed-feed"),
+			Name:     "direct-counts-unproven",
+			Breaks:   "balancers refuse flows by counts of requests before they know whether they see whole flows",
+			Expect:   []checker.Invariant{checker.InvariantProgress},
+			Scenario: namedScenario("direct-relayed-feed"),
 			Variant: directChoice(func(options *steer.Options) {
-				options.Loads = alwaysProven{options.Loads}
+				options.Loads = alwaysSufficient{options.Loads}
 			}),
 		},
 		{
-			Name:   "direct-errors-unseen",
-			Breaks: "balancers count answers that are errors as any others",
-			Expect: []checker.Invariant{checker.InvariantProgress},
-			Story:  storyOf("direct-erring-targets"),
+			Name:     "direct-errors-unseen",
+			Breaks:   "balancers count answers that are errors as any others",
+			Expect:   []checker.Invariant{checker.InvariantProgress},
+			Scenario: namedScenario("direct-erring-targets"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 					if report, isReport := envelope.Message.(feed.OutcomeReport); isReport {
@@ -246,10 +246,10 @@
 			},
 		},
 		{
-			Name:   "direct-coldness-ignored",
-			Breaks: "balancers take cold targets for warm ones",
-			Expect: []checker.Invariant{checker.InvariantColdRate},
-			Story:  storyOf("direct-cold-returns"),
+			Name:     "direct-coldness-ignored",
+			Breaks:   "balancers take cold targets for warm ones",
+			Expect:   []checker.Invariant{checker.InvariantColdRate},
+			Scenario: namedScenario("direct-cold-returns"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
 				target.Cold = 0
 			}),
@@ -258,9 +258,9 @@
 }
 
 // alwaysProven takes the counts of a balancer for proven from its start on.
-type alwaysProven struct {
+type alwaysSufficient struct {
 	steer.Loads
 }
 
 // Proven implements steer.Loads.
-func (alwaysProven) SufficientForRefusal(time.Time) bool { return true }
+func (alwaysSufficient) SufficientForRefusal(time.Time) bool { return true }
--- a/internal/sim/mutant/hunt.go
+++ b/internal/sim/mutant/hunt.go
@@ -28,7 +28,7 @@
 	// Expect lists the invariants of which one must be reported.
 	Expect []checker.Invariant
 	// Story is the scenario that is played.
-	Story Story
+	Scenario Scenario
 	// Fault is what goes wrong around the variant, which the unbroken system
 	// survives; nil when the story has all that is needed.
 	Fault Change
@@ -44,7 +44,7 @@
 
 func (mutant Mutant) scenario(changes ...Change) sim.Scenario {
 	return sim.Scenario{
-		Name:    mutant.Story.Name,
+		Name:    mutant.Scenario.Name,
 		Summary: mutant.Breaks,
 		Play: func(run *sim.Run) {
 			parts := world.StandardParts()
@@ -53,7 +53,7 @@
 					change(run, &parts)
 				}
 			}
-			mutant.Story.Play(run, parts)
+			mutant.Scenario.Play(run, parts)
 		},
 	}
 }
@@ -69,7 +69,7 @@
 	// Violation is the first one of an expected invariant.
 	Violation checker.Violation
 	// Others lists the other invariants that the broken runs violated.
-	Others []checker.Invariant
+	OtherInvariants []checker.Invariant
 	// FailedUnbroken counts the seeds that caught the variant and do not
 	// count, because the scenario failed without the variant too.
 	FailedUnbroken uint64
@@ -81,25 +81,25 @@
 	finding := Finding{Mutant: mutant}
 	for seed := seeds.First; ; seed++ {
 		finding.Seeds++
-		if finding.try(seed) || seed == seeds.Last {
+		if finding.runSeed(seed) || seed == seeds.Last {
 			return finding
 		}
 	}
 }
 
 // try runs one seed and tells whether it caught the variant.
-func (finding *Finding) try(seed uint64) bool {
+func (finding *Finding) runSeed(seed uint64) bool {
 	result := sim.Execute(finding.Mutant.Broken(), seed)
 	violation, violated := finding.firstExpected(result)
 	if !violated {
-		finding.noteOthers(result)
+		finding.recordOthers(result)
 		return false
 	}
 	if _, fails := finding.firstExpected(sim.Execute(finding.Mutant.Unbroken(), seed)); fails {
 		finding.FailedUnbroken++
 		return false
 	}
-	finding.noteOthers(result)
+	finding.recordOthers(result)
 	finding.Caught = true
 	finding.Seed = seed
 	finding.Violation = violation
@@ -115,11 +115,11 @@
 	return checker.Violation{}, false
 }
 
-func (finding *Finding) noteOthers(result sim.Result) {
+func (finding *Finding) recordOthers(result sim.Result) {
 	for _, violation := range result.Violations {
 		expected := slices.Contains(finding.Mutant.Expect, violation.Invariant)
-		if !expected && !slices.Contains(finding.Others, violation.Invariant) {
-			finding.Others = append(finding.Others, violation.Invariant)
+		if !expected && !slices.Contains(finding.OtherInvariants, violation.Invariant) {
+			finding.OtherInvariants = append(finding.OtherInvariants, violation.Invariant)
 		}
 	}
 }
--- a/internal/sim/mutant/mutant_test.go
+++ b/internal/sim/mutant/mutant_test.go
@@ -17,7 +17,7 @@
 var testSeeds = sim.SeedRange{First: 1, Last: 5}
 
 // shortStories are played on control members alone.
-var shortStories = []string{
+var controlScenarios = []string{
 	"leader-loss", "racing-operators", "clock-skew", "restart-after-500", "lost-disk",
 	"forgotten-votes", "slow-elections", "disks-lost-unnoticed",
 }
@@ -27,14 +27,14 @@
 func TestControlMutantsAreCaught(t *testing.T) {
 	hunted := 0
 	for _, one := range All() {
-		if !slices.Contains(shortStories, one.Story.Name) {
+		if !slices.Contains(controlScenarios, one.Scenario.Name) {
 			continue
 		}
 		hunted++
 		t.Run(one.Name, func(t *testing.T) {
 			t.Parallel()
 			finding := Hunt(one, testSeeds)
-			require.True(t, finding.Caught, "other invariants: %v, failed unbroken: %d", finding.Others, finding.FailedUnbroken)
+			require.True(t, finding.Caught, "other invariants: %v, failed unbroken: %d", finding.OtherInvariants, finding.FailedUnbroken)
 		})
 	}
 	require.GreaterOrEqual(t, hunted, 11)
@@ -60,11 +60,11 @@
 }
 
 // drawn is a mutant of a story that does what play says.
-func drawn(play func(run *sim.Run, broken bool)) Mutant {
+func stubMutant(play func(run *sim.Run, broken bool)) Mutant {
 	return Mutant{
 		Name:   "drawn",
 		Expect: []checker.Invariant{checker.InvariantDrain},
-		Story: Story{Name: "drawn", Play: func(run *sim.Run, parts world.Parts) {
+		Scenario: Scenario{Name: "drawn", Play: func(run *sim.Run, parts world.Parts) {
 			play(run, parts.Chain == nil)
 		}},
 		Variant: func(_ *sim.Run, parts *world.Parts) { parts.Chain = nil },
@@ -99,7 +99,7 @@
 					violate(run, checker.InvariantInForce)
 				}
 			},
-			want: Finding{Seeds: 5, Others: []checker.Invariant{checker.InvariantInForce}},
+			want: Finding{Seeds: 5, OtherInvariants: []checker.Invariant{checker.InvariantInForce}},
 		},
 		{
 			name: "a scenario that fails without the variant does not count",
@@ -109,11 +109,11 @@
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
-			finding := Hunt(drawn(row.play), testSeeds)
+			finding := Hunt(stubMutant(row.play), testSeeds)
 			require.Equal(t, row.want.Caught, finding.Caught)
 			require.Equal(t, row.want.Seeds, finding.Seeds)
 			require.Equal(t, row.want.Seed, finding.Seed)
-			require.Equal(t, row.want.Others, finding.Others)
+			require.Equal(t, row.want.OtherInvariants, finding.OtherInvariants)
 			require.Equal(t, row.want.FailedUnbroken, finding.FailedUnbroken)
 		})
 	}
@@ -122,7 +122,7 @@
 func TestHuntAllReportsInOrder(t *testing.T) {
 	var mutants []Mutant
 	for range 20 {
-		mutants = append(mutants, drawn(func(*sim.Run, bool) {}))
+		mutants = append(mutants, stubMutant(func(*sim.Run, bool) {}))
 	}
 	for place := range mutants {
 		mutants[place].Name = strings.Repeat("x", place+1)
--- a/internal/sim/mutant/ownership.go
+++ b/internal/sim/mutant/ownership.go
@@ -11,10 +11,10 @@
 
 func ownersIgnored() Mutant {
 	return Mutant{
-		Name:   "owners-ignored",
-		Breaks: "an agent takes packets of flows that another target owns",
-		Expect: []checker.Invariant{checker.InvariantOneOwner},
-		Story:  storyOf("balancer-death"),
+		Name:     "owners-ignored",
+		Breaks:   "an agent takes packets of flows that another target owns",
+		Expect:   []checker.Invariant{checker.InvariantOneOwner},
+		Scenario: namedScenario("balancer-death"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
 				return takesAll{Steerer: standard}
@@ -37,35 +37,35 @@
 
 // The time in which a broken agent is deaf; the world serves by then.
 const (
-	deafFrom  = 30 * time.Second
-	deafUntil = 35 * time.Second
+	dropsFrom  = 30 * time.Second
+	dropsUntil = 35 * time.Second
 )
 
 func flowsFrozen() Mutant {
 	return Mutant{
-		Name:   "flows-frozen",
-		Breaks: "an agent drops the packets of its open flows for some seconds",
-		Expect: []checker.Invariant{checker.InvariantFlowKept},
-		Story:  storyOf("planned-coastal"),
+		Name:     "flows-frozen",
+		Breaks:   "an agent drops the packets of its open flows for some seconds",
+		Expect:   []checker.Invariant{checker.InvariantFlowKept},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(run *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
-				return deaf{Steerer: standard, run: run}
+				return dropsOpenFlows{Steerer: standard, run: run}
 			}
 		},
 	}
 }
 
 // deaf drops what belongs to open flows for some time.
-type deaf struct {
+type dropsOpenFlows struct {
 	world.Steerer
 	run *sim.Run
 }
 
 // Decide implements world.Steerer.
-func (steerer deaf) Decide(now time.Time, input steering.Input) steering.Decision {
+func (steerer dropsOpenFlows) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
 	elapsed := steerer.run.Elapsed()
-	if !input.Opening && elapsed >= deafFrom && elapsed < deafUntil {
+	if !input.Opening && elapsed >= dropsFrom && elapsed < dropsUntil {
 		return steering.Decision{Action: steering.ActionDrop}
 	}
 	return decision
@@ -73,10 +73,10 @@
 
 func instanceIgnored() Mutant {
 	return Mutant{
-		Name:   "instance-ignored",
-		Breaks: "a restarted target takes packets of flows that its former life had",
-		Expect: []checker.Invariant{checker.InvariantOneOwner},
-		Story:  storyOf("target-restart"),
+		Name:     "instance-ignored",
+		Breaks:   "a restarted target takes packets of flows that its former life had",
+		Expect:   []checker.Invariant{checker.InvariantOneOwner},
+		Scenario: namedScenario("target-restart"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
 				return neverResets{Steerer: standard}
@@ -99,23 +99,23 @@
 
 func serviceNotChecked() Mutant {
 	return Mutant{
-		Name:   "service-not-checked",
-		Breaks: "an agent takes packets that were sent to another service",
-		Expect: []checker.Invariant{checker.InvariantServiceIsolation},
-		Story:  storyOf("address-reuse"),
+		Name:     "service-not-checked",
+		Breaks:   "an agent takes packets that were sent to another service",
+		Expect:   []checker.Invariant{checker.InvariantServiceIsolation},
+		Scenario: namedScenario("address-reuse"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
-				return takesForeign{Steerer: standard}
+				return takesOtherServices{Steerer: standard}
 			}
 		},
 	}
 }
 
 // takesForeign delivers packets of other services.
-type takesForeign struct{ world.Steerer }
+type takesOtherServices struct{ world.Steerer }
 
 // Decide implements world.Steerer.
-func (steerer takesForeign) Decide(now time.Time, input steering.Input) steering.Decision {
+func (steerer takesOtherServices) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
 	if decision.Reason == steering.ReasonForeign {
 		return steering.Decision{Action: steering.ActionDeliver}
--- a/internal/sim/mutant/request.go
+++ b/internal/sim/mutant/request.go
@@ -11,29 +11,29 @@
 
 func requestForgotten() Mutant {
 	return Mutant{
-		Name:   "request-forgotten",
-		Breaks: "admission neither runs nor refuses some requests",
-		Expect: []checker.Invariant{checker.InvariantRequestAnswered},
-		Story:  storyOf("planned-coastal"),
+		Name:     "request-forgotten",
+		Breaks:   "admission neither runs nor refuses some requests",
+		Expect:   []checker.Invariant{checker.InvariantRequestAnswered},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
-			parts.Admission = func(standard world.Admission) world.Admission { return &forgetful{Admission: standard} }
+			parts.Admission = func(standard world.Admission) world.Admission { return &losesOffers{Admission: standard} }
 		},
 	}
 }
 
 // offersPerLoss is how many offers lie between two that are forgotten.
-const offersPerLoss = 20
+const offersPerLostRequest = 20
 
 // forgetful forgets some of the requests that it is offered.
-type forgetful struct {
+type losesOffers struct {
 	world.Admission
 	offers int
 }
 
 // Offer implements world.Admission.
-func (controller *forgetful) Offer(now time.Time, request admission.Request) []admission.Decision {
+func (controller *losesOffers) Offer(now time.Time, request admission.Request) []admission.Decision {
 	controller.offers++
-	if controller.offers%offersPerLoss == 0 {
+	if controller.offers%offersPerLostRequest == 0 {
 		return nil
 	}
 	return controller.Admission.Offer(now, request)
@@ -41,10 +41,10 @@
 
 func answersWithheld() Mutant {
 	return Mutant{
-		Name:   "answers-withheld",
-		Breaks: "every request that ran is answered with 'may have run'",
-		Expect: []checker.Invariant{checker.InvariantRequestAnswered},
-		Story:  storyOf("planned-coastal"),
+		Name:     "answers-withheld",
+		Breaks:   "every request that ran is answered with 'may have run'",
+		Expect:   []checker.Invariant{checker.InvariantRequestAnswered},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Respond = func(response world.Response) world.Response {
 				response.Kind = world.ResponseUnknown
@@ -60,10 +60,10 @@
 
 func ranAfterRefusal() Mutant {
 	return Mutant{
-		Name:   "ran-after-refusal",
-		Breaks: "a request runs that was refused as not run",
-		Expect: []checker.Invariant{checker.InvariantRefusedNotRun},
-		Story:  storyOf("planned-coastal"),
+		Name:     "ran-after-refusal",
+		Breaks:   "a request runs that was refused as not run",
+		Expect:   []checker.Invariant{checker.InvariantRefusedNotRun},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			refusals := 0
 			parts.Refused = func(run func()) {
@@ -77,18 +77,18 @@
 }
 
 // responsesPerFault is how many responses lie between two that are spoiled.
-const responsesPerFault = 50
+const responsesPerCorruption = 50
 
 // spoilResponses lets spoil change every so many responses; it also gets the
 // response before.
-func spoilResponses(spoil func(previous, response world.Response) world.Response) Change {
+func corruptResponses(spoil func(previous, response world.Response) world.Response) Change {
 	return func(_ *sim.Run, parts *world.Parts) {
 		var previous world.Response
 		count := 0
 		parts.Respond = func(response world.Response) world.Response {
 			sent := response
 			count++
-			if count%responsesPerFault == 0 {
+			if count%responsesPerCorruption == 0 {
 				sent = spoil(previous, response)
 			}
 			previous = response
@@ -99,11 +99,11 @@
 
 func refusedAfterRun() Mutant {
 	return Mutant{
-		Name:   "refused-after-run",
-		Breaks: "a request that ran is answered as refused and not run",
-		Expect: []checker.Invariant{checker.InvariantRefusedNotRun},
-		Story:  storyOf("balancer-death"),
-		Variant: spoilResponses(func(_, response world.Response) world.Response {
+		Name:     "refused-after-run",
+		Breaks:   "a request that ran is answered as refused and not run",
+		Expect:   []checker.Invariant{checker.InvariantRefusedNotRun},
+		Scenario: namedScenario("balancer-death"),
+		Variant: corruptResponses(func(_, response world.Response) world.Response {
 			response.Kind = world.ResponseRefusal
 			return response
 		}),
@@ -112,11 +112,11 @@
 
 func answersCrossed() Mutant {
 	return Mutant{
-		Name:   "answers-crossed",
-		Breaks: "a caller gets the answer to the request before its own",
-		Expect: []checker.Invariant{checker.InvariantAnswerBound},
-		Story:  storyOf("balancer-death"),
-		Variant: spoilResponses(func(previous, response world.Response) world.Response {
+		Name:     "answers-crossed",
+		Breaks:   "a caller gets the answer to the request before its own",
+		Expect:   []checker.Invariant{checker.InvariantAnswerBound},
+		Scenario: namedScenario("balancer-death"),
+		Variant: corruptResponses(func(previous, response world.Response) world.Response {
 			response.Of = previous.Of
 			return response
 		}),
@@ -125,10 +125,10 @@
 
 func shortBodyPassed() Mutant {
 	return Mutant{
-		Name:   "short-body-passed",
-		Breaks: "an answer that the back end cut short is passed on as whole",
-		Expect: []checker.Invariant{checker.InvariantAnswerBound},
-		Story:  storyOf("late-answers"),
+		Name:     "short-body-passed",
+		Breaks:   "an answer that the back end cut short is passed on as whole",
+		Expect:   []checker.Invariant{checker.InvariantAnswerBound},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Respond = func(response world.Response) world.Response {
 				response.Kind = world.ResponseAnswer
--- a/internal/sim/mutant/rollout.go
+++ b/internal/sim/mutant/rollout.go
@@ -17,7 +17,7 @@
 	// brokenRelay is the relay that goes on with an old configuration.
 	brokenRelay model.NodeName = "relay-2"
 	// faultsBegin is when updates begin to be lost; the world serves by then.
-	faultsBegin = 25 * time.Second
+	faultsFrom = 25 * time.Second
 )
 
 // changeRunning lets change replace the configuration of the broken node.
@@ -33,14 +33,14 @@
 }
 
 // Of so many looks at the running configuration one sees the former one.
-const looksPerRevert = 500
+const readsPerRevert = 500
 
 func oldRevisionRun() Mutant {
 	return Mutant{
-		Name:   "old-revision-run",
-		Breaks: "a balancer goes back to the configuration before the present one",
-		Expect: []checker.Invariant{checker.InvariantNoRevert},
-		Story:  storyOf("planned-coastal"),
+		Name:     "old-revision-run",
+		Breaks:   "a balancer goes back to the configuration before the present one",
+		Expect:   []checker.Invariant{checker.InvariantNoRevert},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			var previous, latest *model.Configuration
 			looks := 0
@@ -49,7 +49,7 @@
 					previous, latest = latest, current
 				}
 				looks++
-				if looks%looksPerRevert == 0 && previous != nil {
+				if looks%readsPerRevert == 0 && previous != nil {
 					return previous
 				}
 				return current
@@ -63,10 +63,10 @@
 
 func configurationAppliedLate() Mutant {
 	return Mutant{
-		Name:   "configuration-late",
-		Breaks: "a balancer holds its lease and applies changes after many seconds",
-		Expect: []checker.Invariant{checker.InvariantInForce},
-		Story:  storyOf("planned-coastal"),
+		Name:     "configuration-late",
+		Breaks:   "a balancer holds its lease and applies changes after many seconds",
+		Expect:   []checker.Invariant{checker.InvariantInForce},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(run *sim.Run, parts *world.Parts) {
 			var waiting []receivedConfiguration
 			changeRunning(parts, func(current *model.Configuration) *model.Configuration {
@@ -84,10 +84,10 @@
 
 func leaseNeverEnds() Mutant {
 	return Mutant{
-		Name:   "lease-never-ends",
-		Breaks: "a balancer that is cut off goes on to count as current",
-		Expect: []checker.Invariant{checker.InvariantInForce},
-		Story:  storyOf("address-reuse"),
+		Name:     "lease-never-ends",
+		Breaks:   "a balancer that is cut off goes on to count as current",
+		Expect:   []checker.Invariant{checker.InvariantInForce},
+		Scenario: namedScenario("address-reuse"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			standard := parts.Leased
 			held := make(map[*rollout.Lease]bool)
@@ -106,21 +106,21 @@
 
 func updatePartlyLost() Mutant {
 	return Mutant{
-		Name:    "update-partly-lost",
-		Breaks:  "a balancer applies updates without some of their rows",
-		Expect:  []checker.Invariant{checker.InvariantSameConfiguration},
-		Story:   storyOf("planned-coastal"),
-		Variant: loseServices,
+		Name:     "update-partly-lost",
+		Breaks:   "a balancer applies updates without some of their rows",
+		Expect:   []checker.Invariant{checker.InvariantSameConfiguration},
+		Scenario: namedScenario("planned-coastal"),
+		Variant:  loseServices,
 	}
 }
 
 func digestIgnored() Mutant {
 	return Mutant{
-		Name:   "digest-ignored",
-		Breaks: "nobody compares the digest of a balancer that lost a part of an update",
-		Expect: []checker.Invariant{checker.InvariantInForce},
-		Story:  storyOf("planned-coastal"),
-		Fault:  loseServices,
+		Name:     "digest-ignored",
+		Breaks:   "nobody compares the digest of a balancer that lost a part of an update",
+		Expect:   []checker.Invariant{checker.InvariantInForce},
+		Scenario: namedScenario("planned-coastal"),
+		Fault:    loseServices,
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			standard := parts.Messages
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
@@ -149,7 +149,7 @@
 	decoders := make(map[model.NodeName]*protocol.UpdateDecoder)
 	parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 		packed, isUpdate := envelope.Message.(protocol.PackedUpdate)
-		if !isUpdate || envelope.To != brokenNode || run.Elapsed() < faultsBegin {
+		if !isUpdate || envelope.To != brokenNode || run.Elapsed() < faultsFrom {
 			return []protocol.Envelope{envelope}
 		}
 		if decoders[envelope.From] == nil {
@@ -171,14 +171,14 @@
 
 func relayClaimsToBeCurrent() Mutant {
 	return Mutant{
-		Name:   "relay-claims-current",
-		Breaks: "a relay that gets no updates grants leases as if it were current",
-		Expect: []checker.Invariant{checker.InvariantInForce},
-		Story:  storyOf("planned-coastal"),
+		Name:     "relay-claims-current",
+		Breaks:   "a relay that gets no updates grants leases as if it were current",
+		Expect:   []checker.Invariant{checker.InvariantInForce},
+		Scenario: namedScenario("planned-coastal"),
 		Fault: func(run *sim.Run, parts *world.Parts) {
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 				_, isUpdate := envelope.Message.(protocol.PackedUpdate)
-				if isUpdate && envelope.To == brokenRelay && run.Elapsed() > faultsBegin {
+				if isUpdate && envelope.To == brokenRelay && run.Elapsed() > faultsFrom {
 					return nil
 				}
 				return []protocol.Envelope{envelope}
--- a/internal/sim/mutant/routing.go
+++ b/internal/sim/mutant/routing.go
@@ -13,10 +13,10 @@
 
 func chainCutToHead() Mutant {
 	return Mutant{
-		Name:   "chain-cut-to-head",
-		Breaks: "packets go to the head of a chain only; nobody sends them further",
-		Expect: []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
-		Story:  storyOf("planned-coastal"),
+		Name:     "chain-cut-to-head",
+		Breaks:   "packets go to the head of a chain only; nobody sends them further",
+		Expect:   []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Chain = func(bucket model.Bucket) []model.TargetID { return routing.Chain(bucket)[:1] }
 			parts.Steering = func(options steering.Options, standard world.Steerer) world.Steerer {
@@ -40,10 +40,10 @@
 
 func bucketsReportedEmptyEarly() Mutant {
 	return Mutant{
-		Name:   "empty-reported-early",
-		Breaks: "agents report buckets empty that still hold flows, so their chain entries go",
-		Expect: []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
-		Story:  storyOf("planned-coastal"),
+		Name:     "empty-reported-early",
+		Breaks:   "agents report buckets empty that still hold flows, so their chain entries go",
+		Expect:   []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(options steering.Options, standard world.Steerer) world.Steerer {
 				return emptyEarly{Steerer: standard, options: options}
@@ -76,10 +76,10 @@
 
 func searchSkipped() Mutant {
 	return Mutant{
-		Name:   "search-skipped",
-		Breaks: "the head of a chain opens a flow without asking the earlier targets",
-		Expect: []checker.Invariant{checker.InvariantOneOwner},
-		Story:  storyOf("uneven-rollout"),
+		Name:     "search-skipped",
+		Breaks:   "the head of a chain opens a flow without asking the earlier targets",
+		Expect:   []checker.Invariant{checker.InvariantOneOwner},
+		Scenario: namedScenario("uneven-rollout"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
 				return neverSearches{Steerer: standard}
--- a/internal/sim/mutant/state.go
+++ b/internal/sim/mutant/state.go
@@ -36,10 +36,10 @@
 
 func revisionIgnored() Mutant {
 	return Mutant{
-		Name:   "revision-ignored",
-		Breaks: "a change is applied also when its base is not the present revision",
-		Expect: []checker.Invariant{checker.InvariantOneWinner},
-		Story:  storyOf("racing-operators"),
+		Name:     "revision-ignored",
+		Breaks:   "a change is applied also when its base is not the present revision",
+		Expect:   []checker.Invariant{checker.InvariantOneWinner},
+		Scenario: namedScenario("racing-operators"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Machine = func(standard replica.StateMachine) replica.StateMachine {
 				return changedCommands{StateMachine: standard, change: func(_ model.Revision, command state.Command) state.Command {
@@ -64,10 +64,10 @@
 
 func idempotencyKeyIgnored() Mutant {
 	return Mutant{
-		Name:   "idempotency-key-ignored",
-		Breaks: "a resent change is a new one",
-		Expect: []checker.Invariant{checker.InvariantAppliedOnce},
-		Story:  storyOf("racing-operators"),
+		Name:     "idempotency-key-ignored",
+		Breaks:   "a resent change is a new one",
+		Expect:   []checker.Invariant{checker.InvariantAppliedOnce},
+		Scenario: namedScenario("racing-operators"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Machine = func(standard replica.StateMachine) replica.StateMachine {
 				return changedCommands{StateMachine: standard, change: withUniqueKey}
@@ -90,10 +90,10 @@
 
 func entrySkipped() Mutant {
 	return Mutant{
-		Name:   "entry-skipped",
-		Breaks: "one member does not apply one committed entry",
-		Expect: []checker.Invariant{checker.InvariantReplicasAgree},
-		Story:  storyOf("leader-loss"),
+		Name:     "entry-skipped",
+		Breaks:   "one member does not apply one committed entry",
+		Expect:   []checker.Invariant{checker.InvariantReplicasAgree},
+		Scenario: namedScenario("leader-loss"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			built := 0
 			parts.Machine = func(standard replica.StateMachine) replica.StateMachine {
@@ -120,10 +120,10 @@
 
 func snapshotIgnored() Mutant {
 	return Mutant{
-		Name:   "snapshot-ignored",
-		Breaks: "a member that takes a snapshot keeps the state that it had",
-		Expect: []checker.Invariant{checker.InvariantReplicasAgree},
-		Story:  storyOf("restart-after-500"),
+		Name:     "snapshot-ignored",
+		Breaks:   "a member that takes a snapshot keeps the state that it had",
+		Expect:   []checker.Invariant{checker.InvariantReplicasAgree},
+		Scenario: namedScenario("restart-after-500"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Machine = func(standard replica.StateMachine) replica.StateMachine {
 				return keepsState{StateMachine: standard}
--- a/internal/sim/mutant/storage.go
+++ b/internal/sim/mutant/storage.go
@@ -47,25 +47,25 @@
 
 func entriesNotSynced() Mutant {
 	return Mutant{
-		Name:   "entries-not-synced",
-		Breaks: "entries are acknowledged before they are written",
-		Expect: []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
-		Story:  storyOf("restart-after-500"),
+		Name:     "entries-not-synced",
+		Breaks:   "entries are acknowledged before they are written",
+		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
+		Scenario: namedScenario("restart-after-500"),
 		Variant: withBrokenLog(func(file filesystem.File) filesystem.File {
-			return &lateFile{File: file}
+			return &delayedFile{File: file}
 		}),
 	}
 }
 
 // lateFile holds the latest frame with entries back until the next write, so a
 // crash loses it without a trace.
-type lateFile struct {
+type delayedFile struct {
 	filesystem.File
 	held []byte
 }
 
 // Write implements filesystem.File.
-func (file *lateFile) Write(data []byte) (int, error) {
+func (file *delayedFile) Write(data []byte) (int, error) {
 	if err := file.release(); err != nil {
 		return 0, err
 	}
@@ -77,14 +77,14 @@
 }
 
 // Close implements filesystem.File.
-func (file *lateFile) Close() error {
+func (file *delayedFile) Close() error {
 	if err := file.release(); err != nil {
 		return err
 	}
 	return file.File.Close()
 }
 
-func (file *lateFile) release() error {
+func (file *delayedFile) release() error {
 	held := file.held
 	file.held = nil
 	if held == nil {
@@ -98,10 +98,10 @@
 
 func voteNotSynced() Mutant {
 	return Mutant{
-		Name:   "vote-not-synced",
-		Breaks: "a vote is answered before it is durable",
-		Expect: []checker.Invariant{checker.InvariantOneLeader},
-		Story:  forgottenVotes(),
+		Name:     "vote-not-synced",
+		Breaks:   "a vote is answered before it is durable",
+		Expect:   []checker.Invariant{checker.InvariantOneLeader},
+		Scenario: forgottenVotes(),
 		Variant: withBrokenLog(func(file filesystem.File) filesystem.File {
 			return &unsyncedFile{File: file}
 		}),
--- a/internal/sim/mutant/story.go
+++ b/internal/sim/mutant/story.go
@@ -9,14 +9,14 @@
 )
 
 // Story is a scenario that can be played with other parts.
-type Story struct {
+type Scenario struct {
 	Name string
 	Play func(run *sim.Run, parts world.Parts)
 }
 
 // storyOf returns the scenario of that name as a story.
-func storyOf(name string) Story {
-	return Story{Name: name, Play: func(run *sim.Run, parts world.Parts) {
+func namedScenario(name string) Scenario {
+	return Scenario{Name: name, Play: func(run *sim.Run, parts world.Parts) {
 		found, known := scenario.FindWith(name, parts)
 		if !known {
 			panic(fmt.Sprintf("no scenario %q", name))
--- a/internal/sim/mutant/story_control.go
+++ b/internal/sim/mutant/story_control.go
@@ -13,7 +13,7 @@
 // Times of the stories below.
 const (
 	// leaderTime bounds the wait for a leader.
-	leaderTime = 15 * time.Second
+	leaderTimeout = 15 * time.Second
 	// operatorPause is the mean pause between an operator's changes.
 	operatorPause = 300 * time.Millisecond
 	// messageDelay is what a slow member adds to each message on both ends.
@@ -21,8 +21,8 @@
 )
 
 // controlStory plays a story on control members alone, under racing operators.
-func controlStory(name string, play func(world *world.World, random *kernel.Random)) Story {
-	return Story{Name: name, Play: func(run *sim.Run, parts world.Parts) {
+func controlScenario(name string, play func(world *world.World, random *kernel.Random)) Scenario {
+	return Scenario{Name: name, Play: func(run *sim.Run, parts world.Parts) {
 		created := world.New(run, world.Options{Preset: world.Small(), Parts: parts, SnapshotEvery: 1000})
 		created.StartControl()
 		if !created.CreateServices() {
@@ -38,10 +38,10 @@
 // disksLostUnnoticed loses the disk of a member that restarts at once, before
 // an operator has repaired the group; then another one loses its disk. What a
 // quorum held may be gone after that, unless the first stays out of the group.
-func disksLostUnnoticed() Story {
-	return controlStory("disks-lost-unnoticed", func(world *world.World, random *kernel.Random) {
+func disksLostUnnoticed() Scenario {
+	return controlScenario("disks-lost-unnoticed", func(world *world.World, random *kernel.Random) {
 		world.Run().Scheduler.RunFor(3 * time.Second)
-		leader, leads := world.AwaitLeader(leaderTime)
+		leader, leads := world.AwaitLeader(leaderTimeout)
 		if !leads {
 			return
 		}
@@ -57,16 +57,16 @@
 		world.WipeDisk(lost)
 		heal()
 		members[lost].Start()
-		world.Run().Scheduler.RunFor(leaderTime)
+		world.Run().Scheduler.RunFor(leaderTimeout)
 		members[leader].Start()
-		world.Run().Scheduler.RunFor(leaderTime)
+		world.Run().Scheduler.RunFor(leaderTimeout)
 	})
 }
 
 // forgottenVotes makes a leader out of votes alone: its entries do not arrive.
 // Once it leads it is cut off, and its voters restart and elect another one.
-func forgottenVotes() Story {
-	return Story{Name: "forgotten-votes", Play: func(run *sim.Run, parts world.Parts) {
+func forgottenVotes() Scenario {
+	return Scenario{Name: "forgotten-votes", Play: func(run *sim.Run, parts world.Parts) {
 		holdsBack := false
 		parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 			message, isConsensus := envelope.Message.(raft.Message)
@@ -75,10 +75,10 @@
 			}
 			return []protocol.Envelope{envelope}
 		}
-		controlStory("forgotten-votes", func(world *world.World, random *kernel.Random) {
+		controlScenario("forgotten-votes", func(world *world.World, random *kernel.Random) {
 			for range 5 {
 				holdsBack = true
-				electAndForget(world)
+				isolateNewLeader(world)
 				holdsBack = false
 				world.Run().Scheduler.RunFor(random.Between(time.Second, 3*time.Second))
 			}
@@ -86,8 +86,8 @@
 	}}
 }
 
-func electAndForget(world *world.World) {
-	former, leads := world.AwaitLeader(leaderTime)
+func isolateNewLeader(world *world.World) {
+	former, leads := world.AwaitLeader(leaderTimeout)
 	if !leads {
 		return
 	}
@@ -95,7 +95,7 @@
 	members[former].Kill()
 	world.Run().Scheduler.RunFor(time.Second)
 	members[former].Start()
-	elected, leads := world.AwaitLeader(leaderTime)
+	elected, leads := world.AwaitLeader(leaderTimeout)
 	if !leads {
 		return
 	}
@@ -112,14 +112,14 @@
 
 // slowElections lets members become candidates at the same time, because their
 // messages take long.
-func slowElections() Story {
-	return controlStory("slow-elections", func(world *world.World, random *kernel.Random) {
+func slowElections() Scenario {
+	return controlScenario("slow-elections", func(world *world.World, random *kernel.Random) {
 		members := world.Members()
 		for _, member := range members {
 			world.Network().Slow(member.Name, messageDelay)
 		}
 		for range 8 {
-			leader, leads := world.AwaitLeader(leaderTime)
+			leader, leads := world.AwaitLeader(leaderTimeout)
 			if !leads {
 				return
 			}
--- a/internal/sim/mutant/target.go
+++ b/internal/sim/mutant/target.go
@@ -14,10 +14,10 @@
 
 func drainHonouredLate() Mutant {
 	return Mutant{
-		Name:   "drain-honoured-late",
-		Breaks: "an agent refuses new requests only some seconds after it was drained",
-		Expect: []checker.Invariant{checker.InvariantDrain},
-		Story:  storyOf("planned-coastal"),
+		Name:     "drain-honoured-late",
+		Breaks:   "an agent refuses new requests only some seconds after it was drained",
+		Expect:   []checker.Invariant{checker.InvariantDrain},
+		Scenario: namedScenario("planned-coastal"),
 		Variant: func(run *sim.Run, parts *world.Parts) {
 			since := make(map[model.TargetID]time.Duration)
 			standard := parts.Draining
@@ -37,10 +37,10 @@
 
 func stopWithoutWaiting() Mutant {
 	return Mutant{
-		Name:   "stop-without-waiting",
-		Breaks: "a planned stop does not wait for running requests and open flows",
-		Expect: []checker.Invariant{checker.InvariantStopCutsNothing},
-		Story:  storyOf("rolling-restart"),
+		Name:     "stop-without-waiting",
+		Breaks:   "a planned stop does not wait for running requests and open flows",
+		Expect:   []checker.Invariant{checker.InvariantStopCutsNothing},
+		Scenario: namedScenario("rolling-restart"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Idle = func(int, bool) bool { return true }
 		},
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -43,13 +43,13 @@
 		Trace:     kernel.NewTrace(scheduler),
 		Report:    &checker.Report{},
 	}
-	run.Report.Observe(run.noteViolation)
+	run.Report.Observe(run.recordViolation)
 	return run
 }
 
 // noteViolation keeps the events that led to the first violation, and records
 // each violation among the events.
-func (run *Run) noteViolation(violation checker.Violation) {
+func (run *Run) recordViolation(violation checker.Violation) {
 	if run.beforeViolation == nil {
 		run.beforeViolation = run.Trace.Latest()
 	}
--- a/internal/sim/scenario/chaos.go
+++ b/internal/sim/scenario/chaos.go
@@ -12,21 +12,21 @@
 	// chaosRounds is the number of pairs of faults in one run.
 	chaosRounds = 4
 	// healTime lets processes find each other again after the last fault.
-	healTime = 12 * time.Second
+	recoveryTime = 12 * time.Second
 )
 
-func chaosStory() story {
-	return story{
+func chaosDefinition() definition {
+	return definition{
 		name:    "chaos",
 		summary: "all faults, two at a time: kill, freeze, slow, restart, cuts, loss, disks, clocks, drains, changes, joins and leaves",
-		options: trafficFaults(eitherSize),
+		options: trafficFaults(zonesBySeed),
 		play:    underTraffic(chaosLoad(), playChaos),
 	}
 }
 
 // chaosLoad is lighter, because runs are long.
 func chaosLoad() world.Load {
-	load := usualLoad()
+	load := defaultLoad()
 	load.FlowsPerSecond = 4
 	load.RequestsPerSecond = 5
 	load.AtMostOnce = 0.6
@@ -45,12 +45,12 @@
 	name  string
 	begin func(chaos *chaos) (end func())
 	// cuts tells that a target may not hear of its drain meanwhile.
-	cuts bool
+	delaysDrains bool
 }
 
 // start begins the fault and tells the checkers what it excuses.
 func (fault fault) start(chaos *chaos) (end func()) {
-	if !fault.cuts {
+	if !fault.delaysDrains {
 		return fault.begin(chaos)
 	}
 	arrive := chaos.MayMissDrains()
@@ -64,13 +64,13 @@
 func faults() []fault {
 	return []fault{
 		{name: "kill", begin: (*chaos).kill},
-		{name: "freeze", begin: (*chaos).freeze, cuts: true},
+		{name: "freeze", begin: (*chaos).freeze, delaysDrains: true},
 		{name: "slow", begin: (*chaos).slow},
 		{name: "restart", begin: (*chaos).restart},
-		{name: "one-way cut", begin: (*chaos).cutOneWay, cuts: true},
-		{name: "isolation", begin: (*chaos).isolate, cuts: true},
-		{name: "zone cut", begin: (*chaos).cutZone, cuts: true},
-		{name: "one-way zone cut", begin: (*chaos).cutZoneOneWay, cuts: true},
+		{name: "one-way cut", begin: (*chaos).cutOneWay, delaysDrains: true},
+		{name: "isolation", begin: (*chaos).isolate, delaysDrains: true},
+		{name: "zone cut", begin: (*chaos).cutZone, delaysDrains: true},
+		{name: "one-way zone cut", begin: (*chaos).cutZoneOneWay, delaysDrains: true},
 		{name: "loss", begin: (*chaos).lose},
 		{name: "failed sync", begin: (*chaos).failSync},
 		{name: "torn write", begin: (*chaos).tearWrite},
@@ -90,7 +90,7 @@
 	}
 	stop()
 	chaos.startAll()
-	chaos.pause(healTime, healTime)
+	chaos.pause(recoveryTime, recoveryTime)
 }
 
 // round lets two faults overlap.
--- a/internal/sim/scenario/control.go
+++ b/internal/sim/scenario/control.go
@@ -12,33 +12,33 @@
 	// longerThanTimeouts is longer than every time-out of the control group.
 	longerThanTimeouts = 8 * time.Second
 	// leaderTime bounds the wait for a leader.
-	leaderTime = 15 * time.Second
+	leaderTimeout = 15 * time.Second
 	// leastAccepted is the least number of accepted changes of a run.
-	leastAccepted = 10
+	minAccepted = 10
 	// resentTime bounds the wait for that many while answers are lost.
-	resentTime = 30 * time.Second
+	resendTimeout = 30 * time.Second
 	// operatorPause is the mean pause between an operator's changes.
 	operatorPause = 200 * time.Millisecond
 )
 
-func controlStories() []story {
-	return []story{
+func controlDefinitions() []definition {
+	return []definition{
 		{
 			name:    "leader-loss",
 			summary: "the leader is killed, frozen or cut off again and again under racing operators",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    controlOnly(leaderLoss),
 		},
 		{
 			name:    "silent-cut",
 			summary: "a control member is cut off in silence for long, one way or both, and comes back",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    controlOnly(silentCut),
 		},
 		{
 			name:    "racing-operators",
 			summary: "many operators write with equal revisions and resend after lost answers",
-			options: sizedOptions(small).with(func(options *world.Options) {
+			options: optionsForSeed(small).with(func(options *world.Options) {
 				options.Faults = kernel.LinkFaults{Loss: 0.08, Duplication: 0.15, Jitter: 20 * time.Millisecond}
 			}),
 			play: controlOnly(racingOperators),
@@ -46,8 +46,8 @@
 		{
 			name:    "resent-changes",
 			summary: "answers to operators are lost, and changes are sent again before and after their answer, over leader changes",
-			options: sizedOptions(small).with(func(options *world.Options) {
-				options.Faults = unruly()
+			options: optionsForSeed(small).with(func(options *world.Options) {
+				options.Faults = faultyLinks()
 				options.Resends = 0.5
 			}),
 			play: controlOnly(resentChanges),
@@ -55,7 +55,7 @@
 		{
 			name:    "clock-skew",
 			summary: "members' clocks jump and drift, and members pause longer than every lease",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    controlOnly(clockSkew),
 		},
 	}
@@ -77,14 +77,14 @@
 		replicas := checkers.Replicas
 		operators := checkers.Operators
 		accepted, _, _ := operators.Counts()
-		world.CheckProgress(accepted >= leastAccepted, "only %d changes were accepted", accepted)
-		world.CheckProgress(replicas.Indices() > 10, "only %d entries were applied", replicas.Indices())
+		world.CheckProgress(accepted >= minAccepted, "only %d changes were accepted", accepted)
+		world.CheckProgress(replicas.AppliedIndices() > 10, "only %d entries were applied", replicas.AppliedIndices())
 	}
 }
 
 func leaderLoss(world *world.World, random *kernel.Random) {
 	for range 4 {
-		leader, leads := world.AwaitLeader(leaderTime)
+		leader, leads := world.AwaitLeader(leaderTimeout)
 		if !leads {
 			world.CheckProgress(false, "no leader")
 			return
@@ -145,7 +145,7 @@
 	world.LoseAnswers(0.4)
 	for range 2 {
 		world.Run().Scheduler.RunFor(random.Between(3*time.Second, 6*time.Second))
-		leader, leads := world.AwaitLeader(leaderTime)
+		leader, leads := world.AwaitLeader(leaderTimeout)
 		if !leads {
 			world.CheckProgress(false, "no leader")
 			return
@@ -157,9 +157,9 @@
 	}
 	// Lost answers slow the operators down: some runs need longer than others.
 	operators := world.Checkers().Operators
-	world.Await(resentTime, func() bool {
+	world.Await(resendTimeout, func() bool {
 		accepted, _, _ := operators.Counts()
-		return accepted >= leastAccepted && world.Resent() > 0
+		return accepted >= minAccepted && world.Resent() > 0
 	})
 	world.CheckProgress(world.Resent() > 0, "no change was sent again after its answer")
 }
--- a/internal/sim/scenario/drain.go
+++ b/internal/sim/scenario/drain.go
@@ -10,30 +10,30 @@
 // reportLag is how old the reports of agents are in drain scenarios.
 const reportLag = 2 * time.Second
 
-func drainStories() []story {
-	return []story{
+func drainDefinitions() []definition {
+	return []definition{
 		{
 			name:    "drain-lagging-reports",
 			summary: "targets drain while every load and occupancy report lags two seconds; no new flow or request after three",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) { options.ReportLag = reportLag }),
-			play:    underTraffic(shortLoad(), drainLaggingReports),
+			options: trafficFaults(zonesBySeed).with(func(options *world.Options) { options.ReportLag = reportLag }),
+			play:    underTraffic(shortFlowLoad(), drainLaggingReports),
 		},
 		{
 			name:    "full-chains",
 			summary: "targets drain and return faster than their flows end, until chains are full; no flow breaks",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(usualLoad(), fullChains),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(defaultLoad(), fullChains),
 		},
 		{
 			name:    "rolling-restart",
 			summary: "targets, relays and control members stop as planned, one after another, under uploads; nothing is cut",
-			options: trafficFaults(eitherSize),
+			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(uploadLoad(), rollingRestart),
 		},
 		{
 			name:    "uneven-rollout",
 			summary: "updates reach each node late by a time of its own while opening packets are doubled and reordered; one target opens a flow",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) {
+			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
 				options.UpdateDelay = 3 * time.Second
 				options.PacketFaults = kernel.LinkFaults{Loss: 0.05, Duplication: 0.3, Jitter: 150 * time.Millisecond}
 			}),
@@ -42,15 +42,15 @@
 		{
 			name:    "address-reuse",
 			summary: "a service is deleted and its address and machines go to another tenant while callers and stale balancers go on",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(usualLoad(), addressReuse),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(defaultLoad(), addressReuse),
 		},
 	}
 }
 
 // shortLoad has flows that end soon, so that targets become empty.
-func shortLoad() world.Load {
-	load := usualLoad()
+func shortFlowLoad() world.Load {
+	load := defaultLoad()
 	load.LongestFlow = 6 * time.Second
 	load.Feeds = 4
 	load.RequestsPerSecond = 6
@@ -59,7 +59,7 @@
 
 // uploadLoad is half uploads, without feeds that last for the run.
 func uploadLoad() world.Load {
-	load := shortLoad()
+	load := shortFlowLoad()
 	load.Feeds = 0
 	load.Uploads = 0.5
 	return load
@@ -67,7 +67,7 @@
 
 // openingLoad opens many short flows.
 func openingLoad() world.Load {
-	load := usualLoad()
+	load := defaultLoad()
 	load.FlowsPerSecond = 10
 	load.ShortestFlow = 500 * time.Millisecond
 	load.LongestFlow = 5 * time.Second
@@ -129,7 +129,7 @@
 	service := random.Below(2)
 	name := kernel.Pick(random, world.Targets(service))
 	operator.Drain(service, name)
-	empty := world.Await(drainLimit, func() bool { return world.Idle(name) })
+	empty := world.Await(drainTimeout, func() bool { return world.Idle(name) })
 	if empty {
 		world.StopTarget(name)
 		world.Run().Scheduler.RunFor(random.Between(500*time.Millisecond, 3*time.Second))
--- a/internal/sim/scenario/partition.go
+++ b/internal/sim/scenario/partition.go
@@ -9,31 +9,31 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-func partitionStories() []story {
-	return []story{
+func partitionDefinitions() []definition {
+	return []definition{
 		{
 			name:    "zone-partition",
 			summary: "a zone is cut off from the others for long, one way or both, while operators write, and comes back",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) {
+			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
 				// Longer than the cut, as in the product.
 				options.FlowIdleTimeout = flow.DefaultIdleTimeout
 			}),
-			play: underTraffic(usualLoad(), zonePartition),
+			play: underTraffic(defaultLoad(), zonePartition),
 		},
 		{
 			name:    "agent-partition",
 			summary: "agents run, are reached by balancers and are cut off from every relay until they are called dead; one target opens a flow",
-			options: trafficFaults(eitherSize),
+			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(pauseLoad(), agentPartition),
 		},
 		{
 			name:    "lagging-machine-list",
 			summary: "the platform's list of machines lags ten seconds while balancers and targets die and return",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) {
+			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
 				options.ListLag = 10 * time.Second
 				options.MachineListLag = 10 * time.Second
 			}),
-			play: underTraffic(usualLoad(), laggingList),
+			play: underTraffic(defaultLoad(), laggingList),
 		},
 	}
 }
--- a/internal/sim/scenario/registry.go
+++ b/internal/sim/scenario/registry.go
@@ -14,17 +14,17 @@
 
 // story is a scenario before its world is built. Play gets a world that is
 // not started.
-type story struct {
+type definition struct {
 	name    string
 	summary string
-	options sizedOptions
+	options optionsForSeed
 	play    func(world *world.World)
 }
 
 // All returns all scenarios in a fixed order.
 func All() []sim.Scenario {
 	var scenarios []sim.Scenario
-	for _, one := range stories() {
+	for _, one := range definitions() {
 		scenarios = append(scenarios, one.build(world.StandardParts()))
 	}
 	return append(scenarios, directworld.Scenarios(directworld.StandardParts())...)
@@ -35,7 +35,7 @@
 
 // FindWith returns the scenario called name with other parts in its world.
 func FindWith(name string, parts world.Parts) (sim.Scenario, bool) {
-	for _, one := range stories() {
+	for _, one := range definitions() {
 		if one.name == name {
 			return one.build(parts), true
 		}
@@ -48,7 +48,7 @@
 	return sim.Scenario{}, false
 }
 
-func (story story) build(parts world.Parts) sim.Scenario {
+func (story definition) build(parts world.Parts) sim.Scenario {
 	return sim.Scenario{
 		Name:    story.name,
 		Summary: story.summary,
@@ -60,21 +60,21 @@
 	}
 }
 
-func stories() []story {
-	var all []story
-	all = append(all, controlStories()...)
-	all = append(all, storageStories()...)
-	all = append(all, rolloutStories()...)
-	all = append(all, trafficStories()...)
-	all = append(all, drainStories()...)
-	all = append(all, requestStories()...)
-	all = append(all, partitionStories()...)
-	return append(all, chaosStory())
+func definitions() []definition {
+	var all []definition
+	all = append(all, controlDefinitions()...)
+	all = append(all, storageDefinitions()...)
+	all = append(all, rolloutDefinitions()...)
+	all = append(all, trafficDefinitions()...)
+	all = append(all, drainDefinitions()...)
+	all = append(all, requestDefinitions()...)
+	all = append(all, partitionDefinitions()...)
+	return append(all, chaosDefinition())
 }
 
 // Options of the presets. A small snapshot interval, small segments and small
 // chunks make short runs reach what they are for.
-func sized(preset world.Preset) world.Options {
+func baseOptions(preset world.Preset) world.Options {
 	return world.Options{
 		Preset:        preset,
 		SnapshotEvery: 100,
@@ -84,12 +84,12 @@
 	}
 }
 
-func small(uint64) world.Options   { return sized(world.Small()) }
-func metro(uint64) world.Options   { return sized(world.Metro()) }
-func coastal(uint64) world.Options { return sized(world.Coastal()) }
+func small(uint64) world.Options   { return baseOptions(world.Small()) }
+func metro(uint64) world.Options   { return baseOptions(world.Metro()) }
+func coastal(uint64) world.Options { return baseOptions(world.Coastal()) }
 
 // eitherSize gives odd seeds the close zones and even seeds the distant ones.
-func eitherSize(seed uint64) world.Options {
+func zonesBySeed(seed uint64) world.Options {
 	if seed%2 == 1 {
 		return metro(seed)
 	}
@@ -97,10 +97,10 @@
 }
 
 // sizedOptions makes the options of a run from its seed.
-type sizedOptions func(seed uint64) world.Options
+type optionsForSeed func(seed uint64) world.Options
 
 // with returns options that change changes.
-func (options sizedOptions) with(change func(options *world.Options)) sizedOptions {
+func (options optionsForSeed) with(change func(options *world.Options)) optionsForSeed {
 	return func(seed uint64) world.Options {
 		changed := options(seed)
 		change(&changed)
@@ -109,14 +109,14 @@
 }
 
 // unruly are links that lose, double and reorder a little.
-func unruly() kernel.LinkFaults {
+func faultyLinks() kernel.LinkFaults {
 	return kernel.LinkFaults{Loss: 0.01, Duplication: 0.02, Jitter: 2 * time.Millisecond}
 }
 
 // withUnrulyLinks returns options whose links are unruly.
-func withUnrulyLinks(options sizedOptions) sizedOptions {
+func withFaultyLinks(options optionsForSeed) optionsForSeed {
 	return options.with(func(options *world.Options) {
-		options.Faults = unruly()
-		options.PacketFaults = unruly()
+		options.Faults = faultyLinks()
+		options.PacketFaults = faultyLinks()
 	})
 }
--- a/internal/sim/scenario/regression_test.go
+++ b/internal/sim/scenario/regression_test.go
@@ -11,7 +11,7 @@
 
 // failedOnce are seeds that showed a fault of the product, with its story. They stay as they
 // are: the scenario, its checks and its bounds are those that failed.
-var failedOnce = []struct {
+var regressions = []struct {
 	scenario string
 	// story tells what happens, why, and what showed the cause.
 	story string
@@ -44,7 +44,7 @@
 }
 
 func TestSeedsThatFailedOnce(t *testing.T) {
-	for _, fault := range failedOnce {
+	for _, fault := range regressions {
 		found, exists := Find(fault.scenario)
 		require.True(t, exists, fault.scenario)
 		for _, seed := range fault.seeds {
--- a/internal/sim/scenario/requests.go
+++ b/internal/sim/scenario/requests.go
@@ -7,44 +7,44 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-func requestStories() []story {
-	return []story{
+func requestDefinitions() []definition {
+	return []definition{
 		{
 			name:    "overload",
 			summary: "far more requests come than the targets' slots can run; what is refused as not run did not run",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(overload(), overloaded),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(overloadLoad(), overloaded),
 		},
 		{
 			name:    "late-answers",
 			summary: "back ends answer long after their callers gave up and asked again; each answer is its own request's, at-most-once calls run once",
-			options: trafficFaults(eitherSize).with(func(options *world.Options) { options.StalledRuns = 0.15 }),
+			options: trafficFaults(zonesBySeed).with(func(options *world.Options) { options.StalledRuns = 0.15 }),
 			play:    underTraffic(claimLoad(), lateAnswers),
 		},
 		{
 			name:    "at-most-once-failover",
 			summary: "agents, relays and the control leader die or freeze, and the quorum is lost, under at-most-once calls; each runs once at most",
-			options: trafficFaults(eitherSize),
+			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(claimLoad(), claimFailover),
 		},
 		{
 			name:    "agent-pause",
 			summary: "agents with skewed clocks freeze longer than their grants and act on them when they wake; nothing runs twice",
-			options: trafficFaults(eitherSize),
+			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(pauseLoad(), agentPause),
 		},
 		{
 			name:    "target-restart",
 			summary: "targets restart so fast that nobody calls them dead; their old flows are reset at once and no new one is taken for an old one",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(usualLoad(), targetRestart),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(defaultLoad(), targetRestart),
 		},
 	}
 }
 
 // overload offers several times what the back ends can run.
-func overload() world.Load {
-	load := usualLoad()
+func overloadLoad() world.Load {
+	load := defaultLoad()
 	load.RequestsPerSecond = 50
 	load.Uploads = 0.8
 	load.AtMostOnce = 0.2
@@ -53,7 +53,7 @@
 
 // claimLoad has mostly requests that may not be repeated.
 func claimLoad() world.Load {
-	load := usualLoad()
+	load := defaultLoad()
 	load.RequestsPerSecond = 8
 	load.AtMostOnce = 0.9
 	return load
--- a/internal/sim/scenario/rollout.go
+++ b/internal/sim/scenario/rollout.go
@@ -7,24 +7,24 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-func rolloutStories() []story {
-	return []story{
+func rolloutDefinitions() []definition {
+	return []definition{
 		{
 			name:    "relay-failover",
 			summary: "relays die, freeze or are cut off from control while alive, under racing operators; leased balancers are current, none goes back",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    underChanges(relayFailover),
 		},
 		{
 			name:    "node-restart",
 			summary: "balancers, relays and members restart, one by one and all at once, after hundreds of changes, and agree again",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    underChanges(nodeRestart),
 		},
 		{
 			name:    "lease-pause",
 			summary: "balancers with skewed clocks freeze longer than their leases and wake; a leased balancer is current",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    underChanges(leasePause),
 		},
 	}
--- a/internal/sim/scenario/storage.go
+++ b/internal/sim/scenario/storage.go
@@ -7,12 +7,12 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-func storageStories() []story {
-	return []story{
+func storageDefinitions() []definition {
+	return []definition{
 		{
 			name:    "torn-writes",
 			summary: "members are killed in the middle of writes and lose or tear what was not synced",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    controlOnly(tornWrites),
 		},
 		{
@@ -24,7 +24,7 @@
 		{
 			name:    "lost-disk",
 			summary: "a member's disk is lost and replaced; right after the repair a second member is lost",
-			options: withUnrulyLinks(small),
+			options: withFaultyLinks(small),
 			play:    controlOnly(lostDisk),
 		},
 		{
@@ -101,7 +101,7 @@
 	members[second].Kill()
 	world.WipeDisk(second)
 	world.Run().Scheduler.RunFor(10 * time.Second)
-	if _, leads := world.AwaitLeader(leaderTime); !leads {
+	if _, leads := world.AwaitLeader(leaderTimeout); !leads {
 		world.CheckProgress(false, "the repaired group has no leader without its second member")
 	}
 }
@@ -109,12 +109,12 @@
 func restartAfterMany(world *world.World, random *kernel.Random) {
 	replicas := world.Checkers().Replicas
 	for range 20 {
-		if replicas.Indices() > 520 {
+		if replicas.AppliedIndices() > 520 {
 			break
 		}
 		world.Run().Scheduler.RunFor(5 * time.Second)
 	}
-	world.CheckProgress(replicas.Indices() > 500, "only %d changes were made", replicas.Indices())
+	world.CheckProgress(replicas.AppliedIndices() > 500, "only %d changes were made", replicas.AppliedIndices())
 	for _, process := range world.Members() {
 		process.Kill()
 		world.Run().Scheduler.RunFor(random.Between(100*time.Millisecond, 3*time.Second))
--- a/internal/sim/scenario/traffic.go
+++ b/internal/sim/scenario/traffic.go
@@ -11,13 +11,13 @@
 // Times of traffic scenarios.
 const (
 	// warmTime lets flows open before the story begins.
-	warmTime = 4 * time.Second
+	warmUpTime = 4 * time.Second
 	// drainLimit bounds the wait for a drained target's last flow.
-	drainLimit = 16 * time.Second
+	drainTimeout = 16 * time.Second
 )
 
 // usualLoad is what callers of each service do.
-func usualLoad() world.Load {
+func defaultLoad() world.Load {
 	return world.Load{
 		FlowsPerSecond:    5,
 		ShortestFlow:      time.Second,
@@ -31,38 +31,38 @@
 }
 
 // trafficFaults reorder and double packets; they lose a few.
-func trafficFaults(options sizedOptions) sizedOptions {
+func trafficFaults(options optionsForSeed) optionsForSeed {
 	return options.with(func(options *world.Options) {
-		options.Faults = unruly()
+		options.Faults = faultyLinks()
 		options.PacketFaults = kernel.LinkFaults{Loss: 0.005, Duplication: 0.03, Jitter: 5 * time.Millisecond}
 	})
 }
 
-func trafficStories() []story {
-	return []story{
+func trafficDefinitions() []definition {
+	return []definition{
 		{
 			name:    "planned-metro",
 			summary: "close zones: balancers join and leave, targets drain, restart and return, parameters change; nothing breaks",
 			options: trafficFaults(metro),
-			play:    underTraffic(usualLoad(), planned),
+			play:    underTraffic(defaultLoad(), plannedChanges),
 		},
 		{
 			name:    "planned-coastal",
 			summary: "distant zones: the same planned changes; nothing breaks",
 			options: trafficFaults(coastal),
-			play:    underTraffic(usualLoad(), planned),
+			play:    underTraffic(defaultLoad(), plannedChanges),
 		},
 		{
 			name:    "balancer-death",
 			summary: "balancers are killed, frozen and restarted without notice; no flow breaks",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(usualLoad(), balancerDeath),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(defaultLoad(), balancerDeath),
 		},
 		{
 			name:    "target-death",
 			summary: "targets die and restart without notice; only the flows that lived on them end",
-			options: trafficFaults(eitherSize),
-			play:    underTraffic(usualLoad(), targetDeath),
+			options: trafficFaults(zonesBySeed),
+			play:    underTraffic(defaultLoad(), targetDeath),
 		},
 	}
 }
@@ -75,7 +75,7 @@
 			return
 		}
 		world.StartLoad(load)
-		world.Run().Scheduler.RunFor(warmTime)
+		world.Run().Scheduler.RunFor(warmUpTime)
 		play(world, world.Run().Random("story"))
 		world.FinishTraffic()
 		world.FinishNodes()
@@ -84,7 +84,7 @@
 }
 
 // planned mixes every planned change there is.
-func planned(world *world.World, random *kernel.Random) {
+func plannedChanges(world *world.World, random *kernel.Random) {
 	world.ExpectAnswers()
 	stop := world.RaceOperators(2, time.Second)
 	operator := world.NewOperator("planner")
@@ -115,7 +115,7 @@
 	service := random.Below(2)
 	name := kernel.Pick(random, world.Targets(service))
 	operator.Drain(service, name)
-	if !world.Await(drainLimit, func() bool { return world.Idle(name) }) {
+	if !world.Await(drainTimeout, func() bool { return world.Idle(name) }) {
 		// Feeds stay for the run: waiting is always right.
 		operator.Undrain(service, name)
 		return
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -57,7 +57,7 @@
 // It stops early, without more results, once report returns false.
 func Sweep(scenarios []Scenario, seeds SeedRange, workers int, report func(Result) bool) {
 	for _, scenario := range scenarios {
-		if !sweepOne(scenario, seeds, workers, report) {
+		if !sweepScenario(scenario, seeds, workers, report) {
 			return
 		}
 	}
@@ -71,7 +71,7 @@
 
 // sweepOne runs the seeds of one scenario. It returns false when report did.
 // No run is left behind when it returns.
-func sweepOne(scenario Scenario, seeds SeedRange, workers int, report func(Result) bool) bool {
+func sweepScenario(scenario Scenario, seeds SeedRange, workers int, report func(Result) bool) bool {
 	workers = max(workers, 1)
 	runs := make(chan seedRun)
 	// Its capacity bounds how far runs may be ahead of the reports.
@@ -85,7 +85,7 @@
 			}
 		})
 	}
-	group.Go(func() { plan(seeds, ordered, runs, stopped) })
+	group.Go(func() { dispatchSeeds(seeds, ordered, runs, stopped) })
 	finished := reportInOrder(ordered, report)
 	close(stopped)
 	group.Wait()
@@ -93,7 +93,7 @@
 }
 
 // plan hands out the seeds in order until stopped is closed.
-func plan(seeds SeedRange, ordered, runs chan<- seedRun, stopped <-chan struct{}) {
+func dispatchSeeds(seeds SeedRange, ordered, runs chan<- seedRun, stopped <-chan struct{}) {
 	defer close(ordered)
 	defer close(runs)
 	for seed := seeds.First; ; seed++ {
--- a/internal/sim/sweep_test.go
+++ b/internal/sim/sweep_test.go
@@ -34,7 +34,7 @@
 }
 
 // drawing is a scenario that violates for odd seeds and panics for seed 9.
-func drawing() Scenario {
+func randomScenario() Scenario {
 	return Scenario{Name: "drawing", Play: func(run *Run) {
 		random := run.Random("draws")
 		for range 10 {
@@ -52,7 +52,7 @@
 
 func collectSweep(seeds SeedRange, workers int) []Result {
 	var results []Result
-	Sweep([]Scenario{drawing()}, seeds, workers, func(result Result) bool {
+	Sweep([]Scenario{randomScenario()}, seeds, workers, func(result Result) bool {
 		results = append(results, result)
 		return true
 	})
@@ -79,7 +79,7 @@
 
 func TestSweepStopsWhenToldTo(t *testing.T) {
 	count := 0
-	Sweep([]Scenario{drawing()}, SeedRange{0, math.MaxUint64}, 2, func(Result) bool {
+	Sweep([]Scenario{randomScenario()}, SeedRange{0, math.MaxUint64}, 2, func(Result) bool {
 		count++
 		return count < 5
 	})
@@ -87,7 +87,7 @@
 }
 
 func TestPanicIsAViolation(t *testing.T) {
-	result := Execute(drawing(), 9)
+	result := Execute(randomScenario(), 9)
 	require.True(t, result.Failed())
 	require.Equal(t, checker.InvariantNoPanic, result.Violations[0].Invariant)
 	require.Contains(t, result.Describe(), "seed 9")
--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -178,8 +178,8 @@
 }
 
 // place is the present life of the target for the checkers.
-func (life *agentLife) place() checker.Place {
-	return checker.Place{Target: uint32(life.target.ID), Incarnation: uint64(life.incarnation)}
+func (life *agentLife) place() checker.TargetIncarnation {
+	return checker.TargetIncarnation{Target: uint32(life.target.ID), Incarnation: uint64(life.incarnation)}
 }
 
 // Load implements rollout.Reporter.
@@ -282,13 +282,13 @@
 		Intended:  uint32(one.packet.intended),
 		Delivered: uint32(life.target.Service),
 		Opening:   one.opening,
-		Place:     life.place(),
+		Target:    life.place(),
 		At:        elapsed,
 	})
 	world.run.Trace.Mix(uint64(one.packet.flow), one.packet.sequence, uint64(life.target.ID), uint64(one.passes))
 	if decision.Opened {
 		world.run.Trace.Addf(string(life.agent.process.Name), "open", "flow %d", one.packet.flow)
-		world.check.drain.Took(uint32(life.target.ID), checker.WorkFlow, elapsed)
+		world.check.drain.WorkStarted(uint32(life.target.ID), checker.WorkFlow, elapsed)
 	}
 	if decision.Hint {
 		world.sendHint(life, one)
--- a/internal/sim/world/backend.go
+++ b/internal/sim/world/backend.go
@@ -25,13 +25,13 @@
 	random *kernel.Random
 	// cuts decides which answers are cut short.
 	cuts  *kernel.Random
-	place checker.Place
+	place checker.TargetIncarnation
 	dead  bool
 	// running is the number of requests in progress.
 	running int
 }
 
-func newBackend(world *World, place checker.Place, random, cuts *kernel.Random) *backend {
+func newBackend(world *World, place checker.TargetIncarnation, random, cuts *kernel.Random) *backend {
 	return &backend{world: world, random: random, cuts: cuts, place: place}
 }
 
--- a/internal/sim/world/caller_request.go
+++ b/internal/sim/world/caller_request.go
@@ -64,7 +64,7 @@
 	callers.waiting++
 	callers.requests[id] = again
 	now := callers.world.run.Scheduler.Now()
-	callers.world.check.requests.Offered(checker.Attempt{ID: id, Key: again.key, Service: uint32(again.intended)}, now.Sub(kernel.Epoch))
+	callers.world.check.requests.Sent(checker.Attempt{ID: id, Key: again.key, Service: uint32(again.intended)}, now.Sub(kernel.Epoch))
 	callers.sendAttempt(flow, again, request{
 		attempt:     id,
 		key:         again.key,
@@ -119,13 +119,13 @@
 func (callers *callers) receiveFinal(one answer) {
 	owner, known := callers.requests[one.attempt]
 	if !known {
-		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, For: one.of, Whole: one.whole, At: callers.world.run.Elapsed()})
+		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, Origin: one.of, Complete: one.whole, At: callers.world.run.Elapsed()})
 		return
 	}
 	current := owner.current == one.attempt
 	switch one.kind {
 	case answerResponse:
-		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, For: one.of, Whole: one.whole, At: callers.world.run.Elapsed()})
+		callers.world.check.requests.Answered(checker.Answer{Attempt: one.attempt, Origin: one.of, Complete: one.whole, At: callers.world.run.Elapsed()})
 		callers.answered(owner, one.attempt)
 	case answerRefusal:
 		callers.world.check.requests.Refused(one.attempt, callers.world.run.Elapsed())
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -127,7 +127,7 @@
 		}
 		world.check.operators.Final(service.name, parameterOf(record), uint64(record.Revision), world.run.Elapsed())
 	}
-	for _, target := range world.check.drain.Leaving() {
+	for _, target := range world.check.drain.Draining() {
 		known, exists := view.Configuration.Targets[model.TargetID(target)]
 		serving := exists && known.Phase == model.PhaseServing
 		world.check.drain.CheckKept(target, serving, world.run.Elapsed())
@@ -178,7 +178,7 @@
 // changes only.
 func (world *World) ExpectAnswers() {
 	world.callers.expectAnswers = true
-	world.check.flows.ExpectSteady()
+	world.check.flows.ExpectAnswers()
 }
 
 // FinishTraffic stops new work, waits for the last answers, and checks that no
@@ -186,7 +186,7 @@
 func (world *World) FinishTraffic() {
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
-	world.check.flows.NetworkHealed()
+	world.check.flows.ClearUnanswered()
 	world.run.Scheduler.RunFor(silenceTime)
 	world.waitFor(answerTime-silenceTime, world.callers.idle)
 	world.check.flows.CheckSilent(world.run.Elapsed())
@@ -213,8 +213,8 @@
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "%d flows were opened by no target", world.callers.abandoned)
 	}
 	tally := world.check.requests.Tally()
-	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Offered) {
-		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Offered)
+	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Sent) {
+		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Sent)
 	}
 }
 
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -106,7 +106,7 @@
 	result := machine.standard.Apply(index, at, command)
 	world := machine.member.world
 	process := machine.member.process
-	life := checker.MemberLife{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
+	life := checker.MemberIncarnation{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
 	world.check.replicas.Applied(life, uint64(index), string(command), world.run.Elapsed())
 	world.check.observeApplied(machine.member, uint64(index))
 	return result
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -266,7 +266,7 @@
 		}
 		operation.Result = resultOf(answer)
 		if operation.Result != 0 {
-			operator.world.check.operators.Ended(operation)
+			operator.world.check.operators.Completed(operation)
 		}
 		done(answer)
 	})
@@ -303,7 +303,7 @@
 			return
 		}
 		value := parameterOf(record)
-		operator.world.check.operators.Ended(checker.Operation{
+		operator.world.check.operators.Completed(checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationRead, Call: called,
 			Return: operator.world.run.Elapsed(), Value: value, Revision: uint64(record.Revision), Result: checker.ResultAccepted,
 		})
--- a/internal/sim/world/packet.go
+++ b/internal/sim/world/packet.go
@@ -78,5 +78,5 @@
 	// whole tells that a response has its full length.
 	whole      bool
 	retryAfter time.Duration
-	place      checker.Place
+	place      checker.TargetIncarnation
 }
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -225,7 +225,7 @@
 		return
 	}
 	attempt.running = true
-	world.check.drain.Took(uint32(desk.life.target.ID), checker.WorkRequest, world.run.Elapsed())
+	world.check.drain.WorkStarted(uint32(desk.life.target.ID), checker.WorkRequest, world.run.Elapsed())
 	world.run.Scheduler.At(attempt.request.deadline, func() {
 		desk.life.handle(func() { desk.expire(id, attempt) })
 	})
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -141,7 +141,7 @@
 		if answer.Known && answer.Result.Applied() {
 			service.id = answer.Result.Service
 			service.revision = answer.Result.Revision
-			world.check.operators.Created(service.name, checker.Initial{Value: firstValue, Revision: uint64(service.revision)})
+			world.check.operators.Created(service.name, checker.InitialState{Value: firstValue, Revision: uint64(service.revision)})
 		}
 		done(answer)
 	})
