--- a/internal/sim/describe.go
+++ b/internal/sim/describe.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// describedEvents is how many events a description shows.
+// describedEvents is the maximum number of events in a description.
 const describedEvents = 25
 
-// Describe writes a failed result for a reader: what was violated and when,
-// the events before the first violation, and how to replay the run.
+// Describe returns a report of a failed run for a person: the violated invariants with their times,
+// the last events before the first violation, and the command that replays the run.
 func (result Result) Describe() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "FAILED scenario %s, seed %d, digest %016x\n", result.Scenario, result.Seed, result.Digest)
@@ -30,8 +30,7 @@
 	return text.String()
 }
 
-// ReplayCommand returns the command that plays the run again and prints every
-// event.
+// ReplayCommand returns the command that repeats the run and prints every event.
 func (result Result) ReplayCommand() string {
 	return fmt.Sprintf("merlinsim run --scenario %s --seeds %d --trace", result.Scenario, result.Seed)
 }
--- a/internal/sim/determinism_test.go
+++ b/internal/sim/determinism_test.go
@@ -10,7 +10,7 @@
 
 func TestRepeatFindsRunsThatDiffer(t *testing.T) {
 	var calls atomic.Uint64
-	// Seed 70 adds another event each time it is run.
+	// Seed 70 mixes another number into its digest each time it is run.
 	unstable := Scenario{Name: "unstable", Play: func(run *Run) {
 		run.Trace.Add("test", "event", "")
 		if run.Seed == 70 {
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -1,7 +1,7 @@
-// Package sim runs scenarios: deterministic simulations of a whole system on a
-// virtual clock, judged by the checkers. Package world composes the system out
-// of the product's own controllers, package scenario says what happens to it,
-// and package kernel supplies clock, network and processes.
+// Package sim runs scenarios: deterministic simulations of the complete system on a virtual clock,
+// verified by package checker. Packages world and directworld compose the system out of the
+// product's own controllers, package scenario defines the traffic and the faults, and package
+// kernel supplies the clock, the network and the processes.
 package sim
 
 import (
@@ -13,12 +13,13 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-// Scenario is one story with faults. Play is called once for each seed.
+// Scenario is a sequence of faults and changes to the simulated system.
 type Scenario struct {
 	Name string
-	// Summary says what fails and what must hold.
+	// Summary says which faults and changes occur and what must hold meanwhile.
 	Summary string
-	Play    func(run *Run)
+	// Play executes the scenario. It is called once for each seed.
+	Play func(run *Run)
 }
 
 // Run is one execution of a scenario with one seed.
@@ -27,14 +28,14 @@
 	Scheduler *kernel.Scheduler
 	Trace     *kernel.Trace
 	Report    *checker.Report
-	// Watch gets notes on single packets, which are not part of the digest;
-	// nil when nobody watches.
+	// Watch is called with notes on single packets, which are not part of the digest. It may be
+	// nil.
 	Watch func(flow uint64, note string)
-	// beforeViolation are the latest events at the first violation.
+	// beforeViolation has the last events before the first violation.
 	beforeViolation []kernel.Event
 }
 
-// NewRun returns an empty run at virtual time zero.
+// NewRun returns a run at virtual time zero, without events.
 func NewRun(seed uint64) *Run {
 	scheduler := kernel.NewScheduler()
 	run := &Run{
@@ -47,8 +48,8 @@
 	return run
 }
 
-// recordViolation keeps the events that led to the first violation, and records
-// each violation among the events.
+// recordViolation keeps the last events before the first violation, and adds each violation to the
+// trace.
 func (run *Run) recordViolation(violation checker.Violation) {
 	if run.beforeViolation == nil {
 		run.beforeViolation = run.Trace.Latest()
@@ -56,33 +57,36 @@
 	run.Trace.Add("checker", "violated", fmt.Sprintf("%s: %s", violation.Invariant, violation.Detail))
 }
 
-// Random returns the named random stream of the run's seed.
+// Random returns the random stream of the given name, derived from the run's seed.
 func (run *Run) Random(name string) *kernel.Random { return kernel.NewRandom(run.Seed, name) }
 
-// Elapsed returns the virtual time since the start.
+// Elapsed returns the virtual time since the start of the run.
 func (run *Run) Elapsed() time.Duration { return run.Scheduler.Elapsed() }
 
-// Result is how one run ended.
+// Result is the outcome of one run.
 type Result struct {
-	Scenario   string
-	Seed       uint64
-	Digest     uint64
-	Elapsed    time.Duration
+	Scenario string
+	Seed     uint64
+	// Digest is the hash of the run's trace.
+	Digest uint64
+	// Elapsed is the virtual time at the end of the run.
+	Elapsed time.Duration
+	// Events is the number of events that the scheduler executed.
 	Events     uint64
 	Violations []checker.Violation
-	// Latest are the events before the first violation.
+	// Latest has the last events before the first violation.
 	Latest []kernel.Event
-	// PanicStack is set when a controller panicked.
+	// PanicStack is the stack trace if a controller panicked, and empty otherwise.
 	PanicStack string
 }
 
-// Failed tells whether the run broke an invariant.
+// Failed reports whether the run violated an invariant.
 func (result Result) Failed() bool { return len(result.Violations) > 0 }
 
-// Execute runs scenario with seed from start to end.
+// Execute runs scenario with the given seed from start to end.
 func Execute(scenario Scenario, seed uint64) Result { return ExecuteRun(scenario, NewRun(seed)) }
 
-// ExecuteRun plays scenario on a run that the caller prepared.
+// ExecuteRun plays scenario on a run that the caller has set up.
 func ExecuteRun(scenario Scenario, run *Run) Result {
 	stack := play(scenario, run)
 	result := Result{
@@ -100,7 +104,8 @@
 	return result
 }
 
-// play runs the scenario and turns a panic into a violation.
+// play plays the scenario. It converts a panic into a violation and returns the panic's stack
+// trace.
 func play(scenario Scenario, run *Run) (stack string) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/sim/scenario/chaos.go
+++ b/internal/sim/scenario/chaos.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// chaosRounds is the number of pairs of faults in one run.
+	// chaosRounds is the number of pairs of overlapping faults in one run.
 	chaosRounds = 4
-	// recoveryTime lets processes find each other again after the last fault.
+	// recoveryTime is how long processes get to reconnect after the last fault.
 	recoveryTime = 12 * time.Second
 )
 
@@ -24,7 +24,7 @@
 	}
 }
 
-// chaosLoad is lighter, because runs are long.
+// chaosLoad returns a lighter load than the default, because runs are long.
 func chaosLoad() world.Load {
 	load := defaultLoad()
 	load.FlowsPerSecond = 4
@@ -33,31 +33,32 @@
 	return load
 }
 
-// chaos is one run of the scenario.
+// chaos is one run of the chaos scenario.
 type chaos struct {
 	*world.World
 	random   *kernel.Random
 	operator *world.Operator
 }
 
-// fault is one disturbance. Begin starts it and returns how to end it.
+// fault is a kind of fault or of planned change.
 type fault struct {
-	name  string
+	name string
+	// begin starts the fault and returns the function that ends it.
 	begin func(chaos *chaos) (end func())
-	// delaysDrains tells that a target may not hear of its drain meanwhile.
+	// delaysDrains says that a drain may not reach its target while the fault lasts.
 	delaysDrains bool
 }
 
-// start begins the fault and tells the checkers what it excuses.
+// start begins the fault, and suspends the check of drains meanwhile if it delays them.
 func (fault fault) start(chaos *chaos) (end func()) {
 	if !fault.delaysDrains {
 		return fault.begin(chaos)
 	}
-	arrive := chaos.MayMissDrains()
+	resumeDrainCheck := chaos.MayMissDrains()
 	heal := fault.begin(chaos)
 	return func() {
 		heal()
-		arrive()
+		resumeDrainCheck()
 	}
 }
 
@@ -93,7 +94,7 @@
 	chaos.pause(recoveryTime, recoveryTime)
 }
 
-// round lets two faults overlap.
+// round starts two random faults that overlap, and ends them.
 func (chaos *chaos) round() {
 	all := faults()
 	chaos.random.Shuffle(len(all), func(left, right int) { all[left], all[right] = all[right], all[left] })
@@ -108,11 +109,13 @@
 	chaos.pause(0, 3*time.Second)
 }
 
+// pause runs the world for a random time from low to high.
 func (chaos *chaos) pause(low, high time.Duration) {
 	chaos.Run().Scheduler.RunFor(chaos.random.Between(low, high))
 }
 
-// startAll starts what a failed sync or an overlap of faults left down.
+// startAll thaws and starts all processes. A failed sync, or two faults on one process, may have
+// left some stopped.
 func (chaos *chaos) startAll() {
 	for _, process := range chaos.processes() {
 		process.Thaw()
@@ -133,7 +136,7 @@
 	return false
 }
 
-// processes returns all processes, by role.
+// processes returns all processes, ordered by role.
 func (chaos *chaos) processes() []*kernel.Process {
 	processes := append(append(chaos.Members(), chaos.Relays()...), chaos.Balancers()...)
 	for _, name := range chaos.targets() {
@@ -142,7 +145,7 @@
 	return processes
 }
 
-// pick returns a process; each role is as likely as the others.
+// pick returns a random process. Each role is equally likely.
 func (chaos *chaos) pick() *kernel.Process {
 	switch chaos.random.Below(4) {
 	case 0:
@@ -178,7 +181,8 @@
 	return func() {}
 }
 
-// freeze may last longer than a target may be silent.
+// freeze freezes a process. A frozen target may lose its flows, because the freeze may last longer
+// than the heartbeat timeout.
 func (chaos *chaos) freeze() (end func()) {
 	process := chaos.pick()
 	if chaos.isTarget(process) {
@@ -242,7 +246,7 @@
 	return process.Start
 }
 
-// skewClock restarts a process with another clock.
+// skewClock restarts a process with a skewed clock.
 func (chaos *chaos) skewClock() (end func()) {
 	process := chaos.pick()
 	chaos.stop(process)
@@ -262,7 +266,7 @@
 	return chaos.RaceOperators(4, 100*time.Millisecond)
 }
 
-// replaceBalancer lets a balancer leave as planned and a new one join.
+// replaceBalancer stops a balancer as planned; when the fault ends, it starts again and is listed.
 func (chaos *chaos) replaceBalancer() (end func()) {
 	index := chaos.random.Below(len(chaos.Balancers()))
 	process := chaos.Balancers()[index]
@@ -275,7 +279,8 @@
 	}
 }
 
-// removeTarget takes a target out of its service's parameters and back.
+// removeTarget removes a target from its service's parameters; when the fault ends, it is added
+// again.
 func (chaos *chaos) removeTarget() (end func()) {
 	service := chaos.random.Below(2)
 	name := kernel.Pick(chaos.random, chaos.Targets(service))
--- a/internal/sim/scenario/control.go
+++ b/internal/sim/scenario/control.go
@@ -7,15 +7,15 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// Times that control scenarios share.
+// Times and counts of control scenarios.
 const (
-	// longerThanTimeouts is longer than every time-out of the control group.
+	// longerThanTimeouts is longer than every timeout of the control group.
 	longerThanTimeouts = 8 * time.Second
-	// leaderTimeout bounds the wait for a leader.
+	// leaderTimeout is how long to wait for a leader.
 	leaderTimeout = 15 * time.Second
-	// minAccepted is the least number of accepted changes of a run.
+	// minAccepted is how many changes must be accepted in a run.
 	minAccepted = 10
-	// resendTimeout bounds the wait for that many while answers are lost.
+	// resendTimeout is how long to wait for minAccepted changes while answers are lost.
 	resendTimeout = 30 * time.Second
 	// operatorPause is the mean pause between an operator's changes.
 	operatorPause = 200 * time.Millisecond
@@ -25,19 +25,19 @@
 	return []definition{
 		{
 			name:    "leader-loss",
-			summary: "the leader is killed, frozen or cut off again and again under racing operators",
+			summary: "the leader is killed, frozen or cut off repeatedly while operators make concurrent changes",
 			options: withFaultyLinks(small),
 			play:    controlOnly(leaderLoss),
 		},
 		{
 			name:    "silent-cut",
-			summary: "a control member is cut off in silence for long, one way or both, and comes back",
+			summary: "a control member's messages are dropped for 25 s, one way or both, and it comes back",
 			options: withFaultyLinks(small),
 			play:    controlOnly(silentCut),
 		},
 		{
 			name:    "racing-operators",
-			summary: "many operators write with equal revisions and resend after lost answers",
+			summary: "many operators write concurrently with the same base revision and resend after lost answers",
 			options: optionsForSeed(small).with(func(options *world.Options) {
 				options.Faults = kernel.LinkFaults{Loss: 0.08, Duplication: 0.15, Jitter: 20 * time.Millisecond}
 			}),
@@ -45,7 +45,7 @@
 		},
 		{
 			name:    "resent-changes",
-			summary: "answers to operators are lost, and changes are sent again before and after their answer, over leader changes",
+			summary: "answers to operators are lost, and changes are sent again before and after their answer, across leader changes",
 			options: optionsForSeed(small).with(func(options *world.Options) {
 				options.Faults = faultyLinks()
 				options.Resends = 0.5
@@ -61,8 +61,8 @@
 	}
 }
 
-// controlOnly plays a story on control members alone, under racing operators,
-// and checks the group at its end.
+// controlOnly returns a scenario that starts the control members only and calls play while
+// operators make concurrent changes. It checks the control group at the end.
 func controlOnly(play func(world *world.World, random *kernel.Random)) func(*world.World) {
 	return func(world *world.World) {
 		world.StartControl()
@@ -82,6 +82,7 @@
 	}
 }
 
+// leaderLoss kills, freezes or isolates the leader four times.
 func leaderLoss(world *world.World, random *kernel.Random) {
 	for range 4 {
 		leader, leads := world.AwaitLeader(leaderTimeout)
@@ -109,6 +110,7 @@
 	}
 }
 
+// silentCut cuts a random member off from each of the others, one way or both.
 func silentCut(world *world.World, random *kernel.Random) {
 	members := world.Members()
 	lost := kernel.Pick(random, members)
@@ -117,7 +119,7 @@
 		if other == lost {
 			continue
 		}
-		// At least one way is cut to each of the others.
+		// At least one direction is cut to each of the others.
 		direction := random.Below(3)
 		if direction != 0 {
 			heals = append(heals, world.Network().CutOneWay(lost.Name, other.Name))
@@ -155,7 +157,7 @@
 		world.Run().Scheduler.RunFor(random.Between(0, 3*time.Second))
 		process.Start()
 	}
-	// Lost answers slow the operators down: some runs need longer than others.
+	// Lost answers slow the operators down, so some runs need longer than others.
 	operators := world.Checkers().Operators
 	world.Await(resendTimeout, func() bool {
 		accepted, _, _ := operators.Counts()
@@ -180,8 +182,8 @@
 	}
 }
 
-// skewedClock is off by up to ten minutes and gains or loses up to one second
-// in a hundred, far more than real clocks do.
+// skewedClock returns a clock that is off by up to ten minutes and drifts by up to 1%, far more than
+// real clocks do.
 func skewedClock(random *kernel.Random) kernel.Clock {
 	return kernel.Clock{
 		Offset: random.Between(-10*time.Minute, 10*time.Minute),
--- a/internal/sim/scenario/drain.go
+++ b/internal/sim/scenario/drain.go
@@ -7,32 +7,32 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// reportLag is how old the reports of agents are in drain scenarios.
+// reportLag is the age of agents' load and occupancy reports in drain-lagging-reports.
 const reportLag = 2 * time.Second
 
 func drainDefinitions() []definition {
 	return []definition{
 		{
 			name:    "drain-lagging-reports",
-			summary: "targets drain while every load and occupancy report lags two seconds; no new flow or request after three",
+			summary: "targets drain while every load and occupancy report lags two seconds; no new flow or request three seconds after a drain",
 			options: trafficFaults(zonesBySeed).with(func(options *world.Options) { options.ReportLag = reportLag }),
 			play:    underTraffic(shortFlowLoad(), drainLaggingReports),
 		},
 		{
 			name:    "full-chains",
-			summary: "targets drain and return faster than their flows end, until chains are full; no flow breaks",
+			summary: "targets drain and return faster than their flows end, until bucket chains are full; no flow breaks",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(defaultLoad(), fullChains),
 		},
 		{
 			name:    "rolling-restart",
-			summary: "targets, relays and control members stop as planned, one after another, under uploads; nothing is cut",
+			summary: "targets, relays and control members stop as planned, one after another, under uploads; no request or flow is interrupted",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(uploadLoad(), rollingRestart),
 		},
 		{
 			name:    "uneven-rollout",
-			summary: "updates reach each node late by a time of its own while opening packets are doubled and reordered; one target opens a flow",
+			summary: "updates reach each node with a delay of its own while opening packets are duplicated and reordered; a flow is opened at one target only",
 			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
 				options.UpdateDelay = 3 * time.Second
 				options.PacketFaults = kernel.LinkFaults{Loss: 0.05, Duplication: 0.3, Jitter: 150 * time.Millisecond}
@@ -41,14 +41,14 @@
 		},
 		{
 			name:    "address-reuse",
-			summary: "a service is deleted and its address and machines go to another tenant while callers and stale balancers go on",
+			summary: "a service is deleted and its address and machines are given to another tenant while callers and stale balancers continue",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(defaultLoad(), addressReuse),
 		},
 	}
 }
 
-// shortFlowLoad has flows that end soon, so that targets become empty.
+// shortFlowLoad returns a load of short flows, so that targets become empty.
 func shortFlowLoad() world.Load {
 	load := defaultLoad()
 	load.LongestFlow = 6 * time.Second
@@ -57,7 +57,8 @@
 	return load
 }
 
-// uploadLoad is half uploads, without feeds that last for the run.
+// uploadLoad returns a load with half the requests as uploads, and without feeds, which would last
+// for the run.
 func uploadLoad() world.Load {
 	load := shortFlowLoad()
 	load.Feeds = 0
@@ -65,7 +66,7 @@
 	return load
 }
 
-// openingLoad opens many short flows.
+// openingLoad returns a load that opens many short flows.
 func openingLoad() world.Load {
 	load := defaultLoad()
 	load.FlowsPerSecond = 10
@@ -91,7 +92,8 @@
 	world.CheckProgress(drained > 0, "no target was drained")
 }
 
-// fullChains moves buckets away from one target after another and back.
+// fullChains drains random targets and undrains them within a second, which moves buckets away and
+// back.
 func fullChains(world *world.World, random *kernel.Random) {
 	world.ExpectAnswers()
 	operator := world.NewOperator("drainer")
@@ -124,7 +126,8 @@
 	world.CheckProgress(restarted > 0, "no target was restarted")
 }
 
-// restartTarget drains a target and restarts it once it is empty.
+// restartTarget drains a target and restarts it once it is empty. It reports whether the target
+// became empty within drainTimeout.
 func restartTarget(world *world.World, operator *world.Operator, random *kernel.Random) bool {
 	service := random.Below(2)
 	name := kernel.Pick(random, world.Targets(service))
@@ -147,7 +150,8 @@
 	world.Run().Scheduler.RunFor(random.Between(0, time.Second))
 }
 
-// restartMember stops a control member as planned: a leader hands over first.
+// restartMember stops a control member as planned and starts it again. A leader transfers its
+// leadership first.
 func restartMember(world *world.World, random *kernel.Random) {
 	index := random.Below(len(world.Members()))
 	world.StopMember(index)
@@ -168,6 +172,8 @@
 	}
 }
 
+// addressReuse cuts random balancers off from the relays, so that they keep the old configuration,
+// deletes a service and lets another tenant take over its address.
 func addressReuse(world *world.World, random *kernel.Random) {
 	operator := world.NewOperator("tenant")
 	index := random.Below(2)
@@ -187,7 +193,7 @@
 	world.Run().Scheduler.RunFor(4 * time.Second)
 }
 
-// cutTowardsRelays keeps a process's messages from the relays.
+// cutTowardsRelays cuts the messages of a process to all relays.
 func cutTowardsRelays(world *world.World, process *kernel.Process) (heal func()) {
 	var heals []func()
 	for _, relay := range world.Relays() {
@@ -200,7 +206,7 @@
 	}
 }
 
-// cutFromRelays keeps relays' messages from a process.
+// cutFromRelays cuts the messages of all relays to a process.
 func cutFromRelays(world *world.World, process *kernel.Process) (heal func()) {
 	var heals []func()
 	for _, relay := range world.Relays() {
--- a/internal/sim/scenario/partition.go
+++ b/internal/sim/scenario/partition.go
@@ -13,22 +13,22 @@
 	return []definition{
 		{
 			name:    "zone-partition",
-			summary: "a zone is cut off from the others for long, one way or both, while operators write, and comes back",
+			summary: "a zone is cut off from the others for 10 to 20 s, one way or both, while operators write, and comes back",
 			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
-				// Longer than the cut, as in the product.
+				// The product's timeout is longer than the cut.
 				options.FlowIdleTimeout = flow.DefaultIdleTimeout
 			}),
 			play: underTraffic(defaultLoad(), zonePartition),
 		},
 		{
 			name:    "agent-partition",
-			summary: "agents run, are reached by balancers and are cut off from every relay until they are called dead; one target opens a flow",
+			summary: "agents that balancers still reach are cut off from every relay until they are declared failed; a flow is opened at one target only",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(pauseLoad(), agentPartition),
 		},
 		{
 			name:    "lagging-machine-list",
-			summary: "the platform's list of machines lags ten seconds while balancers and targets die and return",
+			summary: "the platform's list of machines lags ten seconds while balancers and targets fail and return",
 			options: trafficFaults(zonesBySeed).with(func(options *world.Options) {
 				options.ListLag = 10 * time.Second
 				options.MachineListLag = 10 * time.Second
@@ -38,7 +38,7 @@
 	}
 }
 
-// zonePartition cuts one zone off from the others. Callers reach all zones.
+// zonePartition cuts one zone off from the others. Callers still reach all zones.
 func zonePartition(world *world.World, random *kernel.Random) {
 	stop := world.RaceOperators(2, time.Second)
 	zone := kernel.Pick(random, world.Zones())
@@ -54,7 +54,7 @@
 	stop()
 }
 
-// cutZoneOneWay cuts what a zone sends to the others, or what it receives.
+// cutZoneOneWay cuts the messages that a zone sends to the others, or those that it receives.
 func cutZoneOneWay(world *world.World, zone model.ZoneName, sending bool) (heal func()) {
 	var heals []func()
 	for _, other := range world.Zones() {
@@ -73,8 +73,8 @@
 	}
 }
 
-// agentPartition cuts agents from the relays: what they send, what they
-// receive, or both.
+// agentPartition cuts random agents off from the relays: the messages that they send, those that
+// they receive, or both.
 func agentPartition(world *world.World, random *kernel.Random) {
 	for range 3 {
 		name := kernel.Pick(random, world.Targets(random.Below(2)))
--- a/internal/sim/scenario/registry.go
+++ b/internal/sim/scenario/registry.go
@@ -1,6 +1,6 @@
-// Package scenario holds the stories that the simulation plays: what happens
-// to a world, and how long. What must hold is decided by the checkers; a
-// scenario adds only the check that its story truly happened.
+// Package scenario defines the scenarios of the simulation: which faults and changes a world goes
+// through, and for how long. The invariants are verified by package checker. A scenario itself only
+// checks that the situation that it is about did occur.
 package scenario
 
 import (
@@ -12,16 +12,16 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// definition is a scenario before its world is built. Play gets a world that is
-// not started.
+// definition is a scenario whose world is not built yet.
 type definition struct {
 	name    string
 	summary string
 	options optionsForSeed
-	play    func(world *world.World)
+	// play gets a world that is not started.
+	play func(world *world.World)
 }
 
-// All returns all scenarios in a fixed order.
+// All returns all scenarios, with the standard parts, in a fixed order.
 func All() []sim.Scenario {
 	var scenarios []sim.Scenario
 	for _, one := range definitions() {
@@ -30,10 +30,10 @@
 	return append(scenarios, directworld.Scenarios(directworld.StandardParts())...)
 }
 
-// Find returns the scenario called name.
+// Find returns the scenario with the given name, with the standard parts.
 func Find(name string) (sim.Scenario, bool) { return FindWith(name, world.StandardParts()) }
 
-// FindWith returns the scenario called name with other parts in its world.
+// FindWith returns the scenario with the given name, with the given parts in its world.
 func FindWith(name string, parts world.Parts) (sim.Scenario, bool) {
 	for _, one := range definitions() {
 		if one.name == name {
@@ -48,14 +48,14 @@
 	return sim.Scenario{}, false
 }
 
-func (story definition) build(parts world.Parts) sim.Scenario {
+func (definition definition) build(parts world.Parts) sim.Scenario {
 	return sim.Scenario{
-		Name:    story.name,
-		Summary: story.summary,
+		Name:    definition.name,
+		Summary: definition.summary,
 		Play: func(run *sim.Run) {
-			options := story.options(run.Seed)
+			options := definition.options(run.Seed)
 			options.Parts = parts
-			story.play(world.New(run, options))
+			definition.play(world.New(run, options))
 		},
 	}
 }
@@ -72,8 +72,8 @@
 	return append(all, chaosDefinition())
 }
 
-// Options of the presets. A small snapshot interval, small segments and small
-// chunks make short runs reach what they are for.
+// baseOptions returns the options of a preset. A short snapshot interval, small log segments and
+// small chunks make even short runs take snapshots and replace segments.
 func baseOptions(preset world.Preset) world.Options {
 	return world.Options{
 		Preset:        preset,
@@ -88,7 +88,8 @@
 func metro(uint64) world.Options   { return baseOptions(world.Metro()) }
 func coastal(uint64) world.Options { return baseOptions(world.Coastal()) }
 
-// zonesBySeed gives odd seeds the close zones and even seeds the distant ones.
+// zonesBySeed returns the options of the close zones (metro) for odd seeds and those of the distant
+// zones (coastal) for even seeds.
 func zonesBySeed(seed uint64) world.Options {
 	if seed%2 == 1 {
 		return metro(seed)
@@ -96,10 +97,10 @@
 	return coastal(seed)
 }
 
-// optionsForSeed makes the options of a run from its seed.
+// optionsForSeed returns the options of the run with the given seed.
 type optionsForSeed func(seed uint64) world.Options
 
-// with returns options that change changes.
+// with returns the options after a call of change on them.
 func (options optionsForSeed) with(change func(options *world.Options)) optionsForSeed {
 	return func(seed uint64) world.Options {
 		changed := options(seed)
@@ -108,12 +109,12 @@
 	}
 }
 
-// faultyLinks are links that lose, double and reorder a little.
+// faultyLinks returns faults of links that lose, duplicate and reorder a few messages.
 func faultyLinks() kernel.LinkFaults {
 	return kernel.LinkFaults{Loss: 0.01, Duplication: 0.02, Jitter: 2 * time.Millisecond}
 }
 
-// withFaultyLinks returns options whose links are unruly.
+// withFaultyLinks returns the options with faultyLinks for messages and packets.
 func withFaultyLinks(options optionsForSeed) optionsForSeed {
 	return options.with(func(options *world.Options) {
 		options.Faults = faultyLinks()
--- a/internal/sim/scenario/regression_test.go
+++ b/internal/sim/scenario/regression_test.go
@@ -9,49 +9,50 @@
 	"merlinpaddle/internal/sim"
 )
 
-// regressions are seeds that showed a fault of the product, with its story. They stay as they
-// are: the scenario, its checks and its bounds are those that failed.
+// regressions are seeds that failed once, with the fault that they showed in the product, the
+// simulated callers or a check. The scenarios, with their checks and bounds, must stay as they were
+// when the seeds failed.
 var regressions = []struct {
 	scenario string
-	// story tells what happens, why, and what showed the cause.
-	story string
+	// cause says what failed, why, and which observation showed it.
+	cause string
 	seeds []uint64
 }{
 	{
 		scenario: "direct-relayed-feed",
-		story: "One in twenty of the flows that began in calm was refused as overloaded while targets were idle. Routers " +
-			"sprayed packets, so that balancers saw requests and not the acknowledgements of their answers; the shares that " +
-			"tell so began at zero, and twelve balancers that had seen nothing yet trusted and shared their counts. The " +
-			"lines of the refusals had 'missed 0.00 of 0' to '0.10 of 10' and 'gaps 0.00 of 0' to '0.19 of 9'. Counts refuse " +
-			"nobody now before enough requests were seen to be answered.",
+		cause: "One in twenty of the flows that began under light load was refused as overloaded while targets were idle. " +
+			"Routers spread the packets of a flow over balancers, so that a balancer saw requests but not the acknowledgements " +
+			"of their answers. The shares that show this began at zero, and twelve balancers without any samples relied on " +
+			"their counts and shared them. The log lines of the refusals had 'missed 0.00 of 0' to '0.10 of 10' and 'gaps " +
+			"0.00 of 0' to '0.19 of 9'. Counts now refuse no flow before enough requests were seen to be answered.",
 		seeds: []uint64{8, 38, 93, 207, 360, 394},
 	},
 	{
 		scenario: "direct-narrow-links",
-		story: "Uploads took 1.21 to 1.54 tries for an answer, 1.2 allowed. The simulated caller tried again twice for one " +
-			"refusal: when the reset came, and when the wait for the opening was over (a trace of seed 5: 33 refusals, 66 " +
-			"failed tries). Beside it balancers refused calls at targets at a quarter of their load, because flows counted " +
-			"there while their packets waited in the balancer's own link: the lines had 3 to 11 open requests and 63 ms as " +
-			"the serving time of targets that take 42 ms.",
+		cause: "Uploads took 1.21 to 1.54 attempts for an answer; 1.2 are allowed. The simulated caller retried twice after " +
+			"one refusal: on the reset, and when its timeout for opening the flow expired (a trace of seed 5: 33 refusals, " +
+			"66 failed attempts). In addition, balancers refused calls at targets at a quarter of their load, because flows " +
+			"counted there while their packets were queued in the balancer's own link: the log lines had 3 to 11 open requests " +
+			"and a serving time of 63 ms for targets that take 42 ms.",
 		seeds: []uint64{5, 46, 74, 144, 171, 331},
 	},
 	{
 		scenario: "drain-lagging-reports",
-		story: "A flow counted as broken with five packets without answer, of which four may be lost. Two were lost; three " +
-			"had been sent within 10 ms and were under way, as the trace of the flow shows. The check tells them apart now.",
+		cause: "A flow counted as broken with five unanswered packets, where four may be lost. Two were lost; three had been " +
+			"sent within 10 ms and were in flight, as the trace of the flow shows. The check now ignores packets in flight.",
 		seeds: []uint64{226},
 	},
 }
 
 func TestSeedsThatFailedOnce(t *testing.T) {
-	for _, fault := range regressions {
-		found, exists := Find(fault.scenario)
-		require.True(t, exists, fault.scenario)
-		for _, seed := range fault.seeds {
-			t.Run(fmt.Sprintf("%s/%d", fault.scenario, seed), func(t *testing.T) {
+	for _, regression := range regressions {
+		found, exists := Find(regression.scenario)
+		require.True(t, exists, regression.scenario)
+		for _, seed := range regression.seeds {
+			t.Run(fmt.Sprintf("%s/%d", regression.scenario, seed), func(t *testing.T) {
 				t.Parallel()
 				result := sim.Execute(found, seed)
-				require.Empty(t, result.Violations, fault.story)
+				require.Empty(t, result.Violations, regression.cause)
 			})
 		}
 	}
--- a/internal/sim/scenario/requests.go
+++ b/internal/sim/scenario/requests.go
@@ -11,38 +11,38 @@
 	return []definition{
 		{
 			name:    "overload",
-			summary: "far more requests come than the targets' slots can run; what is refused as not run did not run",
+			summary: "far more requests arrive than the targets' slots can run; a request that is refused as not run did not run",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(overloadLoad(), overloaded),
 		},
 		{
 			name:    "late-answers",
-			summary: "back ends answer long after their callers gave up and asked again; each answer is its own request's, at-most-once calls run once",
+			summary: "back ends answer long after their callers timed out and retried; each answer belongs to its request, at-most-once requests run once",
 			options: trafficFaults(zonesBySeed).with(func(options *world.Options) { options.StalledRuns = 0.15 }),
 			play:    underTraffic(claimLoad(), lateAnswers),
 		},
 		{
 			name:    "at-most-once-failover",
-			summary: "agents, relays and the control leader die or freeze, and the quorum is lost, under at-most-once calls; each runs once at most",
+			summary: "agents, relays and the control leader fail or freeze, and the quorum is lost, under at-most-once requests; each runs at most once",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(claimLoad(), claimFailover),
 		},
 		{
 			name:    "agent-pause",
-			summary: "agents with skewed clocks freeze longer than their grants and act on them when they wake; nothing runs twice",
+			summary: "agents with skewed clocks freeze for longer than their grants are valid and resume with them; no at-most-once request runs twice",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(pauseLoad(), agentPause),
 		},
 		{
 			name:    "target-restart",
-			summary: "targets restart so fast that nobody calls them dead; their old flows are reset at once and no new one is taken for an old one",
+			summary: "targets restart before they are declared failed; their old flows are reset at once and new flows are not mistaken for old ones",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(defaultLoad(), targetRestart),
 		},
 	}
 }
 
-// overloadLoad offers several times what the back ends can run.
+// overloadLoad returns a load of several times the back ends' capacity.
 func overloadLoad() world.Load {
 	load := defaultLoad()
 	load.RequestsPerSecond = 50
@@ -51,7 +51,7 @@
 	return load
 }
 
-// claimLoad has mostly requests that may not be repeated.
+// claimLoad returns a load of mostly at-most-once requests, which need a claim.
 func claimLoad() world.Load {
 	load := defaultLoad()
 	load.RequestsPerSecond = 8
@@ -59,7 +59,8 @@
 	return load
 }
 
-// pauseLoad also opens many flows, some of which wait at a frozen agent.
+// pauseLoad returns claimLoad with many more short flows, some of whose opening packets wait at a
+// frozen agent.
 func pauseLoad() world.Load {
 	load := claimLoad()
 	load.FlowsPerSecond = 12
@@ -97,7 +98,7 @@
 	}
 }
 
-// restartKilledTarget kills a target and starts it again within limit.
+// restartKilledTarget kills a target and starts it again after a random time of up to limit.
 func restartKilledTarget(world *world.World, random *kernel.Random, limit time.Duration) {
 	name := busyTarget(world, random)
 	world.KillTarget(name)
@@ -105,7 +106,7 @@
 	world.StartTarget(name)
 }
 
-// disturbLeader kills or freezes the leader for a while.
+// disturbLeader kills the control leader for up to 3 s, or freezes it for 0.5 to 4 s.
 func disturbLeader(world *world.World, random *kernel.Random) {
 	index, leads := world.Leader()
 	if !leads {
@@ -123,7 +124,7 @@
 	leader.Start()
 }
 
-// loseQuorum stops a majority of the members for a while.
+// loseQuorum kills all control members but the first for 1 to 5 s.
 func loseQuorum(world *world.World, random *kernel.Random) {
 	members := world.Members()
 	for _, member := range members[1:] {
@@ -147,12 +148,12 @@
 		}
 		world.MayLoseFlows(name)
 		world.Target(name).Freeze()
-		// Its connections to the relays do not outlive a long stop.
+		// A long pause also breaks the agent's connections to the relays.
 		heal := cutFromRelays(world, world.Target(name))
 		if random.Chance(0.3) {
 			world.Run().Scheduler.RunFor(random.Between(500*time.Millisecond, 5*time.Second))
 		} else {
-			// Long enough to be called dead.
+			// Long enough to be declared failed.
 			world.Run().Scheduler.RunFor(random.Between(6*time.Second, 10*time.Second))
 		}
 		heal()
--- a/internal/sim/scenario/rollout.go
+++ b/internal/sim/scenario/rollout.go
@@ -11,27 +11,27 @@
 	return []definition{
 		{
 			name:    "relay-failover",
-			summary: "relays die, freeze or are cut off from control while alive, under racing operators; leased balancers are current, none goes back",
+			summary: "relays fail, freeze or are cut off from control, under concurrent changes; balancers with a lease are current, none reverts",
 			options: withFaultyLinks(small),
 			play:    underChanges(relayFailover),
 		},
 		{
 			name:    "node-restart",
-			summary: "balancers, relays and members restart, one by one and all at once, after hundreds of changes, and agree again",
+			summary: "balancers, relays and members restart, one by one and all at once, after more than 150 changes, and agree again",
 			options: withFaultyLinks(small),
 			play:    underChanges(nodeRestart),
 		},
 		{
 			name:    "lease-pause",
-			summary: "balancers with skewed clocks freeze longer than their leases and wake; a leased balancer is current",
+			summary: "balancers with skewed clocks freeze for longer than their leases and resume; a balancer with a lease is current",
 			options: withFaultyLinks(small),
 			play:    underChanges(leasePause),
 		},
 	}
 }
 
-// underChanges plays a story on all processes but without callers, under
-// racing operators, and checks that the nodes agree at its end.
+// underChanges returns a scenario that starts all processes, without callers, and calls play while
+// operators make concurrent changes. It checks at the end that the nodes agree.
 func underChanges(play func(world *world.World, random *kernel.Random)) func(*world.World) {
 	return func(world *world.World) {
 		if !world.Start() {
@@ -74,8 +74,8 @@
 	}
 }
 
-// cutFromControl cuts a process from all control members: what it sends (0),
-// what it receives (1), or both (2).
+// cutFromControl cuts a process off from all control members: the messages that it sends
+// (direction 0), those that it receives (1), or both (2).
 func cutFromControl(world *world.World, process *kernel.Process, direction int) (heal func()) {
 	var heals []func()
 	for _, member := range world.Members() {
--- a/internal/sim/scenario/storage.go
+++ b/internal/sim/scenario/storage.go
@@ -11,19 +11,19 @@
 	return []definition{
 		{
 			name:    "torn-writes",
-			summary: "members are killed in the middle of writes and lose or tear what was not synced",
+			summary: "members are killed during writes; data that was not synced is lost or torn",
 			options: withFaultyLinks(small),
 			play:    controlOnly(tornWrites),
 		},
 		{
 			name:    "corrupt-log",
-			summary: "a member's log rots; it refuses to start, and is replaced",
+			summary: "a member's log is corrupted; the member refuses to start and is replaced",
 			options: small,
 			play:    controlOnly(corruptLog),
 		},
 		{
 			name:    "lost-disk",
-			summary: "a member's disk is lost and replaced; right after the repair a second member is lost",
+			summary: "a member's disk is lost and the member is replaced; right after that a second member is lost",
 			options: withFaultyLinks(small),
 			play:    controlOnly(lostDisk),
 		},
@@ -79,8 +79,8 @@
 	replaceMember(world, index)
 }
 
-// replaceMember gives a stopped member an empty disk and takes it into the
-// group again: remove, add as a learner, start, promote.
+// replaceMember gives a stopped member an empty disk and adds it to the group again: it is removed,
+// added as a learner, started and promoted.
 func replaceMember(world *world.World, index int) {
 	world.WipeDisk(index)
 	operator := world.NewOperator("repair")
@@ -96,7 +96,7 @@
 	members[first].Kill()
 	world.Run().Scheduler.RunFor(random.Between(0, 3*time.Second))
 	replaceMember(world, first)
-	// The second member is lost for good, right after the repair.
+	// The second member stays down to the end of the run.
 	second := (first + 1 + random.Below(len(members)-1)) % len(members)
 	members[second].Kill()
 	world.WipeDisk(second)
--- a/internal/sim/scenario/traffic.go
+++ b/internal/sim/scenario/traffic.go
@@ -10,13 +10,13 @@
 
 // Times of traffic scenarios.
 const (
-	// warmUpTime lets flows open before the story begins.
+	// warmUpTime is how long flows are opened before the first fault or change.
 	warmUpTime = 4 * time.Second
-	// drainTimeout bounds the wait for a drained target's last flow.
+	// drainTimeout is how long to wait until the last flow of a draining target ends.
 	drainTimeout = 16 * time.Second
 )
 
-// defaultLoad is what callers of each service do.
+// defaultLoad returns the load that the callers of each service produce.
 func defaultLoad() world.Load {
 	return world.Load{
 		FlowsPerSecond:    5,
@@ -30,7 +30,8 @@
 	}
 }
 
-// trafficFaults reorder and double packets; they lose a few.
+// trafficFaults returns the options with faultyLinks for messages, and with links for packets that
+// lose 0.5%, duplicate 3% and reorder by up to 5 ms.
 func trafficFaults(options optionsForSeed) optionsForSeed {
 	return options.with(func(options *world.Options) {
 		options.Faults = faultyLinks()
@@ -48,7 +49,7 @@
 		},
 		{
 			name:    "planned-coastal",
-			summary: "distant zones: the same planned changes; nothing breaks",
+			summary: "distant zones: the same planned changes as in planned-metro; nothing breaks",
 			options: trafficFaults(coastal),
 			play:    underTraffic(defaultLoad(), plannedChanges),
 		},
@@ -60,15 +61,15 @@
 		},
 		{
 			name:    "target-death",
-			summary: "targets die and restart without notice; only the flows that lived on them end",
+			summary: "targets are killed and restarted without notice; only their own flows end",
 			options: trafficFaults(zonesBySeed),
 			play:    underTraffic(defaultLoad(), targetDeath),
 		},
 	}
 }
 
-// underTraffic plays a story while callers are busy, and checks everything at
-// its end.
+// underTraffic returns a scenario that starts all processes and the callers, and calls play after
+// warmUpTime. It checks flows, requests, nodes and the control group at the end.
 func underTraffic(load world.Load, play func(world *world.World, random *kernel.Random)) func(*world.World) {
 	return func(world *world.World) {
 		if !world.Start() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// plannedChanges mixes every planned change there is.
+// plannedChanges makes planned changes to parameters, balancers and targets.
 func plannedChanges(world *world.World, random *kernel.Random) {
 	world.ExpectAnswers()
 	stop := world.RaceOperators(2, time.Second)
@@ -95,12 +96,12 @@
 	stop()
 }
 
-// replaceBalancer stops a balancer as planned and starts it again, empty.
+// replaceBalancer stops a balancer as planned and starts it again without state.
 func replaceBalancer(world *world.World, random *kernel.Random) {
 	index := random.Below(len(world.Balancers()))
 	process := world.Balancers()[index]
 	world.Delist(index)
-	// The platform's list is late; the process stops after it.
+	// The platform's list lags. The process stops only after the list has changed.
 	world.Run().Scheduler.RunFor(3 * time.Second)
 	process.Kill()
 	world.Run().Scheduler.RunFor(random.Between(0, 2*time.Second))
@@ -109,14 +110,13 @@
 	world.List(index)
 }
 
-// drainAndRestart drains a target, waits until it is empty, restarts it and
-// takes it back.
+// drainAndRestart drains a target, waits until it is empty, restarts it and undrains it.
 func drainAndRestart(world *world.World, operator *world.Operator, random *kernel.Random) {
 	service := random.Below(2)
 	name := kernel.Pick(random, world.Targets(service))
 	operator.Drain(service, name)
 	if !world.Await(drainTimeout, func() bool { return world.Idle(name) }) {
-		// Feeds stay for the run: waiting is always right.
+		// Feeds last for the run, so the target may never become empty. Then it must not be stopped.
 		operator.Undrain(service, name)
 		return
 	}
@@ -144,11 +144,12 @@
 	}
 }
 
-// busyTarget returns a target that holds flows, if a few tries find one.
+// busyTarget returns a random target that has flows or requests, or any target if several attempts
+// find none.
 func busyTarget(world *world.World, random *kernel.Random) model.NodeName {
-	const tries = 8
+	const attempts = 8
 	name := kernel.Pick(random, world.Targets(random.Below(2)))
-	for try := 1; try < tries && world.Idle(name); try++ {
+	for attempt := 1; attempt < attempts && world.Idle(name); attempt++ {
 		name = kernel.Pick(random, world.Targets(random.Below(2)))
 	}
 	return name
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -8,13 +8,13 @@
 	"sync"
 )
 
-// SeedRange is a closed range of seeds.
+// SeedRange is a range of seeds that includes First and Last.
 type SeedRange struct {
 	First uint64
 	Last  uint64
 }
 
-// ParseSeedRange reads "A-B" or a single "A", any unsigned 64-bit numbers.
+// ParseSeedRange parses "A-B" or a single "A", where A and B are unsigned 64-bit numbers.
 func ParseSeedRange(text string) (SeedRange, error) {
 	low, high, isRange := strings.Cut(text, "-")
 	first, err := parseSeed(low)
@@ -42,8 +42,7 @@
 	return seed, nil
 }
 
-// Count returns the number of seeds, or the largest number when there is one
-// more than that.
+// Count returns the number of seeds. For the range of all 2^64 seeds it returns math.MaxUint64.
 func (seeds SeedRange) Count() uint64 {
 	count := seeds.Last - seeds.First
 	if count < math.MaxUint64 {
@@ -52,9 +51,8 @@
 	return count
 }
 
-// Sweep runs each scenario with each seed on the given number of workers and
-// calls report for the results in order: scenario by scenario, seed by seed.
-// It stops early, without more results, once report returns false.
+// Sweep runs each scenario with each seed on the given number of workers and calls report for the
+// results in order: scenario by scenario, seed by seed. It stops when report returns false.
 func Sweep(scenarios []Scenario, seeds SeedRange, workers int, report func(Result) bool) {
 	for _, scenario := range scenarios {
 		if !sweepScenario(scenario, seeds, workers, report) {
@@ -63,18 +61,18 @@
 	}
 }
 
-// seedRun is the run of one seed and the place for its result.
+// seedRun is a seed to run and the channel for its result.
 type seedRun struct {
 	seed   uint64
 	result chan Result
 }
 
-// sweepScenario runs the seeds of one scenario. It returns false when report did.
-// No run is left behind when it returns.
+// sweepScenario runs the seeds of one scenario. It returns false if report returned false. All
+// workers have ended when it returns.
 func sweepScenario(scenario Scenario, seeds SeedRange, workers int, report func(Result) bool) bool {
 	workers = max(workers, 1)
 	runs := make(chan seedRun)
-	// Its capacity bounds how far runs may be ahead of the reports.
+	// The capacity bounds how far the runs may be ahead of the reports.
 	ordered := make(chan seedRun, 2*workers)
 	stopped := make(chan struct{})
 	var group sync.WaitGroup
@@ -92,7 +90,7 @@
 	return finished
 }
 
-// dispatchSeeds hands out the seeds in order until stopped is closed.
+// dispatchSeeds sends the seeds in order to both channels until stopped is closed.
 func dispatchSeeds(seeds SeedRange, ordered, runs chan<- seedRun, stopped <-chan struct{}) {
 	defer close(ordered)
 	defer close(runs)
@@ -111,6 +109,7 @@
 	}
 }
 
+// reportInOrder waits for the results in order and reports them. It returns false if report did.
 func reportInOrder(ordered <-chan seedRun, report func(Result) bool) bool {
 	for run := range ordered {
 		if !report(<-run.result) {
--- a/internal/sim/sweep_test.go
+++ b/internal/sim/sweep_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// randomScenario is a scenario that violates for odd seeds and panics for seed 9.
+// randomScenario returns a scenario of random events that violates an invariant for odd seeds and
+// panics for seed 9.
 func randomScenario() Scenario {
 	return Scenario{Name: "drawing", Play: func(run *Run) {
 		random := run.Random("draws")
@@ -60,15 +61,15 @@
 }
 
 func TestSweepIsInOrderAndIndependentOfWorkers(t *testing.T) {
-	alone := collectSweep(SeedRange{10, 150}, 1)
-	together := collectSweep(SeedRange{10, 150}, 7)
-	require.Len(t, alone, 141)
-	for place, result := range alone {
-		require.EqualValues(t, 10+place, result.Seed)
-		require.Equal(t, result.Digest, together[place].Digest)
+	withOneWorker := collectSweep(SeedRange{10, 150}, 1)
+	withSevenWorkers := collectSweep(SeedRange{10, 150}, 7)
+	require.Len(t, withOneWorker, 141)
+	for index, result := range withOneWorker {
+		require.EqualValues(t, 10+index, result.Seed)
+		require.Equal(t, result.Digest, withSevenWorkers[index].Digest)
 		require.Equal(t, result.Seed%2 == 1, result.Failed())
 	}
-	require.NotEqual(t, alone[0].Digest, alone[1].Digest)
+	require.NotEqual(t, withOneWorker[0].Digest, withOneWorker[1].Digest)
 }
 
 func TestSweepAtTheEndOfTheRange(t *testing.T) {
@@ -77,7 +78,7 @@
 	require.EqualValues(t, uint64(math.MaxUint64), results[99].Seed)
 }
 
-func TestSweepStopsWhenToldTo(t *testing.T) {
+func TestSweepStopsWhenReportReturnsFalse(t *testing.T) {
 	count := 0
 	Sweep([]Scenario{randomScenario()}, SeedRange{0, math.MaxUint64}, 2, func(Result) bool {
 		count++
@@ -94,7 +95,7 @@
 	require.Contains(t, result.Describe(), "nine")
 }
 
-func TestDescriptionShowsWhatLedToTheFirstViolation(t *testing.T) {
+func TestDescriptionShowsTheEventsBeforeTheFirstViolation(t *testing.T) {
 	result := Execute(Scenario{Name: "late", Play: func(run *Run) {
 		for number := range 100 {
 			run.Trace.Addf("test", "early", "number %d.", number)
