--- a/internal/sim/cli/cli.go
+++ b/internal/sim/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of merlinsim.
+// Package cli implements the command line of merlinsim, which runs the simulation.
 package cli
 
 import (
@@ -11,10 +11,11 @@
 	"merlinpaddle/internal/sim/scenario"
 )
 
-// errFailed makes the process exit 1 after the findings were printed.
+// errFailed makes the process exit with code 1 after the violations were printed.
 var errFailed = errors.New("an invariant was violated")
 
-// Execute runs the command line and returns the exit code.
+// Execute runs the command with the given arguments and returns the exit code: 0 on success and 1
+// on any error, which is printed to errorOutput.
 func Execute(arguments []string, output, errorOutput io.Writer) int {
 	root := newRoot()
 	root.SetArgs(arguments)
--- a/internal/sim/cli/cli_test.go
+++ b/internal/sim/cli/cli_test.go
@@ -29,6 +29,7 @@
 	return sim.Scenario{Name: name, Play: func(run *sim.Run) { run.Trace.Add("test", "event", "") }}
 }
 
+// runOutput runs the selected scenarios and returns what is printed.
 func runOutput(t *testing.T, selected selection, flags runFlags) (string, error) {
 	t.Helper()
 	var output bytes.Buffer
@@ -38,7 +39,7 @@
 	return output.String(), err
 }
 
-// knownRedFile writes a list of runs that are known to fail.
+// knownRedFile writes a file of runs that are known to fail and returns its path.
 func knownRedFile(t *testing.T, lines ...string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "KNOWN-RED.txt")
@@ -46,9 +47,9 @@
 	return path
 }
 
-// TestKnownRedRunsFailNothingElse: a run that is listed is printed and passed over, and the
-// next one that fails is not.
-func TestKnownRedRunsFailNothingElse(t *testing.T) {
+// TestKnownRedRunsDoNotFailTheCommand checks that a failed run that is listed is printed and does
+// not fail the command, while a failed run that is not listed does.
+func TestKnownRedRunsDoNotFailTheCommand(t *testing.T) {
 	selected := selection{scenarios: []sim.Scenario{failsOddSeeds("first")}, seeds: sim.SeedRange{First: 2, Last: 4}, workers: 1}
 	path := knownRedFile(t, "a line about another test", "simulation first seed 3; seen: odd; issue 1")
 	output, err := runOutput(t, selected, runFlags{knownRed: path})
@@ -64,7 +65,7 @@
 	require.ErrorIs(t, err, errFailed)
 }
 
-func TestKnownRedListIsShortAndReadable(t *testing.T) {
+func TestKnownRedListIsShortAndWellFormed(t *testing.T) {
 	for _, lines := range [][]string{
 		{"simulation first 3"}, {"simulation first seed three"},
 		{"simulation a seed 1", "simulation a seed 2", "simulation a seed 3", "simulation a seed 4"},
@@ -77,7 +78,7 @@
 	require.Empty(t, known)
 }
 
-func TestRunGoesOnWithTheNextScenarioAfterAViolation(t *testing.T) {
+func TestRunContinuesWithTheNextScenarioAfterAViolation(t *testing.T) {
 	selected := selection{
 		scenarios: []sim.Scenario{failsOddSeeds("first"), passes("second")},
 		seeds:     sim.SeedRange{First: 2, Last: 9},
@@ -133,8 +134,8 @@
 	require.Contains(t, output.String(), "event 0:")
 }
 
-// TestDigestOfAScenario compares one scenario; all of them are compared by
-// "merlinsim digest" in CI.
+// TestDigestOfAScenario compares the digests of one scenario. CI compares those of all scenarios
+// with "merlinsim digest".
 func TestDigestOfAScenario(t *testing.T) {
 	var output, errorOutput bytes.Buffer
 	code := Execute([]string{"digest", "--scenario", "racing-operators", "--seeds", "3-4", "--workers", "2"}, &output, &errorOutput)
--- a/internal/sim/cli/digest.go
+++ b/internal/sim/cli/digest.go
@@ -12,6 +12,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
+// errDiverged makes the process exit with code 1 after the differences were printed.
 var errDiverged = errors.New("a seed gave two different runs")
 
 type digestFlags struct {
@@ -83,7 +84,7 @@
 
 func printComparison(output io.Writer, scenario sim.Scenario, first, second sim.Result, asJSON bool) {
 	if asJSON {
-		// The values encode without fail; a write error shows at the exit.
+		// The values can always be encoded. A failed write of the output is ignored.
 		_ = json.NewEncoder(output).Encode(jsonDigest{
 			Scenario: scenario.Name,
 			Seed:     first.Seed,
@@ -99,13 +100,12 @@
 	}
 }
 
-// firstDifference runs a seed twice more and returns the first event in which
-// the runs differ.
+// firstDifference runs a seed twice again and describes the first event in which the runs differ.
 func firstDifference(scenario sim.Scenario, seed uint64) string {
 	first, second := eventsOf(scenario, seed), eventsOf(scenario, seed)
-	for place := range min(len(first), len(second)) {
-		if first[place] != second[place] {
-			return fmt.Sprintf("event %d: %s\n  or       %s", place, first[place], second[place])
+	for index := range min(len(first), len(second)) {
+		if first[index] != second[index] {
+			return fmt.Sprintf("event %d: %s\n  or       %s", index, first[index], second[index])
 		}
 	}
 	if len(first) != len(second) {
@@ -114,6 +114,7 @@
 	return "the events are equal; packets or messages differ, or the difference is rare"
 }
 
+// eventsOf runs a seed and returns its events.
 func eventsOf(scenario sim.Scenario, seed uint64) []kernel.Event {
 	var events []kernel.Event
 	run := sim.NewRun(seed)
--- a/internal/sim/cli/knownred.go
+++ b/internal/sim/cli/knownred.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/sim"
 )
 
-// maxKnownRed is how many runs may be known to fail. A list that grows hides what breaks.
+// maxKnownRed is how many runs may be known to fail. A longer list would hide new failures.
 const maxKnownRed = 3
 
 // knownRun names one run.
@@ -19,12 +19,13 @@
 	seed     uint64
 }
 
-// knownRed has the runs that are known to fail for a fault that is not mended yet, with the
-// line that says so.
+// knownRed maps the runs that are known to fail, because of a fault that is not fixed yet, to the
+// lines of the file that list them.
 type knownRed map[knownRun]string
 
-// readKnownRed reads the lines of a file that begin with "simulation SCENARIO seed N". No path,
-// or no file, is an empty list.
+// readKnownRed reads the lines of a file that begin with "simulation SCENARIO seed N". It returns an
+// empty list if path is empty or the file does not exist, and an error if a line that begins with
+// "simulation " is malformed or if more than maxKnownRed runs are listed.
 func readKnownRed(path string) (knownRed, error) {
 	known := make(knownRed)
 	if path == "" {
@@ -53,8 +54,9 @@
 	return known, nil
 }
 
-// knownFailure tells whether a failed run is known to fail.
-func (known knownRed) knownFailure(result sim.Result) (line string, passes bool) {
+// knownFailure reports whether the run failed and is known to fail, and returns the line that lists
+// it.
+func (known knownRed) knownFailure(result sim.Result) (line string, isKnown bool) {
 	line, listed := known[knownRun{scenario: result.Scenario, seed: result.Seed}]
 	return line, listed && result.Failed()
 }
--- a/internal/sim/cli/mutants.go
+++ b/internal/sim/cli/mutants.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/sim/mutant"
 )
 
-// Reasons to exit 1.
+// Reasons to exit with code 1.
 var (
 	errEscaped   = errors.New("a mutant was not caught")
 	errNoMutants = errors.New("there are no mutants, so nothing was shown")
@@ -80,8 +80,8 @@
 	return []mutant.Mutant{one}, nil
 }
 
-// mutantFormat is one line of the table: mutant, scenario, invariant, seeds
-// needed, and what the variant breaks.
+// mutantFormat formats one line of the table: mutant, scenario, violated invariant, number of seeds
+// that were run, and what the variant breaks.
 const mutantFormat = "%-26s %-22s %-20s %6v  %s\n"
 
 func printFinding(output io.Writer, finding mutant.Finding) {
--- a/internal/sim/cli/mutants_test.go
+++ b/internal/sim/cli/mutants_test.go
@@ -12,11 +12,12 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// stubMutant is a mutant that violates what it should, or nothing.
+// stubMutant returns a mutant that violates the expected invariant if caught is true, and nothing
+// otherwise.
 func stubMutant(caught bool) mutant.Mutant {
 	return mutant.Mutant{
 		Name:   "quiet",
-		Breaks: "nothing of worth",
+		Breaks: "nothing of importance",
 		Expect: []checker.Invariant{checker.InvariantDrain},
 		Scenario: mutant.Scenario{Name: "story", Play: func(run *sim.Run, parts world.Parts) {
 			if caught && parts.Chain == nil {
--- a/internal/sim/cli/progress.go
+++ b/internal/sim/cli/progress.go
@@ -10,9 +10,11 @@
 // progressInterval is the shortest time between two progress lines.
 const progressInterval = 200 * time.Millisecond
 
-// progress writes one line that it overwrites, if it writes to a terminal.
+// progress writes a progress line to a terminal and overwrites it with each update.
 type progress struct {
-	output        io.Writer
+	// output is nil if the output is not a terminal.
+	output io.Writer
+	// seeds is the number of seeds of each scenario.
 	seeds         uint64
 	scenarioCount int
 	started       time.Time
@@ -20,8 +22,7 @@
 	shown         bool
 }
 
-// newProgress returns the progress of a selection; it stays silent unless
-// output is a terminal.
+// newProgress returns the progress of a selection. It writes nothing unless output is a terminal.
 func newProgress(output io.Writer, selected selection) *progress {
 	if !isTerminal(output) {
 		output = nil
@@ -38,7 +39,7 @@
 	return err == nil && information.Mode()&os.ModeCharDevice != 0
 }
 
-// show tells how far a scenario is.
+// show updates the progress line, at most once in progressInterval.
 func (progress *progress) show(scenario string, done, failed int) {
 	now := time.Now()
 	if progress.output == nil || now.Sub(progress.shownAt) < progressInterval {
@@ -50,7 +51,7 @@
 		scenario, done, progress.seeds, failed, now.Sub(progress.started).Round(time.Second))
 }
 
-// clear removes the line, so that other output starts at the left.
+// clear erases the progress line, so that other output can be written at the start of the line.
 func (progress *progress) clear() {
 	if progress.shown {
 		fmt.Fprint(progress.output, "\r\x1b[K")
--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -70,7 +70,7 @@
 	return command
 }
 
-// selection checks the flags and returns what they select.
+// selection validates the flags and returns the runs that they select.
 func (flags runFlags) selection() (selection, error) {
 	selected, err := newSelection(flags.scenario, flags.seeds, flags.workers)
 	switch {
@@ -95,7 +95,7 @@
 	virtual time.Duration
 	// knownRed counts the failed runs that are known to fail.
 	knownRed int
-	// stoppedEarly tells that seeds were left out after a violation.
+	// stoppedEarly says that seeds were skipped after a violation.
 	stoppedEarly bool
 }
 
@@ -106,17 +106,17 @@
 		counted := &summary{name: scenario.Name}
 		summaries = append(summaries, counted)
 		sim.Sweep([]sim.Scenario{scenario}, selected.seeds, selected.workers, func(result sim.Result) bool {
-			line, passedOver := known.knownFailure(result)
-			counted.add(result, passedOver)
+			line, isKnown := known.knownFailure(result)
+			counted.add(result, isKnown)
 			if flags.asJSON || result.Failed() {
 				progress.clear()
 			}
 			printResult(output, flags, result)
-			if passedOver {
+			if isKnown {
 				fmt.Fprintln(output, "known red:", line)
 			}
 			progress.show(scenario.Name, counted.runs, failures+counted.failed)
-			return flags.keep || passedOver || !result.Failed()
+			return flags.keep || isKnown || !result.Failed()
 		})
 		failures += counted.failed
 		counted.stoppedEarly = uint64(counted.runs) < selected.seeds.Count()
@@ -131,12 +131,12 @@
 	return nil
 }
 
-func (summary *summary) add(result sim.Result, passedOver bool) {
+func (summary *summary) add(result sim.Result, isKnown bool) {
 	summary.runs++
 	summary.events += result.Events
 	summary.virtual += result.Elapsed
 	switch {
-	case passedOver:
+	case isKnown:
 		summary.knownRed++
 	case result.Failed():
 		summary.failed++
@@ -152,7 +152,7 @@
 	Events     uint64          `json:"events"`
 	Passed     bool            `json:"passed"`
 	Violations []jsonViolation `json:"violations,omitempty"`
-	// Latest are the events before the first violation.
+	// Latest has the last events before the first violation.
 	Latest []string `json:"latest,omitempty"`
 	// Replay is the command that prints all events of a failed run.
 	Replay string `json:"replay,omitempty"`
@@ -166,7 +166,7 @@
 
 func printResult(output io.Writer, flags runFlags, result sim.Result) {
 	if flags.asJSON {
-		// The values encode without fail; a write error shows at the exit.
+		// The values can always be encoded. A failed write of the output is ignored.
 		_ = json.NewEncoder(output).Encode(toJSON(result))
 		return
 	}
@@ -214,7 +214,8 @@
 	}
 }
 
-// traceRun plays one seed of one scenario and prints all its events.
+// traceRun runs one seed of one scenario and prints all its events, and the notes on the packets of
+// the given flow unless flow is 0.
 func traceRun(output io.Writer, selected selection, flow uint64) error {
 	run := sim.NewRun(selected.seeds.First)
 	run.Trace.Observe(func(event kernel.Event) { fmt.Fprintln(output, event) })
--- a/internal/sim/cli/selection.go
+++ b/internal/sim/cli/selection.go
@@ -10,10 +10,10 @@
 	"merlinpaddle/internal/sim/scenario"
 )
 
-// allScenarios is the name that stands for every scenario.
+// allScenarios is the value of --scenario that selects all scenarios.
 const allScenarios = "all"
 
-// selection is what a command runs, and on how many workers.
+// selection has the scenarios and seeds that a command runs, and the number of workers.
 type selection struct {
 	scenarios []sim.Scenario
 	seeds     sim.SeedRange
@@ -27,12 +27,12 @@
 	addWorkers(command, workers)
 }
 
-// addWorkers adds the flag for parallel runs.
+// addWorkers adds the flag for the number of concurrent runs.
 func addWorkers(command *cobra.Command, workers *int) {
 	command.Flags().IntVar(workers, "workers", runtime.GOMAXPROCS(0), "runs at the same time")
 }
 
-// newSelection checks the values of the flags.
+// newSelection validates the values of the flags and returns the selection.
 func newSelection(scenarioName, seeds string, workers int) (selection, error) {
 	scenarios, err := selectScenarios(scenarioName)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return selection{scenarios: scenarios, seeds: parsed, workers: workers}, nil
 }
 
-// parseSeeds checks the flags for seeds and workers.
+// parseSeeds parses the value of --seeds and validates that of --workers.
 func parseSeeds(seeds string, workers int) (sim.SeedRange, error) {
 	if workers < 1 {
 		return sim.SeedRange{}, fmt.Errorf("--workers %d: at least one is needed", workers)
@@ -57,7 +57,7 @@
 	return parsed, nil
 }
 
-// selectScenarios returns the scenario of a name, or all of them.
+// selectScenarios returns the scenario with the given name, or all scenarios for allScenarios.
 func selectScenarios(name string) ([]sim.Scenario, error) {
 	if name == allScenarios {
 		return scenario.All(), nil
--- a/internal/sim/mutant/claim.go
+++ b/internal/sim/mutant/claim.go
@@ -15,7 +15,7 @@
 func claimSkipped() Mutant {
 	return Mutant{
 		Name:     "claim-skipped",
-		Breaks:   "an agent runs a request that may run once without a claim",
+		Breaks:   "an agent runs an at-most-once request without a claim",
 		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
 		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// grantsAll grants every claim without asking.
+// grantsAll grants every claim without asking the control group.
 type grantsAll struct{ world.Claims }
 
 // Claim implements world.Claims.
@@ -37,7 +37,7 @@
 func claimReleasedAfterRun() Mutant {
 	return Mutant{
 		Name:     "claim-released-after-run",
-		Breaks:   "an agent reports a claimed request that ran as not run",
+		Breaks:   "an agent releases the claim of a request that ran, as if it had not run",
 		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
 		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -46,9 +46,10 @@
 	}
 }
 
-// releasesAll releases every claim at its end.
+// releasesAll releases every claim instead of recording its outcome.
 type releasesAll struct {
 	world.Claims
+	// now is the time of the last Reconcile.
 	now time.Time
 }
 
@@ -80,8 +81,8 @@
 	}
 }
 
-// withKeyOfAgent makes the key of a claim the agent's own. A relay passes
-// claims on, so the key may have been changed before.
+// withKeyOfAgent adds the agent's name to the key of a claim message. Relays forward these messages,
+// so the key may have the suffix already.
 func withKeyOfAgent(envelope protocol.Envelope) protocol.Envelope {
 	switch message := envelope.Message.(type) {
 	case protocol.ClaimRequest:
@@ -94,6 +95,7 @@
 	return envelope
 }
 
+// keyOfAgent returns the key with the agent's name as its suffix, which is added once only.
 func keyOfAgent(key string, agent model.NodeName) string {
 	suffix := "/" + string(agent)
 	return strings.TrimSuffix(key, suffix) + suffix
--- a/internal/sim/mutant/consensus.go
+++ b/internal/sim/mutant/consensus.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// changeConsensus lets change rewrite the messages between members.
+// changeConsensus applies change to each Raft message between members.
 func changeConsensus(parts *world.Parts, change func(envelope protocol.Envelope, message raft.Message) raft.Message) {
 	parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 		if message, isConsensus := envelope.Message.(raft.Message); isConsensus {
@@ -24,7 +24,7 @@
 	return Mutant{
 		Name:   "vote-given-twice",
 		Breaks: "a member votes for every candidate of a term",
-		// The core stops itself by a panic once it meets the other leader.
+		// The Raft core panics when it receives a message of another leader of its term.
 		Expect:   []checker.Invariant{checker.InvariantOneLeader, checker.InvariantNoPanic},
 		Scenario: slowElections(),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -41,7 +41,7 @@
 func appendAcknowledgedUnstored() Mutant {
 	return Mutant{
 		Name:     "append-unstored",
-		Breaks:   "a follower acknowledges all that was sent to it, stored or not",
+		Breaks:   "a follower acknowledges all entries that were sent to it, stored or not",
 		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
 		Scenario: namedScenario("leader-loss"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -60,13 +60,14 @@
 	}
 }
 
-// lastFoundingMember is the highest ID of the members that founded the group.
+// lastFoundingMember is the highest ID of the initial members of the group. Members that were added
+// later have higher IDs.
 const lastFoundingMember raft.MemberID = 3
 
 func learnerPromotedEarly() Mutant {
 	return Mutant{
 		Name:     "learner-promoted-early",
-		Breaks:   "a new member counts as caught up before it has the log",
+		Breaks:   "a new member is promoted before it has the log",
 		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable, checker.InvariantProgress},
 		Scenario: namedScenario("lost-disk"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -86,14 +87,14 @@
 func memberBackUnderOldID() Mutant {
 	return Mutant{
 		Name:     "member-back-under-old-id",
-		Breaks:   "a member that lost its disk takes its former place and votes again",
+		Breaks:   "a member that lost its disk rejoins under its old ID and votes again",
 		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
 		Scenario: disksLostUnnoticed(),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
-			places := make(map[model.NodeName]replica.JoinReply)
+			accepted := make(map[model.NodeName]replica.JoinReply)
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 				if reply, isReply := envelope.Message.(replica.JoinReply); isReply {
-					envelope.Message = previousJoinReply(places, envelope.To, reply)
+					envelope.Message = previousJoinReply(accepted, envelope.To, reply)
 				}
 				return []protocol.Envelope{envelope}
 			}
@@ -101,24 +102,25 @@
 	}
 }
 
-// previousJoinReply remembers the place that a member was given and gives it again.
-func previousJoinReply(places map[model.NodeName]replica.JoinReply, member model.NodeName, reply replica.JoinReply) replica.JoinReply {
+// previousJoinReply records the replies that accept a member, and replaces a later rejection of the
+// same member by the recorded reply with the rejection's Disk.
+func previousJoinReply(accepted map[model.NodeName]replica.JoinReply, member model.NodeName, reply replica.JoinReply) replica.JoinReply {
 	if reply.Accepted {
-		places[member] = reply
+		accepted[member] = reply
 		return reply
 	}
-	former, known := places[member]
+	previous, known := accepted[member]
 	if !known {
 		return reply
 	}
-	former.Disk = reply.Disk
-	return former
+	previous.Disk = reply.Disk
+	return previous
 }
 
 func readNotConfirmed() Mutant {
 	return Mutant{
 		Name:     "read-not-confirmed",
-		Breaks:   "a member answers reads without confirming that it still leads",
+		Breaks:   "a member answers reads without confirming that it is still the leader",
 		Expect:   []checker.Invariant{checker.InvariantLinearizable},
 		Scenario: namedScenario("clock-skew"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
--- a/internal/sim/mutant/direct.go
+++ b/internal/sim/mutant/direct.go
@@ -18,14 +18,13 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// directDecision returns a variant that replaces decisions of balancers.
-func directDecision(decide func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision) Change {
+// directDecision returns a variant that replaces the decisions of balancers about packets.
+func directDecision(decide func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision) PartsChange {
 	return func(_ *sim.Run, parts *world.Parts) { parts.Direct.Decide = decide }
 }
 
-// directUpdates returns a variant that changes updates on their way to
-// balancers.
-func directUpdates(change func(update *feed.Update)) Change {
+// directUpdates returns a variant that applies change to the updates that are sent to balancers.
+func directUpdates(change func(update *feed.Update)) PartsChange {
 	return func(_ *sim.Run, parts *world.Parts) {
 		parts.Direct.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 			if update, isUpdate := envelope.Message.(feed.Update); isUpdate {
@@ -39,13 +38,13 @@
 }
 
 // directChoice returns a variant that changes how balancers choose targets.
-func directChoice(change func(options *steer.Options)) Change {
+func directChoice(change func(options *steer.Options)) PartsChange {
 	return func(_ *sim.Run, parts *world.Parts) { parts.Direct.Choice = change }
 }
 
-// directTargets returns a variant that changes each target in updates on their way to
-// balancers.
-func directTargets(change func(target *directory.TargetEntry)) Change {
+// directTargets returns a variant that applies change to each target in the updates that are sent
+// to balancers.
+func directTargets(change func(target *directory.TargetEntry)) PartsChange {
 	return directUpdates(func(update *feed.Update) {
 		for index := range update.Changes.Targets {
 			change(&update.Changes.Targets[index])
@@ -69,7 +68,7 @@
 		},
 		{
 			Name:     "direct-token-ignored",
-			Breaks:   "a balancer chooses a target for every packet anew instead of following the token",
+			Breaks:   "a balancer chooses a new target for every packet instead of using the token",
 			Expect:   []checker.Invariant{checker.InvariantFlowKept},
 			Scenario: namedScenario("direct-planned"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
@@ -79,7 +78,7 @@
 		},
 		{
 			Name:     "direct-lost-token-reset",
-			Breaks:   "balancers lose some tokens and reset the flows that carry them",
+			Breaks:   "balancers do not know some tokens and reset the flows that carry them",
 			Expect:   []checker.Invariant{checker.InvariantFlowKept},
 			Scenario: namedScenario("direct-target-deaths"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
@@ -95,7 +94,7 @@
 		},
 		{
 			Name:     "direct-former-starts-reset",
-			Breaks:   "balancers reset the flows that carry the token of a target's former start",
+			Breaks:   "balancers reset the flows that carry the token of a target's previous incarnation",
 			Expect:   []checker.Invariant{checker.InvariantFlowKept},
 			Scenario: namedScenario("direct-restarted-targets"),
 			Variant: directDecision(func(table *steer.Table, segment steer.Segment, now time.Time) steer.Decision {
@@ -108,7 +107,7 @@
 		},
 		{
 			Name:     "direct-drain-ignored",
-			Breaks:   "balancers learn of draining targets as if they were ready",
+			Breaks:   "balancers treat draining targets as ready",
 			Expect:   []checker.Invariant{checker.InvariantDrain},
 			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
@@ -119,7 +118,7 @@
 		},
 		{
 			Name:     "direct-service-crossed",
-			Breaks:   "balancers take targets of one service for those of another",
+			Breaks:   "balancers add targets of one service to another",
 			Expect:   []checker.Invariant{checker.InvariantServiceIsolation},
 			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
@@ -130,7 +129,7 @@
 		},
 		{
 			Name:     "direct-update-partly-lost",
-			Breaks:   "an update loses some of its targets and counts as whole",
+			Breaks:   "an update loses some of its targets and is applied as complete",
 			Expect:   []checker.Invariant{checker.InvariantSameConfiguration},
 			Scenario: namedScenario("direct-planned"),
 			Variant: directUpdates(func(update *feed.Update) {
@@ -141,7 +140,7 @@
 		},
 		{
 			Name:     "direct-updates-stale",
-			Breaks:   "members tell balancers that they are current without having heard from a leader",
+			Breaks:   "members tell balancers that an update is current although no leader confirmed it",
 			Expect:   []checker.Invariant{checker.InvariantInForce},
 			Scenario: namedScenario("direct-bad-disks"),
 			Variant: directUpdates(func(update *feed.Update) {
@@ -155,7 +154,7 @@
 			Scenario: namedScenario("direct-power-loss"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
 				parts.Direct.Disk = func(standard filesystem.FileSystem) filesystem.FileSystem {
-					return brokenLog{FileSystem: standard, wrap: func(file filesystem.File) filesystem.File {
+					return wrappedLogDisk{FileSystem: standard, wrap: func(file filesystem.File) filesystem.File {
 						return &delayedFile{File: file}
 					}}
 				}
@@ -163,7 +162,7 @@
 		},
 		{
 			Name:     "direct-living-target-failed",
-			Breaks:   "balancers take every target that drains for a dead one",
+			Breaks:   "balancers treat draining targets as failed",
 			Expect:   []checker.Invariant{checker.InvariantFlowKept},
 			Scenario: namedScenario("direct-planned"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
@@ -174,14 +173,14 @@
 		},
 		{
 			Name:     "direct-choice-blind",
-			Breaks:   "balancers choose targets by hash alone, whatever is open there",
+			Breaks:   "balancers choose targets by hash alone, without regard to open requests",
 			Expect:   []checker.Invariant{checker.InvariantTimely},
 			Scenario: namedScenario("direct-heavy-load"),
 			Variant:  directChoice(func(options *steer.Options) { options.Candidates, options.SpilloverCandidates = 1, 0 }),
 		},
 		{
 			Name:     "direct-admission-off",
-			Breaks:   "balancers let every flow in, however much there is to do",
+			Breaks:   "balancers admit every flow, however high the load is",
 			Expect:   []checker.Invariant{checker.InvariantTimely},
 			Scenario: namedScenario("direct-overload"),
 			Variant:  directChoice(func(options *steer.Options) { options.MaxObjectiveShare = 0 }),
@@ -195,7 +194,7 @@
 		},
 		{
 			Name:     "direct-load-not-added-up",
-			Breaks:   "members of a large system tell balancers nothing of the load",
+			Breaks:   "members of a large system do not send the summed load to balancers",
 			Expect:   []checker.Invariant{checker.InvariantTimely},
 			Scenario: namedScenario("direct-large-overload"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -204,7 +203,7 @@
 		},
 		{
 			Name:     "direct-links-admit-all",
-			Breaks:   "balancers take every upload, however full their links are",
+			Breaks:   "balancers admit every upload, however saturated their links are",
 			Expect:   []checker.Invariant{checker.InvariantTimely},
 			Scenario: namedScenario("direct-full-links"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -213,14 +212,14 @@
 		},
 		{
 			Name:     "direct-evacuation-ignored",
-			Breaks:   "balancers do not learn which zones are emptied",
+			Breaks:   "balancers are not notified of evacuations of zones",
 			Expect:   []checker.Invariant{checker.InvariantEvacuated},
 			Scenario: namedScenario("direct-evacuations"),
 			Variant:  directUpdates(func(update *feed.Update) { update.Changes.Zones = nil }),
 		},
 		{
 			Name:     "direct-counts-unproven",
-			Breaks:   "balancers refuse flows by counts of requests before they know whether they see whole flows",
+			Breaks:   "balancers refuse flows by request counts without sufficient evidence that they see all packets of flows",
 			Expect:   []checker.Invariant{checker.InvariantProgress},
 			Scenario: namedScenario("direct-relayed-feed"),
 			Variant: directChoice(func(options *steer.Options) {
@@ -229,7 +228,7 @@
 		},
 		{
 			Name:     "direct-errors-unseen",
-			Breaks:   "balancers count answers that are errors as any others",
+			Breaks:   "balancers do not report answers that look like errors",
 			Expect:   []checker.Invariant{checker.InvariantProgress},
 			Scenario: namedScenario("direct-erring-targets"),
 			Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -247,7 +246,7 @@
 		},
 		{
 			Name:     "direct-coldness-ignored",
-			Breaks:   "balancers take cold targets for warm ones",
+			Breaks:   "balancers treat cold targets as warm",
 			Expect:   []checker.Invariant{checker.InvariantColdRate},
 			Scenario: namedScenario("direct-cold-returns"),
 			Variant: directTargets(func(target *directory.TargetEntry) {
@@ -257,10 +256,10 @@
 	}
 }
 
-// alwaysSufficient takes the counts of a balancer for proven from its start on.
+// alwaysSufficient reports sufficient evidence for refusals from the start of a balancer.
 type alwaysSufficient struct {
 	steer.Loads
 }
 
-// Proven implements steer.Loads.
+// SufficientForRefusal implements steer.Loads.
 func (alwaysSufficient) SufficientForRefusal(time.Time) bool { return true }
--- a/internal/sim/mutant/hunt.go
+++ b/internal/sim/mutant/hunt.go
@@ -1,11 +1,10 @@
-// Package mutant holds deliberately broken variants of the system, each with
-// the scenario whose checkers must catch it. Variants are put in through the
-// interfaces that the simulation composes; the product's code knows nothing of
-// them. A variant that no seed catches means that a checker is blind, or that
-// the scenario never brings the failure about.
+// Package mutant holds deliberately broken variants of the system (mutation tests of the checkers).
+// Each has a scenario in which the checkers must catch it. Variants replace parts that the simulation
+// composes (world.Parts); the product's code does not know of them. If no seed catches a variant,
+// a checker misses the failure, or the scenario never causes it.
 //
-// A catch counts only if the same scenario passes the same invariants with the
-// same seed when the variant is left out.
+// A catch counts only if the scenario without the variant keeps the expected invariants with the
+// same seed.
 package mutant
 
 import (
@@ -17,32 +16,32 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// Change replaces parts of the world of one run.
-type Change func(run *sim.Run, parts *world.Parts)
+// PartsChange replaces parts of a run's world. It is called before the world is built.
+type PartsChange func(run *sim.Run, parts *world.Parts)
 
 // Mutant is one broken variant.
 type Mutant struct {
 	Name string
 	// Breaks says what the variant does wrong.
 	Breaks string
-	// Expect lists the invariants of which one must be reported.
+	// Expect lists invariants, at least one of which must be violated.
 	Expect []checker.Invariant
 	// Scenario is the scenario that is played.
 	Scenario Scenario
-	// Fault is what goes wrong around the variant, which the unbroken system
-	// survives; nil when the story has all that is needed.
-	Fault Change
-	// Variant puts the broken part in.
-	Variant Change
+	// Fault is an additional fault in the environment, which the unbroken system tolerates; nil if
+	// the scenario has all the faults that are needed.
+	Fault PartsChange
+	// Variant replaces a part by the broken one.
+	Variant PartsChange
 }
 
-// Broken returns the scenario with the variant in it.
+// Broken returns the scenario with the variant.
 func (mutant Mutant) Broken() sim.Scenario { return mutant.scenario(mutant.Fault, mutant.Variant) }
 
 // Unbroken returns the same scenario without the variant.
 func (mutant Mutant) Unbroken() sim.Scenario { return mutant.scenario(mutant.Fault) }
 
-func (mutant Mutant) scenario(changes ...Change) sim.Scenario {
+func (mutant Mutant) scenario(changes ...PartsChange) sim.Scenario {
 	return sim.Scenario{
 		Name:    mutant.Scenario.Name,
 		Summary: mutant.Breaks,
@@ -58,25 +57,24 @@
 	}
 }
 
-// Finding tells how a mutant was caught, or that it was not.
+// Finding is the result of a hunt for one mutant.
 type Finding struct {
 	Mutant Mutant
 	Caught bool
-	// Seeds is the number of seeds that were run in order until the catch.
+	// Seeds is the number of seeds that were run, including the one that caught the mutant.
 	Seeds uint64
-	// Seed is the seed that caught it.
+	// Seed is the seed that caught the mutant.
 	Seed uint64
-	// Violation is the first one of an expected invariant.
+	// Violation is the first violation of an expected invariant with that seed.
 	Violation checker.Violation
-	// OtherInvariants lists the other invariants that the broken runs violated.
+	// OtherInvariants lists the unexpected invariants that the broken runs violated.
 	OtherInvariants []checker.Invariant
-	// FailedUnbroken counts the seeds that caught the variant and do not
-	// count, because the scenario failed without the variant too.
+	// FailedUnbroken counts the seeds whose catch does not count, because an expected invariant was
+	// violated without the variant too.
 	FailedUnbroken uint64
 }
 
-// Hunt runs the mutant's scenario over the seeds in order until an expected
-// invariant is violated.
+// Hunt runs the mutant's scenario with the seeds in order until one catches the mutant.
 func Hunt(mutant Mutant, seeds sim.SeedRange) Finding {
 	finding := Finding{Mutant: mutant}
 	for seed := seeds.First; ; seed++ {
@@ -87,7 +85,7 @@
 	}
 }
 
-// runSeed runs one seed and tells whether it caught the variant.
+// runSeed runs one seed and reports whether it caught the mutant.
 func (finding *Finding) runSeed(seed uint64) bool {
 	result := sim.Execute(finding.Mutant.Broken(), seed)
 	violation, violated := finding.firstExpected(result)
@@ -124,27 +122,27 @@
 	}
 }
 
-// HuntAll hunts several mutants at the same time and reports the findings in
-// the order of mutants.
+// HuntAll hunts several mutants concurrently and calls report for the findings in the order of
+// mutants.
 func HuntAll(mutants []Mutant, seeds sim.SeedRange, workers int, report func(Finding)) {
 	findings := make([]chan Finding, len(mutants))
-	for place := range findings {
-		findings[place] = make(chan Finding, 1)
+	for index := range findings {
+		findings[index] = make(chan Finding, 1)
 	}
-	places := make(chan int)
+	indices := make(chan int)
 	var group sync.WaitGroup
 	for range max(workers, 1) {
 		group.Go(func() {
-			for place := range places {
-				findings[place] <- Hunt(mutants[place], seeds)
+			for index := range indices {
+				findings[index] <- Hunt(mutants[index], seeds)
 			}
 		})
 	}
 	go func() {
-		for place := range mutants {
-			places <- place
+		for index := range mutants {
+			indices <- index
 		}
-		close(places)
+		close(indices)
 	}()
 	for _, finding := range findings {
 		report(<-finding)
--- a/internal/sim/mutant/mutant_test.go
+++ b/internal/sim/mutant/mutant_test.go
@@ -13,17 +13,17 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// testSeeds are the seeds in which every mutant must be caught.
+// testSeeds are the seeds of which at least one must catch each mutant.
 var testSeeds = sim.SeedRange{First: 1, Last: 5}
 
-// controlScenarios are played on control members alone.
+// controlScenarios are the scenarios that start the control members only.
 var controlScenarios = []string{
 	"leader-loss", "racing-operators", "clock-skew", "restart-after-500", "lost-disk",
 	"forgotten-votes", "slow-elections", "disks-lost-unnoticed",
 }
 
-// TestControlMutantsAreCaught hunts the mutants whose scenario is short. Those
-// under traffic take longer; "merlinsim mutants" runs them all in CI.
+// TestControlMutantsAreCaught hunts the mutants whose scenario is short. The scenarios with traffic
+// take longer; CI runs all mutants with "merlinsim mutants".
 func TestControlMutantsAreCaught(t *testing.T) {
 	hunted := 0
 	for _, one := range All() {
@@ -40,8 +40,8 @@
 	require.GreaterOrEqual(t, hunted, 11)
 }
 
-// TestEveryInvariantHasAMutant keeps a checker from having nothing that shows
-// that it bites.
+// TestEveryInvariantHasAMutant checks that there is a mutant for each invariant, which shows that
+// its checker detects a violation.
 func TestEveryInvariantHasAMutant(t *testing.T) {
 	expected := make(map[checker.Invariant]bool)
 	names := make(map[string]bool)
@@ -59,7 +59,8 @@
 	}
 }
 
-// stubMutant is a mutant of a story that does what play says.
+// stubMutant returns a mutant whose scenario only calls play; broken says whether the variant is in
+// index.
 func stubMutant(play func(run *sim.Run, broken bool)) Mutant {
 	return Mutant{
 		Name:   "drawn",
@@ -124,8 +125,8 @@
 	for range 20 {
 		mutants = append(mutants, stubMutant(func(*sim.Run, bool) {}))
 	}
-	for place := range mutants {
-		mutants[place].Name = strings.Repeat("x", place+1)
+	for index := range mutants {
+		mutants[index].Name = strings.Repeat("x", index+1)
 	}
 	var names []string
 	HuntAll(mutants, testSeeds, 3, func(finding Finding) { names = append(names, finding.Mutant.Name) })
--- a/internal/sim/mutant/ownership.go
+++ b/internal/sim/mutant/ownership.go
@@ -12,22 +12,22 @@
 func ownersIgnored() Mutant {
 	return Mutant{
 		Name:     "owners-ignored",
-		Breaks:   "an agent takes packets of flows that another target owns",
+		Breaks:   "an agent delivers packets of flows that another target owns",
 		Expect:   []checker.Invariant{checker.InvariantOneOwner},
 		Scenario: namedScenario("balancer-death"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
-				return takesAll{Steerer: standard}
+				return deliversAll{Steerer: standard}
 			}
 		},
 	}
 }
 
-// takesAll delivers what it should pass on.
-type takesAll struct{ world.Steerer }
+// deliversAll delivers packets of open flows that it should forward.
+type deliversAll struct{ world.Steerer }
 
 // Decide implements world.Steerer.
-func (steerer takesAll) Decide(now time.Time, input steering.Input) steering.Decision {
+func (steerer deliversAll) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
 	if decision.Action == steering.ActionForward && !input.Opening {
 		return steering.Decision{Action: steering.ActionDeliver}
@@ -35,7 +35,7 @@
 	return decision
 }
 
-// The time in which a broken agent is deaf; the world serves by then.
+// The virtual time in which a broken agent drops packets. Targets serve traffic by then.
 const (
 	dropsFrom  = 30 * time.Second
 	dropsUntil = 35 * time.Second
@@ -55,7 +55,7 @@
 	}
 }
 
-// dropsOpenFlows drops what belongs to open flows for some time.
+// dropsOpenFlows drops the packets of open flows from dropsFrom until dropsUntil.
 type dropsOpenFlows struct {
 	world.Steerer
 	run *sim.Run
@@ -74,7 +74,7 @@
 func instanceIgnored() Mutant {
 	return Mutant{
 		Name:     "instance-ignored",
-		Breaks:   "a restarted target takes packets of flows that its former life had",
+		Breaks:   "a restarted target accepts packets of flows of its previous incarnation",
 		Expect:   []checker.Invariant{checker.InvariantOneOwner},
 		Scenario: namedScenario("target-restart"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -85,7 +85,8 @@
 	}
 }
 
-// neverResets delivers packets of flows that nobody owns.
+// neverResets delivers packets that it should answer with a reset, because no target owns their
+// flow.
 type neverResets struct{ world.Steerer }
 
 // Decide implements world.Steerer.
@@ -100,22 +101,22 @@
 func serviceNotChecked() Mutant {
 	return Mutant{
 		Name:     "service-not-checked",
-		Breaks:   "an agent takes packets that were sent to another service",
+		Breaks:   "an agent delivers packets that were sent to another service",
 		Expect:   []checker.Invariant{checker.InvariantServiceIsolation},
 		Scenario: namedScenario("address-reuse"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Steering = func(_ steering.Options, standard world.Steerer) world.Steerer {
-				return takesOtherServices{Steerer: standard}
+				return deliversOtherServices{Steerer: standard}
 			}
 		},
 	}
 }
 
-// takesOtherServices delivers packets of other services.
-type takesOtherServices struct{ world.Steerer }
+// deliversOtherServices delivers packets that were sent to other services.
+type deliversOtherServices struct{ world.Steerer }
 
 // Decide implements world.Steerer.
-func (steerer takesOtherServices) Decide(now time.Time, input steering.Input) steering.Decision {
+func (steerer deliversOtherServices) Decide(now time.Time, input steering.Input) steering.Decision {
 	decision := steerer.Steerer.Decide(now, input)
 	if decision.Reason == steering.ReasonForeign {
 		return steering.Decision{Action: steering.ActionDeliver}
--- a/internal/sim/mutant/request.go
+++ b/internal/sim/mutant/request.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// offersPerLostRequest is how many offers lie between two that are forgotten.
+// offersPerLostRequest says that one in so many offered requests is lost.
 const offersPerLostRequest = 20
 
-// losesOffers forgets some of the requests that it is offered.
+// losesOffers ignores some of the requests that are offered to it.
 type losesOffers struct {
 	world.Admission
 	offers int
@@ -42,7 +42,7 @@
 func answersWithheld() Mutant {
 	return Mutant{
 		Name:     "answers-withheld",
-		Breaks:   "every request that ran is answered with 'may have run'",
+		Breaks:   "every request that ran is answered with 'may have run' instead of its answer",
 		Expect:   []checker.Invariant{checker.InvariantRequestAnswered},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -54,21 +54,20 @@
 	}
 }
 
-// refusalsPerRun is how many refusals lie between two that are run all the
-// same.
-const refusalsPerRun = 5
+// refusalsPerWrongRun says that one in so many refused requests runs nevertheless.
+const refusalsPerWrongRun = 5
 
 func ranAfterRefusal() Mutant {
 	return Mutant{
 		Name:     "ran-after-refusal",
-		Breaks:   "a request runs that was refused as not run",
+		Breaks:   "a request that was refused as not run runs",
 		Expect:   []checker.Invariant{checker.InvariantRefusedNotRun},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			refusals := 0
 			parts.Refused = func(run func()) {
 				refusals++
-				if refusals%refusalsPerRun == 0 {
+				if refusals%refusalsPerWrongRun == 0 {
 					run()
 				}
 			}
@@ -76,12 +75,12 @@
 	}
 }
 
-// responsesPerCorruption is how many responses lie between two that are spoiled.
+// responsesPerCorruption says that one in so many responses is corrupted.
 const responsesPerCorruption = 50
 
-// corruptResponses lets spoil change every so many responses; it also gets the
-// response before.
-func corruptResponses(spoil func(previous, response world.Response) world.Response) Change {
+// corruptResponses applies corrupt to one in responsesPerCorruption responses. corrupt also gets the
+// previous response.
+func corruptResponses(corrupt func(previous, response world.Response) world.Response) PartsChange {
 	return func(_ *sim.Run, parts *world.Parts) {
 		var previous world.Response
 		count := 0
@@ -89,7 +88,7 @@
 			sent := response
 			count++
 			if count%responsesPerCorruption == 0 {
-				sent = spoil(previous, response)
+				sent = corrupt(previous, response)
 			}
 			previous = response
 			return sent
@@ -113,7 +112,7 @@
 func answersCrossed() Mutant {
 	return Mutant{
 		Name:     "answers-crossed",
-		Breaks:   "a caller gets the answer to the request before its own",
+		Breaks:   "a caller gets the answer to the previous request instead of its own",
 		Expect:   []checker.Invariant{checker.InvariantAnswerBound},
 		Scenario: namedScenario("balancer-death"),
 		Variant: corruptResponses(func(previous, response world.Response) world.Response {
@@ -126,7 +125,7 @@
 func shortBodyPassed() Mutant {
 	return Mutant{
 		Name:     "short-body-passed",
-		Breaks:   "an answer that the back end cut short is passed on as whole",
+		Breaks:   "an answer that the back end truncated is relayed as complete",
 		Expect:   []checker.Invariant{checker.InvariantAnswerBound},
 		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
--- a/internal/sim/mutant/rollout.go
+++ b/internal/sim/mutant/rollout.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// brokenNode is the balancer whose rollout is broken.
+	// brokenNode is the balancer that runs the wrong configuration or loses updates.
 	brokenNode model.NodeName = "balancer-2"
-	// brokenRelay is the relay that goes on with an old configuration.
+	// brokenRelay is the relay that gets no updates after faultsFrom.
 	brokenRelay model.NodeName = "relay-2"
-	// faultsFrom is when updates begin to be lost; the world serves by then.
+	// faultsFrom is the virtual time from which updates are lost. Targets serve traffic by then.
 	faultsFrom = 25 * time.Second
 )
 
-// changeRunning lets change replace the configuration of the broken node.
+// changeRunning applies change to the configuration that the broken node runs.
 func changeRunning(parts *world.Parts, change func(current *model.Configuration) *model.Configuration) {
 	standard := parts.Running
 	parts.Running = func(node model.NodeName, store *rollout.Store) *model.Configuration {
@@ -32,24 +32,25 @@
 	}
 }
 
-// Of so many looks at the running configuration one sees the former one.
+// readsPerRevert says that one in so many reads of the running configuration returns the previous
+// one.
 const readsPerRevert = 500
 
 func oldRevisionRun() Mutant {
 	return Mutant{
 		Name:     "old-revision-run",
-		Breaks:   "a balancer goes back to the configuration before the present one",
+		Breaks:   "a balancer reverts to the configuration before the current one",
 		Expect:   []checker.Invariant{checker.InvariantNoRevert},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			var previous, latest *model.Configuration
-			looks := 0
+			reads := 0
 			changeRunning(parts, func(current *model.Configuration) *model.Configuration {
 				if current != latest {
 					previous, latest = latest, current
 				}
-				looks++
-				if looks%readsPerRevert == 0 && previous != nil {
+				reads++
+				if reads%readsPerRevert == 0 && previous != nil {
 					return previous
 				}
 				return current
@@ -58,13 +59,13 @@
 	}
 }
 
-// applyDelay is longer than a change may take to be in force.
+// applyDelay is longer than the bound within which a change must be in force.
 const applyDelay = 9 * time.Second
 
 func configurationAppliedLate() Mutant {
 	return Mutant{
 		Name:     "configuration-late",
-		Breaks:   "a balancer holds its lease and applies changes after many seconds",
+		Breaks:   "a balancer that holds its lease applies changes after many seconds",
 		Expect:   []checker.Invariant{checker.InvariantInForce},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(run *sim.Run, parts *world.Parts) {
@@ -85,7 +86,7 @@
 func leaseNeverEnds() Mutant {
 	return Mutant{
 		Name:     "lease-never-ends",
-		Breaks:   "a balancer that is cut off goes on to count as current",
+		Breaks:   "a balancer that is cut off keeps its lease",
 		Expect:   []checker.Invariant{checker.InvariantInForce},
 		Scenario: namedScenario("address-reuse"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -99,6 +100,7 @@
 	}
 }
 
+// receivedConfiguration is a configuration with the virtual time at which the node received it.
 type receivedConfiguration struct {
 	configuration *model.Configuration
 	at            time.Duration
@@ -117,7 +119,7 @@
 func digestIgnored() Mutant {
 	return Mutant{
 		Name:     "digest-ignored",
-		Breaks:   "nobody compares the digest of a balancer that lost a part of an update",
+		Breaks:   "the digest of a balancer that lost a part of an update is not compared",
 		Expect:   []checker.Invariant{checker.InvariantInForce},
 		Scenario: namedScenario("planned-coastal"),
 		Fault:    loseServices,
@@ -142,8 +144,8 @@
 	return envelope
 }
 
-// loseServices removes the changed services from the updates of the broken
-// node, until a snapshot repairs it.
+// loseServices removes the changed services from the deltas that are sent to the broken node.
+// Snapshots are not changed, so a snapshot repairs the node.
 func loseServices(run *sim.Run, parts *world.Parts) {
 	encoder := protocol.NewUpdateEncoder()
 	decoders := make(map[model.NodeName]*protocol.UpdateDecoder)
@@ -159,8 +161,8 @@
 		if err != nil {
 			return []protocol.Envelope{envelope}
 		}
-		for place := range update.Deltas {
-			update.Deltas[place].Services = nil
+		for index := range update.Deltas {
+			update.Deltas[index].Services = nil
 		}
 		if changed, err := encoder.Encode(update); err == nil {
 			envelope.Message = encoder.WithDescriptions(changed)
@@ -187,8 +189,8 @@
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			standard := parts.Messages
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
-				// Without the committed revision every grant fits what the
-				// relay holds.
+				// With a committed revision of zero, the relay's own revision is always recent
+				// enough to grant a lease.
 				if acknowledgement, isAcknowledgement := envelope.Message.(protocol.ReportAck); isAcknowledgement {
 					acknowledgement.Committed = 0
 					envelope.Message = acknowledgement
--- a/internal/sim/mutant/routing.go
+++ b/internal/sim/mutant/routing.go
@@ -14,7 +14,7 @@
 func chainCutToHead() Mutant {
 	return Mutant{
 		Name:     "chain-cut-to-head",
-		Breaks:   "packets go to the head of a chain only; nobody sends them further",
+		Breaks:   "packets are sent to the head of a chain only and not forwarded along it",
 		Expect:   []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// headOnly resets what it does not own rather than pass it on.
+// headOnly resets the flows that it does not own instead of forwarding their packets.
 type headOnly struct{ world.Steerer }
 
 // Decide implements world.Steerer.
@@ -41,7 +41,7 @@
 func bucketsReportedEmptyEarly() Mutant {
 	return Mutant{
 		Name:     "empty-reported-early",
-		Breaks:   "agents report buckets empty that still hold flows, so their chain entries go",
+		Breaks:   "agents report buckets as empty that still have flows, so that their chain entries are removed",
 		Expect:   []checker.Invariant{checker.InvariantFlowKept, checker.InvariantOneOwner},
 		Scenario: namedScenario("planned-coastal"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// emptyEarly reports every bucket that its target left.
+// emptyEarly reports every bucket that was moved away from its target as empty.
 type emptyEarly struct {
 	world.Steerer
 	options steering.Options
@@ -88,7 +88,7 @@
 	}
 }
 
-// neverSearches takes each search as ended without a find.
+// neverSearches treats each search for the owner of a flow as ended without finding one.
 type neverSearches struct{ world.Steerer }
 
 // Decide implements world.Steerer.
--- a/internal/sim/mutant/state.go
+++ b/internal/sim/mutant/state.go
@@ -12,7 +12,8 @@
 	"merlinpaddle/internal/state"
 )
 
-// changedCommands is a state machine that gets other commands than the log has.
+// changedCommands is a state machine that applies change to each command of the log before it
+// executes it.
 type changedCommands struct {
 	replica.StateMachine
 	change func(index model.Revision, command state.Command) state.Command
@@ -31,13 +32,13 @@
 	return machine.StateMachine.Apply(index, at, changed)
 }
 
-// viewer is the state machine's read side.
+// viewer is implemented by state machines that can be read.
 type viewer interface{ View() *state.View }
 
 func revisionIgnored() Mutant {
 	return Mutant{
 		Name:     "revision-ignored",
-		Breaks:   "a change is applied also when its base is not the present revision",
+		Breaks:   "a change is applied even if its base is not the current revision",
 		Expect:   []checker.Invariant{checker.InvariantOneWinner},
 		Scenario: namedScenario("racing-operators"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -50,7 +51,8 @@
 	}
 }
 
-// rebased bases a service's change on the present revision.
+// rebased returns the command with the current revision as its base, if it is a change of a
+// service.
 func rebased(view *state.View, command state.Command) state.Command {
 	put, isPut := command.(state.PutService)
 	if !isPut {
@@ -65,7 +67,7 @@
 func idempotencyKeyIgnored() Mutant {
 	return Mutant{
 		Name:     "idempotency-key-ignored",
-		Breaks:   "a resent change is a new one",
+		Breaks:   "a resent change is applied as a new one",
 		Expect:   []checker.Invariant{checker.InvariantAppliedOnce},
 		Scenario: namedScenario("racing-operators"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
@@ -76,6 +78,7 @@
 	}
 }
 
+// withUniqueKey makes the idempotency key of a change of a service unique.
 func withUniqueKey(index model.Revision, command state.Command) state.Command {
 	put, isPut := command.(state.PutService)
 	if !isPut {
@@ -85,7 +88,7 @@
 	return put
 }
 
-// skippedEntry is the place of an entry that one member does not apply.
+// skippedEntry is the log index of the entry that one member does not apply.
 const skippedEntry = 50
 
 func entrySkipped() Mutant {
@@ -101,17 +104,17 @@
 				if built != 1 {
 					return standard
 				}
-				return skipping{StateMachine: standard}
+				return skipsEntry{StateMachine: standard}
 			}
 		},
 	}
 }
 
-// skipping does not apply the skipped entry.
-type skipping struct{ replica.StateMachine }
+// skipsEntry does not apply the entry at index skippedEntry.
+type skipsEntry struct{ replica.StateMachine }
 
 // Apply implements replica.StateMachine.
-func (machine skipping) Apply(index model.Revision, at time.Time, command []byte) []byte {
+func (machine skipsEntry) Apply(index model.Revision, at time.Time, command []byte) []byte {
 	if index == skippedEntry {
 		return nil
 	}
@@ -121,7 +124,7 @@
 func snapshotIgnored() Mutant {
 	return Mutant{
 		Name:     "snapshot-ignored",
-		Breaks:   "a member that takes a snapshot keeps the state that it had",
+		Breaks:   "a member that receives a snapshot keeps its own state",
 		Expect:   []checker.Invariant{checker.InvariantReplicasAgree},
 		Scenario: namedScenario("restart-after-500"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
--- a/internal/sim/mutant/storage.go
+++ b/internal/sim/mutant/storage.go
@@ -11,36 +11,36 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// brokenLog is a disk whose log files are wrapped.
-type brokenLog struct {
+// wrappedLogDisk is a file system that wraps the files of the Raft log.
+type wrappedLogDisk struct {
 	filesystem.FileSystem
 	wrap func(file filesystem.File) filesystem.File
 }
 
 // Create implements filesystem.FileSystem.
-func (disk brokenLog) Create(name string) (filesystem.File, error) {
+func (disk wrappedLogDisk) Create(name string) (filesystem.File, error) {
 	file, err := disk.FileSystem.Create(name)
 	return disk.wrapLog(name, file), err
 }
 
 // OpenWrite implements filesystem.FileSystem.
-func (disk brokenLog) OpenWrite(name string) (filesystem.File, error) {
+func (disk wrappedLogDisk) OpenWrite(name string) (filesystem.File, error) {
 	file, err := disk.FileSystem.OpenWrite(name)
 	return disk.wrapLog(name, file), err
 }
 
-func (disk brokenLog) wrapLog(name string, file filesystem.File) filesystem.File {
+func (disk wrappedLogDisk) wrapLog(name string, file filesystem.File) filesystem.File {
 	if file == nil || !strings.Contains(name, "/wal/") {
 		return file
 	}
 	return disk.wrap(file)
 }
 
-// withBrokenLog wraps the log files of all members.
-func withBrokenLog(wrap func(file filesystem.File) filesystem.File) Change {
+// withWrappedLog returns a variant that wraps the log files of all members.
+func withWrappedLog(wrap func(file filesystem.File) filesystem.File) PartsChange {
 	return func(_ *sim.Run, parts *world.Parts) {
 		parts.Disk = func(standard filesystem.FileSystem) filesystem.FileSystem {
-			return brokenLog{FileSystem: standard, wrap: wrap}
+			return wrappedLogDisk{FileSystem: standard, wrap: wrap}
 		}
 	}
 }
@@ -48,29 +48,30 @@
 func entriesNotSynced() Mutant {
 	return Mutant{
 		Name:     "entries-not-synced",
-		Breaks:   "entries are acknowledged before they are written",
+		Breaks:   "log entries are acknowledged before they are written",
 		Expect:   []checker.Invariant{checker.InvariantCommittedKept, checker.InvariantLinearizable},
 		Scenario: namedScenario("restart-after-500"),
-		Variant: withBrokenLog(func(file filesystem.File) filesystem.File {
+		Variant: withWrappedLog(func(file filesystem.File) filesystem.File {
 			return &delayedFile{File: file}
 		}),
 	}
 }
 
-// delayedFile holds the latest frame with entries back until the next write, so a
-// crash loses it without a trace.
+// delayedFile delays the latest frame with entries until the next write or close. A crash before
+// that loses the frame, and leaves no torn write to detect.
 type delayedFile struct {
 	filesystem.File
-	held []byte
+	// delayed is the frame that is not written yet, or nil.
+	delayed []byte
 }
 
 // Write implements filesystem.File.
 func (file *delayedFile) Write(data []byte) (int, error) {
-	if err := file.release(); err != nil {
+	if err := file.flushDelayed(); err != nil {
 		return 0, err
 	}
-	if hasEntries(data) {
-		file.held = bytes.Clone(data)
+	if frameHasEntries(data) {
+		file.delayed = bytes.Clone(data)
 		return len(data), nil
 	}
 	return file.File.Write(data)
@@ -78,19 +79,20 @@
 
 // Close implements filesystem.File.
 func (file *delayedFile) Close() error {
-	if err := file.release(); err != nil {
+	if err := file.flushDelayed(); err != nil {
 		return err
 	}
 	return file.File.Close()
 }
 
-func (file *delayedFile) release() error {
-	held := file.held
-	file.held = nil
-	if held == nil {
+// flushDelayed writes and syncs the delayed frame.
+func (file *delayedFile) flushDelayed() error {
+	frame := file.delayed
+	file.delayed = nil
+	if frame == nil {
 		return nil
 	}
-	if _, err := file.File.Write(held); err != nil {
+	if _, err := file.File.Write(frame); err != nil {
 		return err
 	}
 	return file.File.Sync()
@@ -102,13 +104,13 @@
 		Breaks:   "a vote is answered before it is durable",
 		Expect:   []checker.Invariant{checker.InvariantOneLeader},
 		Scenario: forgottenVotes(),
-		Variant: withBrokenLog(func(file filesystem.File) filesystem.File {
+		Variant: withWrappedLog(func(file filesystem.File) filesystem.File {
 			return &unsyncedFile{File: file}
 		}),
 	}
 }
 
-// unsyncedFile does not sync frames without entries: those hold votes alone.
+// unsyncedFile does not sync frames without entries, which hold only terms and votes.
 type unsyncedFile struct {
 	filesystem.File
 	written []byte
@@ -122,22 +124,23 @@
 
 // Sync implements filesystem.File.
 func (file *unsyncedFile) Sync() error {
-	if !hasEntries(file.written) {
+	if !frameHasEntries(file.written) {
 		return nil
 	}
 	return file.File.Sync()
 }
 
-// The layout of a frame of the log, up to the number of its entries.
+// The layout of a frame of the Raft log, up to the number of its entries.
 const (
 	frameHeaderBytes = 12
 	frameKindBatch   = 2
-	// numbersBeforeCount are frame number, term, vote, commit and reset.
+	// numbersBeforeCount is the number of varints before the number of entries: frame number, term,
+	// vote, commit and reset.
 	numbersBeforeCount = 5
 )
 
-// hasEntries tells whether a frame of the log carries entries.
-func hasEntries(frame []byte) bool {
+// frameHasEntries reports whether a frame of the Raft log has entries.
+func frameHasEntries(frame []byte) bool {
 	if len(frame) <= frameHeaderBytes || frame[frameHeaderBytes] != frameKindBatch {
 		return false
 	}
--- a/internal/sim/mutant/story.go
+++ b/internal/sim/mutant/story.go
@@ -8,13 +8,14 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// Scenario is a scenario that can be played with other parts.
+// Scenario is a scenario that can be played with replaced parts.
 type Scenario struct {
 	Name string
 	Play func(run *sim.Run, parts world.Parts)
 }
 
-// namedScenario returns the scenario of that name as a story.
+// namedScenario returns the scenario of package scenario with the given name. Play panics if there
+// is none.
 func namedScenario(name string) Scenario {
 	return Scenario{Name: name, Play: func(run *sim.Run, parts world.Parts) {
 		found, known := scenario.FindWith(name, parts)
--- a/internal/sim/mutant/story_control.go
+++ b/internal/sim/mutant/story_control.go
@@ -10,17 +10,18 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// Times of the stories below.
+// Times of the scenarios below.
 const (
-	// leaderTimeout bounds the wait for a leader.
+	// leaderTimeout is how long to wait for a leader.
 	leaderTimeout = 15 * time.Second
 	// operatorPause is the mean pause between an operator's changes.
 	operatorPause = 300 * time.Millisecond
-	// messageDelay is what a slow member adds to each message on both ends.
+	// messageDelay is the delay that a slow member adds to each message that it sends or receives.
 	messageDelay = 100 * time.Millisecond
 )
 
-// controlScenario plays a story on control members alone, under racing operators.
+// controlScenario returns a scenario that starts the control members only and calls play while
+// operators make concurrent changes.
 func controlScenario(name string, play func(world *world.World, random *kernel.Random)) Scenario {
 	return Scenario{Name: name, Play: func(run *sim.Run, parts world.Parts) {
 		created := world.New(run, world.Options{Preset: world.Small(), Parts: parts, SnapshotEvery: 1000})
@@ -35,9 +36,9 @@
 	}}
 }
 
-// disksLostUnnoticed loses the disk of a member that restarts at once, before
-// an operator has repaired the group; then another one loses its disk. What a
-// quorum held may be gone after that, unless the first stays out of the group.
+// disksLostUnnoticed wipes the disk of a follower and restarts it before an operator has repaired
+// the group, while the leader is down and the other follower has an old log. If the wiped member
+// rejoined, it and the old follower would be a quorum without the newest committed entries.
 func disksLostUnnoticed() Scenario {
 	return controlScenario("disks-lost-unnoticed", func(world *world.World, random *kernel.Random) {
 		world.Run().Scheduler.RunFor(3 * time.Second)
@@ -45,8 +46,8 @@
 		if !leads {
 			return
 		}
-		// The follower that is cut off has an old log; the other one and the
-		// leader lose the newer one.
+		// The isolated follower keeps an old log. Of the two members with the newer log, the leader
+		// goes down and the other follower loses its disk.
 		members := world.Members()
 		lagging := members[(leader+1)%len(members)]
 		lost := (leader + 2) % len(members)
@@ -63,38 +64,41 @@
 	})
 }
 
-// forgottenVotes makes a leader out of votes alone: its entries do not arrive.
-// Once it leads it is cut off, and its voters restart and elect another one.
+// forgottenVotes drops append messages while a leader is elected, so that its voters store nothing
+// after their votes. It then isolates the leader and restarts the voters. Voters whose votes were
+// not durable may elect another leader for the same term.
 func forgottenVotes() Scenario {
 	return Scenario{Name: "forgotten-votes", Play: func(run *sim.Run, parts world.Parts) {
-		holdsBack := false
+		dropsAppends := false
 		parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 			message, isConsensus := envelope.Message.(raft.Message)
-			if holdsBack && isConsensus && message.Kind == raft.MessageAppend {
+			if dropsAppends && isConsensus && message.Kind == raft.MessageAppend {
 				return nil
 			}
 			return []protocol.Envelope{envelope}
 		}
 		controlScenario("forgotten-votes", func(world *world.World, random *kernel.Random) {
 			for range 5 {
-				holdsBack = true
+				dropsAppends = true
 				isolateNewLeader(world)
-				holdsBack = false
+				dropsAppends = false
 				world.Run().Scheduler.RunFor(random.Between(time.Second, 3*time.Second))
 			}
 		}).Play(run, parts)
 	}}
 }
 
+// isolateNewLeader restarts the leader, waits for the next one, isolates it and restarts the other
+// members.
 func isolateNewLeader(world *world.World) {
-	former, leads := world.AwaitLeader(leaderTimeout)
+	previous, leads := world.AwaitLeader(leaderTimeout)
 	if !leads {
 		return
 	}
 	members := world.Members()
-	members[former].Kill()
+	members[previous].Kill()
 	world.Run().Scheduler.RunFor(time.Second)
-	members[former].Start()
+	members[previous].Start()
 	elected, leads := world.AwaitLeader(leaderTimeout)
 	if !leads {
 		return
@@ -110,8 +114,7 @@
 	heal()
 }
 
-// slowElections lets members become candidates at the same time, because their
-// messages take long.
+// slowElections delays the members' messages, so that several become candidates at the same time.
 func slowElections() Scenario {
 	return controlScenario("slow-elections", func(world *world.World, random *kernel.Random) {
 		members := world.Members()
--- a/internal/sim/mutant/table.go
+++ b/internal/sim/mutant/table.go
@@ -2,8 +2,8 @@
 
 // All returns all mutants in a fixed order.
 //
-// A hint from an agent to a balancer has no mutant: a balancer that forgets or
-// confuses hints only sends packets along a longer way, and breaks nothing.
+// There is no mutant for the hints from agents to balancers: a balancer that loses or confuses
+// hints only sends packets over a longer path, which violates no invariant.
 func All() []Mutant {
 	return append([]Mutant{
 		chainCutToHead(),
@@ -44,7 +44,7 @@
 	}, directMutants()...)
 }
 
-// Find returns the mutant called name.
+// Find returns the mutant with the given name.
 func Find(name string) (Mutant, bool) {
 	for _, one := range All() {
 		if one.Name == name {
--- a/internal/sim/mutant/target.go
+++ b/internal/sim/mutant/target.go
@@ -9,7 +9,8 @@
 	"merlinpaddle/internal/sim/world"
 )
 
-// drainDelay is how late a broken agent honours its drain.
+// drainDelay is how long after its drain a broken agent still accepts requests. It is longer than
+// the grace period.
 const drainDelay = 6 * time.Second
 
 func drainHonouredLate() Mutant {
--- a/internal/sim/scenario/regression_test.go
+++ b/internal/sim/scenario/regression_test.go
@@ -20,7 +20,7 @@
 }{
 	{
 		scenario: "direct-relayed-feed",
-		cause: "One in twenty of the flows that began under light load was refused as overloaded while targets were idle. " +
+		cause: "One in twenty of the flows that began without a fault was refused as overloaded while targets were idle. " +
 			"Routers spread the packets of a flow over balancers, so that a balancer saw requests but not the acknowledgements " +
 			"of their answers. The shares that show this began at zero, and twelve balancers without any samples relied on " +
 			"their counts and shared them. The log lines of the refusals had 'missed 0.00 of 0' to '0.10 of 10' and 'gaps " +
