--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		run.history.operators.Final(register.name(), value, uint64(present.Revision), run.history.at(call))
+		run.history.operators.FinalState(register.name(), value, uint64(present.Revision), run.history.at(call))
 		last = max(last, present.Revision)
 	}
 	run.checkProgress()
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -285,7 +285,7 @@
 		{"interrupted by a target failure", func(requests *Requests) {
 			requests.Ran(1, targetOne, 0)
 			requests.TargetDied(targetOne)
-			requests.CheckEnded(time.Second, time.Minute)
+			requests.CheckOutcomes(time.Second, time.Minute)
 		}, InvariantRequestAnswered}, // for attempts 2 to 4, which have no outcome
 	}
 	for _, row := range table {
@@ -302,7 +302,7 @@
 	}
 }
 
-func TestRequestsCheckEnded(t *testing.T) {
+func TestRequestsCheckOutcomes(t *testing.T) {
 	var report Report
 	requests := NewRequests(&report)
 	requests.Sent(Attempt{ID: 1}, 0)
@@ -313,11 +313,11 @@
 	requests.Answered(Answer{Attempt: 1, Origin: 1, Complete: true})
 	requests.Ran(2, targetOne, 0)
 	requests.TargetDied(targetOne)
-	requests.CheckEnded(time.Second, time.Minute)
+	requests.CheckOutcomes(time.Second, time.Minute)
 	require.Len(t, report.Violations(), 1)
 	require.Equal(t, InvariantRequestAnswered, report.Violations()[0].Invariant)
 	require.Contains(t, report.Violations()[0].Detail, "attempt 3")
-	require.Equal(t, Tally{Sent: 4, Answered: 1, Runs: 2}, requests.Tally())
+	require.Equal(t, Tally{Offered: 4, Answered: 1, Runs: 2}, requests.Tally())
 }
 
 func TestDrain(t *testing.T) {
--- a/internal/checker/flow.go
+++ b/internal/checker/flow.go
@@ -56,9 +56,9 @@
 
 // Flows checks that flows stay with their target and are not broken.
 type Flows struct {
-	report *Report
-	flows  map[FlowID]*flowRecord
-	dead   map[TargetIncarnation]bool
+	report        *Report
+	flows         map[FlowID]*flowRecord
+	failedTargets map[TargetIncarnation]bool
 	// expectAnswers makes every interruption of an open flow a violation; see ExpectAnswers.
 	expectAnswers bool
 	// excused counts the flows that broke because their own target failed.
@@ -68,7 +68,7 @@
 
 // NewFlows returns a checker that adds its violations to report.
 func NewFlows(report *Report) *Flows {
-	return &Flows{report: report, flows: make(map[FlowID]*flowRecord), dead: make(map[TargetIncarnation]bool)}
+	return &Flows{report: report, flows: make(map[FlowID]*flowRecord), failedTargets: make(map[TargetIncarnation]bool)}
 }
 
 func (flows *Flows) record(id FlowID) *flowRecord {
@@ -110,10 +110,10 @@
 	}
 	// A delayed copy of an opening packet may open a flow again after its caller closed it. That
 	// flow is not checked any more.
-	if record.owner == delivery.Target || record.closed || flows.dead[delivery.Target] {
+	if record.owner == delivery.Target || record.closed || flows.failedTargets[delivery.Target] {
 		return
 	}
-	if flows.dead[record.owner] {
+	if flows.failedTargets[record.owner] {
 		// The owner failed and the flow was opened again at another target, which now owns it.
 		flows.setOwner(record, delivery)
 		return
@@ -143,7 +143,7 @@
 func (flows *Flows) Closed(id FlowID) { flows.record(id).closed = true }
 
 // TargetDied records the unplanned end of an incarnation of a target. Its flows may break.
-func (flows *Flows) TargetDied(target TargetIncarnation) { flows.dead[target] = true }
+func (flows *Flows) TargetDied(target TargetIncarnation) { flows.failedTargets[target] = true }
 
 // TargetStopped records the planned end of an incarnation of a target, which must own no open flow.
 func (flows *Flows) TargetStopped(target TargetIncarnation, at time.Duration) {
@@ -167,7 +167,7 @@
 // Call it only while the scenario does not cut the callers' paths.
 func (flows *Flows) CheckInterrupted(at time.Duration) {
 	for _, record := range flows.sorted() {
-		if record.interrupted() && flows.dead[record.owner] {
+		if record.interrupted() && flows.failedTargets[record.owner] {
 			record.broken = true
 			flows.report.Add(InvariantFlowKept, at, "flow %d was lost with %s and its caller was not told", record.id, record.owner)
 		}
@@ -212,7 +212,7 @@
 	if !record.owned {
 		return
 	}
-	if flows.dead[record.owner] {
+	if flows.failedTargets[record.owner] {
 		flows.excused++
 		return
 	}
--- a/internal/checker/linearizability.go
+++ b/internal/checker/linearizability.go
@@ -238,8 +238,8 @@
 		return false
 	}
 	key := make([]byte, 0, len(search.placed)+17)
-	for _, done := range search.placed {
-		if done {
+	for _, placed := range search.placed {
+		if placed {
 			key = append(key, 1)
 		} else {
 			key = append(key, 0)
--- a/internal/checker/linearizability_test.go
+++ b/internal/checker/linearizability_test.go
@@ -156,7 +156,7 @@
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 6}, 2)
 			operators.Answered("a", ChangeAnswer{Accepted: true, Revision: 6}, 3)
 			operators.Answered("b", ChangeAnswer{Revision: 6}, 3)
-			operators.Final("service", 1, 6, seconds(9))
+			operators.FinalState("service", 1, 6, seconds(9))
 		}, ""},
 		{"two winners", func(operators *Operators) {
 			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
@@ -176,12 +176,12 @@
 		}, InvariantAppliedOnce},
 		{"accepted change lost", func(operators *Operators) {
 			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
-			operators.Final("service", 0, 5, seconds(9))
+			operators.FinalState("service", 0, 5, seconds(9))
 		}, InvariantCommittedKept},
 		{"final value that was never written", func(operators *Operators) {
 			operators.Created("service", InitialState{Revision: 5})
 			operators.Completed(write("a", 1, 2, 5, 1, 6, ResultAccepted))
-			operators.Final("service", 2, 6, seconds(9))
+			operators.FinalState("service", 2, 6, seconds(9))
 			operators.CheckLinearizable()
 		}, InvariantLinearizable},
 	}
--- a/internal/checker/operator.go
+++ b/internal/checker/operator.go
@@ -73,9 +73,9 @@
 	operators.byKey[key] = answer
 }
 
-// Final records the value and revision of one object at the end of the run as a last read, and
+// FinalState records the value and revision of one object at the end of the run as a last read, and
 // checks that no accepted change has a higher revision.
-func (operators *Operators) Final(object string, value, revision uint64, at time.Duration) {
+func (operators *Operators) FinalState(object string, value, revision uint64, at time.Duration) {
 	operators.history = append(operators.history, Operation{
 		Object: object, Client: "final", Kind: OperationRead, Call: at, Return: at + 1,
 		Value: value, Revision: revision, Result: ResultAccepted,
--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -55,19 +55,19 @@
 
 // Requests checks requests against the back ends' log of executed requests.
 type Requests struct {
-	report   *Report
-	attempts map[AttemptID]*attemptRecord
-	keyRuns  map[string]int
-	dead     map[TargetIncarnation]bool
+	report        *Report
+	attempts      map[AttemptID]*attemptRecord
+	keyRuns       map[string]int
+	failedTargets map[TargetIncarnation]bool
 }
 
 // NewRequests returns a checker that adds its violations to report.
 func NewRequests(report *Report) *Requests {
 	return &Requests{
-		report:   report,
-		attempts: make(map[AttemptID]*attemptRecord),
-		keyRuns:  make(map[string]int),
-		dead:     make(map[TargetIncarnation]bool),
+		report:        report,
+		attempts:      make(map[AttemptID]*attemptRecord),
+		keyRuns:       make(map[string]int),
+		failedTargets: make(map[TargetIncarnation]bool),
 	}
 }
 
@@ -156,39 +156,40 @@
 
 // TargetDied records the unplanned end of an incarnation of a target. Its running requests may be
 // interrupted.
-func (requests *Requests) TargetDied(target TargetIncarnation) { requests.dead[target] = true }
+func (requests *Requests) TargetDied(target TargetIncarnation) { requests.failedTargets[target] = true }
 
 // TargetStopped records the planned end of an incarnation of a target, which must have no running
 // request.
 func (requests *Requests) TargetStopped(target TargetIncarnation, at time.Duration) {
 	for _, record := range requests.sorted() {
-		if record.running && record.target == target && !requests.dead[target] {
+		if record.running && record.target == target && !requests.failedTargets[target] {
 			record.outcome = outcomeInterrupted
 			requests.report.Add(InvariantStopCutsNothing, at, "attempt %d cut by the planned stop of %s", record.attempt.ID, target)
 		}
 	}
 }
 
-// CheckEnded reports a violation for each attempt that was sent before sentBefore and has no
+// CheckOutcomes reports a violation for each attempt that was sent before sentBefore and has no
 // outcome, except those that ran at a target that failed.
-func (requests *Requests) CheckEnded(sentBefore, at time.Duration) {
+func (requests *Requests) CheckOutcomes(sentBefore, at time.Duration) {
 	for _, record := range requests.sorted() {
-		if record.outcome == outcomeOpen && record.sentAt < sentBefore && !requests.dead[record.target] {
+		if record.outcome == outcomeOpen && record.sentAt < sentBefore && !requests.failedTargets[record.target] {
 			requests.report.Add(InvariantRequestAnswered, at, "attempt %d sent at %s has no end", record.attempt.ID, record.sentAt)
 		}
 	}
 }
 
-// Tally counts attempts by outcome, and their runs.
+// Tally counts attempts by outcome, and their runs. The simulation prints it into its trace, so the
+// field names are part of the digests of runs.
 type Tally struct {
-	Sent, Answered, Refused, Unknown, Runs int
+	Offered, Answered, Refused, Unknown, Runs int
 }
 
 // Tally returns the current counts.
 func (requests *Requests) Tally() Tally {
 	var tally Tally
 	for _, record := range requests.attempts {
-		tally.Sent++
+		tally.Offered++
 		tally.Runs += record.runs
 		switch record.outcome {
 		case outcomeAnswered:
--- a/internal/sim/cli/cli_test.go
+++ b/internal/sim/cli/cli_test.go
@@ -98,7 +98,7 @@
 
 func TestRunKeepsGoing(t *testing.T) {
 	selected := selection{scenarios: []sim.Scenario{failsOddSeeds("first")}, seeds: sim.SeedRange{First: 2, Last: 9}, workers: 3}
-	output, err := runOutput(t, selected, runFlags{keep: true})
+	output, err := runOutput(t, selected, runFlags{keepGoing: true})
 	require.ErrorIs(t, err, errFailed)
 	require.Equal(t, 4, strings.Count(output, "FAILED"))
 	require.NotContains(t, output, "stopped at the first failure")
--- a/internal/sim/cli/mutants.go
+++ b/internal/sim/cli/mutants.go
@@ -12,7 +12,7 @@
 
 // Reasons to exit with code 1.
 var (
-	errEscaped   = errors.New("a mutant was not caught")
+	errNotCaught = errors.New("a mutant was not caught")
 	errNoMutants = errors.New("there are no mutants, so nothing was shown")
 )
 
@@ -64,7 +64,7 @@
 	})
 	fmt.Fprintf(output, "%d of %d caught\n", caught, len(mutants))
 	if caught < len(mutants) {
-		return errEscaped
+		return errNotCaught
 	}
 	return nil
 }
--- a/internal/sim/cli/mutants_test.go
+++ b/internal/sim/cli/mutants_test.go
@@ -37,7 +37,7 @@
 	}{
 		{name: "none", want: errNoMutants},
 		{name: "all caught", mutants: []mutant.Mutant{stubMutant(true), stubMutant(true)}, output: "2 of 2 caught"},
-		{name: "one escapes", mutants: []mutant.Mutant{stubMutant(true), stubMutant(false)}, want: errEscaped, output: "1 of 2 caught"},
+		{name: "one escapes", mutants: []mutant.Mutant{stubMutant(true), stubMutant(false)}, want: errNotCaught, output: "1 of 2 caught"},
 	}
 	for _, row := range table {
 		t.Run(row.name, func(t *testing.T) {
--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -14,13 +14,13 @@
 )
 
 type runFlags struct {
-	scenario string
-	seeds    string
-	asJSON   bool
-	workers  int
-	keep     bool
-	trace    bool
-	flow     uint64
+	scenario  string
+	seeds     string
+	asJSON    bool
+	workers   int
+	keepGoing bool
+	trace     bool
+	flow      uint64
 	// knownRed is the path of a file with runs that are known to fail; empty for none.
 	knownRed string
 }
@@ -63,7 +63,7 @@
 	}
 	addSelection(command, &flags.scenario, &flags.seeds, &flags.workers)
 	command.Flags().BoolVar(&flags.asJSON, "json", false, "write one JSON object for each run")
-	command.Flags().BoolVar(&flags.keep, "keep-going", false, "run all seeds of a scenario also after a violation")
+	command.Flags().BoolVar(&flags.keepGoing, "keep-going", false, "run all seeds of a scenario also after a violation")
 	command.Flags().StringVar(&flags.knownRed, "known-red", "", "file with runs that are known to fail: they are printed, and fail nothing")
 	command.Flags().BoolVar(&flags.trace, "trace", false, "print every event of one seed of one scenario")
 	command.Flags().Uint64Var(&flags.flow, "flow", 0, "with --trace, print also the packets of this flow")
@@ -116,7 +116,7 @@
 				fmt.Fprintln(output, "known red:", line)
 			}
 			progress.show(scenario.Name, counted.runs, failures+counted.failed)
-			return flags.keep || isKnown || !result.Failed()
+			return flags.keepGoing || isKnown || !result.Failed()
 		})
 		failures += counted.failed
 		counted.stoppedEarly = uint64(counted.runs) < selected.seeds.Count()
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -125,7 +125,7 @@
 			world.run.Report.Add(checker.InvariantCommittedKept, world.run.Elapsed(), "service %s is lost", service.name)
 			continue
 		}
-		world.check.operators.Final(service.name, parameterOf(record), uint64(record.Revision), world.run.Elapsed())
+		world.check.operators.FinalState(service.name, parameterOf(record), uint64(record.Revision), world.run.Elapsed())
 	}
 	for _, target := range world.check.drain.Draining() {
 		known, exists := view.Configuration.Targets[model.TargetID(target)]
@@ -190,7 +190,7 @@
 	world.run.Scheduler.RunFor(silenceTime)
 	world.waitFor(answerTime-silenceTime, world.callers.idle)
 	world.check.flows.CheckInterrupted(world.run.Elapsed())
-	world.check.requests.CheckEnded(stoppedAt, world.run.Elapsed())
+	world.check.requests.CheckOutcomes(stoppedAt, world.run.Elapsed())
 	if world.callers.expectAnswers {
 		world.checkServed()
 	}
@@ -213,8 +213,8 @@
 		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "%d flows were opened by no target", world.callers.abandoned)
 	}
 	tally := world.check.requests.Tally()
-	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Sent) {
-		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Sent)
+	if float64(tally.Answered) < leastAnsweredShare*float64(tally.Offered) {
+		world.run.Report.Add(checker.InvariantRequestAnswered, elapsed, "only %d of %d attempts were answered", tally.Answered, tally.Offered)
 	}
 }
 
