--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -62,7 +62,7 @@
 		}, InvariantOneOwner},
 		{"second owner after the first failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Delivered(openingDelivery(1, ownService, targetTwo))
 		}, ""},
 		{"delayed copy after the caller closed the flow", func(flows *Flows) {
@@ -81,12 +81,12 @@
 		}, InvariantFlowKept},
 		{"reset after its target failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Reset(1, 0)
 		}, ""},
 		{"reset after another target failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetTwo)
+			flows.TargetFailed(targetTwo)
 			flows.Reset(1, 0)
 		}, InvariantFlowKept},
 		{"planned stop of a target with an open flow", func(flows *Flows) {
@@ -107,7 +107,7 @@
 		}, InvariantFlowKept},
 		{"unanswered without a reset after its target failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
@@ -115,7 +115,7 @@
 		}, InvariantFlowKept},
 		{"unanswered, then reset after its target failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			for range maxUnanswered + 1 {
 				flows.Sent(1, ownService, 0)
 			}
@@ -170,24 +170,24 @@
 		}, InvariantOneOwner},
 		{"restarted target gets a packet of an old flow", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Delivered(laterDelivery(1, targetOneRestarted))
 		}, InvariantOneOwner},
 		{"third owner after the first failed", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Delivered(openingDelivery(1, ownService, targetTwo))
 			flows.Delivered(openingDelivery(1, ownService, targetOneRestarted))
 		}, InvariantOneOwner},
 		{"planned stop of the second owner", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Delivered(openingDelivery(1, ownService, targetTwo))
 			flows.TargetStopped(targetTwo, 0)
 		}, InvariantFlowKept},
 		{"delayed copy at the failed incarnation", func(flows *Flows) {
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
-			flows.TargetDied(targetOne)
+			flows.TargetFailed(targetOne)
 			flows.Delivered(openingDelivery(1, ownService, targetTwo))
 			flows.Delivered(openingDelivery(1, ownService, targetOne))
 		}, ""},
@@ -214,7 +214,7 @@
 	flows := NewFlows(&report)
 	flows.Delivered(openingDelivery(1, ownService, targetOne))
 	flows.Delivered(openingDelivery(2, ownService, targetTwo))
-	flows.TargetDied(targetOne)
+	flows.TargetFailed(targetOne)
 	flows.Reset(1, 0)
 	flows.Reset(1, 0)
 	require.Empty(t, report.Violations())
@@ -284,7 +284,7 @@
 		}, InvariantStopCutsNothing},
 		{"interrupted by a target failure", func(requests *Requests) {
 			requests.Ran(1, targetOne, 0)
-			requests.TargetDied(targetOne)
+			requests.TargetFailed(targetOne)
 			requests.CheckOutcomes(time.Second, time.Minute)
 		}, InvariantRequestAnswered}, // for attempts 2 to 4, which have no outcome
 	}
@@ -312,7 +312,7 @@
 	requests.Ran(1, targetTwo, 0)
 	requests.Answered(Answer{Attempt: 1, Origin: 1, Complete: true})
 	requests.Ran(2, targetOne, 0)
-	requests.TargetDied(targetOne)
+	requests.TargetFailed(targetOne)
 	requests.CheckOutcomes(time.Second, time.Minute)
 	require.Len(t, report.Violations(), 1)
 	require.Equal(t, InvariantRequestAnswered, report.Violations()[0].Invariant)
--- a/internal/checker/flow.go
+++ b/internal/checker/flow.go
@@ -142,8 +142,8 @@
 // Closed records that the caller closed the flow.
 func (flows *Flows) Closed(id FlowID) { flows.record(id).closed = true }
 
-// TargetDied records the unplanned end of an incarnation of a target. Its flows may break.
-func (flows *Flows) TargetDied(target TargetIncarnation) { flows.failedTargets[target] = true }
+// TargetFailed records the unplanned end of an incarnation of a target. Its flows may break.
+func (flows *Flows) TargetFailed(target TargetIncarnation) { flows.failedTargets[target] = true }
 
 // TargetStopped records the planned end of an incarnation of a target, which must own no open flow.
 func (flows *Flows) TargetStopped(target TargetIncarnation, at time.Duration) {
@@ -196,7 +196,8 @@
 	return lost
 }
 
-// interrupted reports whether an open flow has more than maxUnanswered consecutive unanswered packets.
+// interrupted reports whether an open flow has more than maxUnanswered consecutive unanswered
+// packets.
 func (record *flowRecord) interrupted() bool {
 	return record.open() && len(record.unanswered) > maxUnanswered
 }
--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// TargetDied records the unplanned end of an incarnation of a target. Its running requests may be
+// TargetFailed records the unplanned end of an incarnation of a target. Its running requests may be
 // interrupted.
-func (requests *Requests) TargetDied(target TargetIncarnation) { requests.failedTargets[target] = true }
+func (requests *Requests) TargetFailed(target TargetIncarnation) { requests.failedTargets[target] = true }
 
 // TargetStopped records the planned end of an incarnation of a target, which must have no running
 // request.
--- a/internal/sim/mutant/mutant_test.go
+++ b/internal/sim/mutant/mutant_test.go
@@ -60,7 +60,7 @@
 }
 
 // stubMutant returns a mutant whose scenario only calls play; broken says whether the variant is in
-// index.
+// place.
 func stubMutant(play func(run *sim.Run, broken bool)) Mutant {
 	return Mutant{
 		Name:   "drawn",
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -112,8 +112,8 @@
 	if !agent.process.Running() {
 		return
 	}
-	world.check.flows.TargetDied(agent.life.place())
-	world.check.requests.TargetDied(agent.life.place())
+	world.check.flows.TargetFailed(agent.life.place())
+	world.check.requests.TargetFailed(agent.life.place())
 	agent.process.Kill()
 }
 
@@ -122,8 +122,8 @@
 func (world *World) MayLoseFlows(name model.NodeName) {
 	agent := world.byName[name]
 	if agent.process.Running() {
-		world.check.flows.TargetDied(agent.life.place())
-		world.check.requests.TargetDied(agent.life.place())
+		world.check.flows.TargetFailed(agent.life.place())
+		world.check.requests.TargetFailed(agent.life.place())
 	}
 }
 
