--- a/internal/checker/request.go
+++ b/internal/checker/request.go
@@ -156,7 +156,9 @@
 
 // TargetFailed records the unplanned end of an incarnation of a target. Its running requests may be
 // interrupted.
-func (requests *Requests) TargetFailed(target TargetIncarnation) { requests.failedTargets[target] = true }
+func (requests *Requests) TargetFailed(target TargetIncarnation) {
+	requests.failedTargets[target] = true
+}
 
 // TargetStopped records the planned end of an incarnation of a target, which must have no running
 // request.
