--- a/internal/sim/mutant/claim.go
+++ b/internal/sim/mutant/claim.go
@@ -14,17 +14,17 @@
 
 func claimSkipped() Mutant {
 	return Mutant{
-		Name:   "claim-skipped",
-		Breaks: "an agent runs a request that may run once without a claim",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-skipped",
+		Breaks:   "an agent runs an at-most-once request without a claim",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Claims = func(standard world.Claims) world.Claims { return grantsAll{Claims: standard} }
 		},
 	}
 }
 
-// grantsAll grants every claim without asking.
+// grantsAll grants every claim without asking the control group.
 type grantsAll struct{ world.Claims }
 
 // Claim implements world.Claims.
@@ -36,19 +36,20 @@
 
 func claimReleasedAfterRun() Mutant {
 	return Mutant{
-		Name:   "claim-released-after-run",
-		Breaks: "an agent reports a claimed request that ran as not run",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-released-after-run",
+		Breaks:   "an agent releases the claim of a request that ran, as if it had not run",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Claims = func(standard world.Claims) world.Claims { return &releasesAll{Claims: standard} }
 		},
 	}
 }
 
-// releasesAll releases every claim at its end.
+// releasesAll releases every claim instead of recording its outcome.
 type releasesAll struct {
 	world.Claims
+	// now is the time of the last Reconcile.
 	now time.Time
 }
 
@@ -68,10 +69,10 @@
 
 func claimGrantedToEachAgent() Mutant {
 	return Mutant{
-		Name:   "claim-granted-to-each",
-		Breaks: "claims of different agents for the same key do not exclude each other",
-		Expect: []checker.Invariant{checker.InvariantAtMostOnce},
-		Story:  storyOf("late-answers"),
+		Name:     "claim-granted-to-each",
+		Breaks:   "claims of different agents for the same key do not exclude each other",
+		Expect:   []checker.Invariant{checker.InvariantAtMostOnce},
+		Scenario: namedScenario("late-answers"),
 		Variant: func(_ *sim.Run, parts *world.Parts) {
 			parts.Messages = func(envelope protocol.Envelope) []protocol.Envelope {
 				return []protocol.Envelope{withKeyOfAgent(envelope)}
@@ -80,8 +81,8 @@
 	}
 }
 
-// withKeyOfAgent makes the key of a claim the agent's own. A relay passes
-// claims on, so the key may have been changed before.
+// withKeyOfAgent adds the agent's name to the key of a claim message. Relays forward these messages,
+// so the key may have the suffix already.
 func withKeyOfAgent(envelope protocol.Envelope) protocol.Envelope {
 	switch message := envelope.Message.(type) {
 	case protocol.ClaimRequest:
@@ -94,6 +95,7 @@
 	return envelope
 }
 
+// keyOfAgent returns the key with the agent's name as its suffix, which is added once only.
 func keyOfAgent(key string, agent model.NodeName) string {
 	suffix := "/" + string(agent)
 	return strings.TrimSuffix(key, suffix) + suffix
--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -183,8 +183,8 @@
 }
 
 // place identifies this incarnation of the target to the checkers.
-func (instance *agentInstance) place() checker.Place {
-	return checker.Place{Target: uint32(instance.target.ID), Incarnation: uint64(instance.incarnation)}
+func (instance *agentInstance) place() checker.TargetIncarnation {
+	return checker.TargetIncarnation{Target: uint32(instance.target.ID), Incarnation: uint64(instance.incarnation)}
 }
 
 // Load implements rollout.Reporter.
@@ -292,13 +292,13 @@
 		Intended:  uint32(forwarded.packet.intended),
 		Delivered: uint32(instance.target.Service),
 		Opening:   forwarded.opening,
-		Place:     instance.place(),
+		Target:    instance.place(),
 		At:        elapsed,
 	})
 	world.run.Trace.Mix(uint64(forwarded.packet.flow), forwarded.packet.sequence, uint64(instance.target.ID), uint64(forwarded.passes))
 	if decision.Opened {
 		world.run.Trace.Addf(string(instance.agent.process.Name), "open", "flow %d", forwarded.packet.flow)
-		world.checks.drain.Took(uint32(instance.target.ID), checker.WorkFlow, elapsed)
+		world.checks.drain.WorkStarted(uint32(instance.target.ID), checker.WorkFlow, elapsed)
 	}
 	if decision.Hint {
 		world.sendHint(instance, forwarded)
--- a/internal/sim/world/backend.go
+++ b/internal/sim/world/backend.go
@@ -25,13 +25,13 @@
 	random *kernel.Random
 	// truncation decides which answers are truncated and which requests stall.
 	truncation *kernel.Random
-	place      checker.Place
+	place      checker.TargetIncarnation
 	stopped    bool
 	// running is the number of requests in progress.
 	running int
 }
 
-func newBackend(world *World, place checker.Place, random, truncation *kernel.Random) *backend {
+func newBackend(world *World, place checker.TargetIncarnation, random, truncation *kernel.Random) *backend {
 	return &backend{world: world, random: random, truncation: truncation, place: place}
 }
 
--- a/internal/sim/world/caller_request.go
+++ b/internal/sim/world/caller_request.go
@@ -66,7 +66,7 @@
 	callers.pendingAttempts++
 	callers.requests[id] = request
 	now := callers.world.run.Scheduler.Now()
-	callers.world.checks.requests.Offered(checker.Attempt{ID: id, Key: request.key, Service: uint32(request.intended)}, now.Sub(kernel.Epoch))
+	callers.world.checks.requests.Sent(checker.Attempt{ID: id, Key: request.key, Service: uint32(request.intended)}, now.Sub(kernel.Epoch))
 	callers.sendAttempt(flow, request, requestPayload{
 		attempt:     id,
 		key:         request.key,
@@ -122,13 +122,13 @@
 func (callers *callers) receiveFinal(reply answer) {
 	request, known := callers.requests[reply.attempt]
 	if !known {
-		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, For: reply.executedAttempt, Whole: reply.complete, At: callers.world.run.Elapsed()})
+		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, Origin: reply.executedAttempt, Complete: reply.complete, At: callers.world.run.Elapsed()})
 		return
 	}
 	current := request.current == reply.attempt
 	switch reply.kind {
 	case answerResponse:
-		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, For: reply.executedAttempt, Whole: reply.complete, At: callers.world.run.Elapsed()})
+		callers.world.checks.requests.Answered(checker.Answer{Attempt: reply.attempt, Origin: reply.executedAttempt, Complete: reply.complete, At: callers.world.run.Elapsed()})
 		callers.endRequest(request, reply.attempt)
 	case answerRefusal:
 		callers.world.checks.requests.Refused(reply.attempt, callers.world.run.Elapsed())
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -111,8 +111,8 @@
 	if !agent.process.Running() {
 		return
 	}
-	world.checks.flows.TargetDied(agent.instance.place())
-	world.checks.requests.TargetDied(agent.instance.place())
+	world.checks.flows.TargetFailed(agent.instance.place())
+	world.checks.requests.TargetFailed(agent.instance.place())
 	agent.process.Kill()
 }
 
@@ -121,8 +121,8 @@
 func (world *World) AllowFlowLoss(name model.NodeName) {
 	agent := world.agentsByName[name]
 	if agent.process.Running() {
-		world.checks.flows.TargetDied(agent.instance.place())
-		world.checks.requests.TargetDied(agent.instance.place())
+		world.checks.flows.TargetFailed(agent.instance.place())
+		world.checks.requests.TargetFailed(agent.instance.place())
 	}
 }
 
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -130,9 +130,9 @@
 			world.run.Report.Add(checker.InvariantCommittedKept, world.run.Elapsed(), "service %s is lost", service.name)
 			continue
 		}
-		world.checks.operators.Final(service.name, queueLimitOf(record), uint64(record.Revision), world.run.Elapsed())
+		world.checks.operators.FinalState(service.name, queueLimitOf(record), uint64(record.Revision), world.run.Elapsed())
 	}
-	for _, target := range world.checks.drain.Leaving() {
+	for _, target := range world.checks.drain.Draining() {
 		known, exists := view.Configuration.Targets[model.TargetID(target)]
 		serving := exists && known.Phase == model.PhaseServing
 		world.checks.drain.CheckKept(target, serving, world.run.Elapsed())
@@ -183,7 +183,7 @@
 // when an open flow gets no answers for a time. It is for scenarios with planned changes only.
 func (world *World) ExpectAnswers() {
 	world.callers.expectAnswers = true
-	world.checks.flows.ExpectSteady()
+	world.checks.flows.ExpectAnswers()
 }
 
 // FinishTraffic stops new work, waits for the last answers, and checks that every open flow gets
@@ -191,11 +191,11 @@
 func (world *World) FinishTraffic() {
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
-	world.checks.flows.NetworkHealed()
+	world.checks.flows.ClearUnanswered()
 	world.run.Scheduler.RunFor(silenceTime)
 	world.waitFor(answerTimeout-silenceTime, world.callers.idle)
-	world.checks.flows.CheckSilent(world.run.Elapsed())
-	world.checks.requests.CheckEnded(stoppedAt, world.run.Elapsed())
+	world.checks.flows.CheckInterrupted(world.run.Elapsed())
+	world.checks.requests.CheckOutcomes(stoppedAt, world.run.Elapsed())
 	if world.callers.expectAnswers {
 		world.checkServed()
 	}
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -109,7 +109,7 @@
 	result := machine.wrapped.Apply(index, at, command)
 	world := machine.member.world
 	process := machine.member.process
-	life := checker.MemberLife{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
+	life := checker.MemberIncarnation{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
 	world.checks.replicas.Applied(life, uint64(index), string(command), world.run.Elapsed())
 	world.checks.observeApplied(machine.member, uint64(index))
 	return result
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -273,7 +273,7 @@
 		}
 		operation.Result = resultOf(answer)
 		if operation.Result != 0 {
-			operator.world.checks.operators.Ended(operation)
+			operator.world.checks.operators.Completed(operation)
 		}
 		done(answer)
 	})
@@ -311,7 +311,7 @@
 			return
 		}
 		value := queueLimitOf(record)
-		operator.world.checks.operators.Ended(checker.Operation{
+		operator.world.checks.operators.Completed(checker.Operation{
 			Object: service.name, Client: operator.name, Kind: checker.OperationRead, Call: called,
 			Return: operator.world.run.Elapsed(), Value: value, Revision: uint64(record.Revision), Result: checker.ResultAccepted,
 		})
--- a/internal/sim/world/packet.go
+++ b/internal/sim/world/packet.go
@@ -79,5 +79,5 @@
 	// complete reports whether a response has its full length.
 	complete   bool
 	retryAfter time.Duration
-	place      checker.Place
+	place      checker.TargetIncarnation
 }
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -235,7 +235,7 @@
 		return
 	}
 	attempt.running = true
-	world.checks.drain.Took(uint32(handler.instance.target.ID), checker.WorkRequest, world.run.Elapsed())
+	world.checks.drain.WorkStarted(uint32(handler.instance.target.ID), checker.WorkRequest, world.run.Elapsed())
 	world.run.Scheduler.At(attempt.request.deadline, func() {
 		handler.instance.runOrQueue(func() { handler.expire(id, attempt) })
 	})
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -144,7 +144,7 @@
 		if answer.Known && answer.Result.Applied() {
 			service.id = answer.Result.Service
 			service.revision = answer.Result.Revision
-			world.checks.operators.Created(service.name, checker.Initial{Value: initialQueueLimit, Revision: uint64(service.revision)})
+			world.checks.operators.Created(service.name, checker.InitialState{Value: initialQueueLimit, Revision: uint64(service.revision)})
 		}
 		done(answer)
 	})
