--- a/internal/standin/backend/feed.go
+++ b/internal/standin/backend/feed.go
@@ -12,7 +12,7 @@
 // length as a duration; its last message is then an event named "end".
 func (server *Server) serveFeed(writer http.ResponseWriter, request *http.Request) {
 	if server.faults.contains(Shed) || server.draining.Load() {
-		writeProblem(writer, http.StatusServiceUnavailable, "no", "the back end takes no new feeds")
+		writeProblem(writer, http.StatusServiceUnavailable, "no", "the back end accepts no new feeds")
 		return
 	}
 	length, err := feedLength(request)
@@ -52,7 +52,7 @@
 // sendUpdates sends updates until the feed's length has passed or the client has disconnected. It
 // returns the number of updates sent and whether the feed ended with its end event.
 func (server *Server) sendUpdates(writer http.ResponseWriter, request *http.Request, identity runIdentity, length time.Duration) (int, bool) {
-	first, _ := strconv.ParseUint(request.Header.Get(headerLastEventID), 10, 64)
+	lastID, _ := strconv.ParseUint(request.Header.Get(headerLastEventID), 10, 64)
 	controller := http.NewResponseController(writer)
 	ticker := time.NewTicker(server.options.FeedInterval)
 	defer ticker.Stop()
@@ -63,7 +63,7 @@
 		end = timer.C
 	}
 	for sent := 0; ; sent++ {
-		number := first + uint64(sent) + 1
+		number := lastID + uint64(sent) + 1
 		fmt.Fprintf(writer, "id: %d\ndata: {\"request\":%q,\"sequence\":%d,\"node\":%q}\n\n", number, identity.request, number, server.options.Node)
 		if controller.Flush() != nil {
 			return sent, false
--- a/internal/standin/backend/misbehavior.go
+++ b/internal/standin/backend/misbehavior.go
@@ -19,13 +19,13 @@
 	Short Misbehavior = "short"
 	// Doubled sends each answer twice on its connection.
 	Doubled Misbehavior = "doubled"
-	// Shed refuses every request with 503.
+	// Shed refuses every call, upload and feed with 503, and makes the actual health unhealthy.
 	Shed Misbehavior = "shed"
 	// HealthFrozen reports the health from just before the fault was injected.
 	HealthFrozen Misbehavior = "health_frozen"
 	// LoadFrozen reports the load from just before the fault was injected.
 	LoadFrozen Misbehavior = "load_frozen"
-	// Wrong reports the opposite of the actual health, and free slots as running requests.
+	// Wrong reports the opposite of the actual health, and the number of free slots as Load.Running.
 	Wrong Misbehavior = "wrong"
 )
 
--- a/internal/standin/backend/server.go
+++ b/internal/standin/backend/server.go
@@ -100,7 +100,8 @@
 	}
 }
 
-// SetFaults replaces the active faults.
+// SetFaults replaces the active faults. It first captures the health and load that HealthFrozen and
+// LoadFrozen report.
 func (server *Server) SetFaults(faults []Misbehavior) {
 	server.frozen.capture(server.actualHealth(), server.actualLoad())
 	server.faults.replace(faults)
--- a/internal/standin/backend/work.go
+++ b/internal/standin/backend/work.go
@@ -60,7 +60,7 @@
 	}
 	if err != nil {
 		server.record(EventCancelled, identity, 0)
-		writeProblem(writer, http.StatusGatewayTimeout, "unknown", "the request was given up: "+err.Error())
+		writeProblem(writer, http.StatusGatewayTimeout, "unknown", "the request was cancelled: "+err.Error())
 		return
 	}
 	current := &answer{
--- a/internal/standin/caller/arrivals.go
+++ b/internal/standin/caller/arrivals.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// sleepUntil waits until moment. It returns false when ctx ended first.
+// sleepUntil waits until moment and reports whether it was reached before ctx ended.
 func sleepUntil(ctx context.Context, moment time.Time) bool {
 	timer := time.NewTimer(time.Until(moment))
 	defer timer.Stop()
--- a/internal/standin/caller/check.go
+++ b/internal/standin/caller/check.go
@@ -55,7 +55,7 @@
 // checkEchoedID returns an error when the answer's X-Request-Id header differs from the request's.
 // An answer without the header passes.
 func checkEchoedID(response *http.Response, request *http.Request) error {
-	sent, named := request.Header.Get(headerRequest), response.Header.Get(headerRequest)
+	sent, named := request.Header.Get(headerRequestID), response.Header.Get(headerRequestID)
 	if named != "" && named != sent {
 		return fmt.Errorf("the answer's header names request %q, expected %q", named, sent)
 	}
--- a/internal/standin/caller/exchange.go
+++ b/internal/standin/caller/exchange.go
@@ -17,11 +17,11 @@
 
 // Names of request and answer headers.
 const (
-	headerRequest     = "X-Request-Id"
-	headerKey         = "Idempotency-Key"
-	headerTimeout     = "Request-Timeout"
-	headerRetryAfter  = "Retry-After"
-	headerLastEventID = "Last-Event-ID"
+	headerRequestID      = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerTimeout        = "Request-Timeout"
+	headerRetryAfter     = "Retry-After"
+	headerLastEventID    = "Last-Event-ID"
 )
 
 // maximumReplyBytes bounds the bytes that are read of one answer's body.
@@ -58,7 +58,8 @@
 	retryAfter time.Duration
 	// elapsed is the time from sending to the end of the attempt.
 	elapsed time.Duration
-	// node is the back end that last answered on the connection, or unknownNode.
+	// node is the back end that last answered on the connection, or unknownNode. An empty
+	// node counts as unknownNode.
 	node string
 	err  error
 }
--- a/internal/standin/caller/flow.go
+++ b/internal/standin/caller/flow.go
@@ -39,7 +39,7 @@
 	inProgress atomic.Int64
 	// closedByCaller is set when the caller closes the connection.
 	closedByCaller atomic.Bool
-	// retired is set when the connection shall be closed after its last request in progress.
+	// retired is set when the connection is to be closed once its last request in progress has ended.
 	retired atomic.Bool
 	// goingAway is set when the server accepts no more requests on the connection.
 	goingAway atomic.Bool
--- a/internal/standin/caller/pool.go
+++ b/internal/standin/caller/pool.go
@@ -32,8 +32,9 @@
 	return &pool{options: options, recorder: recorder, connectionSlots: make([]connectionSlot, options.Connections)}
 }
 
-// acquire returns the connection at index and counts a request on it; the caller must release it.
-// It opens a new connection when the present one is not usable.
+// acquire returns the connection of the slot at index and increments its count of requests in
+// progress; every acquire needs a later release. It opens a new connection when the current one is
+// not usable.
 func (pool *pool) acquire(ctx context.Context, index int) (*flow, error) {
 	slot := &pool.connectionSlots[index]
 	slot.lock.Lock()
@@ -77,7 +78,8 @@
 	return opened, nil
 }
 
-// retire marks a connection to be closed once its requests have ended; without any it closes it now.
+// retire marks a connection to be closed once its requests have ended, or closes it at once when it
+// has none.
 func (pool *pool) retire(old *flow) {
 	if old == nil || !old.alive() {
 		return
@@ -88,8 +90,8 @@
 	}
 }
 
-// release ends a request on its connection, and closes the connection if it was retired and this
-// was its last request.
+// release decrements the connection's count of requests in progress, and closes the connection if it
+// was retired and this was its last request.
 func (pool *pool) release(used *flow) {
 	if used.inProgress.Add(-1) == 0 && used.retired.Load() {
 		used.close()
--- a/internal/standin/caller/report.go
+++ b/internal/standin/caller/report.go
@@ -19,16 +19,17 @@
 	Classes map[Class]ClassReport `json:"classes"`
 	Flows   FlowCounts            `json:"flows"`
 	Feeds   FeedCounts            `json:"feeds"`
-	// Refusals counts refused attempts by the system's error code.
+	// Refusals counts the attempts that were refused as not run and those of unknown outcome, by the
+	// system's error code. Code zero stands for attempts without one, such as timeouts.
 	Refusals map[int]int `json:"refusals"`
 	// RefusalLatency holds the times from sending an attempt to its refusal as not run, in
 	// microseconds.
 	RefusalLatency   Latency                `json:"refusal_latency_microseconds"`
 	RefusalHistogram *hdrhistogram.Snapshot `json:"refusal_histogram"`
-	// RefusedWithoutRetryAfter counts refusals with status 503 that stated no Retry-After.
+	// RefusedWithoutRetryAfter counts refusals as not run with status 503 and without a
+	// Retry-After.
 	RefusedWithoutRetryAfter int `json:"refused_without_retry_after"`
-	// RetriesOverBudget counts requests that ended because the retry budget
-	// was empty.
+	// RetriesOverBudget counts requests that ended because the retry budget was empty.
 	RetriesOverBudget int `json:"retries_over_budget"`
 	// ClaimedNotRun lists the attempts that the system refused as not run.
 	ClaimedNotRun []string `json:"claimed_not_run"`
@@ -110,9 +111,10 @@
 
 // FlowExample describes one connection that failed or broke.
 type FlowExample struct {
-	At    time.Time `json:"at"`
-	Local string    `json:"local"`
-	Error string    `json:"error"`
+	At time.Time `json:"at"`
+	// Local is the connection's local address, or "open" when it never opened.
+	Local string `json:"local"`
+	Error string `json:"error"`
 }
 
 // buildReport returns the report of a run that began at started and ends now.
--- a/internal/standin/caller/request.go
+++ b/internal/standin/caller/request.go
@@ -12,7 +12,7 @@
 )
 
 // errStopping is the cause of contexts that end because the caller is stopped.
-var errStopping = errors.New("the caller stops")
+var errStopping = errors.New("the caller is stopping")
 
 // job is one request as created by an arrival process, before its attempts.
 type job struct {
@@ -119,7 +119,7 @@
 		return outcome{kind: outcomeNotSent, err: err}
 	}
 	if job.key != "" {
-		request.Header.Set(headerKey, job.key)
+		request.Header.Set(headerIdempotencyKey, job.key)
 	}
 	sent := time.Now()
 	result := exchange(ctx, connection, request, expected)
@@ -133,7 +133,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("make request: %w", err)
 	}
-	request.Header.Set(headerRequest, identifier)
+	request.Header.Set(headerRequestID, identifier)
 	setTimeout(ctx, request)
 	return request, nil
 }
--- a/internal/standin/caller/retry.go
+++ b/internal/standin/caller/retry.go
@@ -18,8 +18,8 @@
 	// The backoff doubles from the initial to the maximum value, with full jitter.
 	initialBackoff = 50 * time.Millisecond
 	maximumBackoff = 2 * time.Second
-	// retryAfterSpread is the fraction by which a stated Retry-After is at most lengthened, at
-	// random, so that callers do not all retry at the same moment.
+	// retryAfterSpread is the largest fraction by which a stated Retry-After is randomly lengthened,
+	// so that callers do not all retry at the same moment.
 	retryAfterSpread = 0.5
 )
 
--- a/internal/standin/caller/run_test.go
+++ b/internal/standin/caller/run_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Checks that the caller and the back end stand-in agree on the protocol: without faults, every
-// request is delivered and passes the checks.
+// TestRunAgainstBackEnd checks that the caller and the back end stand-in agree on the protocol:
+// without faults, every request is delivered and passes the checks.
 func TestRunAgainstBackEnd(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "ledger")
 	ledger, err := backend.OpenLedger(path)
@@ -114,7 +114,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	fmt.Fprintf(writer, `{"request":%q,"key":%q,"body_bytes":%d,"body_checksum":%q}`,
-		request.Header.Get(headerRequest), request.Header.Get(headerKey), len(body), strconv.FormatUint(xxhash.Sum64(body), 16))
+		request.Header.Get(headerRequestID), request.Header.Get(headerIdempotencyKey), len(body), strconv.FormatUint(xxhash.Sum64(body), 16))
 }
 
 // refuse returns a handler that answers 503 with a problem whose ran field is ran.
@@ -147,7 +147,7 @@
 		{"rejected stream", resetWith(http3.ErrCodeRequestRejected), outcomeNotRun},
 		{"reset stream", resetWith(http3.ErrCodeInternalError), outcomeBroken},
 		{"answer to another request", func(writer http.ResponseWriter, request *http.Request) {
-			request.Header.Set(headerRequest, "other")
+			request.Header.Set(headerRequestID, "other")
 			echoReply(writer, request)
 		}, outcomeCrossed},
 		{"cut answer", func(writer http.ResponseWriter, _ *http.Request) {
@@ -182,7 +182,7 @@
 	keys := make(chan string, 3)
 	address, _ := serve(t, http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		number := attempts.Add(1)
-		keys <- request.Header.Get(headerKey)
+		keys <- request.Header.Get(headerIdempotencyKey)
 		switch number {
 		case 1:
 			refuse("unknown")(writer, request)
@@ -234,13 +234,14 @@
 // feedScript returns a handler that answers each request of a feed with the next of texts, and
 // resets the stream after each but the last. The placeholders in a text are the attempt's identifier
 // and the next update's number. That number follows the request's Last-Event-ID, because a reset may
-// discard updates that were sent before it.
+// discard updates that were sent before it. The trailing %[3]s, for an empty string, keeps Fprintf
+// from reporting the arguments that a text does not use.
 func feedScript(texts ...string) http.HandlerFunc {
 	var next atomic.Int32
 	return func(writer http.ResponseWriter, request *http.Request) {
 		number := int(next.Add(1)) - 1
 		last, _ := strconv.Atoi(request.Header.Get(headerLastEventID))
-		fmt.Fprintf(writer, texts[min(number, len(texts)-1)]+"%[3]s", request.Header.Get(headerRequest), last+1, "")
+		fmt.Fprintf(writer, texts[min(number, len(texts)-1)]+"%[3]s", request.Header.Get(headerRequestID), last+1, "")
 		if number < len(texts)-1 {
 			_ = http.NewResponseController(writer).Flush()
 			panic(http.ErrAbortHandler)
--- a/internal/standin/fabric/control_test.go
+++ b/internal/standin/fabric/control_test.go
@@ -24,12 +24,12 @@
 	}{
 		{"read", http.MethodGet, "/impairments", "", http.StatusOK, `"loss":0.25`},
 		{"replace", http.MethodPut, "/impairments", `{"cut_zones":["zone-1"]}`, http.StatusOK, `"loss":0`},
-		{"end", http.MethodDelete, "/impairments", "", http.StatusNoContent, ""},
+		{"remove", http.MethodDelete, "/impairments", "", http.StatusNoContent, ""},
 		{"live balancers", http.MethodGet, "/balancers", "", http.StatusOK, `{"live":1}`},
 		{"not JSON", http.MethodPut, "/impairments", `{`, http.StatusBadRequest, "cannot be read"},
 		{"unknown field", http.MethodPut, "/impairments", `{"los":1}`, http.StatusBadRequest, "los"},
-		{"wrong value", http.MethodPut, "/impairments", `{"loss":3}`, http.StatusBadRequest, "loss: 3"},
-		{"too long", http.MethodPut, "/impairments", `{"cut_zones":["` + strings.Repeat("x", maximumControlBytes) + `"]}`, http.StatusBadRequest, "too large"},
+		{"value out of range", http.MethodPut, "/impairments", `{"loss":3}`, http.StatusBadRequest, "loss: 3"},
+		{"body too large", http.MethodPut, "/impairments", `{"cut_zones":["` + strings.Repeat("x", maximumControlBytes) + `"]}`, http.StatusBadRequest, "too large"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/standin/fabric/delay.go
+++ b/internal/standin/fabric/delay.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// delayCapacity bounds the waiting packets; further ones are dropped, as by the full queue of a
-// switch.
+// delayCapacity bounds the waiting packets; further ones are dropped, as a switch with a full queue
+// does.
 const delayCapacity = 1 << 16
 
 // delayedPacket is one datagram that is sent at due.
@@ -70,7 +70,7 @@
 	}
 }
 
-// Put queues a copy of data to be sent at due. It returns false when the queue is full.
+// Put queues a copy of data to be sent at due, and reports whether the queue had room for it.
 func (queue *DelayQueue) Put(due time.Time, socket *net.UDPConn, destination netip.AddrPort, data []byte) bool {
 	packet := queue.free.Get().(*delayedPacket)
 	packet.due, packet.socket, packet.destination = due, socket, destination
--- a/internal/standin/fabric/doc.go
+++ b/internal/standin/fabric/doc.go
@@ -9,12 +9,12 @@
 //
 // # Which balancers are live
 //
-// The fabric knows balancers only from the platform's list, which lags on purpose. A balancer that is
-// listed as leaving gets no packets. A balancer that failed gets its share until it is removed from
-// the list, and these packets are lost: the fabric has no health checks and ignores ICMP errors. A
-// fabric that withdraws next hops faster (with BFD, for example) detects a failed machine or link, but
-// not a failed process. This is therefore the harder case for the system, and the one that the tests
-// use.
+// The fabric knows balancers only from the platform's list, which lags on purpose. (Until it has read
+// that list, or without a platform, it uses the fixed list in the settings.) A balancer that is listed
+// as leaving gets no packets. A balancer that failed gets its share until it is removed from the list,
+// and these packets are lost: the fabric has no health checks and ignores ICMP errors. A fabric that
+// withdraws next hops faster (with BFD, for example) detects a failed machine or link, but not a
+// failed process. This is therefore the harder case for the system, and the one that the tests use.
 //
 // # TCP
 //
@@ -31,6 +31,6 @@
 // between balancers and agents do not pass through the stand-in and have the latency of loopback.
 // Loss, duplication, reordering and zone cuts are set at the control endpoint; see ControlHandler.
 //
-// The package provides *Fabric and needs settings.Settings, *process.Tasks,
+// Module provides *Fabric and *Machines and needs settings.Settings, *process.Tasks,
 // *process.Readiness, *prometheus.Registry and *zap.Logger.
 package fabric
--- a/internal/standin/fabric/fabric.go
+++ b/internal/standin/fabric/fabric.go
@@ -18,7 +18,7 @@
 // less.
 const socketBufferBytes = 4 << 20
 
-// receiveBufferBytes holds the largest datagram over loopback.
+// receiveBufferBytes is the size of receive buffers, enough for the largest datagram over loopback.
 const receiveBufferBytes = 1 << 16
 
 // Options configures a fabric.
@@ -121,14 +121,14 @@
 
 // Run forwards packets until ctx ends, and then closes the fabric.
 func (fabric *Fabric) Run(ctx context.Context) error {
-	group, running := errgroup.WithContext(ctx)
+	group, groupContext := errgroup.WithContext(ctx)
 	for _, address := range fabric.addresses {
 		group.Go(func() error { return newIngress(fabric, address).run() })
 	}
 	group.Go(func() error { return newEgress(fabric).run() })
-	group.Go(func() error { return fabric.delayed.Run(running) })
+	group.Go(func() error { return fabric.delayed.Run(groupContext) })
 	group.Go(func() error {
-		<-running.Done()
+		<-groupContext.Done()
 		fabric.Close()
 		return nil
 	})
@@ -148,7 +148,7 @@
 	}
 }
 
-// send sends data after delay, or at once without a delay.
+// send sends data after delay, or at once when delay is not positive.
 func (fabric *Fabric) send(delay time.Duration, socket *net.UDPConn, destination netip.AddrPort, data []byte) {
 	if delay > 0 {
 		if !fabric.delayed.Put(time.Now().Add(delay), socket, destination, data) {
--- a/internal/standin/fabric/impairment.go
+++ b/internal/standin/fabric/impairment.go
@@ -32,9 +32,9 @@
 // maximumReorderDelay bounds the additional delay of a packet.
 const maximumReorderDelay = 10 * time.Second
 
-// Validate returns an error that names the first wrong field.
+// Validate returns an error that names the first invalid field, or nil.
 func (impairments Impairments) Validate() error {
-	shares := []struct {
+	probabilities := []struct {
 		field string
 		value float64
 	}{
@@ -42,9 +42,9 @@
 		{"duplicate", impairments.Duplicate},
 		{"reorder", impairments.Reorder},
 	}
-	for _, share := range shares {
-		if !(share.value >= 0 && share.value <= 1) {
-			return faults.New(faults.FabricControlRefused, "%s: %v is not between 0 and 1", share.field, share.value)
+	for _, probability := range probabilities {
+		if !(probability.value >= 0 && probability.value <= 1) {
+			return faults.New(faults.FabricControlRefused, "%s: %v is not between 0 and 1", probability.field, probability.value)
 		}
 	}
 	if delay := impairments.reorderDelay(); delay < 0 || delay > maximumReorderDelay {
--- a/internal/standin/fabric/machines.go
+++ b/internal/standin/fabric/machines.go
@@ -37,8 +37,8 @@
 	return machines
 }
 
-// Replace installs a list and returns the number of live balancers. Machines
-// whose address cannot be parsed are left out.
+// Replace installs a list and returns the number of live balancers. It skips machines whose address
+// cannot be parsed.
 func (machines *Machines) Replace(list []platform.Machine) int {
 	view := &machineView{zones: make(map[netip.Addr]string, len(list))}
 	for _, machine := range list {
--- a/internal/standin/fabric/poller.go
+++ b/internal/standin/fabric/poller.go
@@ -34,8 +34,8 @@
 	onChange func(live int)
 }
 
-// NewPoller returns a poller of the platform at base, such as
-// "http://127.0.0.1:7000".
+// NewPoller returns a poller of the platform whose base URL is base, such as
+// "http://127.0.0.1:7000". It returns faults.FabricSettingsIncomplete when base cannot be parsed.
 func NewPoller(base string, interval time.Duration, machines *Machines, logger *zap.Logger, onChange func(live int)) (*Poller, error) {
 	joined, err := url.JoinPath(base, "machines")
 	if err != nil {
--- a/internal/standin/platform/history.go
+++ b/internal/standin/platform/history.go
@@ -14,8 +14,8 @@
 	machines map[string]Machine
 }
 
-// History holds the versions of the machine list that readers, who see it with a delay, may still be
-// shown. Versions are in order of time; a stored version is immutable. It is safe for concurrent use.
+// History holds the latest version of the machine list and the earlier ones that readers may still
+// see, because they see the list with a delay. Versions are in order of time; a stored version is immutable. It is safe for concurrent use.
 type History struct {
 	lock     sync.Mutex
 	delay    time.Duration
--- a/internal/standin/platform/server.go
+++ b/internal/standin/platform/server.go
@@ -21,7 +21,7 @@
 
 // NewHandler returns the platform's HTTP interface:
 //
-//	GET    /machines         returns the list with the history's delay
+//	GET    /machines         returns the list as it was one delay ago
 //	POST   /machines         adds or replaces one machine
 //	DELETE /machines/{name}  removes one machine
 func NewHandler(history *History) http.Handler {
