--- a/internal/sim/directworld/caller.go
+++ b/internal/sim/directworld/caller.go
@@ -11,7 +11,7 @@
 	"merlinpaddle/internal/sim/kernel"
 )
 
-var errNoAnswer = errors.New("no answer within the call timeout")
+var errNoAnswer = errors.New("no answer came in time")
 
 const (
 	// flowsPerSecond is the mean rate at which callers open flows.
--- a/internal/sim/directworld/checks.go
+++ b/internal/sim/directworld/checks.go
@@ -113,10 +113,10 @@
 	}
 	text := configurationText(configuration)
 	if !checks.sentContents[configuration.Version][text] {
-		checks.violate(checker.InvariantSameConfiguration, "version %d was read with a content that no operator declared", configuration.Version)
+		checks.violate(checker.InvariantSameConfiguration, "version %d was read with a content that nobody sent", configuration.Version)
 	}
 	if previous, known := checks.readContents[configuration.Version]; known && previous != text {
-		checks.violate(checker.InvariantSameConfiguration, "version %d was read with two different contents", configuration.Version)
+		checks.violate(checker.InvariantSameConfiguration, "version %d was read with two contents", configuration.Version)
 	}
 	checks.readContents[configuration.Version] = text
 }
@@ -140,7 +140,7 @@
 	incarnation := balancer.process.Incarnation()
 	previous := checks.balancerVersions[balancer]
 	if previous.incarnation == incarnation && version < previous.version {
-		checks.violate(checker.InvariantNoRevert, "%s reverted from version %d to %d", balancer.process.Name, previous.version, version)
+		checks.violate(checker.InvariantNoRevert, "%s went back from version %d to %d", balancer.process.Name, previous.version, version)
 	}
 	checks.balancerVersions[balancer] = incarnationVersion{incarnation: incarnation, version: version}
 }
@@ -151,7 +151,7 @@
 func (checks *checks) decided(balancer *balancer, packet packet, decision steer.Decision) {
 	world := checks.world
 	if decision.Action == steer.Reset && decision.Reason == steer.ReasonNoRoute {
-		checks.violate(checker.InvariantInForce, "%s reset a flow to %s, which has a route in every version", balancer.process.Name, packet.flow.service)
+		checks.violate(checker.InvariantInForce, "%s refused a packet to %s, which every version has", balancer.process.Name, packet.flow.service)
 	}
 	if packet.opening && decision.Action == steer.Reset {
 		world.run.Trace.NotifyObserver(string(balancer.process.Name), "refuses", func() string { return refusalText(packet, decision) })
@@ -163,7 +163,7 @@
 	version := balancer.table.Version()
 	for acknowledged, at := range checks.acknowledgedAt {
 		if acknowledged > version && world.Now().Sub(at) > applyBound {
-			checks.violate(checker.InvariantInForce, "%s decides with version %d, %s after version %d was acknowledged",
+			checks.violate(checker.InvariantInForce, "%s decides by version %d, %s after version %d was acknowledged",
 				balancer.process.Name, version, world.Now().Sub(at), acknowledged)
 			return
 		}
@@ -196,7 +196,7 @@
 	for _, target := range checks.world.targets {
 		dead := !target.alive && checks.world.Now().Sub(target.diedAt) > deadTargetBound
 		if target.id == decision.ID && target.started == chosen.Started && dead {
-			checks.violate(checker.InvariantProgress, "%s sent a new flow to %s, which died %s ago",
+			checks.violate(checker.InvariantProgress, "%s sends a new flow to %s, which died %s ago",
 				balancer.process.Name, target.address, checks.world.Now().Sub(target.diedAt))
 		}
 	}
@@ -218,7 +218,7 @@
 		}
 	}
 	if !balancer.table.Fresh(balancer.process.LocalNow()) {
-		checks.violate(checker.InvariantInForce, "the table of %s is not fresh; it follows %q",
+		checks.violate(checker.InvariantInForce, "%s does not count as current; it follows %q",
 			balancer.process.Name, balancer.subscriber.Following())
 	}
 }
@@ -234,7 +234,7 @@
 			}
 		}
 	}
-	checks.violate(checker.InvariantProgress, "target %s did not become ejected=%t within %s", target.address, ejected, within)
+	checks.violate(checker.InvariantProgress, "target %s does not become aside=%t within %s", target.address, ejected, within)
 }
 
 // checkEjected checks that the leader has ejected the target. It checks nothing without a leader.
@@ -244,7 +244,7 @@
 		return
 	}
 	if registered, known := leader.Directory.Target(target.id); !known || !registered.Aside {
-		checks.violate(checker.InvariantProgress, "target %s has answered with errors for seconds and is not ejected", target.address)
+		checks.violate(checker.InvariantProgress, "target %s answers errors for seconds and is not set aside", target.address)
 	}
 }
 
@@ -258,7 +258,7 @@
 	}
 	pastBound := !target.drainAckedAt.IsZero() && world.Now().Sub(target.drainAckedAt) > drainBound
 	if pastBound && world.settled() {
-		checks.violate(checker.InvariantDrain, "%s sent a new flow to %s, which has been draining or leaving for %s",
+		checks.violate(checker.InvariantDrain, "%s sent a new flow to %s, which drains since %s",
 			sender.process.Name, target.address, world.Now().Sub(target.drainAckedAt))
 	}
 }
@@ -277,7 +277,7 @@
 	if flow.targetDied || !flow.target.alive {
 		return
 	}
-	checks.violate(checker.InvariantFlowKept, "%s reset a flow whose target %s is alive", by.process.Name, flow.target.address)
+	checks.violate(checker.InvariantFlowKept, "%s reset a flow whose target %s lives", by.process.Name, flow.target.address)
 }
 
 // checkEnd checks the final state, after all faults ended and the system had time to settle.
@@ -285,7 +285,7 @@
 	world := checks.world
 	leader := world.leader()
 	if leader == nil {
-		checks.violate(checker.InvariantProgress, "no member is leader %s after the last fault", world.Now().Sub(world.disturbedAt))
+		checks.violate(checker.InvariantProgress, "no member leads %s after the last fault", world.Now().Sub(world.disturbedAt))
 		return
 	}
 	configuration := leader.Directory.Configuration()
@@ -294,7 +294,7 @@
 	checks.checkReplicasAgree()
 	checks.checkTablesAgree(leader)
 	if world.callers.opened == 0 || world.callers.failed*20 > world.callers.opened {
-		checks.violate(checker.InvariantProgress, "in the settled world, %d flows opened and %d did not", world.callers.opened, world.callers.failed)
+		checks.violate(checker.InvariantProgress, "in calm, %d flows opened and %d did not", world.callers.opened, world.callers.failed)
 	}
 	if checks.reads == 0 {
 		checks.violate(checker.InvariantProgress, "no read was answered")
@@ -310,7 +310,7 @@
 		}
 		revision, digest := member.Directory.Revision(), member.Directory.Digest()
 		if previous, known := digests[revision]; known && previous != digest {
-			checks.violate(checker.InvariantReplicasAgree, "two members have different directories at revision %d", revision)
+			checks.violate(checker.InvariantReplicasAgree, "two members differ at revision %d", revision)
 		}
 		digests[revision] = digest
 	}
@@ -324,7 +324,7 @@
 		}
 		entry, known := balancer.table.FindTarget(target.id)
 		if !known || entry.Started != target.started || entry.State != directory.TargetReady {
-			checks.violate(checker.InvariantProgress, "%s does not know the start %d of %s as ready", balancer.process.Name, target.started, target.address)
+			checks.violate(checker.InvariantProgress, "%s does not use the start %d of %s", balancer.process.Name, target.started, target.address)
 		}
 	}
 }
@@ -337,23 +337,23 @@
 			continue
 		}
 		if version := balancer.table.Version(); version != leader.Directory.Configuration().Version {
-			checks.violate(checker.InvariantInForce, "%s ends with version %d, but the leader has %d",
+			checks.violate(checker.InvariantInForce, "%s ends with version %d, the leader with %d",
 				balancer.process.Name, version, leader.Directory.Configuration().Version)
 		}
 		for _, target := range leader.Directory.Targets() {
 			entry, known := balancer.table.Lookup(target.Token)
 			if !known || entry.ID != target.ID || entry.State != target.State {
-				checks.violate(checker.InvariantSameConfiguration, "%s ends with a different state of target %d than the leader", balancer.process.Name, target.ID)
+				checks.violate(checker.InvariantSameConfiguration, "%s ends with another state of target %d", balancer.process.Name, target.ID)
 			}
 		}
 	}
 	for _, target := range checks.world.targets {
 		registered, known := leader.Directory.Target(target.id)
 		if target.alive && target.state == directory.TargetReady && (!known || registered.State != directory.TargetReady) {
-			checks.violate(checker.InvariantProgress, "the living target %s ends in state %s", target.address, registered.State)
+			checks.violate(checker.InvariantProgress, "the living target %s ends as %s", target.address, registered.State)
 		}
 		if registered.Aside && target.alive && target.state == directory.TargetReady {
-			checks.violate(checker.InvariantProgress, "the target %s, which answers every request, ends ejected", target.address)
+			checks.violate(checker.InvariantProgress, "the target %s, which answers all, ends set aside", target.address)
 		}
 	}
 }
--- a/internal/sim/directworld/stories_zones.go
+++ b/internal/sim/directworld/stories_zones.go
@@ -85,7 +85,7 @@
 	stop()
 	world.RunFor(8 * time.Second)
 	if world.checks.zones.acknowledgedOrders < 10 {
-		world.checks.violate(checker.InvariantProgress, "only %d orders for zones were acknowledged", world.checks.zones.acknowledgedOrders)
+		world.checks.violate(checker.InvariantProgress, "%d orders for zones were acknowledged", world.checks.zones.acknowledgedOrders)
 	}
 	world.operator.sendZoneOrder(zones[0], false, func() {})
 	world.RunFor(12 * time.Second)
--- a/internal/sim/directworld/uploads.go
+++ b/internal/sim/directworld/uploads.go
@@ -212,6 +212,6 @@
 	uploads := checks.world.uploads
 	checks.checkTimely("uploads", tally{uploads.started, uploads.timely, uploads.served}, uploadObjective, timelyShare)
 	if each := float64(uploads.attempts) / float64(max(uploads.served, 1)); each > attemptsEach {
-		checks.violate(checker.InvariantTimely, "%d attempts for %d uploads that were answered", uploads.attempts, uploads.served)
+		checks.violate(checker.InvariantTimely, "%d tries for %d uploads that were answered", uploads.attempts, uploads.served)
 	}
 }
--- a/internal/sim/directworld/work.go
+++ b/internal/sim/directworld/work.go
@@ -204,7 +204,7 @@
 // the objective.
 func (checks *checks) checkTimely(what string, counted tally, objective time.Duration, timelyShare float64) {
 	if share := float64(counted.timely) / float64(max(counted.started, 1)); share < timelyShare {
-		checks.violate(checker.InvariantTimely, "%d of %d %s were answered within %s, %d at all; the required share is %.2f",
+		checks.violate(checker.InvariantTimely, "%d of %d %s were answered within %s, %d at all; %.2f are demanded",
 			counted.timely, counted.started, what, objective, counted.served, timelyShare)
 	}
 }
--- a/internal/sim/directworld/zone_checks.go
+++ b/internal/sim/directworld/zone_checks.go
@@ -57,7 +57,7 @@
 	state := checks.state(target.zone)
 	passed := checks.world.Now().Sub(state.since)
 	if state.evacuated && !state.uncertain && passed > evacuateBound && checks.world.settled() {
-		checks.world.checks.violate(checker.InvariantEvacuated, "%s sent a new flow to %s in zone %s, which has been evacuated for %s",
+		checks.world.checks.violate(checker.InvariantEvacuated, "%s sent a new flow to %s in %s, which is emptied since %s",
 			sender.process.Name, target.address, target.zone, passed)
 	}
 }
@@ -72,13 +72,13 @@
 	}
 	for zone, state := range checks.states {
 		if !state.uncertain && evacuatedZones[string(zone)] != state.evacuated {
-			checks.world.checks.violate(checker.InvariantEvacuated, "zone %s ends with evacuated=%t, contrary to the latest acknowledged order",
+			checks.world.checks.violate(checker.InvariantEvacuated, "zone %s ends with evacuated=%t, against the order that was acknowledged last",
 				zone, evacuatedZones[string(zone)])
 		}
 	}
 	for _, balancer := range checks.world.balancers {
 		if balancer.process.Active() && balancer.table.EvacuatedZones() != len(evacuatedZones) {
-			checks.world.checks.violate(checker.InvariantEvacuated, "%s ends with %d evacuated zones, but the leader has %d",
+			checks.world.checks.violate(checker.InvariantEvacuated, "%s ends with %d emptied zones, the leader with %d",
 				balancer.process.Name, balancer.table.EvacuatedZones(), len(evacuatedZones))
 		}
 	}
@@ -107,6 +107,6 @@
 	}
 	target.coldFlows = append(kept, now)
 	if float64(len(target.coldFlows)) > limit.PerSecond*coldOverage+coldSlack {
-		checks.violate(checker.InvariantColdRate, "the cold target %s got %d new flows within one second", target.address, len(target.coldFlows))
+		checks.violate(checker.InvariantColdRate, "the cold target %s got %d new flows in a second", target.address, len(target.coldFlows))
 	}
 }
