--- a/internal/sim/directworld/stories.go
+++ b/internal/sim/directworld/stories.go
@@ -46,32 +46,32 @@
 var scenarioDefinitions = []scenarioDefinition{
 	{
 		name:    "direct-planned",
-		summary: "targets are replaced and scaled in, balancers and members restart in turn, configurations change",
+		summary: "targets are replaced, balancers and members restart in turn, and configurations change",
 		play:    planned,
 	},
 	{
 		name:    "direct-target-deaths",
-		summary: "targets crash, fall silent, and their addresses go to another service while flows are open",
+		summary: "targets crash or become unresponsive, and targets of another service take over their addresses while flows are open",
 		play:    targetDeaths,
 	},
 	{
 		name:    "direct-late-calls",
-		summary: "targets leave without draining, and renewals of targets that died, or whose address another one has, come seconds late",
+		summary: "targets leave without draining, and renewals of targets that died, or whose address another target took over, arrive seconds late",
 		play:    lateCalls,
 	},
 	{
 		name:    "direct-restarted-targets",
-		summary: "targets crash and start again under their identifiers while calls of their former starts come seconds late",
+		summary: "targets crash and start again with the same identifiers while renewals of their previous starts arrive seconds late",
 		play:    restartedTargets,
 	},
 	{
 		name:    "direct-cut-balancers",
-		summary: "balancers are cut off from all members, not from each other, while targets and configurations change",
+		summary: "balancers are cut off from all members, but not from each other, while targets and configurations change",
 		play:    cutBalancers,
 	},
 	{
 		name:    "direct-relayed-feed",
-		summary: "twelve balancers, of which members feed three, follow each other while they restart and members go",
+		summary: "twelve balancers, of which members feed three, follow each other while balancers restart and members are killed",
 		change: func(options *Options) {
 			options.Balancers = 12
 			options.Followers = 1
@@ -80,85 +80,85 @@
 	},
 	{
 		name:    "direct-grey-targets",
-		summary: "a target takes requests and leaves many unanswered, while its health is good; the leader changes meanwhile",
+		summary: "a target accepts requests and never answers many of them, while its health checks pass; the leader changes meanwhile",
 		change:  func(options *Options) { options.Affine = true },
 		play:    greyTargets,
 	},
 	{
 		name:    "direct-erring-targets",
-		summary: "a target answers every call with an error at once, while its health is good; the leader changes meanwhile",
+		summary: "a target answers every call with an error at once, while its health checks pass; the leader changes meanwhile",
 		change:  callsOnlyOptions,
 		play:    erringTargets,
 	},
 	{
 		name:    "direct-heavy-load",
-		summary: "targets work at most of their capacity, one of them slowly, while one is replaced and a balancer restarts",
+		summary: "targets run at 70% of their capacity, one of them slowly, while one is replaced and a balancer restarts",
 		change:  callsOnlyOptions,
 		play:    heavyLoad,
 	},
 	{
 		name:    "direct-overload",
-		summary: "callers ask for a third more than targets can do, and try again what is refused",
+		summary: "callers make a third more calls than targets can serve, and retry refused calls",
 		change:  callsOnlyOptions,
 		play:    overload,
 	},
 	{
 		name:    "direct-large-overload",
-		summary: "callers ask twenty-four balancers for a third more than targets can do; members add up the load, and one is killed",
+		summary: "callers make a third more calls than targets can serve through twenty-four balancers; members sum up the load, and one is killed",
 		change:  largeOptions,
 		play:    largeOverload,
 	},
 	{
 		name:    "direct-narrow-links",
-		summary: "uploads and calls share narrow links of balancers that carry a half more than what is asked",
+		summary: "uploads and calls share narrow links of balancers, whose capacity is one and a half times the demand",
 		change:  narrowLinkOptions,
 		play:    narrowLinks,
 	},
 	{
 		name:    "direct-full-links",
-		summary: "callers upload twice as much as the narrow links of all balancers carry, beside calls",
+		summary: "callers upload twice as much as the narrow links of all balancers can carry, besides making calls",
 		change:  narrowLinkOptions,
 		play:    fullLinks,
 	},
 	{
 		name:    "direct-evacuations",
-		summary: "operators empty zones and take them back while members are killed, cut off and stand still, and orders are repeated",
+		summary: "operators evacuate zones and end the evacuations while members are killed, cut off and frozen, and orders are repeated",
 		play:    evacuations,
 	},
 	{
 		name:    "direct-evacuated-power-loss",
-		summary: "every process loses power right after an order for a zone was acknowledged",
+		summary: "every process loses power right after an order to evacuate a zone, or to end that, was acknowledged",
 		play:    evacuatedPowerLoss,
 	},
 	{
 		name:    "direct-cold-returns",
-		summary: "zones return cold, after a loss and after an evacuation, while balancers are cut off and restart",
+		summary: "the targets of zones return cold, after a failure and after an evacuation, while balancers are cut off and restart",
 		change:  func(options *Options) { options.ColdLimit = coldLimit },
 		play:    coldReturns,
 	},
 	{
 		name:    "direct-leader-loss",
-		summary: "the leader is killed, loses power or stands still again and again under racing operators",
+		summary: "the leader is repeatedly killed, powered off or frozen while operators declare conflicting configurations",
 		play:    leaderLoss,
 	},
 	{
 		name:    "direct-core-cuts",
-		summary: "members are cut off, one way or both, alone or from everything, under racing operators",
+		summary: "members are cut off from everything, from other members, one way or both, or from balancers, while operators declare conflicting configurations",
 		play:    coreCuts,
 	},
 	{
 		name:    "direct-lost-disks",
-		summary: "members lose their disks one after the other; each is taken in again before the next one goes",
+		summary: "members lose their disks one after the other; each rejoins before the next one fails",
 		play:    lostDisks,
 	},
 	{
 		name:    "direct-replaced-members",
-		summary: "members go for good and empty ones come at other addresses, without an operator",
+		summary: "members are lost permanently and replaced by empty ones at other addresses, without an operator",
 		play:    replacedMembers,
 	},
 	{
 		name:    "direct-power-loss",
-		summary: "every process loses power at once, again and again, right after something was acknowledged",
+		summary: "all processes repeatedly lose power at the same time, while configurations change",
 		play:    powerLoss,
 	},
 	{
@@ -168,13 +168,13 @@
 	},
 	{
 		name:    "direct-clocks",
-		summary: "the clocks of all processes differ by up to an hour and run fast or slow, and members restart and stand still",
+		summary: "the clocks of all processes are up to an hour off and run fast or slow, while the leader is killed, powered off or frozen",
 		change:  func(options *Options) { options.Skewed = true },
 		play:    leaderLoss,
 	},
 	{
 		name:    "direct-lost-messages",
-		summary: "a tenth of all control messages is lost, doubled or late, and calls with them",
+		summary: "a tenth of all control messages and calls is lost, a tenth is duplicated, and all are delayed at random",
 		change: func(options *Options) {
 			options.Faults = kernel.LinkFaults{Loss: 0.1, Duplication: 0.1, Jitter: 30 * time.Millisecond}
 		},
@@ -182,7 +182,7 @@
 	},
 	{
 		name:    "direct-five-members",
-		summary: "two of six members are lost at once, with disks, and return",
+		summary: "two of six members lose power and their disks at the same time, and return",
 		change: func(options *Options) {
 			options.Members = 6
 			options.ToleratedLosses = 2
