--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -329,14 +329,14 @@
 	sent := call{method: http.MethodPut, path: tiplinePath, token: operatorToken, match: fixture.get(operatorToken, tiplinePath).header.Get("ETag"),
 		key: "resend", body: serviceBody("192.0.2.1:443", 5, "tip-1", "tip-2")}
 
-	fixture.group.Fail(apitest.Faults{AfterCommit: io.ErrUnexpectedEOF})
+	fixture.group.SetFaults(apitest.Faults{AfterCommit: io.ErrUnexpectedEOF})
 	lost := fixture.send(sent)
 	require.Equal(t, http.StatusGatewayTimeout, lost.status)
 	problem := decode[adminapi.Problem](t, lost)
 	require.EqualValues(t, "unknown", problem.Ran)
 	require.NotEmpty(t, lost.header.Get("Retry-After"))
 
-	fixture.group.Fail(apitest.Faults{})
+	fixture.group.SetFaults(apitest.Faults{})
 	committed := fixture.group.Machine.Configuration().Revision
 	resent := fixture.send(sent)
 	require.Equal(t, http.StatusOK, resent.status, "%s", resent.body)
@@ -357,7 +357,7 @@
 
 func TestFollowerNamesTheLeader(t *testing.T) {
 	fixture := seededFixture(t)
-	fixture.group.Fail(apitest.Faults{Leader: "control-2"})
+	fixture.group.SetFaults(apitest.Faults{Leader: "control-2"})
 	change := call{method: http.MethodPost, path: tip1Path + "/drain", token: operatorToken, match: `"4"`, key: "drain"}
 	for _, sent := range []call{change, {method: http.MethodGet, path: tiplinePath, token: viewerToken}} {
 		answer := fixture.send(sent)
@@ -388,7 +388,7 @@
 			fixture.t = t
 			sent := drain
 			sent.match = fixture.get(operatorToken, tip1Path).header.Get("ETag")
-			fixture.group.Fail(test.faults)
+			fixture.group.SetFaults(test.faults)
 			problem := decode[adminapi.Problem](t, fixture.send(sent))
 			require.EqualValues(t, test.code, problem.Code)
 			require.EqualValues(t, test.ran, problem.Ran)
--- a/internal/adminapi/apitest/group.go
+++ b/internal/adminapi/apitest/group.go
@@ -37,7 +37,7 @@
 	AfterCommit error
 	// ReadsBeforeLoss is how many reads succeed before this member is no
 	// longer the leader; zero means that it stays.
-	ReadsBeforeLoss int
+	ReadsBeforeLeadershipLoss int
 	// Barrier fails reads.
 	Barrier error
 	// Membership fails changes of members.
@@ -45,7 +45,7 @@
 	// Refused is a member without a place in the group.
 	Refused bool
 	// Promotions is how many promotions find a learner that is behind.
-	Promotions int
+	PromotionsBehind int
 }
 
 // Self is the name of the group's only member.
@@ -66,7 +66,7 @@
 }
 
 // Fail sets the failures to show; the zero Leader means Self.
-func (group *Group) Fail(chosen Faults) {
+func (group *Group) SetFaults(chosen Faults) {
 	if chosen.Leader == "" {
 		chosen.Leader = Self
 	}
@@ -105,9 +105,9 @@
 	if err := group.notLeading(); err != nil {
 		return err
 	}
-	if group.faults.ReadsBeforeLoss > 0 {
-		group.faults.ReadsBeforeLoss--
-		if group.faults.ReadsBeforeLoss == 0 {
+	if group.faults.ReadsBeforeLeadershipLoss > 0 {
+		group.faults.ReadsBeforeLeadershipLoss--
+		if group.faults.ReadsBeforeLeadershipLoss == 0 {
 			group.faults.Leader = "control-2"
 		}
 	}
@@ -150,8 +150,8 @@
 	if group.faults.Membership != nil {
 		return group.faults.Membership
 	}
-	if group.faults.Promotions > 0 {
-		group.faults.Promotions--
+	if group.faults.PromotionsBehind > 0 {
+		group.faults.PromotionsBehind--
 		return faults.New(faults.LearnerBehind, "member %d has not caught up", uint64(id))
 	}
 	for index := range group.members {
--- a/internal/adminapi/resources_test.go
+++ b/internal/adminapi/resources_test.go
@@ -131,10 +131,10 @@
 	require.Equal(t, id, decode[adminapi.MemberAnswer](t, again).ID)
 
 	promote := call{method: http.MethodPost, path: "/v1/members/" + id + "/promote", token: adminToken}
-	fixture.group.Fail(apitest.Faults{Membership: fmt.Errorf("connection lost")})
+	fixture.group.SetFaults(apitest.Faults{Membership: fmt.Errorf("connection lost")})
 	unknown := decode[adminapi.Problem](t, fixture.send(promote))
 	require.EqualValues(t, 4016, unknown.Code)
-	fixture.group.Fail(apitest.Faults{})
+	fixture.group.SetFaults(apitest.Faults{})
 	require.Equal(t, http.StatusOK, fixture.send(promote).status)
 
 	members := decode[adminapi.Members](t, fixture.get(viewerToken, "/v1/members"))
--- a/internal/merlinctl/merlinctl_test.go
+++ b/internal/merlinctl/merlinctl_test.go
@@ -211,7 +211,7 @@
 func TestStatusNamesAMemberWithoutAPlace(t *testing.T) {
 	fixture := newFixture(t)
 	require.NotContains(t, fixture.must("status"), "3010")
-	fixture.group.Fail(apitest.Faults{Refused: true})
+	fixture.group.SetFaults(apitest.Faults{Refused: true})
 	require.Contains(t, fixture.must("status"), "empty disk without a place in the group (code 3010)")
 	require.Contains(t, fixture.must("status", "-o", "json"), `"refused": true`)
 }
@@ -237,10 +237,10 @@
 func TestWaitOutlastsAnElection(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.must("apply", "--yes", "-f", fixture.write(objects))
-	fixture.group.Fail(apitest.Faults{Leader: "control-2"})
+	fixture.group.SetFaults(apitest.Faults{Leader: "control-2"})
 	require.Equal(t, ExitUnavailable, fixture.run("", "wait", "--revision", "9").code, "a group that never answered ends the wait")
 
-	fixture.group.Fail(apitest.Faults{ReadsBeforeLoss: 1})
+	fixture.group.SetFaults(apitest.Faults{ReadsBeforeLeadershipLoss: 1})
 	ran := fixture.run("", "wait", "--revision", "9", "--wait-limit", "1500ms")
 	require.Equal(t, ExitWaitEnded, ran.code, ran.errors)
 }
@@ -316,7 +316,7 @@
 	require.Equal(t, ExitDeclined, fixture.run("n\n", "members", "replace", "control-2").code)
 	require.Contains(t, fixture.must("members", "list"), "2   control-2  true")
 
-	fixture.group.Fail(apitest.Faults{Promotions: 1})
+	fixture.group.SetFaults(apitest.Faults{PromotionsBehind: 1})
 	replaced := fixture.must("members", "replace", "control-2", "--yes")
 	require.Equal(t, []string{"member 2 is removed", "control-2 is learner 3", "waiting until control-2 has caught up", "control-2 votes as member 3"},
 		strings.Split(strings.TrimSpace(replaced), "\n"))
@@ -325,10 +325,10 @@
 func TestReplaceGoesOnAfterAnInterruption(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.must("members", "add", "control-2")
-	fixture.group.Fail(apitest.Faults{Promotions: 1 << 30})
+	fixture.group.SetFaults(apitest.Faults{PromotionsBehind: 1 << 30})
 	ended := fixture.run("", "members", "replace", "control-2", "--yes", "--wait-limit", "1ms")
 	require.Equal(t, ExitWaitEnded, ended.code, ended.errors)
-	fixture.group.Fail(apitest.Faults{})
+	fixture.group.SetFaults(apitest.Faults{})
 	require.Equal(t, "control-2 votes as member 2\n", fixture.must("members", "replace", "control-2", "--yes"))
 }
 
@@ -405,7 +405,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			fixture.t = t
-			fixture.group.Fail(test.faults)
+			fixture.group.SetFaults(test.faults)
 			ran := fixture.run("", strings.Fields(test.arguments)...)
 			require.Equal(t, test.code, ran.code, ran.errors)
 			require.Contains(t, ran.errors, test.want)
