--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -21,7 +21,7 @@
 	"merlinpaddle/internal/model"
 )
 
-// Tokens of the tests.
+// Bearer tokens of the tests. testTokens gives each its role and tenant.
 const (
 	adminToken    = "admin-token"
 	operatorToken = "operator-token"
@@ -48,7 +48,7 @@
 	return tokens
 }
 
-// fixture is one member with its API.
+// fixture is the administration API of a control group with one member.
 type fixture struct {
 	t       testing.TB
 	group   *apitest.Group
@@ -73,28 +73,30 @@
 	return fixture
 }
 
-// call is one request of a test.
+// call is one request to the API.
 type call struct {
 	method string
 	path   string
 	token  string
 	body   string
-	// match is If-Match, "*" means If-None-Match: *.
+	// match is the value of If-Match; "*" means If-None-Match: *.
 	match string
-	key   string
-	// known is the ETag that a reader has already.
-	known string
-	// contentType is that of the body; empty means JSON.
+	// key is the idempotency key.
+	key string
+	// knownETag is the value of If-None-Match of a read: the ETag that the caller has already.
+	knownETag string
+	// contentType is the media type of the body; empty means JSON.
 	contentType string
 }
 
-// reply is what a test reads of an answer.
+// reply is the response to a call.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
+// send passes one request to the handler and returns its response.
 func (fixture *fixture) send(sent call) reply {
 	fixture.t.Helper()
 	request := httptest.NewRequest(sent.method, sent.path, bytes.NewReader([]byte(sent.body)))
@@ -114,8 +116,8 @@
 	default:
 		request.Header.Set("If-Match", sent.match)
 	}
-	if sent.known != "" {
-		request.Header.Set("If-None-Match", sent.known)
+	if sent.knownETag != "" {
+		request.Header.Set("If-None-Match", sent.knownETag)
 	}
 	if sent.key != "" {
 		request.Header.Set(adminapi.HeaderIdempotencyKey, sent.key)
@@ -164,6 +166,8 @@
 	"rules": [{"path_prefix": "/call", "class": "call"}]
 }`
 
+// serviceBody returns the spec of a service of template web. The ports of a target follow from the
+// length and the last letter of its name.
 func serviceBody(address string, slots int, targets ...string) string {
 	var list []string
 	for _, name := range targets {
@@ -188,14 +192,14 @@
 	return fixture
 }
 
-func TestServiceLife(t *testing.T) {
+func TestServiceLifecycle(t *testing.T) {
 	fixture := seededFixture(t)
 	shown := fixture.get(viewerToken, tiplinePath)
 	require.Equal(t, http.StatusOK, shown.status)
 	service := decode[adminapi.Service](t, shown)
 	require.Equal(t, "192.0.2.1:443", service.Address)
 	require.Equal(t, uint32(1), service.Spec.Template.Version)
-	require.Equal(t, "deploy", fixtureUpdatedBy(fixture, shown.header.Get("ETag")))
+	require.Equal(t, "deploy", updateAsOperator(fixture, shown.header.Get("ETag")))
 
 	deleted := fixture.send(call{method: http.MethodDelete, path: tiplinePath + "?force=true", token: rigaToken,
 		match: fixture.get(rigaToken, tiplinePath).header.Get("ETag"), key: fixture.nextKey()})
@@ -203,9 +207,9 @@
 	require.Equal(t, http.StatusNotFound, fixture.get(viewerToken, tiplinePath).status)
 }
 
-// fixtureUpdatedBy changes the service as the operator and returns who the API
-// says did it.
-func fixtureUpdatedBy(fixture *fixture, match string) string {
+// updateAsOperator changes the service tipline with the operator's token and returns the UpdatedBy that
+// the API then shows.
+func updateAsOperator(fixture *fixture, match string) string {
 	fixture.t.Helper()
 	answer := fixture.send(call{method: http.MethodPut, path: tiplinePath, token: operatorToken,
 		body: serviceBody("192.0.2.1:443", 3, "tip-1", "tip-2"), match: match, key: fixture.nextKey()})
@@ -234,7 +238,7 @@
 		{"operator changes a template", call{method: "PUT", path: "/v1/templates/x", token: operatorToken, body: templateBody, match: "*", key: "k"}, 403, 4003, ""},
 		{"other tenant", change(func(c *call) { c.token = terangaToken }), 403, 4003, ""},
 		{"other tenant reads", call{method: "GET", path: tiplinePath, token: terangaToken}, 403, 4003, ""},
-		{"unknown tenant looks like another's", call{method: "GET", path: "/v1/tenants/nobody/services/x", token: terangaToken}, 403, 4003, ""},
+		{"unknown tenant is refused like another tenant", call{method: "GET", path: "/v1/tenants/nobody/services/x", token: terangaToken}, 403, 4003, ""},
 		{"tenant token reads members", call{method: "GET", path: "/v1/members", token: rigaToken}, 403, 4003, ""},
 		{"operator takes a backup", call{method: "GET", path: "/v1/backup", token: operatorToken}, 403, 4003, ""},
 		{"unknown path", call{method: "GET", path: "/v1/none", token: viewerToken}, 404, 4004, ""},
@@ -242,15 +246,15 @@
 		{"unknown tenant", change(func(c *call) { c.path = "/v1/tenants/none/services/x" }), 404, 4004, ""},
 		{"unknown template", change(func(c *call) { c.body = strings.Replace(body, `"web"`, `"none"`, 1) }), 404, 4004, ""},
 		{"unknown template version", change(func(c *call) { c.body = strings.Replace(body, `"web"`, `"web","version":9`, 1) }), 404, 4004, ""},
-		{"method not taken", call{method: "PATCH", path: tiplinePath, token: operatorToken}, 405, 4021, ""},
+		{"unsupported method", call{method: "PATCH", path: tiplinePath, token: operatorToken}, 405, 4021, ""},
 		{"no precondition", change(func(c *call) { c.match = "" }), 428, 4006, ""},
-		{"precondition of no object", change(func(c *call) { c.match = `"x"` }), 400, 4001, ""},
-		{"precondition with broken quotes", change(func(c *call) { c.match = `"7` }), 400, 4001, ""},
+		{"precondition is not an ETag of this API", change(func(c *call) { c.match = `"x"` }), 400, 4001, ""},
+		{"precondition with unbalanced quotes", change(func(c *call) { c.match = `"7` }), 400, 4001, ""},
 		{"no key", change(func(c *call) { c.key = "" }), 400, 4007, ""},
 		{"long key", change(func(c *call) { c.key = strings.Repeat("k", 129) }), 400, 4007, ""},
 		{"other media type", change(func(c *call) { c.contentType = "text/plain" }), 415, 4014, ""},
 		{"broken JSON", change(func(c *call) { c.body = `{` }), 400, 4001, ""},
-		{"more after the JSON", change(func(c *call) { c.body = body + `{}` }), 400, 4001, ""},
+		{"trailing data after the JSON", change(func(c *call) { c.body = body + `{}` }), 400, 4001, ""},
 		{"unknown field", change(func(c *call) { c.body = `{"templates":{}}` }), 400, 4001, "templates"},
 		{"wrong type", change(func(c *call) { c.body = `{"template":{"name":5}}` }), 400, 4001, "template.name"},
 		{"too large", change(func(c *call) { c.body = `{"template":{"name":"` + strings.Repeat("x", 1<<20) + `"}}` }), 413, 4013, ""},
@@ -268,7 +272,7 @@
 		{"wait", call{method: "GET", path: "/v1/rollout?wait=1h", token: viewerToken}, 400, 4001, "wait"},
 		{"member ID", call{method: "DELETE", path: "/v1/members/one", token: adminToken}, 400, 4001, "member"},
 		{"unknown member", call{method: "DELETE", path: "/v1/members/77", token: adminToken}, 404, 3007, ""},
-		{"backup that is none", call{method: "POST", path: "/v1/restore", token: adminToken, body: "x", contentType: "application/octet-stream", match: "*", key: "k"}, 422, 4019, ""},
+		{"invalid backup", call{method: "POST", path: "/v1/restore", token: adminToken, body: "x", contentType: "application/octet-stream", match: "*", key: "k"}, 422, 4019, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -286,12 +290,12 @@
 				require.NotEmpty(t, problem.Errors)
 				require.Equal(t, test.field, problem.Errors[0].Field)
 			}
-			require.Same(t, before, fixture.group.Machine.Configuration(), "a refused request changes nothing")
+			require.Same(t, before, fixture.group.Machine.Configuration(), "a refused request must not change the configuration")
 		})
 	}
 }
 
-func TestEqualRevisionsHaveOneWinner(t *testing.T) {
+func TestConcurrentChangesOfOneRevisionHaveOneWinner(t *testing.T) {
 	fixture := seededFixture(t)
 	tag := fixture.get(operatorToken, tiplinePath).header.Get("ETag")
 	const operators = 8
@@ -313,14 +317,14 @@
 		losers = append(losers, answer)
 	}
 	require.Equal(t, 1, winners)
-	present := fixture.get(operatorToken, tiplinePath)
+	latest := fixture.get(operatorToken, tiplinePath)
 	for _, answer := range losers {
 		require.Equal(t, http.StatusPreconditionFailed, answer.status)
-		require.Equal(t, present.header.Get("ETag"), answer.header.Get("ETag"))
+		require.Equal(t, latest.header.Get("ETag"), answer.header.Get("ETag"))
 		problem := decode[adminapi.Problem](t, answer)
 		current, err := json.Marshal(problem.Current)
 		require.NoError(t, err)
-		require.JSONEq(t, string(present.body), string(current), "the loser gets the present value")
+		require.JSONEq(t, string(latest.body), string(current), "a refused change returns the current value")
 	}
 }
 
@@ -342,7 +346,7 @@
 	require.Equal(t, http.StatusOK, resent.status, "%s", resent.body)
 	require.Equal(t, "true", resent.header.Get(adminapi.HeaderReplayed))
 	require.Equal(t, committed, decode[adminapi.ChangeAnswer](t, resent).Revision)
-	require.Equal(t, committed, fixture.group.Machine.Configuration().Revision, "applied once")
+	require.Equal(t, committed, fixture.group.Machine.Configuration().Revision, "the resent change must not be applied again")
 
 	other := sent
 	other.body = serviceBody("192.0.2.1:443", 6, "tip-1", "tip-2")
@@ -370,7 +374,7 @@
 	require.Equal(t, http.StatusOK, fixture.get(viewerToken, "/v1/status").status)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestFailedProposalReportsWhetherItRan(t *testing.T) {
 	drain := call{method: http.MethodPost, path: tip1Path + "/drain", token: operatorToken, key: "drain"}
 	cases := []struct {
 		name   string
@@ -378,7 +382,7 @@
 		ran    string
 		code   int
 	}{
-		{"not committed, no code", apitest.Faults{BeforeCommit: io.ErrClosedPipe}, "unknown", 4016},
+		{"not committed, error without a code", apitest.Faults{BeforeCommit: io.ErrClosedPipe}, "unknown", 4016},
 		{"committed, answer lost", apitest.Faults{AfterCommit: io.ErrClosedPipe}, "unknown", 4016},
 		{"follower", apitest.Faults{Leader: "control-3"}, "no", 3001},
 	}
@@ -396,7 +400,7 @@
 	}
 }
 
-func TestDrainShowsWhatRemains(t *testing.T) {
+func TestDrainShowsRemainingWork(t *testing.T) {
 	fixture := seededFixture(t)
 	before := fixture.get(viewerToken, tip1Path)
 	target := decode[adminapi.Target](t, before)
--- a/internal/adminapi/answer.go
+++ b/internal/adminapi/answer.go
@@ -8,24 +8,24 @@
 	"merlinpaddle/internal/model"
 )
 
-// writeJSON answers with a JSON value.
+// writeJSON writes a response with the given status and value as its JSON body.
 func writeJSON(writer http.ResponseWriter, status int, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Errorf("encode the answer: %w", err)
+		return fmt.Errorf("encode the response: %w", err)
 	}
 	header := writer.Header()
 	header.Set("Content-Type", contentTypeJSON)
 	header.Set("Cache-Control", "no-store")
 	header.Set("X-Content-Type-Options", "nosniff")
 	writer.WriteHeader(status)
-	// A caller that went away is no fault of this member.
+	// A write error means that the caller closed the connection; there is nobody to report it to.
 	_, _ = writer.Write(append(encoded, '\n'))
 	return nil
 }
 
-// writeObject answers with one object and its ETag, or 304 when the caller has
-// that revision already.
+// writeObject writes one object and its ETag, or 304 Not Modified when the request's If-None-Match
+// is that ETag.
 func writeObject(writer http.ResponseWriter, request *http.Request, revision model.Revision, value any) error {
 	tag := formatETag(revision)
 	writer.Header().Set("ETag", tag)
--- a/internal/adminapi/apitest/group.go
+++ b/internal/adminapi/apitest/group.go
@@ -1,5 +1,5 @@
-// Package apitest has an in-memory control group of one member, for tests of
-// the administration API and its clients, as net/http/httptest is for HTTP.
+// Package apitest provides an in-memory control group of one member and fault injection, for tests of
+// the administration API and its clients.
 package apitest
 
 import (
@@ -13,8 +13,7 @@
 	"merlinpaddle/internal/state"
 )
 
-// Group is a replica.Group that commits every proposal at once. Its fields
-// make it fail on purpose; set them before use or through Update.
+// Group is a replica.Group that commits every proposal immediately. SetFaults makes it fail.
 type Group struct {
 	Machine *state.Machine
 
@@ -26,46 +25,47 @@
 	faults  Faults
 }
 
-// Faults are the failures to show.
+// Faults are the failures that a Group simulates.
 type Faults struct {
-	// Leader is the name of the leader; another name than Self makes this
-	// member a follower that refuses proposals and barriers.
+	// Leader is the name of the leader. A name other than Self makes this member a follower, which
+	// refuses proposals and read barriers.
 	Leader model.NodeName
-	// BeforeCommit fails proposals that are not committed.
+	// BeforeCommit, if set, is the error of proposals, which are not committed.
 	BeforeCommit error
-	// AfterCommit fails proposals that are committed: the answer is lost.
+	// AfterCommit, if set, is the error of proposals after they are committed, as when the response is
+	// lost.
 	AfterCommit error
-	// ReadsBeforeLoss is how many reads succeed before this member is no
-	// longer the leader; zero means that it stays.
+	// ReadsBeforeLeadershipLoss is the number of reads that succeed before control-2 becomes the
+	// leader; zero means that this member stays the leader.
 	ReadsBeforeLeadershipLoss int
-	// Barrier fails reads.
+	// Barrier, if set, is the error of read barriers.
 	Barrier error
-	// Membership fails changes of members.
+	// Membership, if set, is the error of membership changes and leadership transfers.
 	Membership error
-	// Refused is a member without a place in the group.
+	// Refused is the value of replica.Status.Refused: the group has no place for this member.
 	Refused bool
-	// Promotions is how many promotions find a learner that is behind.
+	// PromotionsBehind is the number of promotions that fail because the learner has not caught up.
 	PromotionsBehind int
 }
 
-// Self is the name of the group's only member.
+// Self is the name of the group's first member, which serves the API.
 const Self model.NodeName = "control-1"
 
-// start is the log's time of the first proposal.
-var start = time.Date(2026, 3, 1, 18, 0, 0, 0, time.UTC)
+// startTime is the log's time before the first proposal. Every proposal advances it by a millisecond.
+var startTime = time.Date(2026, 3, 1, 18, 0, 0, 0, time.UTC)
 
-// NewGroup returns an empty group.
+// NewGroup returns a group with an empty state, whose only member is the leader Self.
 func NewGroup() *Group {
 	return &Group{
 		Machine: state.NewMachine(),
-		now:     start,
+		now:     startTime,
 		members: []replica.Member{{ID: 1, Name: Self}},
 		lastID:  1,
 		faults:  Faults{Leader: Self},
 	}
 }
 
-// Fail sets the failures to show; the zero Leader means Self.
+// SetFaults replaces the failures that the group simulates. An empty Leader means Self.
 func (group *Group) SetFaults(chosen Faults) {
 	if chosen.Leader == "" {
 		chosen.Leader = Self
@@ -75,11 +75,11 @@
 	group.faults = chosen
 }
 
-// Propose commits the command, or fails as Fail was told.
+// Propose commits the command and returns its result, or fails as SetFaults chose.
 func (group *Group) Propose(_ context.Context, command []byte) ([]byte, error) {
 	group.lock.Lock()
 	defer group.lock.Unlock()
-	if err := group.notLeading(); err != nil {
+	if err := group.checkLeading(); err != nil {
 		return nil, err
 	}
 	if group.faults.BeforeCommit != nil {
@@ -91,18 +91,19 @@
 	return result, group.faults.AfterCommit
 }
 
-func (group *Group) notLeading() error {
+// checkLeading returns an error with code faults.NotLeader when this member is not the leader.
+func (group *Group) checkLeading() error {
 	if group.faults.Leader == Self {
 		return nil
 	}
 	return faults.New(faults.NotLeader, "the leader is %s", string(group.faults.Leader))
 }
 
-// ReadBarrier succeeds while this member leads.
+// ReadBarrier succeeds while this member is the leader and Faults.Barrier is not set.
 func (group *Group) ReadBarrier(context.Context) error {
 	group.lock.Lock()
 	defer group.lock.Unlock()
-	if err := group.notLeading(); err != nil {
+	if err := group.checkLeading(); err != nil {
 		return err
 	}
 	if group.faults.ReadsBeforeLeadershipLoss > 0 {
@@ -114,7 +115,7 @@
 	return group.faults.Barrier
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (group *Group) Status() replica.Status {
 	group.lock.Lock()
 	defer group.lock.Unlock()
@@ -179,14 +180,14 @@
 	return faults.New(faults.UnknownMember, "there is no member %d", uint64(id))
 }
 
-// TransferLeadership fails, because there is no other voter.
+// TransferLeadership returns Faults.Membership and leaves the leader as it is.
 func (group *Group) TransferLeadership(context.Context) error {
 	group.lock.Lock()
 	defer group.lock.Unlock()
 	return group.faults.Membership
 }
 
-// Rollout is a settable adminapi.RolloutReader.
+// Rollout is an adminapi.RolloutReader whose status a test sets.
 type Rollout struct {
 	lock   sync.Mutex
 	status model.RolloutStatus
--- a/internal/adminapi/change.go
+++ b/internal/adminapi/change.go
@@ -18,26 +18,27 @@
 	return fmt.Sprintf("%q", strconv.FormatUint(uint64(revision), 10))
 }
 
+// parseETag parses an ETag that formatETag made. It accepts the number without quotes too.
 func parseETag(text string) (model.Revision, error) {
 	number, quoted := strings.CutPrefix(strings.TrimSpace(text), `"`)
 	number, closed := strings.CutSuffix(number, `"`)
 	if quoted != closed {
-		return 0, fmt.Errorf("broken quotes")
+		return 0, fmt.Errorf("unbalanced quotes")
 	}
 	revision, err := strconv.ParseUint(number, 10, 64)
 	if err != nil || revision == 0 {
-		return 0, fmt.Errorf("not the ETag of an object")
+		return 0, fmt.Errorf("not an ETag of this API")
 	}
 	return model.Revision(revision), nil
 }
 
-// baseRevision reads which revision a change is based on: If-Match with one
-// ETag, or If-None-Match: * for an object that must not exist yet.
+// baseRevision returns the revision that a change is based on: that of the ETag in If-Match, or zero
+// for If-None-Match: *, which states that the object must not exist yet.
 func baseRevision(header http.Header) (model.Revision, error) {
 	match, none := header.Get("If-Match"), header.Get("If-None-Match")
 	switch {
 	case match != "" && none != "":
-		return 0, faults.New(faults.CodeMalformedRequest, "If-Match and If-None-Match exclude each other")
+		return 0, faults.New(faults.CodeMalformedRequest, "If-Match and If-None-Match are mutually exclusive")
 	case none == "*":
 		return 0, nil
 	case none != "":
@@ -52,6 +53,8 @@
 	return revision, nil
 }
 
+// idempotencyKey returns the Idempotency-Key of a change. It must be printable ASCII, at most
+// state.MaximumIdempotencyKeyBytes long.
 func idempotencyKey(header http.Header) (string, error) {
 	key := header.Get(HeaderIdempotencyKey)
 	if key == "" {
@@ -62,14 +65,15 @@
 	}
 	for _, letter := range []byte(key) {
 		if letter < ' ' || letter > '~' {
-			return "", faults.New(faults.CodeIdempotencyKeyRequired, "%s has characters that are not printable", HeaderIdempotencyKey)
+			return "", faults.New(faults.CodeIdempotencyKeyRequired, "%s has characters other than printable ASCII", HeaderIdempotencyKey)
 		}
 	}
 	return key, nil
 }
 
-// changeOf reads what every change carries.
-func changeOf(request *http.Request, body []byte) (state.Change, error) {
+// parseChange returns the part that all changes have in common: the idempotency key with its scope
+// and the request's fingerprint, the base revision and the name of the actor.
+func parseChange(request *http.Request, body []byte) (state.Change, error) {
 	key, err := idempotencyKey(request.Header)
 	if err != nil {
 		return state.Change{}, err
@@ -78,7 +82,7 @@
 	if err != nil {
 		return state.Change{}, err
 	}
-	identity := identityFrom(request)
+	identity := contextIdentity(request)
 	return state.Change{
 		Scope:       scopeOf(identity),
 		Key:         key,
@@ -88,7 +92,8 @@
 	}, nil
 }
 
-// fingerprint is a checksum of everything that makes a request what it is.
+// fingerprint returns a checksum of the method, path, query, base revision and body of a request. A
+// resent request has the same fingerprint; another request with the same idempotency key is refused.
 func fingerprint(request *http.Request, base model.Revision, body []byte) uint64 {
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%s\n%s\n%s\n%d\n", request.Method, request.URL.EscapedPath(), request.URL.Query().Encode(), base)
@@ -96,8 +101,8 @@
 	return binary.BigEndian.Uint64(hash.Sum(nil))
 }
 
-// ChangeAnswer is the answer to a committed change. "Committed" is not "in
-// force": GET /v1/rollout tells when every leased balancer runs it.
+// ChangeAnswer is the response body for a committed change. A committed change is not yet in force:
+// GET /v1/rollout reports when every leased balancer runs it.
 type ChangeAnswer struct {
 	// Revision is the object's new revision, also its ETag.
 	Revision model.Revision `json:"revision"`
@@ -105,16 +110,19 @@
 	Version uint32 `json:"version,omitempty"`
 	// ServiceID is the ID of a changed service.
 	ServiceID model.ServiceID `json:"service_id,omitempty"`
-	// Replayed tells that the change was sent, and answered, before.
+	// Replayed reports whether this is the result of an earlier request with the same idempotency
+	// key.
 	Replayed bool `json:"replayed,omitempty"`
 }
 
-// presentValue looks up an object after a refused change: its revision and
-// its value, or zero and nil.
-type presentValue func(view *state.View) (model.Revision, any)
+// currentValue returns the revision and the value of the object that a refused change was for, or
+// zero and nil when there is no such object.
+type currentValue func(view *state.View) (model.Revision, any)
 
-// change proposes an operator's command and answers it.
-func (server *api) change(writer http.ResponseWriter, request *http.Request, command state.Command, present presentValue) error {
+// change proposes a command and writes the response: 201 Created for an If-None-Match: * request,
+// otherwise 200. The result of a refused command is returned as an error; lookup finds the object
+// for it.
+func (server *api) change(writer http.ResponseWriter, request *http.Request, command state.Command, lookup currentValue) error {
 	result, err := server.propose(request.Context(), command)
 	if err != nil {
 		return err
@@ -123,7 +131,7 @@
 		writer.Header().Set(HeaderReplayed, "true")
 	}
 	if !result.Applied() {
-		return server.refused(result, present)
+		return server.refusalOf(result, lookup)
 	}
 	status := http.StatusOK
 	if request.Header.Get("If-None-Match") == "*" {
@@ -138,13 +146,14 @@
 	})
 }
 
-// refused adds the present value to a change that lost against another.
-func (server *api) refused(result state.Result, present presentValue) error {
+// refusalOf converts the result of a refused command into a refusal. On a revision mismatch it adds
+// the object's current revision and value.
+func (server *api) refusalOf(result state.Result, lookup currentValue) error {
 	refused := resultRefusal(result)
 	if result.Code != faults.CodeRevisionMismatch {
 		return refused
 	}
-	revision, current := present(server.Machine.View())
+	revision, current := lookup(server.Machine.View())
 	refused.revision = &revision
 	refused.current = current
 	return refused
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,11 +1,12 @@
-// Package adminapi is the administration API: HTTP and JSON under /v1.
+// Package adminapi serves the administration API: HTTP and JSON under /v1.
 // docs/API.md describes it and docs/openapi.yaml lists every path.
 //
-// A change goes through the control group's log and is answered once it is
-// committed. An answer says "ran: no" only when the change is truly not
-// committed and never will be; otherwise it says "ran: unknown", and the same
-// request with the same Idempotency-Key is safe to send again.
+// A change is proposed to the control group's log and answered once it is
+// committed. The problem document of a failed change has "ran": "no" only when
+// the change is not committed and never will be. Otherwise it has "ran":
+// "unknown", and the client can safely resend the same request with the same
+// Idempotency-Key.
 //
-// Reads are linearizable: they confirm leadership first. With ?stale=true any
-// member answers from its own copy.
+// Reads are linearizable: the member confirms that it is the leader first. With
+// ?stale=true any member answers from its own copy of the state.
 package adminapi
--- a/internal/adminapi/group.go
+++ b/internal/adminapi/group.go
@@ -13,16 +13,18 @@
 	"merlinpaddle/internal/state"
 )
 
-// Member is one member of the control group.
+// Member is one member of the control group, as the API shows it.
 type Member struct {
-	// ID is text, because JSON readers round large numbers.
-	ID      string         `json:"id"`
-	Name    model.NodeName `json:"name"`
-	Learner bool           `json:"learner,omitempty"`
-	Leader  bool           `json:"leader,omitempty"`
+	// ID is the member ID in decimal. It is text because JSON decoders that parse numbers as
+	// floating point round large ones.
+	ID   string         `json:"id"`
+	Name model.NodeName `json:"name"`
+	// Learner reports whether the member has no vote.
+	Learner bool `json:"learner,omitempty"`
+	Leader  bool `json:"leader,omitempty"`
 }
 
-// Members is the list of members.
+// Members is the response body of GET /v1/members.
 type Members struct {
 	Items []Member `json:"items"`
 }
@@ -47,18 +49,20 @@
 	return writeJSON(writer, http.StatusOK, Members{Items: showMembers(server.Group.Status())})
 }
 
-// NewMember names the node that joins as a learner.
+// NewMember is the request body that adds a learner.
 type NewMember struct {
+	// Name is the name of the node that joins.
 	Name model.NodeName `json:"name"`
 }
 
-// MemberAnswer is the answer to a change of members.
+// MemberAnswer is the response body for a membership change.
 type MemberAnswer struct {
+	// ID is the member ID of the added, promoted or removed member, in decimal.
 	ID string `json:"id"`
 }
 
-// addMember adds a learner. A resent request finds the learner that the first
-// one added, so no key is needed.
+// addMember adds a learner. It needs no idempotency key: a resent request finds the learner that the
+// first one added and returns its ID.
 func (server *api) addMember(writer http.ResponseWriter, request *http.Request) error {
 	body, err := readBody(writer, request, contentTypeJSON, maximumBodyBytes)
 	if err != nil {
@@ -69,7 +73,7 @@
 		return err
 	}
 	if !state.ValidName(string(wanted.Name)) {
-		return fieldRefusal(faults.CodeInvalidField, "name", "%q is no node name", string(wanted.Name))
+		return fieldRefusal(faults.CodeInvalidField, "name", "%q is not a valid node name", string(wanted.Name))
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), membershipTimeout)
 	defer cancel()
@@ -83,12 +87,12 @@
 	}
 	id, err := server.Group.AddLearner(ctx, wanted.Name)
 	if err != nil {
-		return unknownUnlessCoded(err)
+		return outcomeUnknownUnlessCoded(err)
 	}
 	return writeJSON(writer, http.StatusCreated, MemberAnswer{ID: strconv.FormatUint(uint64(id), 10)})
 }
 
-func memberOf(request *http.Request) (replica.MemberID, error) {
+func parseMemberID(request *http.Request) (replica.MemberID, error) {
 	number, err := strconv.ParseUint(chi.URLParam(request, "member"), 10, 64)
 	if err != nil {
 		return 0, fieldRefusal(faults.CodeMalformedRequest, "member", "must be a member ID")
@@ -96,8 +100,8 @@
 	return replica.MemberID(number), nil
 }
 
-// promoteMember makes a learner a voter. A resent request finds a voter and is
-// answered as the first one was.
+// promoteMember makes a learner a voter. A resent request finds that the member is a voter already and
+// gets the same response as the first one.
 func (server *api) promoteMember(writer http.ResponseWriter, request *http.Request) error {
 	return server.changeMember(writer, request, func(ctx context.Context, id replica.MemberID) error {
 		if err := server.barrier(ctx); err != nil {
@@ -116,15 +120,17 @@
 	return server.changeMember(writer, request, server.Group.RemoveMember)
 }
 
+// changeMember runs change for the member in the path. An error without a code means that the outcome
+// is unknown.
 func (server *api) changeMember(writer http.ResponseWriter, request *http.Request, change func(context.Context, replica.MemberID) error) error {
-	id, err := memberOf(request)
+	id, err := parseMemberID(request)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(request.Context(), membershipTimeout)
 	defer cancel()
 	if err := change(ctx, id); err != nil {
-		return unknownUnlessCoded(err)
+		return outcomeUnknownUnlessCoded(err)
 	}
 	return writeJSON(writer, http.StatusOK, MemberAnswer{ID: strconv.FormatUint(uint64(id), 10)})
 }
@@ -133,28 +139,28 @@
 	ctx, cancel := context.WithTimeout(request.Context(), membershipTimeout)
 	defer cancel()
 	if err := server.Group.TransferLeadership(ctx); err != nil {
-		return unknownUnlessCoded(err)
+		return outcomeUnknownUnlessCoded(err)
 	}
 	return server.getStatus(writer, request)
 }
 
-// Status is what the answering member knows of itself and the group. It is
-// read without confirmation, so that a member that is cut off can be asked.
+// Status is the view that the answering member has of itself and the group. It is read without
+// confirming leadership, so that a member without a quorum answers too.
 type Status struct {
 	Node    model.NodeName `json:"node"`
 	Leader  model.NodeName `json:"leader"`
 	Leading bool           `json:"leading"`
-	// Refused tells that the group has no place for the member's empty disk
-	// (code 3010).
+	// Refused reports whether the group exists and has no place for this member's empty disk (code
+	// 3010).
 	Refused   bool           `json:"refused,omitempty"`
 	Term      uint64         `json:"term"`
 	Committed model.Revision `json:"committed_index"`
 	Applied   model.Revision `json:"applied_index"`
-	// Revision is that of the member's configuration.
+	// Revision is the revision of the member's configuration.
 	Revision model.Revision `json:"revision"`
-	// ConfigurationDigest is the digest of that configuration, as hexadecimal
-	// text; members at the same revision have the same. It is there when the
-	// request asks for it with ?digest=true, because it reads every bucket.
+	// ConfigurationDigest is the digest of that configuration, in hexadecimal. Members at the same
+	// revision have the same digest. It is computed only for ?digest=true, because it reads every
+	// bucket.
 	ConfigurationDigest string            `json:"configuration_digest,omitempty"`
 	Templates           int               `json:"templates"`
 	Tenants             int               `json:"tenants"`
@@ -163,7 +169,7 @@
 	Claims              state.ClaimStatus `json:"claims"`
 }
 
-const hexadecimal = 16
+const hexadecimalBase = 16
 
 func (server *api) getStatus(writer http.ResponseWriter, request *http.Request) error {
 	status := server.Group.Status()
@@ -184,12 +190,12 @@
 		Claims:    server.Machine.ClaimStatus(),
 	}
 	if request.URL.Query().Get("digest") == "true" {
-		answer.ConfigurationDigest = strconv.FormatUint(view.Configuration.Digest(), hexadecimal)
+		answer.ConfigurationDigest = strconv.FormatUint(view.Configuration.Digest(), hexadecimalBase)
 	}
 	return writeJSON(writer, http.StatusOK, answer)
 }
 
-// getBackup sends a snapshot of the whole state, claims included.
+// getBackup sends a snapshot of the complete state, claims included.
 func (server *api) getBackup(writer http.ResponseWriter, request *http.Request) error {
 	if _, err := server.view(request); err != nil {
 		return err
@@ -207,7 +213,7 @@
 	return nil
 }
 
-// restore puts a backup into an empty group.
+// restore loads a backup into an empty group.
 func (server *api) restore(writer http.ResponseWriter, request *http.Request) error {
 	body, err := readBody(writer, request, contentTypeBinary, maximumRestoreBytes)
 	if err != nil {
@@ -216,7 +222,7 @@
 	if err := state.CheckSnapshot(body); err != nil {
 		return err
 	}
-	change, err := changeOf(request, body)
+	change, err := parseChange(request, body)
 	if err != nil {
 		return err
 	}
--- a/internal/adminapi/limit.go
+++ b/internal/adminapi/limit.go
@@ -8,29 +8,28 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimits bound requests.
+// RateLimits are the rates, in requests per second, and bursts that a member accepts.
 type RateLimits struct {
-	// PerSecond and Burst bound the requests of one token.
+	// PerSecond and Burst apply to each bearer token.
 	PerSecond rate.Limit
 	Burst     int
-	// UnknownPerSecond and UnknownBurst bound all requests without a known
-	// token together.
+	// UnknownPerSecond and UnknownBurst apply to all requests without a known bearer token
+	// together.
 	UnknownPerSecond rate.Limit
 	UnknownBurst     int
 }
 
-// DefaultRateLimits returns the limits of a member: the aim of 33,000 changes
-// a day is under one a second, so automation has room for bursts.
+// DefaultRateLimits returns the default limits. The goal of 33,000 changes a day is less than one
+// change a second, so the limits leave automation headroom for bursts.
 func DefaultRateLimits() RateLimits {
 	return RateLimits{PerSecond: 100, Burst: 200, UnknownPerSecond: 10, UnknownBurst: 20}
 }
 
-// limiterShards is the number of shards of the limiters, each under its own
-// lock.
+// limiterShards is the number of shards of a rateLimiter. Each shard has its own lock.
 const limiterShards = 16
 
-// rateLimiter has one token bucket for each known token, whose number the
-// token file bounds, and one for all other requests.
+// rateLimiter has one token bucket for each known bearer token and one for all other requests. The
+// token file bounds the number of known tokens, and with it the number of buckets.
 type rateLimiter struct {
 	limits  RateLimits
 	unknown *rate.Limiter
@@ -50,17 +49,19 @@
 	return limiter
 }
 
-// allow takes one request of the named token, or returns the seconds to wait.
+// allow takes one request from the bucket of the named bearer token and reports whether that bucket
+// allows it. If not, it returns the seconds to wait.
 func (limiter *rateLimiter) allow(name string, now time.Time) (int, bool) {
-	return take(limiter.of(name), now)
+	return reserve(limiter.bucketOf(name), now)
 }
 
-// allowUnknown takes one request without a known token.
+// allowUnknown is like allow, for a request without a known bearer token.
 func (limiter *rateLimiter) allowUnknown(now time.Time) (int, bool) {
-	return take(limiter.unknown, now)
+	return reserve(limiter.unknown, now)
 }
 
-func (limiter *rateLimiter) of(name string) *rate.Limiter {
+// bucketOf returns the token bucket of the named bearer token, which it creates on first use.
+func (limiter *rateLimiter) bucketOf(name string) *rate.Limiter {
 	var hash uint32
 	for index := range len(name) {
 		hash = hash*31 + uint32(name[index])
@@ -68,15 +69,17 @@
 	shard := &limiter.shards[hash%limiterShards]
 	shard.lock.Lock()
 	defer shard.lock.Unlock()
-	found, known := shard.limiters[name]
+	bucket, known := shard.limiters[name]
 	if !known {
-		found = rate.NewLimiter(limiter.limits.PerSecond, limiter.limits.Burst)
-		shard.limiters[name] = found
+		bucket = rate.NewLimiter(limiter.limits.PerSecond, limiter.limits.Burst)
+		shard.limiters[name] = bucket
 	}
-	return found
+	return bucket
 }
 
-func take(bucket *rate.Limiter, now time.Time) (int, bool) {
+// reserve takes one request from the bucket and reports whether the bucket allows it. If not, it
+// returns the seconds until the bucket does and leaves the bucket as it was.
+func reserve(bucket *rate.Limiter, now time.Time) (int, bool) {
 	reservation := bucket.ReserveN(now, 1)
 	if !reservation.OK() {
 		return retryAfterBase, false
--- a/internal/adminapi/middleware.go
+++ b/internal/adminapi/middleware.go
@@ -18,16 +18,17 @@
 const (
 	// HeaderNode names the member that answered.
 	HeaderNode = "Merlinpaddle-Node"
-	// HeaderRequestID names the request in logs.
+	// HeaderRequestID is the ID of the request in logs and problem documents.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderIdempotencyKey makes a resent change safe.
+	// HeaderIdempotencyKey identifies a change, so that a resent change is applied only once.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderReplayed tells that the answer is the first answer to a change
-	// that was sent before.
+	// HeaderReplayed is "true" when the response repeats the result of an earlier request with the
+	// same idempotency key.
 	HeaderReplayed = "Idempotency-Replayed"
 )
 
-// maximumRequestIDBytes bounds a request ID that the caller chose.
+// maximumRequestIDBytes is the maximum length of a request ID that the caller chose. A longer one is
+// replaced by a new ID.
 const maximumRequestIDBytes = 64
 
 type contextKey int
@@ -37,8 +38,9 @@
 	requestIDKey
 )
 
-// identify gives every request an ID and names the member in the answer.
-func (server *api) identify(next http.Handler) http.Handler {
+// assignRequestID adds the request ID to the context and the response, and names the answering member
+// in the response. A request without an ID gets a new one.
+func (server *api) assignRequestID(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get(HeaderRequestID)
 		if id == "" || len(id) > maximumRequestIDBytes {
@@ -55,8 +57,8 @@
 	return id
 }
 
-// recoverPanic answers a request whose handler panicked; the change may have
-// been committed.
+// recoverPanic answers a request whose handler panicked with CodeInternalFault. That code leaves the
+// outcome unknown, because the change may have been committed.
 func (server *api) recoverPanic(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		defer func() {
@@ -65,16 +67,17 @@
 				return
 			}
 			server.Logger.Error("request handler panicked", zap.Any("panic", cause), zap.ByteString("stack", debug.Stack()))
-			server.fail(writer, request, faults.New(faults.CodeInternalFault, "the request's handler failed"))
+			server.fail(writer, request, faults.New(faults.CodeInternalFault, "the request handler panicked"))
 		}()
 		next.ServeHTTP(writer, request)
 	})
 }
 
-// authenticate finds the token's identity and takes one request of its rate.
+// authenticate adds the identity of the bearer token to the context and applies the token's rate
+// limit.
 func (server *api) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		identity, err := server.identityOf(request)
+		identity, err := server.findIdentity(request)
 		if err != nil {
 			server.fail(writer, request, err)
 			return
@@ -87,7 +90,9 @@
 	})
 }
 
-func (server *api) identityOf(request *http.Request) (auth.Identity, error) {
+// findIdentity returns the identity of the request's bearer token. Requests without a known token share
+// one rate limit, which slows the guessing of tokens.
+func (server *api) findIdentity(request *http.Request) (auth.Identity, error) {
 	token, hasToken := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
 	if hasToken {
 		if identity, known := server.Tokens.Find(token); known {
@@ -100,25 +105,29 @@
 	if !hasToken {
 		return auth.Identity{}, faults.New(faults.CodeUnauthenticated, "the request has no bearer token")
 	}
-	return auth.Identity{}, faults.New(faults.CodeUnauthenticated, "the bearer token is not known")
+	return auth.Identity{}, faults.New(faults.CodeUnauthenticated, "the bearer token is unknown")
 }
 
+// rateRefusal returns the refusal of a request over its rate; wait is in seconds.
 func rateRefusal(wait int) error {
 	return refusal{error: faults.New(faults.CodeRateLimited, "too many requests"), retryAfter: wait}
 }
 
-func identityFrom(request *http.Request) auth.Identity {
+// contextIdentity returns the identity that authenticate added to the request.
+func contextIdentity(request *http.Request) auth.Identity {
 	identity, _ := request.Context().Value(identityKey).(auth.Identity)
 	return identity
 }
 
-// handler is the code behind one path; it returns a refusal as an error.
+// handler serves one path. It writes the response of a successful request and returns an error for any
+// other.
 type handler func(writer http.ResponseWriter, request *http.Request) error
 
-// allow runs the handler when the token's role includes the needed one.
-func (server *api) allow(needed auth.Role, run handler) http.HandlerFunc {
+// requireRole runs the handler when the token's role includes the needed one, and answers with a
+// problem document when the role or the handler refuses the request.
+func (server *api) requireRole(needed auth.Role, run handler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		identity := identityFrom(request)
+		identity := contextIdentity(request)
 		if !identity.Role.Includes(needed) {
 			server.fail(writer, request, faults.New(faults.CodeForbidden, "the token's role is %q, the request needs %q", identity.Role, needed))
 			return
@@ -129,29 +138,32 @@
 	}
 }
 
-// allowGlobal runs the handler when the token has the role for all tenants.
-func (server *api) allowGlobal(needed auth.Role, run handler) http.HandlerFunc {
-	return server.allow(needed, func(writer http.ResponseWriter, request *http.Request) error {
-		if identity := identityFrom(request); identity.Tenant != "" {
+// requireGlobalRole runs the handler when the token has the needed role and is not limited to one
+// tenant.
+func (server *api) requireGlobalRole(needed auth.Role, run handler) http.HandlerFunc {
+	return server.requireRole(needed, func(writer http.ResponseWriter, request *http.Request) error {
+		if identity := contextIdentity(request); identity.Tenant != "" {
 			return faults.New(faults.CodeForbidden, "the token is limited to tenant %q", identity.Tenant)
 		}
 		return run(writer, request)
 	})
 }
 
-// allowTenant runs the handler when the token has the role for the tenant of
-// the path. The answer is the same whether or not the tenant exists.
-func (server *api) allowTenant(needed auth.Role, run handler) http.HandlerFunc {
-	return server.allow(needed, func(writer http.ResponseWriter, request *http.Request) error {
+// requireTenantRole runs the handler when the token has the needed role for the tenant in the path. A
+// token of another tenant is refused alike whether or not the tenant exists, so that it cannot find
+// out which tenants exist.
+func (server *api) requireTenantRole(needed auth.Role, run handler) http.HandlerFunc {
+	return server.requireRole(needed, func(writer http.ResponseWriter, request *http.Request) error {
 		tenant := tenantOf(request)
-		if !identityFrom(request).MayUse(tenant) {
+		if !contextIdentity(request).MayUse(tenant) {
 			return faults.New(faults.CodeForbidden, "the token may not use tenant %q", string(tenant))
 		}
 		return run(writer, request)
 	})
 }
 
-// scopeOf separates the idempotency keys of tenants.
+// scopeOf returns the scope of the identity's idempotency keys: one for each tenant, and one for all
+// tokens that are not limited to a tenant.
 func scopeOf(identity auth.Identity) string {
 	if identity.Tenant == "" {
 		return ""
--- a/internal/adminapi/module.go
+++ b/internal/adminapi/module.go
@@ -20,12 +20,12 @@
 	"merlinpaddle/internal/state"
 )
 
-// RolloutReader tells how far the configuration has come.
+// RolloutReader returns the progress of the rollout of the configuration.
 type RolloutReader interface {
 	Rollout() model.RolloutStatus
 }
 
-// Bounds of the HTTP server.
+// Timeouts and header size limit of the HTTP server.
 const (
 	readHeaderTimeout  = 5 * time.Second
 	readTimeout        = 60 * time.Second
@@ -34,8 +34,8 @@
 	maximumHeaderBytes = 16 << 10
 )
 
-// Module serves the administration API on the address control.api, if the
-// settings have one.
+// Module serves the administration API on the address in the setting control.api, and nothing when
+// that setting is empty.
 //
 // It needs settings.Settings, *zap.Logger, *process.Tasks, replica.Group,
 // *state.Machine and RolloutReader, and provides nothing.
@@ -91,6 +91,7 @@
 	return nil
 }
 
+// start opens the listener, and starts the server and the watch on the token file.
 func start(needed dependencies, server *http.Server, tokens *auth.File) error {
 	listener, err := net.Listen("tcp", needed.Settings.Control.API)
 	if err != nil {
@@ -112,7 +113,8 @@
 	return nil
 }
 
-// checkSettings refuses an API that would send tokens in clear over a network.
+// checkSettings refuses settings without a token file, and settings under which bearer tokens would
+// cross a network in clear text: without keys the API must listen on a loopback address.
 func checkSettings(chosen settings.Settings) error {
 	if chosen.Control.Tokens == "" {
 		return faults.New(faults.CodeSettingsInvalid, "control.tokens: the administration API needs a token file")
--- a/internal/adminapi/module_test.go
+++ b/internal/adminapi/module_test.go
@@ -31,6 +31,7 @@
 	"merlinpaddle/internal/settings"
 )
 
+// writeTokens writes a token file with one administrator and returns its path.
 func writeTokens(t *testing.T, name, token string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "tokens.yaml")
@@ -39,7 +40,7 @@
 	return path
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address on whose port nothing listened when it was chosen.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,6 +49,7 @@
 	return listener.Addr().String()
 }
 
+// newApplication returns an application with Module and an in-memory control group.
 func newApplication(t *testing.T, chosen settings.Settings) *fx.App {
 	t.Helper()
 	group := apitest.NewGroup()
@@ -76,10 +78,11 @@
 	require.Equal(t, http.StatusUnauthorized, statusOf(t, http.DefaultClient, "http://"+chosen.Control.API, "guess"))
 
 	second := newApplication(t, chosen)
-	require.Equal(t, faults.CodeAddressInUse, codeWithin(second.Start(t.Context())))
+	require.Equal(t, faults.CodeAddressInUse, wrappedCode(second.Start(t.Context())))
 	require.NoError(t, second.Stop(context.Background()))
 }
 
+// statusOf returns the HTTP status of GET /v1/status.
 func statusOf(t *testing.T, caller *http.Client, base, token string) int {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodGet, base+"/v1/status", nil)
@@ -107,8 +110,8 @@
 	caller.CloseIdleConnections()
 }
 
-// writeCertificate writes a self-signed pair for 127.0.0.1 into the folder and
-// returns the pool that trusts it.
+// writeCertificate writes a self-signed certificate for 127.0.0.1 and its key into the folder, and
+// returns a pool with the certificate.
 func writeCertificate(t *testing.T, folder, name string) *x509.CertPool {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -135,12 +138,12 @@
 	return pool
 }
 
-func TestCertificateIsReadAgainWhenItChanges(t *testing.T) {
+func TestCertificateIsReloadedWhenItChanges(t *testing.T) {
 	folder := t.TempDir()
 	writeCertificate(t, folder, "first")
 	source := &certificateSource{folder: folder}
 	require.NoError(t, source.load())
-	nameNow := func() string {
+	servedName := func() string {
 		t.Helper()
 		certificate, err := source.get(nil)
 		require.NoError(t, err)
@@ -148,17 +151,17 @@
 		require.NoError(t, err)
 		return parsed.Subject.CommonName
 	}
-	require.Equal(t, "first", nameNow())
+	require.Equal(t, "first", servedName())
 
 	writeCertificate(t, folder, "second")
 	later := time.Now().Add(time.Minute)
 	require.NoError(t, os.Chtimes(filepath.Join(folder, certificateFile), later, later))
 	source.checked = time.Time{}
-	require.Equal(t, "second", nameNow())
+	require.Equal(t, "second", servedName())
 
 	require.NoError(t, os.WriteFile(filepath.Join(folder, certificateFile), []byte("broken"), 0o600))
 	source.checked = time.Time{}
-	require.Equal(t, "second", nameNow(), "a broken file leaves the former certificate")
+	require.Equal(t, "second", servedName(), "an invalid file must leave the previous certificate in place")
 }
 
 func TestModuleRefusesBadSettings(t *testing.T) {
@@ -181,13 +184,13 @@
 			test.edit(&chosen)
 			application := newApplication(t, chosen)
 			err := application.Start(t.Context())
-			require.Equal(t, test.code, codeWithin(err), "%v", err)
+			require.Equal(t, test.code, wrappedCode(err), "%v", err)
 		})
 	}
 }
 
-// codeWithin finds the code of the error that fx wrapped.
-func codeWithin(err error) faults.Code {
+// wrappedCode returns the code of the error that fx wrapped, or zero when there is none.
+func wrappedCode(err error) faults.Code {
 	for inner := err; inner != nil; inner = errors.Unwrap(inner) {
 		if code := faults.CodeOf(inner); code != 0 {
 			return code
--- a/internal/adminapi/openapi_test.go
+++ b/internal/adminapi/openapi_test.go
@@ -19,19 +19,19 @@
 
 const openAPIPage = "../../docs/openapi.yaml"
 
-// reference is a parameter or schema by name, or in place.
+// reference is a reference to a component. Ref is empty for an inline definition.
 type reference struct {
 	Ref string `yaml:"$ref"`
 }
 
-// operation is what the test reads of one operation.
+// operation is the part of an OpenAPI operation that the tests check.
 type operation struct {
 	OperationID string               `yaml:"operationId"`
 	Parameters  []reference          `yaml:"parameters"`
 	Responses   map[string]yaml.Node `yaml:"responses"`
 }
 
-// pathItem is one path with its operations.
+// pathItem is one OpenAPI path with its operations.
 type pathItem struct {
 	Parameters []reference `yaml:"parameters"`
 	Get        *operation  `yaml:"get"`
@@ -51,7 +51,7 @@
 	Properties map[string]yaml.Node `yaml:"properties"`
 }
 
-// openAPI is what the test reads of the page.
+// openAPI is the part of the OpenAPI document that the tests check.
 type openAPI struct {
 	Paths      map[string]pathItem `yaml:"paths"`
 	Components struct {
@@ -61,6 +61,7 @@
 	} `yaml:"components"`
 }
 
+// readOpenAPI returns the OpenAPI document, decoded and as text.
 func readOpenAPI(t *testing.T) (openAPI, string) {
 	t.Helper()
 	content, err := os.ReadFile(openAPIPage)
@@ -70,6 +71,7 @@
 	return page, string(content)
 }
 
+// operations returns the operations of the path, by method.
 func (item pathItem) operations() map[string]*operation {
 	all := map[string]*operation{http.MethodGet: item.Get, http.MethodPut: item.Put, http.MethodPost: item.Post, http.MethodDelete: item.Delete}
 	for method, operation := range all {
@@ -80,7 +82,7 @@
 	return all
 }
 
-func TestOpenAPIPathsAreTheRouters(t *testing.T) {
+func TestOpenAPIPathsMatchTheRouter(t *testing.T) {
 	page, _ := readOpenAPI(t)
 	var documented []string
 	for path, item := range page.Paths {
@@ -102,7 +104,7 @@
 
 var pathParameterPattern = regexp.MustCompile(`\{([a-z]+)\}`)
 
-func TestOpenAPIParametersFitTheirPaths(t *testing.T) {
+func TestOpenAPIParametersMatchTheirPaths(t *testing.T) {
 	page, _ := readOpenAPI(t)
 	for path, item := range page.Paths {
 		var inPath, declared []string
@@ -144,7 +146,7 @@
 	}
 }
 
-func TestOpenAPISchemasHaveTheFieldsOfTheCode(t *testing.T) {
+func TestOpenAPISchemasMatchTheGoTypes(t *testing.T) {
 	page, _ := readOpenAPI(t)
 	types := map[string]any{
 		"ChangeAnswer":        adminapi.ChangeAnswer{},
@@ -196,6 +198,7 @@
 	require.Empty(t, types, "types without a schema")
 }
 
+// fieldsOf returns the JSON names of the fields of a struct type.
 func fieldsOf(structure reflect.Type) []string {
 	var fields []string
 	for index := range structure.NumField() {
--- a/internal/adminapi/paging.go
+++ b/internal/adminapi/paging.go
@@ -11,23 +11,24 @@
 	"merlinpaddle/internal/model"
 )
 
-// Bounds of the "limit" of a list.
+// Default and maximum number of items on a page, for the query parameter "limit".
 const (
 	defaultPageLimit = 100
 	maximumPageLimit = 1000
 )
 
-// Page is a part of a list. Lists are in order of name, so a page goes on
-// after the last name of the page before, whatever changed in between.
+// Page is a part of a list. Lists are in order of name, and a page continues after the last name of the
+// previous page, even if objects were added or removed in between.
 type Page[Item any] struct {
 	Items []Item `json:"items"`
-	// NextCursor asks for the next page; it is missing on the last page.
+	// NextCursor is the query parameter "cursor" of the next page. It is missing on the last page.
 	NextCursor string `json:"next_cursor,omitempty"`
-	// Revision is the configuration's revision of the list.
+	// Revision is the revision of the configuration that the list was read from.
 	Revision model.Revision `json:"revision"`
 }
 
-// pageOf cuts the wanted page out of rows, which are in order of name.
+// pageOf returns the page of rows that the request asks for. The rows must be in order of name, and
+// name and show return a row's name and its form in the API.
 func pageOf[Row, Item any](request *http.Request, revision model.Revision, rows []Row, name func(Row) string, show func(Row) Item) (Page[Item], error) {
 	limit, err := pageLimit(request)
 	if err != nil {
@@ -65,10 +66,11 @@
 	return limit, nil
 }
 
+// pageCursor returns the name after which the page starts, or an empty string for the first page.
 func pageCursor(request *http.Request) (string, error) {
 	decoded, err := base64.RawURLEncoding.DecodeString(request.URL.Query().Get("cursor"))
 	if err != nil {
-		return "", fieldRefusal(faults.CodeMalformedRequest, "cursor", "is no cursor of this list")
+		return "", fieldRefusal(faults.CodeMalformedRequest, "cursor", "is not a valid cursor")
 	}
 	return string(decoded), nil
 }
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -15,61 +15,63 @@
 	"merlinpaddle/internal/state"
 )
 
-// ProblemContentType is the media type of refusals (RFC 9457).
+// ProblemContentType is the media type of problem documents (RFC 9457).
 const ProblemContentType = "application/problem+json"
 
-// Problem is a refusal as RFC 9457 describes it, with the members that this
+// Problem is the problem document (RFC 9457) that answers a failed request, with the members that this
 // API adds.
 type Problem struct {
-	// Type is a URN with the code.
+	// Type is the URN "urn:merlinpaddle:error:" with the code.
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
 	// Instance is the request's ID.
 	Instance string `json:"instance,omitempty"`
-	// Code is the number in docs/ERRORS.md.
+	// Code and Name identify the error in docs/ERRORS.md.
 	Code faults.Code `json:"code"`
 	Name string      `json:"name"`
-	// Ran tells whether the change was run: "no" or "unknown".
+	// Ran states whether the change was run: "no" or "unknown". It is missing for reads.
 	Ran faults.Ran `json:"ran,omitempty"`
-	// Action is what the caller does next.
+	// Action is what the caller should do next.
 	Action string `json:"action,omitempty"`
-	// Errors lists refused fields.
+	// Errors lists the invalid fields.
 	Errors []state.FieldError `json:"errors,omitempty"`
-	// Leader is the node name of the member to ask instead.
+	// Leader is the node name of the leader, which can be asked instead. It is set for statuses 503
+	// and 504 when the leader is known.
 	Leader model.NodeName `json:"leader,omitempty"`
-	// Revision and Current are the present state of the object of a change
-	// that was based on another revision. Current is missing when there is
-	// no such object.
+	// Revision and Current are the object's current revision and value when the change was based on
+	// another revision. Current is missing when there is no such object.
 	Revision *model.Revision `json:"revision,omitempty"`
 	Current  any             `json:"current,omitempty"`
 }
 
-// Bounds of Retry-After, in seconds. The spread keeps callers that were
-// refused together from coming back together.
+// Retry-After is retryAfterBase plus a random number below retryAfterSpread, in seconds. The jitter
+// keeps callers that were refused at the same time from retrying at the same time.
 const (
 	retryAfterBase   = 1
 	retryAfterSpread = 3
 )
 
-// refusal is an error with what the problem document says besides its code.
+// refusal is an error with a code and with further members of the problem document.
 type refusal struct {
 	error
-	fields     []state.FieldError
-	revision   *model.Revision
-	current    any
+	fields   []state.FieldError
+	revision *model.Revision
+	current  any
+	// retryAfter is the number of seconds that replaces retryAfterBase, if positive.
 	retryAfter int
 }
 
 // Unwrap returns the error with the code.
 func (refused refusal) Unwrap() error { return refused.error }
 
-// resultRefusal turns a refusal of the state machine into an error.
+// resultRefusal converts the result of a command that the state machine refused into an error.
 func resultRefusal(result state.Result) refusal {
 	return refusal{error: faults.New(result.Code, "%s", result.Message), fields: result.Fields}
 }
 
+// fieldRefusal returns a refusal that names one invalid field or parameter.
 func fieldRefusal(code faults.Code, field, format string, arguments ...any) refusal {
 	message := fmt.Sprintf(format, arguments...)
 	return refusal{error: faults.New(code, "%s: %s", field, message), fields: []state.FieldError{{Field: field, Message: message}}}
@@ -96,6 +98,8 @@
 	}
 }
 
+// problem returns the problem document for an error. An error without a code of the catalogue becomes
+// CodeInternalFault.
 func (server *api) problem(request *http.Request, err error) Problem {
 	code := faults.CodeOf(err)
 	definition, known := faults.Lookup(code)
@@ -136,14 +140,17 @@
 	return refused, errors.As(err, &refused)
 }
 
+// mayRetryLater reports whether a response with the status gets a Retry-After.
 func mayRetryLater(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
+// mayRetryElsewhere reports whether a response with the status names the leader.
 func mayRetryElsewhere(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
+// retryAfterOf returns the Retry-After for an error, in seconds.
 func retryAfterOf(err error) int {
 	base := retryAfterBase
 	if refused, isRefusal := asRefusal(err); isRefusal && refused.retryAfter > 0 {
--- a/internal/adminapi/resources_test.go
+++ b/internal/adminapi/resources_test.go
@@ -22,7 +22,7 @@
 	second := fixture.put("/v1/templates/web", first.header.Get("ETag"), templateBody)
 	require.EqualValues(t, 2, second.Version)
 	service := decode[adminapi.Service](t, fixture.get(viewerToken, tiplinePath))
-	require.EqualValues(t, 1, service.Spec.Template.Version, "a service keeps its version")
+	require.EqualValues(t, 1, service.Spec.Template.Version, "a service keeps its template version")
 
 	version := decode[state.TemplateVersion](t, fixture.get(viewerToken, "/v1/templates/web/versions/2"))
 	require.Equal(t, "alice", version.CreatedBy)
@@ -33,17 +33,17 @@
 	require.Equal(t, http.StatusConflict, used.status)
 }
 
-func TestUnchangedObjectIsNotSentAgain(t *testing.T) {
+func TestUnchangedObjectIsAnsweredNotModified(t *testing.T) {
 	fixture := seededFixture(t)
 	tag := fixture.get(viewerToken, tiplinePath).header.Get("ETag")
-	again := fixture.send(call{method: http.MethodGet, path: tiplinePath, token: viewerToken, known: tag})
+	again := fixture.send(call{method: http.MethodGet, path: tiplinePath, token: viewerToken, knownETag: tag})
 	require.Equal(t, http.StatusNotModified, again.status)
 	fixture.put(tiplinePath, tag, serviceBody("192.0.2.1:443", 3, "tip-1", "tip-2"))
-	changed := fixture.send(call{method: http.MethodGet, path: tiplinePath, token: viewerToken, known: tag})
+	changed := fixture.send(call{method: http.MethodGet, path: tiplinePath, token: viewerToken, knownETag: tag})
 	require.Equal(t, http.StatusOK, changed.status)
 }
 
-func TestPagesGoOnWhereTheyStopped(t *testing.T) {
+func TestPagesContinueAfterTheCursor(t *testing.T) {
 	fixture := seededFixture(t)
 	for index := range 7 {
 		fixture.put(fmt.Sprintf("/v1/tenants/teranga/services/resa-%d", index), "*",
@@ -77,7 +77,7 @@
 	require.Len(t, decode[adminapi.Rollout](t, fixture.get(viewerToken, "/v1/rollout")).Nodes, 1)
 }
 
-func TestIdempotencyKeysOfTenantsAreApart(t *testing.T) {
+func TestIdempotencyKeysAreScopedToTheTenant(t *testing.T) {
 	fixture := seededFixture(t)
 	send := func(token, path, body string) reply {
 		return fixture.send(call{method: http.MethodPut, path: path, token: token, body: body, match: "*", key: "same"})
@@ -86,7 +86,7 @@
 	require.Equal(t, http.StatusCreated, send(terangaToken, "/v1/tenants/teranga/services/resa", serviceBody("192.0.2.32:443", 2, "resa-1")).status)
 }
 
-func TestRolloutWaits(t *testing.T) {
+func TestRolloutWaitsUntilTheRevisionIsInForce(t *testing.T) {
 	fixture := seededFixture(t)
 	committed := fixture.group.Machine.Configuration().Revision
 	path := fmt.Sprintf("/v1/rollout?revision=%d", committed)
@@ -102,9 +102,10 @@
 	require.Equal(t, committed, late.InForce)
 }
 
-// A tenant or template is no part of the configuration that nodes run: its
-// change is in force as soon as all that came before it is.
-func TestRolloutReachesAChangeThatNodesDoNotSee(t *testing.T) {
+// Tenants and templates are not part of the configuration that nodes run, so no node ever reports the
+// revision of such a change. It counts as in force once the latest earlier change of the configuration
+// is.
+func TestRolloutOfAChangeOutsideTheConfiguration(t *testing.T) {
 	fixture := seededFixture(t)
 	before := fixture.group.Machine.Configuration().Revision
 	changed := fixture.put("/v1/tenants/teranga-photos", "*", `{}`)
@@ -117,7 +118,7 @@
 	require.True(t, *decode[adminapi.Rollout](t, fixture.get(viewerToken, path)).Reached)
 
 	unknown := fmt.Sprintf("/v1/rollout?revision=%d", changed.Revision+1)
-	require.False(t, *decode[adminapi.Rollout](t, fixture.get(viewerToken, unknown)).Reached, "no such change was made yet")
+	require.False(t, *decode[adminapi.Rollout](t, fixture.get(viewerToken, unknown)).Reached, "a revision that is not committed yet is not in force")
 }
 
 func TestMembers(t *testing.T) {
@@ -127,7 +128,7 @@
 	require.Equal(t, http.StatusCreated, added.status, "%s", added.body)
 	id := decode[adminapi.MemberAnswer](t, added).ID
 	again := fixture.send(add)
-	require.Equal(t, http.StatusOK, again.status, "a resent request adds no second learner")
+	require.Equal(t, http.StatusOK, again.status, "a resent request must not add a second learner")
 	require.Equal(t, id, decode[adminapi.MemberAnswer](t, again).ID)
 
 	promote := call{method: http.MethodPost, path: "/v1/members/" + id + "/promote", token: adminToken}
@@ -151,16 +152,16 @@
 		contentType: "application/octet-stream", match: "*", key: "restore"}
 
 	target := newFixture(t)
-	target.keys = 1000 // the backup has the answers to the source's keys
+	target.keys = 1000 // the backup has the results of the source's idempotency keys, which must not be reused
 	answer := target.send(restore)
 	require.Equal(t, http.StatusCreated, answer.status, "%s", answer.body)
 	require.Equal(t, source.group.Machine.Configuration().Digest(), target.group.Machine.Configuration().Digest())
-	require.Equal(t, http.StatusCreated, target.send(restore).status, "a resent restore gets its first answer")
+	require.Equal(t, http.StatusCreated, target.send(restore).status, "a resent restore gets its first response")
 
 	before := target.group.Machine.Configuration().Revision
 	tag := target.get(adminToken, tiplinePath).header.Get("ETag")
 	target.put(tiplinePath, tag, serviceBody("192.0.2.1:443", 4, "tip-1", "tip-2"))
-	require.Greater(t, target.group.Machine.Configuration().Revision, before, "revisions go on above those of the backup")
+	require.Greater(t, target.group.Machine.Configuration().Revision, before, "new revisions are higher than those of the backup")
 
 	restore.key = "restore-again"
 	refused := decode[adminapi.Problem](t, target.send(restore))
@@ -197,7 +198,7 @@
 	require.Equal(t, http.StatusOK, fixture.get(operatorToken, "/v1/status").status, "another token has its own limit")
 
 	require.Equal(t, http.StatusUnauthorized, fixture.get("guess-1", "/v1/status").status)
-	require.Equal(t, http.StatusTooManyRequests, fixture.get("guess-2", "/v1/status").status, "guesses share one limit")
+	require.Equal(t, http.StatusTooManyRequests, fixture.get("guess-2", "/v1/status").status, "requests with unknown tokens share one limit")
 }
 
 func TestStatus(t *testing.T) {
@@ -210,12 +211,12 @@
 	require.Equal(t, strconv.FormatUint(fixture.group.Machine.Configuration().Digest(), 16), status.ConfigurationDigest)
 }
 
-// brokenRollout panics, as a fault in a handler would.
+// brokenRollout is a RolloutReader that panics, to make a handler panic.
 type brokenRollout struct{}
 
 func (brokenRollout) Rollout() model.RolloutStatus { panic("broken") }
 
-func TestPanicInAHandlerIsAnsweredAsUnknown(t *testing.T) {
+func TestPanicInAHandlerIsAnsweredAsInternalFault(t *testing.T) {
 	group := apitest.NewGroup()
 	fixture := &fixture{t: t, group: group, handler: adminapi.New(adminapi.Options{
 		Node: apitest.Self, Group: group, Machine: group.Machine, Rollout: brokenRollout{}, Tokens: testTokens(t), Logger: zap.NewNop(),
--- a/internal/adminapi/rollout.go
+++ b/internal/adminapi/rollout.go
@@ -10,40 +10,43 @@
 )
 
 const (
-	// maximumRolloutWait bounds ?wait.
+	// maximumRolloutWait is the maximum of the query parameter "wait".
 	maximumRolloutWait = 30 * time.Second
-	// rolloutPollInterval is the time between looks while a request waits.
+	// rolloutPollInterval is the time between reads of the rollout status while a request waits.
 	rolloutPollInterval = 20 * time.Millisecond
 )
 
-// Rollout tells how far the configuration has come.
+// Rollout is the progress of the rollout of the configuration.
 type Rollout struct {
 	// Committed is the revision of the committed configuration.
 	Committed model.Revision `json:"committed"`
-	// InForce is the highest revision that every leased balancer runs.
+	// InForce is the highest revision such that every leased balancer runs it or a later one.
 	InForce model.Revision `json:"in_force"`
-	// Reached tells whether the wanted revision is in force; it is there when
-	// the request asked for one.
+	// Reached reports whether the revision in the query is in force. It is missing when the query
+	// has none.
 	Reached *bool `json:"reached,omitempty"`
-	// Nodes is missing for tokens of one tenant.
+	// Nodes is missing for tokens that are limited to one tenant.
 	Nodes []RolloutNode `json:"nodes,omitempty"`
 }
 
-// RolloutNode is one balancer or agent.
+// RolloutNode is the rollout status of one balancer or agent.
 type RolloutNode struct {
-	Name    model.NodeName `json:"name"`
-	Role    model.Role     `json:"role"`
-	Zone    model.ZoneName `json:"zone"`
+	Name model.NodeName `json:"name"`
+	Role model.Role     `json:"role"`
+	Zone model.ZoneName `json:"zone"`
+	// Applied is the revision that the node runs.
 	Applied model.Revision `json:"applied"`
-	Leased  bool           `json:"leased"`
+	// Leased reports whether the node may hold a lease.
+	Leased bool `json:"leased"`
 	// AgeMilliseconds is the time since the node's last heartbeat.
 	AgeMilliseconds int64 `json:"age_ms"`
 }
 
-// rolloutQuery is what GET /v1/rollout was asked.
+// rolloutQuery is the query of GET /v1/rollout.
 type rolloutQuery struct {
-	wanted   model.Revision
-	hasGoal  bool
+	revision    model.Revision
+	hasRevision bool
+	// deadline is the end of the wait for the revision.
 	deadline time.Time
 }
 
@@ -52,10 +55,10 @@
 	if text := request.URL.Query().Get("revision"); text != "" {
 		revision, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
-			return rolloutQuery{}, fieldRefusal(faults.CodeMalformedRequest, "revision", "must be a revision")
+			return rolloutQuery{}, fieldRefusal(faults.CodeMalformedRequest, "revision", "must be a revision number")
 		}
-		query.wanted = model.Revision(revision)
-		query.hasGoal = true
+		query.revision = model.Revision(revision)
+		query.hasRevision = true
 	}
 	if text := request.URL.Query().Get("wait"); text != "" {
 		wait, err := time.ParseDuration(text)
@@ -67,9 +70,9 @@
 	return query, nil
 }
 
-// getRollout waits, if asked to, until the wanted revision is in force. The
-// status is read after leadership was confirmed, so a leader that was frozen
-// or replaced does not tell of an old one.
+// getRollout waits, if the query has a wait, until the revision in the query is in force. The status
+// in the response is read after leadership was confirmed (unless ?stale=true), so a former leader that
+// was paused or replaced does not report an outdated one.
 func (server *api) getRollout(writer http.ResponseWriter, request *http.Request) error {
 	query, err := parseRolloutQuery(request)
 	if err != nil {
@@ -77,7 +80,7 @@
 	}
 	ticker := time.NewTicker(rolloutPollInterval)
 	defer ticker.Stop()
-	for server.Rollout.Rollout().InForce < server.inForceGoal(query.wanted) && time.Now().Before(query.deadline) {
+	for server.Rollout.Rollout().InForce < server.requiredRevision(query.revision) && time.Now().Before(query.deadline) {
 		select {
 		case <-request.Context().Done():
 			return nil
@@ -90,20 +93,20 @@
 	}
 	status := server.Rollout.Rollout()
 	answer := Rollout{Committed: max(status.Committed, view.Configuration.Revision), InForce: status.InForce}
-	if query.hasGoal {
-		reached := status.InForce >= server.inForceGoal(query.wanted)
+	if query.hasRevision {
+		reached := status.InForce >= server.requiredRevision(query.revision)
 		answer.Reached = &reached
 	}
-	if identityFrom(request).Tenant == "" {
+	if contextIdentity(request).Tenant == "" {
 		answer.Nodes = showNodes(status.Nodes)
 	}
 	return writeJSON(writer, http.StatusOK, answer)
 }
 
-// inForceGoal returns the revision that balancers must run for wanted to be in
-// force. A change of a template, a tenant or the members is no part of what
-// they run, so it is in force once all that came before it is.
-func (server *api) inForceGoal(wanted model.Revision) model.Revision {
+// requiredRevision returns the revision that balancers must run for wanted to be in force. Templates,
+// tenants and members are not part of the configuration that balancers run, so a change of these is in
+// force once the latest earlier change of the configuration is.
+func (server *api) requiredRevision(wanted model.Revision) model.Revision {
 	if server.Machine.Revision() < wanted {
 		return wanted
 	}
--- a/internal/adminapi/server.go
+++ b/internal/adminapi/server.go
@@ -14,23 +14,23 @@
 	"merlinpaddle/internal/state"
 )
 
-// Times that bound the work of one request.
+// Timeouts of the steps of one request.
 const (
-	// proposeTimeout bounds the wait for a commit; after it the outcome is
-	// unknown.
+	// proposeTimeout is the timeout of a commit. After it the outcome is unknown.
 	proposeTimeout = 10 * time.Second
-	// barrierTimeout bounds the confirmation of leadership for a read.
+	// barrierTimeout is the timeout for confirming leadership before a read.
 	barrierTimeout = 5 * time.Second
-	// membershipTimeout bounds a change of members.
+	// membershipTimeout is the timeout of a membership change or a leadership transfer.
 	membershipTimeout = 30 * time.Second
 )
 
-// TokenFinder returns the identity of a bearer token.
+// TokenFinder looks up bearer tokens.
 type TokenFinder interface {
+	// Find returns the identity of a bearer token and reports whether the token is known.
 	Find(token string) (auth.Identity, bool)
 }
 
-// Options are what the API needs.
+// Options are the settings and dependencies of the API.
 type Options struct {
 	// Node is the name of this member.
 	Node    model.NodeName
@@ -39,12 +39,11 @@
 	Rollout RolloutReader
 	Tokens  TokenFinder
 	Logger  *zap.Logger
-	// Limits bound the requests of one token; the zero value means
-	// DefaultRateLimits.
+	// Limits are the rate limits; the zero value means DefaultRateLimits.
 	Limits RateLimits
 }
 
-// api has the handlers of all paths.
+// api implements the handlers of all paths.
 type api struct {
 	Options
 	limiter *rateLimiter
@@ -59,8 +58,8 @@
 	return server.router()
 }
 
-// view returns the state to read from: linearizable, unless the request asks
-// for this member's own copy with ?stale=true.
+// view returns the state that a read is answered from. The read is linearizable, unless the request
+// asks for this member's own copy with ?stale=true.
 func (server *api) view(request *http.Request) (*state.View, error) {
 	if request.URL.Query().Get("stale") == "true" {
 		return server.Machine.View(), nil
@@ -71,6 +70,8 @@
 	return server.Machine.View(), nil
 }
 
+// barrier waits until this member's state includes every change that was committed before the call. An
+// error of the group without a code becomes CodeReadUnconfirmed.
 func (server *api) barrier(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
@@ -81,8 +82,8 @@
 	return err
 }
 
-// propose commits the command and returns the state machine's answer. An
-// error of the group without a code says nothing about the outcome.
+// propose commits the command and returns the state machine's result. An error of the group without a
+// code means that the outcome is unknown.
 func (server *api) propose(ctx context.Context, command state.Command) (state.Result, error) {
 	encoded, err := state.EncodeCommand(command)
 	if err != nil {
@@ -92,20 +93,20 @@
 	defer cancel()
 	answer, err := server.Group.Propose(ctx, encoded)
 	if err != nil {
-		return state.Result{}, unknownUnlessCoded(err)
+		return state.Result{}, outcomeUnknownUnlessCoded(err)
 	}
 	result, err := state.DecodeResult(answer)
 	if err != nil {
-		return state.Result{}, faults.New(faults.CodeOutcomeUnknown, "the change is committed, but its answer can not be read: %v", err)
+		return state.Result{}, faults.New(faults.CodeOutcomeUnknown, "the change is committed, but its result cannot be decoded: %v", err)
 	}
 	return result, nil
 }
 
-// unknownUnlessCoded keeps a group's error that has a code, and makes every
-// other one an unknown outcome.
-func unknownUnlessCoded(err error) error {
+// outcomeUnknownUnlessCoded returns an error of the group that has a code unchanged, and converts any
+// other one to CodeOutcomeUnknown.
+func outcomeUnknownUnlessCoded(err error) error {
 	if faults.CodeOf(err) != 0 {
 		return err
 	}
-	return faults.New(faults.CodeOutcomeUnknown, "whether the change is committed is not known: %v", err)
+	return faults.New(faults.CodeOutcomeUnknown, "the outcome of the change is unknown: %v", err)
 }
--- a/internal/adminapi/services.go
+++ b/internal/adminapi/services.go
@@ -14,22 +14,22 @@
 	"merlinpaddle/internal/state"
 )
 
-// TemplateRef names the template of a service; without a version the latest
-// one is taken and kept.
+// TemplateRef names the template of a service. Without a version the service gets the latest version
+// and keeps it when a later one is added.
 type TemplateRef struct {
 	Name    string `json:"name"`
 	Version uint32 `json:"version,omitempty"`
 }
 
-// ServiceSpec is what a tenant states of a service. Parameters are an object
-// in JSON, with the names that the template declares.
+// ServiceSpec is the declared configuration of a service.
 type ServiceSpec struct {
-	Template   TemplateRef                `json:"template"`
+	Template TemplateRef `json:"template"`
+	// Parameters are the values of the template's parameters, by the names that the template declares.
 	Parameters map[string]json.RawMessage `json:"parameters"`
 }
 
-// parameterList returns the parameters in order of name, so that equal
-// requests make equal commands.
+// parameterList returns the parameters in order of name, so that equal requests result in equal
+// commands.
 func (spec ServiceSpec) parameterList() []state.Parameter {
 	var parameters []state.Parameter
 	for _, name := range slices.Sorted(maps.Keys(spec.Parameters)) {
@@ -46,9 +46,9 @@
 	Spec     ServiceSpec        `json:"spec"`
 	Protocol state.ProtocolName `json:"protocol"`
 	Address  string             `json:"address"`
-	// Targets is the number of targets, also of those on their way out.
+	// Targets is the number of targets, including those that are being removed.
 	Targets int `json:"targets"`
-	// Removing tells that the service is deleted and waits for its flows.
+	// Removing reports whether the service is deleted and waits for its flows to end.
 	Removing  bool           `json:"removing,omitempty"`
 	Revision  model.Revision `json:"revision"`
 	UpdatedBy string         `json:"updated_by,omitempty"`
@@ -56,7 +56,7 @@
 }
 
 func showService(view *state.View, record *state.ServiceRecord) Service {
-	running := view.Configuration.Services[record.ID]
+	configured := view.Configuration.Services[record.ID]
 	parameters := make(map[string]json.RawMessage, len(record.Parameters))
 	for _, parameter := range record.Parameters {
 		parameters[parameter.Name] = parameter.Value
@@ -66,8 +66,8 @@
 		Name:      record.Key.Name,
 		ID:        record.ID,
 		Spec:      ServiceSpec{Template: TemplateRef(record.Template), Parameters: parameters},
-		Protocol:  state.NameOfProtocol(running.Protocol),
-		Address:   running.Address.String(),
+		Protocol:  state.NameOfProtocol(configured.Protocol),
+		Address:   configured.Address.String(),
 		Targets:   len(record.Targets),
 		Removing:  record.Removing,
 		Revision:  record.Revision,
@@ -81,9 +81,9 @@
 	if err != nil {
 		return err
 	}
-	identity := identityFrom(request)
+	identity := contextIdentity(request)
 	visible := slices.DeleteFunc(view.Services(), func(record *state.ServiceRecord) bool { return !identity.MayUse(record.Key.Tenant) })
-	return answerServices(writer, request, view, visible)
+	return writeServicePage(writer, request, view, visible)
 }
 
 func (server *api) listTenantServices(writer http.ResponseWriter, request *http.Request) error {
@@ -94,11 +94,11 @@
 	if _, known := view.Tenant(tenantOf(request)); !known {
 		return faults.New(faults.CodeNotFound, "there is no tenant %q", string(tenantOf(request)))
 	}
-	return answerServices(writer, request, view, view.TenantServices(tenantOf(request)))
+	return writeServicePage(writer, request, view, view.TenantServices(tenantOf(request)))
 }
 
-func answerServices(writer http.ResponseWriter, request *http.Request, view *state.View, records []*state.ServiceRecord) error {
-	// No name holds a zero byte, so this text sorts as the records do.
+func writeServicePage(writer http.ResponseWriter, request *http.Request, view *state.View, records []*state.ServiceRecord) error {
+	// No name has a zero byte, so this text sorts in the order of the records: by tenant, then by name.
 	name := func(record *state.ServiceRecord) string { return string(record.Key.Tenant) + "\x00" + record.Key.Name }
 	show := func(record *state.ServiceRecord) Service { return showService(view, record) }
 	page, err := pageOf(request, view.Configuration.Revision, records, name, show)
@@ -112,7 +112,7 @@
 	return state.ServiceKey{Tenant: tenantOf(request), Name: chi.URLParam(request, "service")}
 }
 
-// service finds the service of the path.
+// service returns the service in the path, with the view that it was read from.
 func (server *api) service(request *http.Request) (*state.View, *state.ServiceRecord, error) {
 	view, err := server.view(request)
 	if err != nil {
@@ -153,10 +153,10 @@
 	if isDryRun(request) {
 		return server.dryRunService(writer, request, command)
 	}
-	if command.Change, err = changeOf(request, body); err != nil {
+	if command.Change, err = parseChange(request, body); err != nil {
 		return err
 	}
-	return server.change(writer, request, command, presentService(key))
+	return server.change(writer, request, command, currentService(key))
 }
 
 func (server *api) dryRunService(writer http.ResponseWriter, request *http.Request, command state.PutService) error {
@@ -171,7 +171,7 @@
 }
 
 func (server *api) deleteService(writer http.ResponseWriter, request *http.Request) error {
-	change, err := changeOf(request, nil)
+	change, err := parseChange(request, nil)
 	if err != nil {
 		return err
 	}
@@ -182,10 +182,10 @@
 		Name:   key.Name,
 		Force:  request.URL.Query().Get("force") == "true",
 	}
-	return server.change(writer, request, command, presentService(key))
+	return server.change(writer, request, command, currentService(key))
 }
 
-func presentService(key state.ServiceKey) presentValue {
+func currentService(key state.ServiceKey) currentValue {
 	return func(view *state.View) (model.Revision, any) {
 		record, known := view.Service(key)
 		if !known {
--- a/internal/adminapi/targets.go
+++ b/internal/adminapi/targets.go
@@ -13,16 +13,23 @@
 	"merlinpaddle/internal/state"
 )
 
-// Load is what a target's agent last reported.
+// Load is the load of a target in the latest heartbeat of its agent.
 type Load struct {
-	Flows   uint32 `json:"flows"`
+	// Flows is the number of open flows.
+	Flows uint32 `json:"flows"`
+	// Running is the number of requests that hold a slot.
 	Running uint32 `json:"running"`
+	// Waiting is the number of queued requests.
 	Waiting uint32 `json:"waiting"`
-	Feeds   uint32 `json:"feeds"`
-	Slots   uint32 `json:"slots"`
-	Cold    bool   `json:"cold,omitempty"`
-	Healthy bool   `json:"healthy"`
-	// Age is the time since the agent's heartbeat, in milliseconds.
+	// Feeds is the number of open feeds.
+	Feeds uint32 `json:"feeds"`
+	// Slots is the number of slots that are usable now.
+	Slots uint32 `json:"slots"`
+	// Cold reports whether the target is in slow start.
+	Cold bool `json:"cold,omitempty"`
+	// Healthy reports whether new work should be sent to the back end.
+	Healthy bool `json:"healthy"`
+	// AgeMilliseconds is the time since that heartbeat.
 	AgeMilliseconds int64 `json:"age_ms"`
 }
 
@@ -39,11 +46,11 @@
 	Drained     bool              `json:"drained,omitempty"`
 	Leaving     bool              `json:"leaving,omitempty"`
 	Incarnation model.Incarnation `json:"incarnation,omitempty"`
-	// Buckets counts the buckets that name the target. A draining target has
-	// no work left once it is no head, no alternate and no earlier target.
+	// Buckets counts the buckets that refer to the target. A draining target has no work left once all
+	// three counts are zero: it is the head, the alternate or an earlier target of no bucket.
 	Buckets state.BucketUse `json:"buckets"`
-	// Load is what remains at the target; it is missing while the leader has
-	// no report.
+	// Load is the work that remains at the target. It is missing while the answering member has no
+	// load report of the target.
 	Load      *Load          `json:"load,omitempty"`
 	Revision  model.Revision `json:"revision"`
 	UpdatedBy string         `json:"updated_by,omitempty"`
@@ -69,7 +76,7 @@
 	return ""
 }
 
-// targetLister shows the targets of one service.
+// targetLister converts the targets of one service to their form in the API.
 type targetLister struct {
 	view  *state.View
 	uses  map[model.TargetID]state.BucketUse
@@ -155,30 +162,30 @@
 	if !known {
 		return faults.New(faults.CodeNotFound, "service %q has no target %q", key.Service, key.Name)
 	}
-	// No 304: what remains changes without a new revision.
+	// Never 304 Not Modified: the load and the bucket counts change without a new revision.
 	writer.Header().Set("ETag", formatETag(record.Revision))
 	return writeJSON(writer, http.StatusOK, server.targetLister(view, target.Service).show(target))
 }
 
 func (server *api) drainTarget(writer http.ResponseWriter, request *http.Request) error {
-	change, err := changeOf(request, nil)
+	change, err := parseChange(request, nil)
 	if err != nil {
 		return err
 	}
 	key := targetKeyOf(request)
-	return server.change(writer, request, state.DrainTarget{Change: change, Target: key}, server.presentTarget(key))
+	return server.change(writer, request, state.DrainTarget{Change: change, Target: key}, server.currentTarget(key))
 }
 
 func (server *api) undrainTarget(writer http.ResponseWriter, request *http.Request) error {
-	change, err := changeOf(request, nil)
+	change, err := parseChange(request, nil)
 	if err != nil {
 		return err
 	}
 	key := targetKeyOf(request)
-	return server.change(writer, request, state.UndrainTarget{Change: change, Target: key}, server.presentTarget(key))
+	return server.change(writer, request, state.UndrainTarget{Change: change, Target: key}, server.currentTarget(key))
 }
 
-func (server *api) presentTarget(key state.TargetKey) presentValue {
+func (server *api) currentTarget(key state.TargetKey) currentValue {
 	return func(view *state.View) (model.Revision, any) {
 		target, record, known := view.Target(key)
 		if !known {
--- a/internal/adminapi/templates.go
+++ b/internal/adminapi/templates.go
@@ -52,6 +52,7 @@
 	return writeObject(writer, request, template.Revision, template)
 }
 
+// template returns the template in the path.
 func (server *api) template(request *http.Request) (*state.Template, error) {
 	view, err := server.view(request)
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 	number, err := strconv.ParseUint(chi.URLParam(request, "version"), 10, 32)
 	if err != nil || number == 0 {
-		return fieldRefusal(faults.CodeMalformedRequest, "version", "must be a number from 1")
+		return fieldRefusal(faults.CodeMalformedRequest, "version", "must be a positive number")
 	}
 	version, known := template.Find(uint32(number))
 	if !known {
@@ -91,24 +92,24 @@
 		return err
 	}
 	if isDryRun(request) {
-		return answerDryRun(writer, state.CheckTemplate(command.Spec))
+		return writeDryRun(writer, state.CheckTemplate(command.Spec))
 	}
-	if command.Change, err = changeOf(request, body); err != nil {
+	if command.Change, err = parseChange(request, body); err != nil {
 		return err
 	}
-	return server.change(writer, request, command, presentTemplate(command.Name))
+	return server.change(writer, request, command, currentTemplate(command.Name))
 }
 
 func (server *api) deleteTemplate(writer http.ResponseWriter, request *http.Request) error {
-	change, err := changeOf(request, nil)
+	change, err := parseChange(request, nil)
 	if err != nil {
 		return err
 	}
 	command := state.DeleteTemplate{Change: change, Name: chi.URLParam(request, "template")}
-	return server.change(writer, request, command, presentTemplate(command.Name))
+	return server.change(writer, request, command, currentTemplate(command.Name))
 }
 
-func presentTemplate(name string) presentValue {
+func currentTemplate(name string) currentValue {
 	return func(view *state.View) (model.Revision, any) {
 		template, known := view.Template(name)
 		if !known {
@@ -118,14 +119,16 @@
 	}
 }
 
-// DryRunAnswer tells that a change would have passed the checks.
+// DryRunAnswer is the response body of a dry run whose change passed the checks.
 type DryRunAnswer struct {
 	Valid bool `json:"valid"`
 }
 
+// isDryRun reports whether the request asks for a check of the change without committing it.
 func isDryRun(request *http.Request) bool { return request.URL.Query().Get("dry_run") == "true" }
 
-func answerDryRun(writer http.ResponseWriter, errors []state.FieldError) error {
+// writeDryRun answers a dry run, given the errors that the check found.
+func writeDryRun(writer http.ResponseWriter, errors []state.FieldError) error {
 	if len(errors) > 0 {
 		return refusal{error: faults.New(faults.CodeInvalidField, "the change is not valid"), fields: errors}
 	}
--- a/internal/adminapi/tenants.go
+++ b/internal/adminapi/tenants.go
@@ -13,7 +13,7 @@
 	if err != nil {
 		return err
 	}
-	identity := identityFrom(request)
+	identity := contextIdentity(request)
 	var visible []*state.Tenant
 	for _, tenant := range view.Tenants() {
 		if identity.MayUse(tenant.Name) {
@@ -51,24 +51,24 @@
 		return err
 	}
 	if isDryRun(request) {
-		return answerDryRun(writer, state.CheckTenant(command.Spec))
+		return writeDryRun(writer, state.CheckTenant(command.Spec))
 	}
-	if command.Change, err = changeOf(request, body); err != nil {
+	if command.Change, err = parseChange(request, body); err != nil {
 		return err
 	}
-	return server.change(writer, request, command, presentTenant(command.Name))
+	return server.change(writer, request, command, currentTenant(command.Name))
 }
 
 func (server *api) deleteTenant(writer http.ResponseWriter, request *http.Request) error {
-	change, err := changeOf(request, nil)
+	change, err := parseChange(request, nil)
 	if err != nil {
 		return err
 	}
 	command := state.DeleteTenant{Change: change, Name: tenantOf(request)}
-	return server.change(writer, request, command, presentTenant(command.Name))
+	return server.change(writer, request, command, currentTenant(command.Name))
 }
 
-func presentTenant(name model.TenantName) presentValue {
+func currentTenant(name model.TenantName) currentValue {
 	return func(view *state.View) (model.Revision, any) {
 		tenant, known := view.Tenant(name)
 		if !known {
--- a/internal/adminapi/tls.go
+++ b/internal/adminapi/tls.go
@@ -11,28 +11,30 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Files of a process's key folder.
+// Names of the files in a process's key folder (setting keys).
 const (
 	certificateFile = "certificate.pem"
 	keyFile         = "key.pem"
 )
 
-// certificateCheckInterval is the time between looks at the certificate file.
+// certificateCheckInterval is the minimum time between checks of the certificate file.
 const certificateCheckInterval = 5 * time.Second
 
-// certificateSource serves the certificate of a folder and reads it again when
+// certificateSource provides the certificate in a folder and reloads it when the modification time of
 // its file changes.
 type certificateSource struct {
 	folder string
 
 	lock        sync.Mutex
 	certificate *tls.Certificate
-	modified    time.Time
-	checked     time.Time
+	// modified is the modification time of the loaded certificate file.
+	modified time.Time
+	// checked is the time of the latest check for a change.
+	checked time.Time
 }
 
-// wrapTLS returns a TLS listener with the folder's certificate, or the
-// listener itself when there is no folder.
+// wrapTLS returns a TLS listener with the folder's certificate, or the listener itself when folder is
+// empty. It closes the listener when the certificate cannot be loaded.
 func wrapTLS(listener net.Listener, folder string) (net.Listener, error) {
 	if folder == "" {
 		return listener, nil
@@ -49,6 +51,7 @@
 	}), nil
 }
 
+// load reads the certificate and its key. On an error it keeps the certificate that it had.
 func (source *certificateSource) load() error {
 	path := filepath.Join(source.folder, certificateFile)
 	information, err := os.Stat(path)
@@ -64,8 +67,8 @@
 	return nil
 }
 
-// get returns the certificate. A changed file that can not be used leaves the
-// former certificate in place.
+// get returns the current certificate, for tls.Config.GetCertificate. A changed file that cannot be
+// loaded leaves the previous certificate in place.
 func (source *certificateSource) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
 	source.lock.Lock()
 	defer source.lock.Unlock()
