--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -21,7 +21,7 @@
 	flowIdleTimeout    = 10 * time.Second
 	assignmentLifetime = 12 * time.Second
 	coldStartTime      = 5 * time.Second
-	// expiryInterval is how often an agent removes idle flows.
+	// expiryInterval is the time between two removals of idle flows by an agent.
 	expiryInterval = 500 * time.Millisecond
 	// maximumQueuedEvents bounds the events queued for a frozen agent.
 	maximumQueuedEvents = 256
@@ -122,7 +122,8 @@
 // Name implements board.Controller.
 func (instance *agentInstance) Name() string { return "target" }
 
-// Reconcile implements board.Controller.
+// Reconcile implements board.Controller: it updates the target, runs the events that arrived while the
+// process was frozen, removes idle flows and reconciles the requests.
 func (instance *agentInstance) Reconcile(now time.Time) {
 	instance.updateTarget()
 	queued := instance.queuedEvents
@@ -182,8 +183,8 @@
 	return model.Target{}, false
 }
 
-// place identifies this incarnation of the target to the checkers.
-func (instance *agentInstance) place() checker.TargetIncarnation {
+// targetIncarnation returns the identity of this incarnation of the target for the checkers.
+func (instance *agentInstance) targetIncarnation() checker.TargetIncarnation {
 	return checker.TargetIncarnation{Target: uint32(instance.target.ID), Incarnation: uint64(instance.incarnation)}
 }
 
@@ -292,7 +293,7 @@
 		Intended:  uint32(forwarded.packet.intended),
 		Delivered: uint32(instance.target.Service),
 		Opening:   forwarded.opening,
-		Target:    instance.place(),
+		Target:    instance.targetIncarnation(),
 		At:        elapsed,
 	})
 	world.run.Trace.Mix(uint64(forwarded.packet.flow), forwarded.packet.sequence, uint64(instance.target.ID), uint64(forwarded.passes))
@@ -306,7 +307,7 @@
 	if forwarded.packet.closing {
 		instance.closeFlow(forwarded.packet.tuple)
 	}
-	instance.sendAnswer(answer{flow: forwarded.packet.flow, kind: answerEcho, sequence: forwarded.packet.sequence, place: instance.place()})
+	instance.sendAnswer(answer{flow: forwarded.packet.flow, kind: answerEcho, sequence: forwarded.packet.sequence, targetIncarnation: instance.targetIncarnation()})
 	if forwarded.packet.request != nil {
 		instance.requests.receive(now, forwarded.packet)
 	}
--- a/internal/sim/world/backend.go
+++ b/internal/sim/world/backend.go
@@ -10,7 +10,7 @@
 
 // Service times and failures of back ends.
 const (
-	// truncatedShare is the share of answers whose body is truncated.
+	// truncatedShare is the share, from 0 to 1, of answers whose body is truncated.
 	truncatedShare = 0.005
 	meanCallTime   = 40 * time.Millisecond
 	meanUploadTime = 1200 * time.Millisecond
@@ -24,22 +24,22 @@
 	world  *World
 	random *kernel.Random
 	// truncation decides which answers are truncated and which requests stall.
-	truncation *kernel.Random
-	place      checker.TargetIncarnation
-	stopped    bool
+	truncation        *kernel.Random
+	targetIncarnation checker.TargetIncarnation
+	stopped           bool
 	// running is the number of requests in progress.
 	running int
 }
 
-func newBackend(world *World, place checker.TargetIncarnation, random, truncation *kernel.Random) *backend {
-	return &backend{world: world, random: random, truncation: truncation, place: place}
+func newBackend(world *World, targetIncarnation checker.TargetIncarnation, random, truncation *kernel.Random) *backend {
+	return &backend{world: world, random: random, truncation: truncation, targetIncarnation: targetIncarnation}
 }
 
-// run executes one request and calls done when it ends, unless the back end stops before. complete
-// reports whether the answer has its full length.
+// run executes one request and calls done when it ends, unless the back end stops before. The complete
+// that done receives is true if the answer has its full length.
 func (backend *backend) run(payload requestPayload, done func(complete bool)) {
 	backend.running++
-	backend.world.checks.requests.Ran(payload.attempt, backend.place, backend.world.run.Elapsed())
+	backend.world.checks.requests.Ran(payload.attempt, backend.targetIncarnation, backend.world.run.Elapsed())
 	backend.world.run.Scheduler.After(backend.serviceTime(payload.class), func() {
 		if backend.stopped {
 			return
--- a/internal/sim/world/balancer.go
+++ b/internal/sim/world/balancer.go
@@ -15,9 +15,11 @@
 
 // Settings of simulated nodes.
 const (
+	// nodeInterval is the time between two periodic runs of a node's controllers.
 	nodeInterval      = 50 * time.Millisecond
 	heartbeatInterval = 500 * time.Millisecond
-	cacheFlows        = 512
+	// cacheFlows is the number of flows that a balancer's cache of owners holds.
+	cacheFlows = 512
 	// maximumQueuedPackets is the number of packets that fit into a frozen process's socket buffer.
 	maximumQueuedPackets = 64
 )
@@ -27,7 +29,8 @@
 type balancer struct {
 	world   *World
 	process *kernel.Process
-	// listed reports whether the machine is in the platform's list, to which the fabric sends.
+	// listed is true while the balancer is in the platform's list. The fabric sends packets only to
+	// balancers in this list.
 	listed bool
 	store  *rollout.Store
 	lease  *rollout.Lease
@@ -79,8 +82,8 @@
 	}
 }
 
-// receive routes a packet from the fabric, or queues it while the process is frozen. Further packets
-// are lost.
+// receive routes a packet from the fabric, or queues it while the process is frozen. It drops packets
+// beyond maximumQueuedPackets, and every packet while the process is stopped.
 func (balancer *balancer) receive(incoming packet) {
 	switch {
 	case balancer.process.Active():
--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -14,7 +14,7 @@
 const (
 	// openingRetryInterval is the wait before an opening packet is sent again.
 	openingRetryInterval = 250 * time.Millisecond
-	// maximumOpeningAttempts is how often it is sent before the caller gives up.
+	// maximumOpeningAttempts is how often an opening packet is sent before the caller gives up.
 	maximumOpeningAttempts = 20
 	// requestRetryInterval is the wait before a request's packet is sent again.
 	requestRetryInterval = 400 * time.Millisecond
@@ -41,7 +41,7 @@
 	// RequestsPerSecond is the rate of requests to each service that speaks HTTP/3.
 	RequestsPerSecond float64
 	// AtMostOnce is the share of requests that have a key and may run at most once, and Uploads the
-	// share of requests that are uploads.
+	// share of requests that are uploads. Both are from 0 to 1.
 	AtMostOnce float64
 	Uploads    float64
 }
@@ -124,7 +124,8 @@
 // idle reports whether no attempt waits for an answer.
 func (callers *callers) idle() bool { return callers.pendingAttempts == 0 }
 
-// repeatAtRate calls action at random times with the given mean rate until the callers stop.
+// repeatAtRate calls action at random times, perSecond times a second on average, until the callers
+// stop.
 func (callers *callers) repeatAtRate(perSecond float64, action func()) {
 	if perSecond <= 0 {
 		return
--- a/internal/sim/world/caller_request.go
+++ b/internal/sim/world/caller_request.go
@@ -47,8 +47,9 @@
 	callers.startAttempt(request, nil)
 }
 
-// startAttempt sends the request on a random open flow other than avoid. It does nothing if the
-// request is done, has no attempts left, or its address belongs to another service by now.
+// startAttempt sends the request on a random open flow other than avoid. It does nothing if there is
+// no such flow, if the request is done or has no attempts left, or if its address belongs to another
+// service by now.
 func (callers *callers) startAttempt(request *callerRequest, avoid *callerFlow) {
 	if request.done || request.attempts >= maximumAttempts || request.service.id != request.intended {
 		return
@@ -90,7 +91,8 @@
 	return kernel.Pick(callers.random, candidates)
 }
 
-// sendAttempt sends the request's packet, and repeats it until the attempt ends or times out.
+// sendAttempt sends the request's packet, and repeats it until the attempt ends. It gives the attempt
+// up when the flow has ended or answerGrace has passed since the deadline.
 func (callers *callers) sendAttempt(flow *callerFlow, request *callerRequest, payload requestPayload) {
 	if request.done || request.current != payload.attempt {
 		return
@@ -118,7 +120,9 @@
 	request.done = true
 }
 
-// receiveFinal handles the final answer to an attempt.
+// receiveFinal handles the final answer to an attempt. If the request was not run, it is retried. If
+// its outcome is unknown or another attempt is in progress, it is retried only if it has a key. Answers
+// to attempts other than the current one cause no retry.
 func (callers *callers) receiveFinal(reply answer) {
 	request, known := callers.requests[reply.attempt]
 	if !known {
@@ -149,8 +153,8 @@
 	request.endAttempt()
 }
 
-// retryLater attempts the request again, on another flow and after the delay that the answer asks
-// for.
+// retryLater attempts the request again if retry is true and the request is not done. It uses another
+// flow and waits for the delay that the answer asks for, and up to 200 ms more.
 func (callers *callers) retryLater(request *callerRequest, reply answer, retry bool) {
 	if !retry || request.done {
 		return
--- a/internal/sim/world/checks.go
+++ b/internal/sim/world/checks.go
@@ -11,7 +11,8 @@
 const (
 	// maximumRolloutTime is the time within which an accepted change must be in force.
 	maximumRolloutTime = 7 * time.Second
-	// drainGrace is the time after which a draining target must get no new work.
+	// drainGrace is the time after the acceptance of a drain during which the target may still get new
+	// work.
 	drainGrace = 3 * time.Second
 	// digestInterval is the number of applied log entries between two comparisons of the digests of
 	// the members' states.
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -61,7 +61,8 @@
 	return 0, false
 }
 
-// AwaitLeader runs the world until a member leads or limit has passed, and returns what Leader does.
+// AwaitLeader runs the world until a member leads or limit has passed, and returns the result of
+// Leader.
 func (world *World) AwaitLeader(limit time.Duration) (int, bool) {
 	world.waitFor(limit, func() bool {
 		_, leads := world.Leader()
@@ -111,8 +112,8 @@
 	if !agent.process.Running() {
 		return
 	}
-	world.checks.flows.TargetFailed(agent.instance.place())
-	world.checks.requests.TargetFailed(agent.instance.place())
+	world.checks.flows.TargetFailed(agent.instance.targetIncarnation())
+	world.checks.requests.TargetFailed(agent.instance.targetIncarnation())
 	agent.process.Kill()
 }
 
@@ -121,8 +122,8 @@
 func (world *World) AllowFlowLoss(name model.NodeName) {
 	agent := world.agentsByName[name]
 	if agent.process.Running() {
-		world.checks.flows.TargetFailed(agent.instance.place())
-		world.checks.requests.TargetFailed(agent.instance.place())
+		world.checks.flows.TargetFailed(agent.instance.targetIncarnation())
+		world.checks.requests.TargetFailed(agent.instance.targetIncarnation())
 	}
 }
 
@@ -170,8 +171,8 @@
 // recordPlannedStop tells the checkers that a target stops as planned, so that it must not have any
 // flow or request left.
 func (world *World) recordPlannedStop(agent *agent) {
-	world.checks.flows.TargetStopped(agent.instance.place(), world.run.Elapsed())
-	world.checks.requests.TargetStopped(agent.instance.place(), world.run.Elapsed())
+	world.checks.flows.TargetStopped(agent.instance.targetIncarnation(), world.run.Elapsed())
+	world.checks.requests.TargetStopped(agent.instance.targetIncarnation(), world.run.Elapsed())
 }
 
 // DelistBalancer removes a balancer from the platform's list before a planned stop.
--- a/internal/sim/world/finish.go
+++ b/internal/sim/world/finish.go
@@ -14,8 +14,9 @@
 	convergenceTimeout = 30 * time.Second
 	// answerTimeout is how long callers may take to get their last answers.
 	answerTimeout = requestTimeout + answerGrace + 2*time.Second
-	// silenceTime is a time in which a flow sends more packets than it may lose.
-	silenceTime = 6 * time.Second
+	// interruptionDetectionTime is long enough for an interrupted flow to send more unanswered packets
+	// than the checkers allow.
+	interruptionDetectionTime = 6 * time.Second
 )
 
 // StartRacingOperators starts count operators that change a parameter of random services until the
@@ -53,8 +54,9 @@
 	return func() { stopped = true }
 }
 
-// FinishControl waits until the running members agree, compares their states, and checks that the
-// complete history of the operators' changes is linearizable and ends in the final state.
+// FinishControl waits until no change is pending and the running members agree, compares their states,
+// and checks that the complete history of the operators' changes is linearizable and ends in the final
+// state.
 func (world *World) FinishControl() {
 	ended := world.waitFor(changeTimeout+2*operatorTimeout, func() bool { return world.pendingChanges == 0 })
 	world.CheckProgress(ended, "%d changes have no end", world.pendingChanges)
@@ -116,8 +118,8 @@
 	return summary
 }
 
-// finalReads gives the leader's final state of every service and of every target that drains to the
-// checkers.
+// finalReads reports to the checkers the leader's final state of every service and of every target with
+// an accepted drain.
 func (world *World) finalReads() {
 	leader, leads := world.Leader()
 	if !leads {
@@ -150,8 +152,8 @@
 	world.CheckProgress(share >= minimumLeasedShare, "balancers held leases in %.2f of all looks", share)
 }
 
-// minimumLeasedShare is the share of samples of balancers in which they must hold a lease. Without
-// leases a run proves nothing about when changes are in force.
+// minimumLeasedShare is the share, from 0 to 1, of samples of balancers in which they must hold a
+// lease. Without leases a run shows nothing about when changes are in force.
 const minimumLeasedShare = 0.5
 
 // laggingNodes returns the running balancers and agents that do not run the leader's configuration.
@@ -192,8 +194,8 @@
 	world.callers.stop()
 	stoppedAt := world.run.Elapsed()
 	world.checks.flows.ClearUnanswered()
-	world.run.Scheduler.RunFor(silenceTime)
-	world.waitFor(answerTimeout-silenceTime, world.callers.idle)
+	world.run.Scheduler.RunFor(interruptionDetectionTime)
+	world.waitFor(answerTimeout-interruptionDetectionTime, world.callers.idle)
 	world.checks.flows.CheckInterrupted(world.run.Elapsed())
 	world.checks.requests.CheckOutcomes(stoppedAt, world.run.Elapsed())
 	if world.callers.expectAnswers {
@@ -206,9 +208,9 @@
 		world.checks.flows.Opened(), world.checks.flows.Excused(), world.callers.abandoned, tally)
 }
 
-// minimumAnsweredShare is the share of attempts that must get the back end's answer under planned
-// changes. A system that refuses every request, or answers that each may have run, violates no other
-// invariant.
+// minimumAnsweredShare is the share, from 0 to 1, of attempts that must get the back end's answer
+// under planned changes. A system that refuses every request, or answers that each may have run,
+// violates no other invariant.
 const minimumAnsweredShare = 0.5
 
 // checkServed checks that flows were opened and requests answered. Planned changes alone excuse
--- a/internal/sim/world/lag.go
+++ b/internal/sim/world/lag.go
@@ -27,8 +27,8 @@
 	return false
 }
 
-// reportLag replaces the loads and empty buckets in heartbeats by those of age earlier. The node's
-// liveness and the revision that it runs stay current.
+// reportLag replaces the loads and empty buckets in a heartbeat by those that the node reported age
+// ago. The node's liveness and the revision that it runs stay current.
 type reportLag struct {
 	scheduler *kernel.Scheduler
 	age       time.Duration
@@ -47,8 +47,9 @@
 	return &reportLag{scheduler: scheduler, age: lag, history: make(map[model.NodeName][]reportedAt)}
 }
 
-// delayReport returns the message with the latest report that is at least age old, or without a
-// report if there is none of the same incarnation.
+// delayReport returns a heartbeat with the node's latest report that is at least age old, or without a
+// report if that one is of another incarnation or does not exist. It returns other messages unchanged,
+// and every message if age is zero.
 func (lag *reportLag) delayReport(envelope messageEnvelope) messageEnvelope {
 	heartbeat, isHeartbeat := envelope.Message.(protocol.Heartbeat)
 	if !isHeartbeat || lag.age == 0 {
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -16,10 +16,12 @@
 
 // Settings of simulated control members.
 const (
+	// memberInterval is the time between two periodic runs of a member's controllers.
 	memberInterval          = 50 * time.Millisecond
 	electionTimeout         = time.Second
 	memberHeartbeatInterval = 150 * time.Millisecond
-	deadNodeTimeout         = 5 * time.Second
+	// deadNodeTimeout is the time without heartbeats after which an agent's target is declared dead.
+	deadNodeTimeout = 5 * time.Second
 )
 
 // member simulates one control member: the product's consensus, state and control controllers on a
@@ -47,8 +49,8 @@
 	return created
 }
 
-// build starts a new incarnation from what its disk holds. If consensus refuses to start, the process
-// runs without controllers.
+// build starts a new incarnation from the contents of its disk. If consensus refuses to start, the
+// process runs without controllers.
 func (member *member) build(mailbox *protocol.Mailbox, incarnation model.Incarnation) kernel.Program {
 	dispatcher := protocol.NewDispatcher(mailbox)
 	member.machine = state.NewMachine()
@@ -81,7 +83,7 @@
 	return member.controller.StatusAt(member.process.LocalNow())
 }
 
-// observe reports to the checkers that the member leads, and ends a member whose consensus failed.
+// observe reports a leading member to the checkers, and ends a member whose consensus failed.
 func (member *member) observe() {
 	if member.controller == nil {
 		return
@@ -109,8 +111,8 @@
 	result := machine.wrapped.Apply(index, at, command)
 	world := machine.member.world
 	process := machine.member.process
-	life := checker.MemberIncarnation{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
-	world.checks.replicas.Applied(life, uint64(index), string(command), world.run.Elapsed())
+	incarnation := checker.MemberIncarnation{Member: string(process.Name), Incarnation: uint64(process.Incarnation())}
+	world.checks.replicas.Applied(incarnation, uint64(index), string(command), world.run.Elapsed())
 	world.checks.observeApplied(machine.member, uint64(index))
 	return result
 }
--- a/internal/sim/world/membership.go
+++ b/internal/sim/world/membership.go
@@ -48,17 +48,17 @@
 		return false
 	}
 	controller := world.members[leader].controller
-	present, known := findMember(world.members[leader].Status().Members, replaced)
+	entry, known := findMember(world.members[leader].Status().Members, replaced)
 	ignore := func(error) {}
 	switch {
-	case known && present.ID == old:
+	case known && entry.ID == old:
 		controller.RemoveMember(old, ignore)
 	case !known:
 		controller.AddLearner(replaced.process.Name, func(replica.MemberID, error) {})
 	case !replaced.process.Running():
 		replaced.process.Start()
-	case present.Learner:
-		controller.Promote(present.ID, ignore)
+	case entry.Learner:
+		controller.Promote(entry.ID, ignore)
 	default:
 		return true
 	}
--- a/internal/sim/world/operator.go
+++ b/internal/sim/world/operator.go
@@ -66,8 +66,8 @@
 	done        func(ChangeOutcome)
 }
 
-// nextChange returns the fields that identify the operator's next change, so that a resend is not
-// applied twice.
+// nextChange returns the common fields of the operator's next change, based on revision base. Its key
+// and fingerprint are unique, so that a resend of the change is not applied twice.
 func (operator *Operator) nextChange(base model.Revision) state.Change {
 	operator.changes++
 	return state.Change{
@@ -221,8 +221,8 @@
 // SetAnswerLoss sets the share, from 0 to 1, of answers to operators that are lost from now on.
 func (world *World) SetAnswerLoss(share float64) { world.lostAnswerShare = share }
 
-// AcceptedResends returns how many answers to changes that were resent after their first answer said
-// again that the change was accepted.
+// AcceptedResends returns the number of answers to resends of answered changes that say that the change
+// was accepted. Each resend goes to all members and may get several such answers.
 func (world *World) AcceptedResends() int { return world.acceptedResends }
 
 // submit hands a command to the member's consensus. It does nothing if the process does not run.
@@ -397,7 +397,8 @@
 	return state.TargetKey{Tenant: service.tenant, Service: service.name, Name: string(name)}
 }
 
-// targetState returns a target's revision and ID in the leader's state.
+// targetState returns a target's revision and ID in the leader's state, and reports whether there is a
+// leader and it has the target.
 func (world *World) targetState(key state.TargetKey) (model.Revision, model.TargetID, bool) {
 	leader, leads := world.AwaitLeader(changeTimeout)
 	if !leads {
--- a/internal/sim/world/packet.go
+++ b/internal/sim/world/packet.go
@@ -29,7 +29,8 @@
 	deadline    time.Time
 }
 
-// forwardedPacket is a packet on its way from a balancer along a chain of targets.
+// forwardedPacket is a packet on its way from a balancer along a chain of targets. Its fields from
+// service to passerLoad are inputs of steering and are described at steering.Input.
 type forwardedPacket struct {
 	packet     packet
 	service    model.ServiceID
@@ -76,8 +77,8 @@
 	// executedAttempt is the attempt whose run produced the response. It differs from attempt if the
 	// recorded outcome of another attempt is sent.
 	executedAttempt checker.AttemptID
-	// complete reports whether a response has its full length.
-	complete   bool
-	retryAfter time.Duration
-	place      checker.TargetIncarnation
+	// complete is true if a response has its full length.
+	complete          bool
+	retryAfter        time.Duration
+	targetIncarnation checker.TargetIncarnation
 }
--- a/internal/sim/world/parts.go
+++ b/internal/sim/world/parts.go
@@ -81,8 +81,8 @@
 	Attempt checker.AttemptID
 	// ExecutedAttempt is the attempt whose run produced the response.
 	ExecutedAttempt checker.AttemptID
-	// Whole reports whether the back end's body had its full length.
-	Whole bool
+	// Complete is true if the back end's body had its full length.
+	Complete bool
 }
 
 // Parts are the components that the world is composed of. The standard parts are the product's own. A
--- a/internal/sim/world/relay.go
+++ b/internal/sim/world/relay.go
@@ -11,6 +11,7 @@
 )
 
 const (
+	// relayInterval is the time between two periodic runs of a relay's controllers.
 	relayInterval  = 50 * time.Millisecond
 	reportInterval = 500 * time.Millisecond
 )
--- a/internal/sim/world/requests.go
+++ b/internal/sim/world/requests.go
@@ -61,7 +61,7 @@
 			StartedAt:    instance.started,
 			Seed:         random.Uint64(),
 		})),
-		backend:           newBackend(world, instance.place(), random, world.run.Random("cuts/"+name)),
+		backend:           newBackend(world, instance.targetIncarnation(), random, world.run.Random("cuts/"+name)),
 		attempts:          make(map[checker.AttemptID]*targetAttempt),
 		attemptsByRequest: make(map[admission.RequestID]*targetAttempt),
 	}
@@ -74,8 +74,8 @@
 	return len(handler.attemptsByRequest) == 0 && handler.backend.running == 0
 }
 
-// reconcile closes admission maximumDrainWait after a drain has begun and opens it when the drain ends.
-// It also carries out the decisions that admission makes as time passes.
+// reconcile closes admission maximumDrainWait after a drain has begun, and opens it when the drain
+// ends. It also carries out the decisions that admission makes as time passes.
 func (handler *requestHandler) reconcile(now time.Time) {
 	switch {
 	case !handler.isDraining():
@@ -269,14 +269,14 @@
 // respond forwards the answer that the run of executedAttempt produced. For a truncated answer the
 // caller is told only that the request may have run.
 func (handler *requestHandler) respond(attempt *targetAttempt, executedAttempt checker.AttemptID, complete bool) {
-	response := Response{Kind: ResponseAnswer, Attempt: attempt.request.attempt, ExecutedAttempt: executedAttempt, Whole: complete}
+	response := Response{Kind: ResponseAnswer, Attempt: attempt.request.attempt, ExecutedAttempt: executedAttempt, Complete: complete}
 	if !complete {
 		response.Kind = ResponseUnknown
 	}
 	response = handler.instance.agent.world.parts.Respond(response)
 	switch response.Kind {
 	case ResponseAnswer:
-		handler.answerAttempt(attempt, answer{kind: answerResponse, executedAttempt: response.ExecutedAttempt, complete: response.Whole})
+		handler.answerAttempt(attempt, answer{kind: answerResponse, executedAttempt: response.ExecutedAttempt, complete: response.Complete})
 	case ResponseRefusal:
 		handler.answerAttempt(attempt, answer{kind: answerRefusal})
 	default:
@@ -284,7 +284,7 @@
 	}
 }
 
-// release gives the attempt's grant back, if it has one, because the request was not run.
+// release releases the attempt's grant, if it has one, because the request was not run.
 func (handler *requestHandler) release(now time.Time, attempt *targetAttempt) {
 	if attempt.grant != nil {
 		handler.instance.claims.Release(now, *attempt.grant)
@@ -301,7 +301,7 @@
 func (handler *requestHandler) answerAttempt(attempt *targetAttempt, final answer) {
 	final.flow = attempt.flow
 	final.attempt = attempt.request.attempt
-	final.place = handler.instance.place()
+	final.targetIncarnation = handler.instance.targetIncarnation()
 	attempt.finalAnswer = &final
 	handler.instance.sendAnswer(final)
 }
--- a/internal/sim/world/setup.go
+++ b/internal/sim/world/setup.go
@@ -16,7 +16,8 @@
 	setupTimeout = 40 * time.Second
 	// pollInterval is the virtual time between two checks of a condition that the world waits for.
 	pollInterval = 100 * time.Millisecond
-	// settleTime is the time in which leases, targets and loads settle before the load begins.
+	// settleTime is the virtual time after setup in which leases, the states of targets and reported
+	// loads settle before callers' traffic begins.
 	settleTime = 8 * time.Second
 )
 
--- a/internal/sim/world/targets.go
+++ b/internal/sim/world/targets.go
@@ -7,7 +7,8 @@
 )
 
 // firstTargetChangeValue is the first queue limit that changes of the list of targets write. It is
-// high enough that these values differ from those that racing operators write.
+// high enough that these values differ from those that racing operators write, which are about
+// 1_000_000 times the operator's number.
 const firstTargetChangeValue = 900_000_000
 
 // RemoveTarget removes a target from the list in its service's parameters, which drains the target. It
--- a/internal/sim/world/world.go
+++ b/internal/sim/world/world.go
@@ -19,8 +19,8 @@
 type Options struct {
 	Preset Preset
 	Parts  Parts
-	// SnapshotEvery, SegmentBytes and ChunkBytes are those of the members'
-	// storage; zero means the product's default.
+	// SnapshotEvery (log entries), SegmentBytes and ChunkBytes are the members' options of the same
+	// names in replica.Options. Zero means the product's default.
 	SnapshotEvery int
 	SegmentBytes  int64
 	ChunkBytes    int
@@ -40,10 +40,10 @@
 	// FlowIdleTimeout is the idle time after which agents remove a flow. Zero means a short one, so
 	// that short runs also cover what happens after it.
 	FlowIdleTimeout time.Duration
-	// ResendShare is the share of answered changes that their operator sends again.
+	// ResendShare is the share, from 0 to 1, of answered changes that their operator sends again.
 	ResendShare float64
-	// StalledRequestShare is the share of requests that back ends answer only after their caller has
-	// given up.
+	// StalledRequestShare is the share, from 0 to 1, of requests that back ends answer only after their
+	// caller has given up.
 	StalledRequestShare float64
 }
 
@@ -71,9 +71,9 @@
 	// when they do, and which answers to operators are lost.
 	updateDelays    *kernel.Random
 	resendDecisions *kernel.Random
-	// lostAnswerShare is the share of answers to operators that are lost.
+	// lostAnswerShare is the share, from 0 to 1, of answers to operators that are lost.
 	lostAnswerShare float64
-	// acceptedResends counts the answers that said again, after a resend, that a change was accepted.
+	// acceptedResends counts the answers to resends that say that the change was accepted.
 	acceptedResends int
 	// racingOperators counts the operators that StartRacingOperators has ever started.
 	racingOperators int
@@ -190,7 +190,8 @@
 	return append(local, remote...)
 }
 
-// forward sends a packet to the agent address that a configuration has for a target.
+// forward sends a packet to the agent address that a configuration has for a target. It drops a packet
+// to an unknown target or address.
 func (world *World) forward(from kernel.Endpoint, configuration *model.Configuration, next model.TargetID, forwarded forwardedPacket) {
 	target, known := configuration.Targets[next]
 	if !known {
