--- a/internal/checker/flow.go
+++ b/internal/checker/flow.go
@@ -205,6 +205,8 @@
 // open reports whether a target owns the flow and it is neither closed nor broken.
 func (record *flowRecord) open() bool { return record.owned && !record.closed && !record.broken }
 
+// breakFlow marks a flow that is not closed as broken, once. It reports a violation unless no target
+// owns the flow or its owner failed.
 func (flows *Flows) breakFlow(record *flowRecord, at time.Duration, cause string) {
 	if record.broken || record.closed {
 		return
--- a/internal/checker/linearizability.go
+++ b/internal/checker/linearizability.go
@@ -22,8 +22,8 @@
 
 // The results.
 const (
-	// ResultAccepted: the write took effect and got Revision; a read returned
-	// Value and Revision.
+	// ResultAccepted: the write took effect and created Revision, or the read returned Value and
+	// Revision.
 	ResultAccepted OperationResult = iota + 1
 	// ResultConflict: the write's base was not the current revision, which is in Revision. Nothing
 	// changed.
@@ -230,8 +230,8 @@
 	return earliest
 }
 
-// visit records the pair of placed operations and state. It returns false if the pair was visited
-// before, or if maxStates pairs have been visited.
+// visit records the pair of placed operations and state. It reports whether the pair is new and
+// fewer than maxStates pairs had been visited; otherwise the search does not continue from it.
 func (search *search) visit(state register) bool {
 	if len(search.visited) >= search.maxStates {
 		search.exhausted = true
--- a/internal/checker/violation.go
+++ b/internal/checker/violation.go
@@ -41,8 +41,8 @@
 	InvariantColdRate Invariant = "cold-rate"
 	// InvariantStopCutsNothing: a planned stop interrupts no running request.
 	InvariantStopCutsNothing Invariant = "stop-cuts-nothing"
-	// InvariantInForce: within a time bound, every balancer that holds a lease runs an accepted
-	// configuration.
+	// InvariantInForce: an accepted configuration is in force, within a time bound, on every
+	// balancer that holds a lease.
 	InvariantInForce Invariant = "in-force"
 	// InvariantNoRevert: a node never runs a lower revision than before.
 	InvariantNoRevert Invariant = "no-revert"
--- a/internal/sim/cli/mutants.go
+++ b/internal/sim/cli/mutants.go
@@ -13,7 +13,7 @@
 // Reasons to exit with code 1.
 var (
 	errNotCaught = errors.New("a mutant was not caught")
-	errNoMutants = errors.New("there are no mutants, so nothing was shown")
+	errNoMutants = errors.New("there are no mutants to run")
 )
 
 type mutantFlags struct {
--- a/internal/sim/cli/mutants_test.go
+++ b/internal/sim/cli/mutants_test.go
@@ -16,10 +16,10 @@
 // otherwise.
 func stubMutant(caught bool) mutant.Mutant {
 	return mutant.Mutant{
-		Name:   "quiet",
-		Breaks: "nothing of importance",
+		Name:   "stub",
+		Breaks: "nothing",
 		Expect: []checker.Invariant{checker.InvariantDrain},
-		Scenario: mutant.Scenario{Name: "story", Play: func(run *sim.Run, parts world.Parts) {
+		Scenario: mutant.Scenario{Name: "stub", Play: func(run *sim.Run, parts world.Parts) {
 			if caught && parts.Chain == nil {
 				run.Report.Add(checker.InvariantDrain, 0, "late")
 			}
--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -28,9 +28,9 @@
 const runHelp = `Run scenarios over a range of seeds, each on a virtual clock.
 
 A scenario stops at its first seed that violates an invariant, and the other
-scenarios go on; --keep-going runs all seeds. The exit code is 1 when any seed
+scenarios continue; --keep-going runs all seeds. The exit code is 1 when any seed
 violated an invariant. The same seed always gives the same run and the same
-digest: what failed is replayed with --trace.`
+digest: replay a failed run with --trace.`
 
 const runExample = `  merlinsim run --scenario all --seeds 1-200
   merlinsim run --scenario leader-loss --seeds 17 --trace
@@ -63,10 +63,10 @@
 	}
 	addSelection(command, &flags.scenario, &flags.seeds, &flags.workers)
 	command.Flags().BoolVar(&flags.asJSON, "json", false, "write one JSON object for each run")
-	command.Flags().BoolVar(&flags.keepGoing, "keep-going", false, "run all seeds of a scenario also after a violation")
-	command.Flags().StringVar(&flags.knownRed, "known-red", "", "file with runs that are known to fail: they are printed, and fail nothing")
+	command.Flags().BoolVar(&flags.keepGoing, "keep-going", false, "run all seeds of a scenario even after a violation")
+	command.Flags().StringVar(&flags.knownRed, "known-red", "", "file with runs that are known to fail: they are printed and do not fail the command")
 	command.Flags().BoolVar(&flags.trace, "trace", false, "print every event of one seed of one scenario")
-	command.Flags().Uint64Var(&flags.flow, "flow", 0, "with --trace, print also the packets of this flow")
+	command.Flags().Uint64Var(&flags.flow, "flow", 0, "with --trace, also print the packets of this flow")
 	return command
 }
 
--- a/internal/sim/determinism_test.go
+++ b/internal/sim/determinism_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRepeatFindsRunsThatDiffer(t *testing.T) {
+func TestRunTwiceFindsRunsThatDiffer(t *testing.T) {
 	var calls atomic.Uint64
 	// Seed 70 mixes another number into its digest each time it is run.
 	unstable := Scenario{Name: "unstable", Play: func(run *Run) {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestRepeatAtTheEndOfTheRange(t *testing.T) {
+func TestRunTwiceAtTheEndOfTheRange(t *testing.T) {
 	count := 0
 	RunTwice(randomScenario(), SeedRange{First: math.MaxUint64 - 127, Last: math.MaxUint64}, 2, func(first, second Result) bool {
 		count++
--- a/internal/sim/mutant/claim.go
+++ b/internal/sim/mutant/claim.go
@@ -95,7 +95,8 @@
 	return envelope
 }
 
-// keyOfAgent returns the key with the agent's name as its suffix, which is added once only.
+// keyOfAgent returns the key with the agent's name as its suffix. A key that has the suffix already
+// stays the same.
 func keyOfAgent(key string, agent model.NodeName) string {
 	suffix := "/" + string(agent)
 	return strings.TrimSuffix(key, suffix) + suffix
--- a/internal/sim/mutant/hunt.go
+++ b/internal/sim/mutant/hunt.go
@@ -90,14 +90,14 @@
 	result := sim.Execute(finding.Mutant.Broken(), seed)
 	violation, violated := finding.firstExpected(result)
 	if !violated {
-		finding.recordOthers(result)
+		finding.recordOtherInvariants(result)
 		return false
 	}
 	if _, fails := finding.firstExpected(sim.Execute(finding.Mutant.Unbroken(), seed)); fails {
 		finding.FailedUnbroken++
 		return false
 	}
-	finding.recordOthers(result)
+	finding.recordOtherInvariants(result)
 	finding.Caught = true
 	finding.Seed = seed
 	finding.Violation = violation
@@ -113,7 +113,7 @@
 	return checker.Violation{}, false
 }
 
-func (finding *Finding) recordOthers(result sim.Result) {
+func (finding *Finding) recordOtherInvariants(result sim.Result) {
 	for _, violation := range result.Violations {
 		expected := slices.Contains(finding.Mutant.Expect, violation.Invariant)
 		if !expected && !slices.Contains(finding.OtherInvariants, violation.Invariant) {
--- a/internal/sim/mutant/mutant_test.go
+++ b/internal/sim/mutant/mutant_test.go
@@ -63,9 +63,9 @@
 // place.
 func stubMutant(play func(run *sim.Run, broken bool)) Mutant {
 	return Mutant{
-		Name:   "drawn",
+		Name:   "stub",
 		Expect: []checker.Invariant{checker.InvariantDrain},
-		Scenario: Scenario{Name: "drawn", Play: func(run *sim.Run, parts world.Parts) {
+		Scenario: Scenario{Name: "stub", Play: func(run *sim.Run, parts world.Parts) {
 			play(run, parts.Chain == nil)
 		}},
 		Variant: func(_ *sim.Run, parts *world.Parts) { parts.Chain = nil },
--- a/internal/sim/scenario/chaos.go
+++ b/internal/sim/scenario/chaos.go
@@ -72,7 +72,7 @@
 		{name: "isolation", begin: (*chaos).isolate, delaysDrains: true},
 		{name: "zone cut", begin: (*chaos).cutZone, delaysDrains: true},
 		{name: "one-way zone cut", begin: (*chaos).cutZoneOneWay, delaysDrains: true},
-		{name: "loss", begin: (*chaos).lose},
+		{name: "loss", begin: (*chaos).degradeLinks},
 		{name: "failed sync", begin: (*chaos).failSync},
 		{name: "torn write", begin: (*chaos).tearWrite},
 		{name: "clock skew", begin: (*chaos).skewClock},
@@ -222,7 +222,8 @@
 	return cutZoneOneWay(chaos.World, kernel.Pick(chaos.random, chaos.Zones()), chaos.random.Chance(0.5))
 }
 
-func (chaos *chaos) lose() (end func()) {
+// degradeLinks makes all links lose, duplicate and reorder more messages and packets.
+func (chaos *chaos) degradeLinks() (end func()) {
 	messages, packets := chaos.Faults()
 	worse := kernel.LinkFaults{Loss: 0.1, Duplication: 0.1, Jitter: 30 * time.Millisecond}
 	chaos.SetFaults(worse, worse)
@@ -235,6 +236,7 @@
 	return chaos.Members()[index].Start
 }
 
+// tearWrite kills and restarts a control member three times, so that a kill may tear a write.
 func (chaos *chaos) tearWrite() (end func()) {
 	process := kernel.Pick(chaos.random, chaos.Members())
 	for range 3 {
--- a/internal/sim/scenario/partition.go
+++ b/internal/sim/scenario/partition.go
@@ -33,7 +33,7 @@
 				options.BalancerListLag = 10 * time.Second
 				options.MachineListLag = 10 * time.Second
 			}),
-			play: underTraffic(defaultLoad(), laggingList),
+			play: underTraffic(defaultLoad(), laggingMachineList),
 		},
 	}
 }
@@ -95,7 +95,7 @@
 	}
 }
 
-func laggingList(world *world.World, random *kernel.Random) {
+func laggingMachineList(world *world.World, random *kernel.Random) {
 	for range 3 {
 		balancer := kernel.Pick(random, world.Balancers())
 		balancer.Kill()
--- a/internal/sim/scenario/registry.go
+++ b/internal/sim/scenario/registry.go
@@ -100,7 +100,7 @@
 // optionsForSeed returns the options of the run with the given seed.
 type optionsForSeed func(seed uint64) world.Options
 
-// with returns the options after a call of change on them.
+// with returns the same options as changed by change.
 func (options optionsForSeed) with(change func(options *world.Options)) optionsForSeed {
 	return func(seed uint64) world.Options {
 		changed := options(seed)
--- a/internal/sim/scenario/rollout.go
+++ b/internal/sim/scenario/rollout.go
@@ -11,7 +11,7 @@
 	return []definition{
 		{
 			name:    "relay-failover",
-			summary: "relays fail, freeze or are cut off from control, under concurrent changes; balancers with a lease are current, none reverts",
+			summary: "relays fail, freeze or are cut off from control while they run, under concurrent changes; balancers with a lease are current, none reverts",
 			options: withFaultyLinks(small),
 			play:    underChanges(relayFailover),
 		},
--- a/internal/sim/sweep.go
+++ b/internal/sim/sweep.go
@@ -67,8 +67,8 @@
 	result chan Result
 }
 
-// sweepScenario runs the seeds of one scenario. It returns false if report returned false. All
-// workers have ended when it returns.
+// sweepScenario runs the seeds of one scenario. It reports whether every call of report returned
+// true. All workers have ended when it returns.
 func sweepScenario(scenario Scenario, seeds SeedRange, workers int, report func(Result) bool) bool {
 	workers = max(workers, 1)
 	runs := make(chan seedRun)
@@ -109,7 +109,8 @@
 	}
 }
 
-// reportInOrder waits for the results in order and reports them. It returns false if report did.
+// reportInOrder waits for the results in order and reports them. It stops when report returns false,
+// and reports whether every call of report returned true.
 func reportInOrder(ordered <-chan seedRun, report func(Result) bool) bool {
 	for run := range ordered {
 		if !report(<-run.result) {
