--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -63,10 +63,10 @@
 	}
 	addSelection(command, &flags.scenario, &flags.seeds, &flags.workers)
 	command.Flags().BoolVar(&flags.asJSON, "json", false, "write one JSON object for each run")
-	command.Flags().BoolVar(&flags.keepGoing, "keep-going", false, "run all seeds of a scenario even after a violation")
-	command.Flags().StringVar(&flags.knownRed, "known-red", "", "file with runs that are known to fail: they are printed and do not fail the command")
+	command.Flags().BoolVar(&flags.keepGoing, "keep-going", false, "run all seeds of a scenario also after a violation")
+	command.Flags().StringVar(&flags.knownRed, "known-red", "", "file with runs that are known to fail: they are printed, and fail nothing")
 	command.Flags().BoolVar(&flags.trace, "trace", false, "print every event of one seed of one scenario")
-	command.Flags().Uint64Var(&flags.flow, "flow", 0, "with --trace, also print the packets of this flow")
+	command.Flags().Uint64Var(&flags.flow, "flow", 0, "with --trace, print also the packets of this flow")
 	return command
 }
 
--- a/internal/sim/cli/selection.go
+++ b/internal/sim/cli/selection.go
@@ -29,7 +29,7 @@
 
 // addWorkers adds the flag for the number of concurrent runs.
 func addWorkers(command *cobra.Command, workers *int) {
-	command.Flags().IntVar(workers, "workers", runtime.GOMAXPROCS(0), "number of concurrent runs")
+	command.Flags().IntVar(workers, "workers", runtime.GOMAXPROCS(0), "runs at the same time")
 }
 
 // newSelection validates the values of the flags and returns the selection.
