--- a/internal/sim/cli/run.go
+++ b/internal/sim/cli/run.go
@@ -28,9 +28,9 @@
 const runHelp = `Run scenarios over a range of seeds, each on a virtual clock.
 
 A scenario stops at its first seed that violates an invariant, and the other
-scenarios go on; --keep-going runs all seeds. The exit code is 1 when any seed
+scenarios continue; --keep-going runs all seeds. The exit code is 1 when any seed
 violated an invariant. The same seed always gives the same run and the same
-digest: what failed is replayed with --trace.`
+digest: replay a failed run with --trace.`
 
 const runExample = `  merlinsim run --scenario all --seeds 1-200
   merlinsim run --scenario leader-loss --seeds 17 --trace
