--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -54,7 +54,8 @@
 	group   *apitest.Group
 	rollout *apitest.Rollout
 	handler http.Handler
-	keys    int
+	// keys is the number of idempotency keys that nextKey returned.
+	keys int
 }
 
 func newFixture(t testing.TB) *fixture { return newLimitedFixture(t, adminapi.RateLimits{}) }
@@ -182,7 +183,8 @@
 	tip1Path    = tiplinePath + "/targets/tip-1"
 )
 
-// seededFixture has a template, two tenants and the service tipline.
+// seededFixture returns a fixture with the template web, the tenants riga and teranga, and riga's
+// service tipline with two targets.
 func seededFixture(t testing.TB) *fixture {
 	fixture := newFixture(t)
 	fixture.put("/v1/templates/web", "*", templateBody)
--- a/internal/adminapi/apitest/group.go
+++ b/internal/adminapi/apitest/group.go
@@ -30,10 +30,10 @@
 	// Leader is the name of the leader. A name other than Self makes this member a follower, which
 	// refuses proposals and read barriers.
 	Leader model.NodeName
-	// BeforeCommit, if set, is the error of proposals, which are not committed.
+	// BeforeCommit, if set, is the error that Propose returns without committing the command.
 	BeforeCommit error
-	// AfterCommit, if set, is the error of proposals after they are committed, as when the response is
-	// lost.
+	// AfterCommit, if set, is the error that Propose returns after it committed the command, as when
+	// the response is lost.
 	AfterCommit error
 	// ReadsBeforeLeadershipLoss is the number of reads that succeed before control-2 becomes the
 	// leader; zero means that this member stays the leader.
@@ -75,7 +75,8 @@
 	group.faults = chosen
 }
 
-// Propose commits the command and returns its result, or fails as SetFaults chose.
+// Propose commits the command and returns its result, unless the faults chosen with SetFaults make it
+// fail.
 func (group *Group) Propose(_ context.Context, command []byte) ([]byte, error) {
 	group.lock.Lock()
 	defer group.lock.Unlock()
--- a/internal/adminapi/change.go
+++ b/internal/adminapi/change.go
@@ -120,8 +120,8 @@
 type currentValue func(view *state.View) (model.Revision, any)
 
 // change proposes a command and writes the response: 201 Created for an If-None-Match: * request,
-// otherwise 200. The result of a refused command is returned as an error; lookup finds the object
-// for it.
+// otherwise 200. When the command is refused it returns a refusal; on a revision mismatch that has the
+// object's current value, which lookup returns.
 func (server *api) change(writer http.ResponseWriter, request *http.Request, command state.Command, lookup currentValue) error {
 	result, err := server.propose(request.Context(), command)
 	if err != nil {
--- a/internal/adminapi/group.go
+++ b/internal/adminapi/group.go
@@ -144,8 +144,8 @@
 	return server.getStatus(writer, request)
 }
 
-// Status is the view that the answering member has of itself and the group. It is read without
-// confirming leadership, so that a member without a quorum answers too.
+// Status is the status of the answering member and of the group as this member knows it. It is read
+// without confirming leadership, so that a member without a quorum answers too.
 type Status struct {
 	Node    model.NodeName `json:"node"`
 	Leader  model.NodeName `json:"leader"`
--- a/internal/adminapi/limit.go
+++ b/internal/adminapi/limit.go
@@ -78,7 +78,8 @@
 }
 
 // reserve takes one request from the bucket and reports whether the bucket allows it. If not, it
-// returns the seconds until the bucket does and leaves the bucket as it was.
+// returns the seconds until the bucket does, or retryAfterBase when the bucket's burst is zero, and
+// leaves the bucket as it was.
 func reserve(bucket *rate.Limiter, now time.Time) (int, bool) {
 	reservation := bucket.ReserveN(now, 1)
 	if !reservation.OK() {
--- a/internal/adminapi/middleware.go
+++ b/internal/adminapi/middleware.go
@@ -57,8 +57,8 @@
 	return id
 }
 
-// recoverPanic answers a request whose handler panicked with CodeInternalFault. That code leaves the
-// outcome unknown, because the change may have been committed.
+// recoverPanic answers with CodeInternalFault when the handler of a request panicked. That code leaves
+// the outcome unknown, because the change may have been committed.
 func (server *api) recoverPanic(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		defer func() {
@@ -123,8 +123,8 @@
 // other.
 type handler func(writer http.ResponseWriter, request *http.Request) error
 
-// requireRole runs the handler when the token's role includes the needed one, and answers with a
-// problem document when the role or the handler refuses the request.
+// requireRole returns a handler that calls run when the token's role includes the needed one. It
+// answers with a problem document when the role does not suffice or run returns an error.
 func (server *api) requireRole(needed auth.Role, run handler) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		identity := contextIdentity(request)
@@ -138,8 +138,8 @@
 	}
 }
 
-// requireGlobalRole runs the handler when the token has the needed role and is not limited to one
-// tenant.
+// requireGlobalRole returns a handler that calls run when the token has the needed role and is not
+// limited to one tenant.
 func (server *api) requireGlobalRole(needed auth.Role, run handler) http.HandlerFunc {
 	return server.requireRole(needed, func(writer http.ResponseWriter, request *http.Request) error {
 		if identity := contextIdentity(request); identity.Tenant != "" {
@@ -149,9 +149,9 @@
 	})
 }
 
-// requireTenantRole runs the handler when the token has the needed role for the tenant in the path. A
-// token of another tenant is refused alike whether or not the tenant exists, so that it cannot find
-// out which tenants exist.
+// requireTenantRole returns a handler that calls run when the token has the needed role for the tenant
+// in the path. A token of another tenant gets the same refusal whether or not the tenant exists, so
+// that its holder cannot find out which tenants exist.
 func (server *api) requireTenantRole(needed auth.Role, run handler) http.HandlerFunc {
 	return server.requireRole(needed, func(writer http.ResponseWriter, request *http.Request) error {
 		tenant := tenantOf(request)
--- a/internal/adminapi/module.go
+++ b/internal/adminapi/module.go
@@ -55,6 +55,7 @@
 	Rollout   RolloutReader
 }
 
+// serve creates the HTTP server and adds its start and shutdown to the application's lifecycle.
 func serve(needed dependencies) error {
 	chosen := needed.Settings
 	if chosen.Control.API == "" {
--- a/internal/adminapi/openapi_test.go
+++ b/internal/adminapi/openapi_test.go
@@ -17,7 +17,7 @@
 	"merlinpaddle/internal/state"
 )
 
-const openAPIPage = "../../docs/openapi.yaml"
+const openAPIFile = "../../docs/openapi.yaml"
 
 // reference is a reference to a component. Ref is empty for an inline definition.
 type reference struct {
@@ -64,11 +64,11 @@
 // readOpenAPI returns the OpenAPI document, decoded and as text.
 func readOpenAPI(t *testing.T) (openAPI, string) {
 	t.Helper()
-	content, err := os.ReadFile(openAPIPage)
+	content, err := os.ReadFile(openAPIFile)
 	require.NoError(t, err)
-	var page openAPI
-	require.NoError(t, yaml.Unmarshal(content, &page))
-	return page, string(content)
+	var document openAPI
+	require.NoError(t, yaml.Unmarshal(content, &document))
+	return document, string(content)
 }
 
 // operations returns the operations of the path, by method.
@@ -83,9 +83,9 @@
 }
 
 func TestOpenAPIPathsMatchTheRouter(t *testing.T) {
-	page, _ := readOpenAPI(t)
+	document, _ := readOpenAPI(t)
 	var documented []string
-	for path, item := range page.Paths {
+	for path, item := range document.Paths {
 		for method := range item.operations() {
 			documented = append(documented, method+" "+path)
 		}
@@ -105,14 +105,14 @@
 var pathParameterPattern = regexp.MustCompile(`\{([a-z]+)\}`)
 
 func TestOpenAPIParametersMatchTheirPaths(t *testing.T) {
-	page, _ := readOpenAPI(t)
-	for path, item := range page.Paths {
+	document, _ := readOpenAPI(t)
+	for path, item := range document.Paths {
 		var inPath, declared []string
 		for _, match := range pathParameterPattern.FindAllStringSubmatch(path, -1) {
 			inPath = append(inPath, match[1])
 		}
 		for _, used := range item.Parameters {
-			declared = append(declared, page.Components.Parameters[lastSegment(used.Ref)].Name)
+			declared = append(declared, document.Components.Parameters[lastSegment(used.Ref)].Name)
 		}
 		require.Equal(t, inPath, declared, path)
 		for method, operation := range item.operations() {
@@ -128,26 +128,26 @@
 var referencePattern = regexp.MustCompile(`#/components/(\w+)/(\w+)`)
 
 func TestOpenAPIReferencesResolve(t *testing.T) {
-	page, text := readOpenAPI(t)
+	document, text := readOpenAPI(t)
 	used := make(map[string]bool)
 	for _, match := range referencePattern.FindAllStringSubmatch(text, -1) {
 		used[match[1]+"/"+match[2]] = true
 		switch match[1] {
 		case "parameters":
-			require.Contains(t, page.Components.Parameters, match[2])
+			require.Contains(t, document.Components.Parameters, match[2])
 		case "responses":
-			require.Contains(t, page.Components.Responses, match[2])
+			require.Contains(t, document.Components.Responses, match[2])
 		case "schemas":
-			require.Contains(t, page.Components.Schemas, match[2])
+			require.Contains(t, document.Components.Schemas, match[2])
 		}
 	}
-	for name := range page.Components.Parameters {
+	for name := range document.Components.Parameters {
 		require.True(t, used["parameters/"+name], "parameter %s is not used", name)
 	}
 }
 
 func TestOpenAPISchemasMatchTheGoTypes(t *testing.T) {
-	page, _ := readOpenAPI(t)
+	document, _ := readOpenAPI(t)
 	types := map[string]any{
 		"ChangeAnswer":        adminapi.ChangeAnswer{},
 		"Problem":             adminapi.Problem{},
@@ -182,7 +182,7 @@
 		"ServicePage":         adminapi.Page[adminapi.Service]{},
 		"TargetPage":          adminapi.Page[adminapi.Target]{},
 	}
-	for name, schema := range page.Components.Schemas {
+	for name, schema := range document.Components.Schemas {
 		if len(schema.Properties) == 0 {
 			continue
 		}
--- a/internal/adminapi/problem.go
+++ b/internal/adminapi/problem.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// problem returns the problem document for an error. An error without a code of the catalogue becomes
-// CodeInternalFault.
+// problem returns the problem document for an error. An error without a code, or with one that
+// faults.Lookup does not know, is reported as CodeInternalFault.
 func (server *api) problem(request *http.Request, err error) Problem {
 	code := faults.CodeOf(err)
 	definition, known := faults.Lookup(code)
--- a/internal/adminapi/resources_test.go
+++ b/internal/adminapi/resources_test.go
@@ -151,20 +151,20 @@
 	restore := call{method: http.MethodPost, path: "/v1/restore", token: adminToken, body: string(backup.body),
 		contentType: "application/octet-stream", match: "*", key: "restore"}
 
-	target := newFixture(t)
-	target.keys = 1000 // the backup has the results of the source's idempotency keys, which must not be reused
-	answer := target.send(restore)
+	destination := newFixture(t)
+	destination.keys = 1000 // the backup has the results of the source's idempotency keys, which must not be reused
+	answer := destination.send(restore)
 	require.Equal(t, http.StatusCreated, answer.status, "%s", answer.body)
-	require.Equal(t, source.group.Machine.Configuration().Digest(), target.group.Machine.Configuration().Digest())
-	require.Equal(t, http.StatusCreated, target.send(restore).status, "a resent restore gets its first response")
+	require.Equal(t, source.group.Machine.Configuration().Digest(), destination.group.Machine.Configuration().Digest())
+	require.Equal(t, http.StatusCreated, destination.send(restore).status, "a resent restore gets its first response")
 
-	before := target.group.Machine.Configuration().Revision
-	tag := target.get(adminToken, tiplinePath).header.Get("ETag")
-	target.put(tiplinePath, tag, serviceBody("192.0.2.1:443", 4, "tip-1", "tip-2"))
-	require.Greater(t, target.group.Machine.Configuration().Revision, before, "new revisions are higher than those of the backup")
+	before := destination.group.Machine.Configuration().Revision
+	tag := destination.get(adminToken, tiplinePath).header.Get("ETag")
+	destination.put(tiplinePath, tag, serviceBody("192.0.2.1:443", 4, "tip-1", "tip-2"))
+	require.Greater(t, destination.group.Machine.Configuration().Revision, before, "new revisions are higher than those of the backup")
 
 	restore.key = "restore-again"
-	refused := decode[adminapi.Problem](t, target.send(restore))
+	refused := decode[adminapi.Problem](t, destination.send(restore))
 	require.EqualValues(t, 4018, refused.Code)
 }
 
--- a/internal/adminapi/rollout.go
+++ b/internal/adminapi/rollout.go
@@ -105,7 +105,8 @@
 
 // requiredRevision returns the revision that balancers must run for wanted to be in force. Templates,
 // tenants and members are not part of the configuration that balancers run, so a change of these is in
-// force once the latest earlier change of the configuration is.
+// force once the latest earlier change of the configuration is. A revision that this member has not
+// applied yet is returned unchanged.
 func (server *api) requiredRevision(wanted model.Revision) model.Revision {
 	if server.Machine.Revision() < wanted {
 		return wanted
--- a/internal/adminapi/targets.go
+++ b/internal/adminapi/targets.go
@@ -35,15 +35,18 @@
 
 // Target is a target as the API shows it.
 type Target struct {
-	Tenant      model.TenantName  `json:"tenant"`
-	Service     string            `json:"service"`
-	Name        string            `json:"name"`
-	ID          model.TargetID    `json:"id"`
-	Zone        model.ZoneName    `json:"zone"`
-	Agent       string            `json:"agent"`
-	Backend     string            `json:"backend"`
-	Phase       string            `json:"phase"`
-	Drained     bool              `json:"drained,omitempty"`
+	Tenant  model.TenantName `json:"tenant"`
+	Service string           `json:"service"`
+	Name    string           `json:"name"`
+	ID      model.TargetID   `json:"id"`
+	Zone    model.ZoneName   `json:"zone"`
+	Agent   string           `json:"agent"`
+	Backend string           `json:"backend"`
+	Phase   string           `json:"phase"`
+	// Drained reports whether an operator drained the target.
+	Drained bool `json:"drained,omitempty"`
+	// Leaving reports whether the target or its service is being removed, and the target's flows have
+	// not all ended.
 	Leaving     bool              `json:"leaving,omitempty"`
 	Incarnation model.Incarnation `json:"incarnation,omitempty"`
 	// Buckets counts the buckets that refer to the target. A draining target has no work left once all
