--- a/cmd/merlinctl/main.go
+++ b/cmd/merlinctl/main.go
@@ -1,5 +1,4 @@
-// Command merlinctl is the operators' command line over the administration
-// API.
+// Command merlinctl is the operators' command line, a client of the administration API.
 package main
 
 import (
--- a/internal/merlinctl/apply.go
+++ b/internal/merlinctl/apply.go
@@ -32,9 +32,9 @@
 		Long: `Create or change templates, tenants and services from YAML files.
 
 Each document has kind (Template, Tenant or Service), name, tenant for a
-Service, and spec. The difference to the present objects is shown first and
-needs a yes, or --yes. A change that another operator made meanwhile is not
-overwritten: apply stops with exit code 6.`,
+Service, and spec. The difference to the current objects is shown first and
+must be confirmed, or accepted in advance with --yes. A change that another
+operator made meanwhile is not overwritten: apply stops with exit code 6.`,
 		Args: cobra.NoArgs,
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
 			return tool.apply(ctx, calls, options)
@@ -42,18 +42,19 @@
 	}
 	flags := command.Flags()
 	flags.StringSliceVarP(&options.files, "file", "f", nil, `YAML file, or "-" for the standard input`)
-	flags.BoolVarP(&options.yes, "yes", "y", false, "do not ask")
-	flags.BoolVar(&options.dryRun, "dry-run", false, "show the difference, check it at the leader, and change nothing")
+	flags.BoolVarP(&options.yes, "yes", "y", false, "do not ask for confirmation")
+	flags.BoolVar(&options.dryRun, "dry-run", false, "show the difference, validate it at the leader, and change nothing")
 	options.wait.addFlags(flags, "wait until the changes are in force on every leased balancer")
 	_ = command.MarkFlagRequired("file")
 	return command
 }
 
-// plannedChange is one document with the object as it is now.
+// plannedChange is one document with its difference to the current object.
 type plannedChange struct {
 	document *document
-	// base is the present revision; zero when there is no such object.
+	// base is the current revision of the object; zero when the object does not exist.
 	base model.Revision
+	// diff is the line difference of both specs; empty when they are equal.
 	diff string
 }
 
@@ -64,9 +65,9 @@
 	}
 	var changes []plannedChange
 	for _, document := range documents {
-		change, err := plan(ctx, calls, document)
+		change, err := planChange(ctx, calls, document)
 		if err != nil {
-			return fmt.Errorf("%s: %w", document.place, err)
+			return fmt.Errorf("%s: %w", document.location, err)
 		}
 		tool.showChange(change)
 		if change.diff != "" {
@@ -83,7 +84,7 @@
 		return err
 	}
 	last, err := tool.applyAll(ctx, calls, changes)
-	if err != nil || !options.wait.wanted {
+	if err != nil || !options.wait.enabled {
 		return err
 	}
 	return tool.waitInForce(ctx, calls, last, options.wait.limit)
@@ -105,41 +106,42 @@
 	if name == "-" {
 		return readDocuments("standard input", tool.input)
 	}
-	opened, err := os.Open(name)
+	file, err := os.Open(name)
 	if err != nil {
 		return nil, faults.New(faults.CodeUsage, "%v", err)
 	}
-	defer opened.Close()
-	return readDocuments(name, opened)
+	defer file.Close()
+	return readDocuments(name, file)
 }
 
-// plan compares a document with the present object.
-func plan(ctx context.Context, calls *client.Client, document *document) (plannedChange, error) {
+// planChange compares a document with the current object.
+func planChange(ctx context.Context, calls *client.Client, document *document) (plannedChange, error) {
 	change := plannedChange{document: document}
-	present, wanted, err := presentAndWanted(ctx, calls, document, &change.base)
+	current, desired, err := currentAndDesired(ctx, calls, document, &change.base)
 	if client.Code(err) == faults.CodeNotFound {
-		present, err = nil, nil
+		current, err = nil, nil
 	}
 	if err != nil {
 		return plannedChange{}, err
 	}
 	before := ""
-	if present != nil {
-		if before, err = canonical(present); err != nil {
+	if current != nil {
+		if before, err = canonicalJSON(current); err != nil {
 			return plannedChange{}, err
 		}
 	}
-	after, err := canonical(wanted)
+	after, err := canonicalJSON(desired)
 	if err != nil {
 		return plannedChange{}, err
 	}
-	change.diff = difference(before, after)
+	change.diff = lineDifference(before, after)
 	return change, nil
 }
 
-// presentAndWanted returns the specs to compare, and sets base to the present
-// revision.
-func presentAndWanted(ctx context.Context, calls *client.Client, document *document, base *model.Revision) (present, wanted any, err error) {
+// currentAndDesired returns the current and the desired spec of a document, and sets base to the
+// current revision. When the object does not exist, the error has faults.CodeNotFound, and desired
+// is set all the same.
+func currentAndDesired(ctx context.Context, calls *client.Client, document *document, base *model.Revision) (current, desired any, err error) {
 	switch document.Kind {
 	case kindTemplate:
 		template, err := calls.Template(ctx, document.Name)
@@ -161,11 +163,11 @@
 		return nil, document.service, err
 	}
 	*base = service.Revision
-	wantedSpec, err := withLatestVersion(ctx, calls, document.service)
-	return service.Spec, wantedSpec, err
+	desiredSpec, err := withLatestVersion(ctx, calls, document.service)
+	return service.Spec, desiredSpec, err
 }
 
-// withLatestVersion fills in the version that a document without one takes.
+// withLatestVersion sets the template version of a spec that names none to the latest one.
 func withLatestVersion(ctx context.Context, calls *client.Client, spec adminapi.ServiceSpec) (adminapi.ServiceSpec, error) {
 	if spec.Template.Version != 0 {
 		return spec, nil
@@ -181,15 +183,16 @@
 func (tool *tool) showChange(change plannedChange) {
 	switch {
 	case change.diff == "":
-		fmt.Fprintf(tool.output, "%s: unchanged\n", change.document.title())
+		fmt.Fprintf(tool.output, "%s: unchanged\n", change.document.objectName())
 	case change.base == 0:
-		fmt.Fprintf(tool.output, "%s: new\n%s", change.document.title(), change.diff)
+		fmt.Fprintf(tool.output, "%s: new\n%s", change.document.objectName(), change.diff)
 	default:
-		fmt.Fprintf(tool.output, "%s: changed\n%s", change.document.title(), change.diff)
+		fmt.Fprintf(tool.output, "%s: changed\n%s", change.document.objectName(), change.diff)
 	}
 }
 
-// confirm asks the operator. Without a terminal or an answer, the answer is no.
+// confirm asks the operator, unless yes is set. It returns errDeclined unless the answer is "y" or
+// "yes"; the end of the input declines too.
 func (tool *tool) confirm(yes bool, question string) error {
 	if yes {
 		return nil
@@ -206,18 +209,18 @@
 	return errDeclined
 }
 
-// checkAll checks the changes at the leader. Objects that depend on others of
-// the same file can not be checked before those exist; that is said.
+// checkAll validates the changes at the leader without committing them. An object that depends on
+// a new object of the same file cannot be validated before that one exists; a line of output says so.
 func (tool *tool) checkAll(ctx context.Context, calls *client.Client, changes []plannedChange) error {
 	creates := false
 	for _, change := range changes {
 		err := change.check(ctx, calls)
 		if client.Code(err) == faults.CodeNotFound && creates {
-			fmt.Fprintf(tool.output, "%s: not checked, because it needs an object that is new in the same file\n", change.document.title())
+			fmt.Fprintf(tool.output, "%s: not checked, because it needs an object that is new in the same file\n", change.document.objectName())
 			continue
 		}
 		if err != nil {
-			return fmt.Errorf("%s: %w", change.document.place, err)
+			return fmt.Errorf("%s: %w", change.document.location, err)
 		}
 		creates = creates || change.base == 0
 	}
@@ -235,28 +238,28 @@
 	return calls.CheckService(ctx, change.document.serviceKey(), change.document.service)
 }
 
-// applyAll sends the changes in order and returns the last revision. Changes
-// before a failed one stay.
+// applyAll sends the changes in order and returns the highest revision they were committed at. It
+// stops at the first failed change; those before it stay committed.
 func (tool *tool) applyAll(ctx context.Context, calls *client.Client, changes []plannedChange) (model.Revision, error) {
 	var last model.Revision
 	for index, change := range changes {
 		answer, err := change.send(ctx, calls)
 		if err != nil {
-			return last, fmt.Errorf("%s: %d of %d changes were applied: %w", change.document.place, index, len(changes), err)
+			return last, fmt.Errorf("%s: %d of %d changes were applied: %w", change.document.location, index, len(changes), err)
 		}
-		fmt.Fprintf(tool.output, "%s: committed at revision %d\n", change.document.title(), answer.Revision)
+		fmt.Fprintf(tool.output, "%s: committed at revision %d\n", change.document.objectName(), answer.Revision)
 		last = max(last, answer.Revision)
 	}
 	return last, nil
 }
 
 func (change plannedChange) send(ctx context.Context, calls *client.Client) (adminapi.ChangeAnswer, error) {
-	based := client.Change{Base: change.base}
+	precondition := client.Change{Base: change.base}
 	switch change.document.Kind {
 	case kindTemplate:
-		return calls.PutTemplate(ctx, change.document.Name, based, change.document.template)
+		return calls.PutTemplate(ctx, change.document.Name, precondition, change.document.template)
 	case kindTenant:
-		return calls.PutTenant(ctx, model.TenantName(change.document.Name), based, change.document.tenant)
+		return calls.PutTenant(ctx, model.TenantName(change.document.Name), precondition, change.document.tenant)
 	}
-	return calls.PutService(ctx, change.document.serviceKey(), based, change.document.service)
+	return calls.PutService(ctx, change.document.serviceKey(), precondition, change.document.service)
 }
--- a/internal/merlinctl/diff.go
+++ b/internal/merlinctl/diff.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// contextLines is the number of equal lines shown around a difference.
+// contextLines is the number of equal lines shown before and after a changed one.
 const contextLines = 2
 
-// canonical returns value as indented JSON with sorted keys, so that equal
+// canonicalJSON returns value as indented JSON with sorted keys, so that equal
 // objects have equal text.
-func canonical(value any) (string, error) {
+func canonicalJSON(value any) (string, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return "", fmt.Errorf("encode for comparison: %w", err)
@@ -33,27 +33,27 @@
 	text string
 }
 
-// difference compares two texts line by line and returns the changed lines
-// with some context, or nothing when the texts are equal.
-func difference(before, after string) string {
+// lineDifference compares two texts line by line. It returns the changed lines with contextLines of
+// context, "..." for skipped lines before them, and empty text when the texts are equal.
+func lineDifference(before, after string) string {
 	if before == after {
 		return ""
 	}
 	lines := compareLines(splitLines(before), splitLines(after))
-	var shown strings.Builder
+	var output strings.Builder
 	skipped := false
 	for index, line := range lines {
-		if !nearChange(lines, index) {
+		if !isNearChange(lines, index) {
 			skipped = true
 			continue
 		}
 		if skipped {
-			shown.WriteString("  ...\n")
+			output.WriteString("  ...\n")
 			skipped = false
 		}
-		fmt.Fprintf(&shown, "%c %s\n", line.sign, line.text)
+		fmt.Fprintf(&output, "%c %s\n", line.sign, line.text)
 	}
-	return shown.String()
+	return output.String()
 }
 
 func splitLines(text string) []string {
@@ -63,16 +63,17 @@
 	return strings.Split(text, "\n")
 }
 
-func nearChange(lines []diffLine, index int) bool {
-	for near := max(0, index-contextLines); near <= min(len(lines)-1, index+contextLines); near++ {
-		if lines[near].sign != ' ' {
+// isNearChange reports whether a line is changed or is within contextLines of a changed one.
+func isNearChange(lines []diffLine, index int) bool {
+	for neighbor := max(0, index-contextLines); neighbor <= min(len(lines)-1, index+contextLines); neighbor++ {
+		if lines[neighbor].sign != ' ' {
 			return true
 		}
 	}
 	return false
 }
 
-// compareLines finds the longest common lines of both texts.
+// compareLines merges both texts by their longest common subsequence of lines.
 func compareLines(before, after []string) []diffLine {
 	common := commonLengths(before, after)
 	var lines []diffLine
@@ -94,8 +95,8 @@
 	return lines
 }
 
-// commonLengths has, for each pair of places, the number of common lines from
-// there to the end.
+// commonLengths returns a table: entry [left][right] is the length of the longest common subsequence
+// of before[left:] and after[right:].
 func commonLengths(before, after []string) [][]int {
 	lengths := make([][]int, len(before)+1)
 	for index := range lengths {
--- a/internal/merlinctl/direct_test.go
+++ b/internal/merlinctl/direct_test.go
@@ -19,58 +19,58 @@
 	"merlinpaddle/internal/model"
 )
 
-// declarations is a stand-in for a member of direct services.
-type declarations struct {
-	held *declared.Configuration
-	err  error
-	// evacuated is the zone that is emptied, or empty.
+// fakeMember stands in for a member of direct services. If err is set, its calls fail with it.
+type fakeMember struct {
+	configuration *declared.Configuration
+	err           error
+	// evacuated is the evacuated zone, or empty.
 	evacuated string
-	// behind is the number of balancers that do not know of it yet; each question finds
-	// one less.
+	// behind is the number of balancers that have not received the evacuation yet; each call of
+	// Behind decrements it.
 	behind int
 }
 
 // Declare implements admin.Declarations.
-func (declarations *declarations) Declare(_ context.Context, next *declared.Configuration) error {
+func (member *fakeMember) Declare(_ context.Context, next *declared.Configuration) error {
 	if err := next.Validate(); err != nil {
 		return err
 	}
-	if declarations.err == nil && next.Version > declarations.held.Version {
-		declarations.held = next
+	if member.err == nil && next.Version > member.configuration.Version {
+		member.configuration = next
 	}
-	return declarations.err
+	return member.err
 }
 
 // Configuration implements admin.Declarations.
-func (declarations *declarations) Configuration(context.Context) (*declared.Configuration, error) {
-	return declarations.held, declarations.err
+func (member *fakeMember) Configuration(context.Context) (*declared.Configuration, error) {
+	return member.configuration, member.err
 }
 
 // Evacuate implements admin.Declarations.
-func (declarations *declarations) Evacuate(_ context.Context, zone string, end bool) error {
+func (member *fakeMember) Evacuate(_ context.Context, zone string, end bool) error {
 	if end {
 		zone = ""
 	}
-	declarations.evacuated = zone
-	return declarations.err
+	member.evacuated = zone
+	return member.err
 }
 
 // Evacuations implements admin.Declarations.
-func (declarations *declarations) Evacuations(context.Context) ([]directory.Evacuation, error) {
-	if declarations.evacuated == "" {
-		return nil, declarations.err
+func (member *fakeMember) Evacuations(context.Context) ([]directory.Evacuation, error) {
+	if member.evacuated == "" {
+		return nil, member.err
 	}
-	return []directory.Evacuation{{Zone: declarations.evacuated, Since: 12}}, declarations.err
+	return []directory.Evacuation{{Zone: member.evacuated, Since: 12}}, member.err
 }
 
 // Behind implements admin.Followers.
-func (declarations *declarations) Behind(model.Revision) int {
-	behind := declarations.behind
-	declarations.behind = max(behind-1, 0)
+func (member *fakeMember) Behind(model.Revision) int {
+	behind := member.behind
+	member.behind = max(behind-1, 0)
 	return behind
 }
 
-const directFirst = `
+const directVersion7 = `
 version: 7
 services:
   - {name: feed, max_connections: 2000}
@@ -79,7 +79,7 @@
   - {name: old, address: "198.18.0.1:80", kind: safe, timeout: 1s, pool: [{service: feed, weight: 1}]}
 `
 
-const directSecond = `
+const directVersion9 = `
 version: 9
 services:
   - {name: feed, max_connections: 2000}
@@ -89,8 +89,8 @@
 limits: {idle_timeout: 15s}
 `
 
-// runDirect runs merlinctl direct against a stand-in member.
-func runDirect(t *testing.T, member *declarations, input string, arguments ...string) outcome {
+// runDirect runs merlinctl direct against the administration API of member.
+func runDirect(t *testing.T, member *fakeMember, input string, arguments ...string) outcome {
 	t.Helper()
 	server := httptest.NewServer(admin.Handler(member, directory.New(), member, zap.NewNop()))
 	defer server.Close()
@@ -101,34 +101,34 @@
 }
 
 func TestDirectApplyDiffAndGet(t *testing.T) {
-	member := &declarations{held: &declared.Configuration{}}
+	member := &fakeMember{configuration: &declared.Configuration{}}
 	file := filepath.Join(t.TempDir(), "first.yaml")
-	require.NoError(t, os.WriteFile(file, []byte(directFirst), 0o600))
+	require.NoError(t, os.WriteFile(file, []byte(directVersion7), 0o600))
 	ran := runDirect(t, member, "", "apply", "--wait", file)
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Equal(t, "version 7 is durable\nversion 7 holds\n", ran.output)
 
-	ran = runDirect(t, member, directSecond, "diff", "-")
+	ran = runDirect(t, member, directVersion9, "diff", "-")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Equal(t, "version 7 -> 9\n- route 198.18.0.1:80\n~ route 198.18.0.1:443 feed\n+ route 198.18.0.2:80 new\n~ limits\n", ran.output)
-	require.Equal(t, uint64(7), member.held.Version, "diff changes nothing")
+	require.Equal(t, uint64(7), member.configuration.Version, "diff must change nothing")
 
-	require.Equal(t, ExitSuccess, runDirect(t, member, directSecond, "apply", "-").code)
-	ran = runDirect(t, member, directFirst, "diff", "-")
+	require.Equal(t, ExitSuccess, runDirect(t, member, directVersion9, "apply", "-").code)
+	ran = runDirect(t, member, directVersion7, "diff", "-")
 	require.Contains(t, ran.output, "nothing would change")
 
-	got := runDirect(t, member, "", "get")
-	require.Equal(t, ExitSuccess, got.code)
-	again := runDirect(t, &declarations{held: &declared.Configuration{}}, got.output, "apply", "-")
-	require.Equal(t, "version 9 is durable\n", again.output, "what get prints can be applied")
+	printed := runDirect(t, member, "", "get")
+	require.Equal(t, ExitSuccess, printed.code)
+	reapplied := runDirect(t, &fakeMember{configuration: &declared.Configuration{}}, printed.output, "apply", "-")
+	require.Equal(t, "version 9 is durable\n", reapplied.output, "apply must accept the output of get")
 
 	targets := runDirect(t, member, "", "targets")
 	require.Equal(t, ExitSuccess, targets.code)
 	require.Contains(t, targets.output, "SERVICE")
 }
 
-func TestDirectEmptiesZones(t *testing.T) {
-	member := &declarations{held: &declared.Configuration{}}
+func TestDirectEvacuatesAndRestoresZones(t *testing.T) {
+	member := &fakeMember{configuration: &declared.Configuration{}}
 	ran := runDirect(t, member, "", "evacuate", "zone-a")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Equal(t, "zone-a", member.evacuated)
@@ -140,16 +140,16 @@
 	ran = runDirect(t, member, "", "evacuate", "--wait", "zone-a")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Contains(t, ran.output, "all balancers")
-	require.Zero(t, member.behind, "it asked until none was behind")
+	require.Zero(t, member.behind, "evacuate --wait must poll until no balancer is behind")
 	ran = runDirect(t, member, "", "restore", "zone-a")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Empty(t, member.evacuated)
-	require.Equal(t, ExitUsage, runDirect(t, member, "", "evacuate").code, "a zone must be named")
+	require.Equal(t, ExitUsage, runDirect(t, member, "", "evacuate").code, "evacuate needs a zone")
 	member.err = faults.New(faults.QuorumUnconfirmed, "cut")
 	require.Equal(t, ExitUnavailable, runDirect(t, member, "", "evacuate", "zone-a").code)
 }
 
-func TestDirectNamesWhatIsWrong(t *testing.T) {
+func TestDirectApplyReportsErrors(t *testing.T) {
 	cases := []struct {
 		name, input string
 		err         error
@@ -157,17 +157,17 @@
 		text        string
 	}{
 		{"unknown field", "version: 7\ncolour: blue\n", nil, ExitUsage, "colour"},
-		{"unreadable duration", strings.Replace(directFirst, "800ms", "fast", 1), nil, ExitInvalid, "routes[0].timeout"},
-		{"invalid", strings.Replace(directFirst, "version: 7", "version: 0", 1), nil, ExitInvalid, "version"},
-		{"without a quorum", directFirst, faults.New(faults.QuorumUnconfirmed, "cut"), ExitUnavailable, "cut"},
+		{"malformed duration", strings.Replace(directVersion7, "800ms", "fast", 1), nil, ExitInvalid, "routes[0].timeout"},
+		{"invalid version", strings.Replace(directVersion7, "version: 7", "version: 0", 1), nil, ExitInvalid, "version"},
+		{"no quorum", directVersion7, faults.New(faults.QuorumUnconfirmed, "cut"), ExitUnavailable, "cut"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			ran := runDirect(t, &declarations{held: &declared.Configuration{}, err: test.err}, test.input, "apply", "-")
+			ran := runDirect(t, &fakeMember{configuration: &declared.Configuration{}, err: test.err}, test.input, "apply", "-")
 			require.Contains(t, ran.errors, test.text)
 			require.Equal(t, test.code, ran.code, ran.errors)
 		})
 	}
-	ran := runDirect(t, &declarations{}, "", "apply", "missing.yaml")
+	ran := runDirect(t, &fakeMember{}, "", "apply", "missing.yaml")
 	require.Equal(t, ExitUsage, ran.code)
 }
--- a/internal/merlinctl/document.go
+++ b/internal/merlinctl/document.go
@@ -22,23 +22,23 @@
 	kindService  = "Service"
 )
 
-// document is one object of an applied file.
+// document is one YAML document of an applied file. It declares one object.
 type document struct {
 	Kind   string          `json:"kind"`
 	Tenant string          `json:"tenant,omitempty"`
 	Name   string          `json:"name"`
 	Spec   json.RawMessage `json:"spec"`
 
-	// place names the document in messages.
-	place string
-	// The spec of the document's kind.
+	// location is the file, number and line of the document, for messages.
+	location string
+	// Only the field of the document's kind is set.
 	template state.TemplateSpec
 	tenant   state.TenantSpec
 	service  adminapi.ServiceSpec
 }
 
-// title names the object.
-func (document *document) title() string {
+// objectName returns the kind and name of the object, for messages.
+func (document *document) objectName() string {
 	if document.Kind == kindService {
 		return fmt.Sprintf("%s %s/%s", document.Kind, document.Tenant, document.Name)
 	}
@@ -49,8 +49,8 @@
 	return state.ServiceKey{Tenant: model.TenantName(document.Tenant), Name: document.Name}
 }
 
-// readDocuments reads a YAML file of several documents. Nothing is sent before
-// all of them could be read. Empty documents are left out.
+// readDocuments reads all documents of a YAML file and skips empty ones. An error in one document
+// fails the whole file, so that no part of it is applied.
 func readDocuments(name string, content io.Reader) ([]*document, error) {
 	var documents []*document
 	decoder := yaml.NewDecoder(content)
@@ -66,13 +66,13 @@
 		if isEmpty(&node) {
 			continue
 		}
-		place := fmt.Sprintf("%s: document %d (line %d)", name, number, node.Content[0].Line)
-		read, err := readDocument(&node)
+		location := fmt.Sprintf("%s: document %d (line %d)", name, number, node.Content[0].Line)
+		parsed, err := readDocument(&node)
 		if err != nil {
-			return nil, faults.New(faults.CodeUsage, "%s: %v", place, err)
+			return nil, faults.New(faults.CodeUsage, "%s: %v", location, err)
 		}
-		read.place = place
-		documents = append(documents, read)
+		parsed.location = location
+		documents = append(documents, parsed)
 	}
 	if len(documents) == 0 {
 		return nil, faults.New(faults.CodeUsage, "%s holds no document", name)
@@ -91,37 +91,38 @@
 	}
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		return nil, fmt.Errorf("has a key that is not text: %w", err)
+		return nil, fmt.Errorf("a mapping key is not a string: %w", err)
 	}
-	read := &document{}
-	if err := decodeKnown(encoded, read); err != nil {
+	parsed := &document{}
+	if err := decodeStrict(encoded, parsed); err != nil {
 		return nil, err
 	}
-	if read.Name == "" {
+	if parsed.Name == "" {
 		return nil, errors.New("name is missing")
 	}
-	if (read.Kind == kindService) != (read.Tenant != "") {
-		return nil, errors.New("tenant belongs to a Service, and to it only")
+	if (parsed.Kind == kindService) != (parsed.Tenant != "") {
+		return nil, errors.New("tenant belongs to a Service: it is required there and not allowed in other kinds")
 	}
-	if len(read.Spec) == 0 {
+	if len(parsed.Spec) == 0 {
 		return nil, errors.New("spec is missing")
 	}
-	return read, read.decodeSpec()
+	return parsed, parsed.decodeSpec()
 }
 
 func (document *document) decodeSpec() error {
 	switch document.Kind {
 	case kindTemplate:
-		return decodeKnown(document.Spec, &document.template)
+		return decodeStrict(document.Spec, &document.template)
 	case kindTenant:
-		return decodeKnown(document.Spec, &document.tenant)
+		return decodeStrict(document.Spec, &document.tenant)
 	case kindService:
-		return decodeKnown(document.Spec, &document.service)
+		return decodeStrict(document.Spec, &document.service)
 	}
 	return fmt.Errorf("kind %q is not %s, %s or %s", document.Kind, kindTemplate, kindTenant, kindService)
 }
 
-func decodeKnown(encoded []byte, into any) error {
+// decodeStrict decodes JSON into a value and refuses unknown fields.
+func decodeStrict(encoded []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(encoded))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(into)
--- a/internal/merlinctl/exit.go
+++ b/internal/merlinctl/exit.go
@@ -8,37 +8,38 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Exit codes by class of error. Scripts rely on them; they never change.
+// Exit codes by class of error. Scripts depend on them, so they must not change.
 const (
-	// ExitSuccess: done.
+	// ExitSuccess: the command succeeded.
 	ExitSuccess = 0
-	// ExitFault: a fault of the member or of this program.
+	// ExitFault: an internal error of the member or of this program.
 	ExitFault = 1
 	// ExitUsage: the command line, a settings file or an applied file is wrong.
 	ExitUsage = 2
-	// ExitInvalid: the change was refused as not valid.
+	// ExitInvalid: the change was refused as invalid.
 	ExitInvalid = 3
-	// ExitForbidden: the token is missing, not known, or may not do this.
+	// ExitForbidden: the token is missing, unknown, or lacks the permission.
 	ExitForbidden = 4
 	// ExitNotFound: the named object does not exist.
 	ExitNotFound = 5
-	// ExitConflict: the change lost against another one, or contradicts
-	// another object.
+	// ExitConflict: another change came first, or the change contradicts another object.
 	ExitConflict = 6
-	// ExitUnavailable: no leader, no quorum or too many requests; nothing was
+	// ExitUnavailable: no leader, no quorum, too many requests, or no member reachable; nothing was
 	// changed.
 	ExitUnavailable = 7
-	// ExitUnknown: whether the change was committed is not known.
+	// ExitUnknown: it is unknown whether the change was committed.
 	ExitUnknown = 8
-	// ExitWaitEnded: the change is committed, and the wait for it ended first.
+	// ExitWaitEnded: the wait ended, by its limit or by an interruption, before its condition was met.
+	// Changes made before the wait stay committed.
 	ExitWaitEnded = 9
 	// ExitDeclined: the operator did not confirm the change.
 	ExitDeclined = 10
 )
 
-// errDeclined tells that the operator did not confirm.
+// errDeclined is the error of a change that the operator did not confirm.
 var errDeclined = errors.New("declined; nothing was changed")
 
+// exitCodeOf returns the exit code for err, which is not nil.
 func exitCodeOf(err error) int {
 	if errors.Is(err, errDeclined) {
 		return ExitDeclined
@@ -49,7 +50,7 @@
 	code := client.Code(err)
 	switch code {
 	case 0:
-		// Cobra's own errors about commands and arguments have no code.
+		// Cobra's own errors, about unknown commands and wrong arguments, have no code.
 		return ExitUsage
 	case faults.CodeUsage:
 		return ExitUsage
--- a/internal/merlinctl/explain.go
+++ b/internal/merlinctl/explain.go
@@ -15,11 +15,11 @@
 	"merlinpaddle/internal/faults"
 )
 
-const explainHelp = `Print what balancers and members decided about one flow of a direct service,
-in order, and the cause in words. The flow is named by the caller's address and
-port. The number of a target's incarnation, in hex, names what happened to that
-target instead. The logs are the structured lines that the processes write to standard
-output; "-" reads standard input. No member is asked.`
+const explainHelp = `Print in order what balancers and members logged about one flow of a direct
+service, and the cause of its outcome. FLOW is the caller's address and port.
+TARGET is the number of a target's incarnation in hex; it prints the events of
+that target instead. LOG is a file with the structured lines that the processes
+write to standard output, or "-" for standard input. No member is contacted.`
 
 func (tool *tool) explainCommand() *cobra.Command {
 	return &cobra.Command{
@@ -27,15 +27,18 @@
 		Short: "Explain from log lines what happened to a flow or a target",
 		Long:  explainHelp,
 		Args:  cobra.MinimumNArgs(2),
-		// The command reads files only, so it needs no settings.
+		// The command reads files only, so no settings are loaded.
 		PersistentPreRunE: func(*cobra.Command, []string) error { return nil },
 		RunE: func(_ *cobra.Command, arguments []string) error {
-			return tool.explainSubject(arguments[0], arguments[1:])
+			return tool.explainFlowOrTarget(arguments[0], arguments[1:])
 		},
 	}
 }
 
-func (tool *tool) explainSubject(subject string, paths []string) error {
+// explainFlowOrTarget prints the events and the cause of the outcome of a flow, if subject is an
+// address and port, or of a target, if it is a hex number. A prefix of the number up to its last "-"
+// is ignored.
+func (tool *tool) explainFlowOrTarget(subject string, paths []string) error {
 	_, flowError := netip.ParseAddrPort(subject)
 	target, targetError := strconv.ParseUint(subject[strings.LastIndex(subject, "-")+1:], 16, 64)
 	if flowError != nil && targetError != nil {
--- a/internal/merlinctl/group.go
+++ b/internal/merlinctl/group.go
@@ -14,7 +14,8 @@
 	"merlinpaddle/internal/model"
 )
 
-// backupFileMode keeps backups, which hold recorded answers, to their owner.
+// backupFileMode makes backups readable to their owner only, because they contain the recorded
+// answers to changes.
 const backupFileMode = 0o600
 
 func (tool *tool) waitCommand() *cobra.Command {
@@ -25,15 +26,15 @@
 		Short: "Wait until a revision is in force on every leased balancer",
 		Args:  cobra.NoArgs,
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-			wanted := model.Revision(revision)
-			if wanted == 0 {
-				present, err := calls.Rollout(ctx, 0, 0)
+			awaited := model.Revision(revision)
+			if awaited == 0 {
+				rollout, err := calls.Rollout(ctx, 0, 0)
 				if err != nil {
 					return err
 				}
-				wanted = present.Committed
+				awaited = rollout.Committed
 			}
-			return tool.waitInForce(ctx, calls, wanted, limit)
+			return tool.waitInForce(ctx, calls, awaited, limit)
 		}),
 	}
 	command.Flags().Uint64Var(&revision, "revision", 0, "revision to wait for (default: the one committed now)")
@@ -41,28 +42,28 @@
 	return command
 }
 
-// waitInForce asks again and again, because a leader may change while it waits.
-// Once the group has answered, a time without an answer does not end the wait.
-func (tool *tool) waitInForce(ctx context.Context, calls *client.Client, wanted model.Revision, limit time.Duration) error {
+// waitInForce repeats rollout requests until the awaited revision is in force or limit has passed.
+// Once the group has answered, unavailability, such as during an election, does not end the wait.
+func (tool *tool) waitInForce(ctx context.Context, calls *client.Client, awaited model.Revision, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	answered := false
 	for {
-		// The leader must answer before the request's own time ends.
-		present, err := calls.Rollout(ctx, wanted, min(rolloutStep, limit, tool.settings.Timeout/2))
+		// The leader must answer before the request itself times out.
+		rollout, err := calls.Rollout(ctx, awaited, min(rolloutRequestWait, limit, tool.settings.Timeout/2))
 		if err != nil && answered && ctx.Err() == nil && exitCodeOf(err) == ExitUnavailable {
 			continue
 		}
 		if err != nil {
-			return waitEnded(ctx, err, "revision %d is committed, but not known to be in force", wanted)
+			return waitError(ctx, err, "revision %d is committed, but not known to be in force", awaited)
 		}
 		answered = true
-		if present.InForce >= wanted {
-			fmt.Fprintf(tool.errorOutput, "revision %d is in force\n", wanted)
+		if rollout.InForce >= awaited {
+			fmt.Fprintf(tool.errorOutput, "revision %d is in force\n", awaited)
 			return nil
 		}
 		if ctx.Err() != nil {
-			return faults.New(faults.CodeNotInForce, "the wait of %s ended; revision %d is wanted, %d is in force", limit, wanted, present.InForce)
+			return faults.New(faults.CodeNotInForce, "the wait ended (limit %s); revision %d is awaited, %d is in force", limit, awaited, rollout.InForce)
 		}
 	}
 }
@@ -70,7 +71,7 @@
 func (tool *tool) rolloutCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "rollout",
-		Short: "Show how far the configuration has come",
+		Short: "Show the committed revision, the one in force, and the one each node has applied",
 		Args:  cobra.NoArgs,
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
 			rollout, err := calls.Rollout(ctx, 0, 0)
@@ -85,7 +86,7 @@
 func (tool *tool) statusCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Ask every endpoint for its own status",
+		Short: "Show the status of every endpoint",
 		Args:  cobra.NoArgs,
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
 			statuses := calls.Statuses(ctx)
@@ -103,22 +104,22 @@
 }
 
 func (tool *tool) membersCommand() *cobra.Command {
-	command := &cobra.Command{Use: "members", Short: "Look after the members of the control group", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
+	command := &cobra.Command{Use: "members", Short: "Manage the members of the control group", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
 	command.AddCommand(
 		&cobra.Command{Use: "list", Short: "List the members", Args: cobra.NoArgs, RunE: tool.run(tool.listMembers)},
 		&cobra.Command{Use: "add NODE", Short: "Add a node as a learner", Args: cobra.ExactArgs(1), RunE: tool.run(tool.addMember)},
-		&cobra.Command{Use: "promote ID", Short: "Make a learner that caught up a voter", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "promote ID", Short: "Promote a learner that has caught up to voter", Args: cobra.ExactArgs(1),
 			RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-				return tool.done("member "+arguments[0]+" votes", calls.PromoteMember(ctx, arguments[0]))
+				return tool.printResult("member "+arguments[0]+" votes", calls.PromoteMember(ctx, arguments[0]))
 			})},
 		tool.replaceCommand(),
 		&cobra.Command{Use: "remove ID", Short: "Remove a member", Args: cobra.ExactArgs(1),
 			RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-				return tool.done("member "+arguments[0]+" is removed", calls.RemoveMember(ctx, arguments[0]))
+				return tool.printResult("member "+arguments[0]+" is removed", calls.RemoveMember(ctx, arguments[0]))
 			})},
-		&cobra.Command{Use: "transfer", Short: "Make the leader hand over to another voter", Args: cobra.NoArgs,
+		&cobra.Command{Use: "transfer", Short: "Transfer leadership to another voter", Args: cobra.NoArgs,
 			RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-				return tool.done("leadership is handed over", calls.TransferLeadership(ctx))
+				return tool.printResult("leadership is transferred", calls.TransferLeadership(ctx))
 			})},
 	)
 	return command
@@ -137,21 +138,22 @@
 	if err != nil {
 		return err
 	}
-	return tool.done(fmt.Sprintf("%s is learner %s; promote it once it has caught up", arguments[0], answer.ID), nil)
+	return tool.printResult(fmt.Sprintf("%s is learner %s; promote it once it has caught up", arguments[0], answer.ID), nil)
 }
 
-func (tool *tool) done(what string, err error) error {
+// printResult prints a message, or returns err if it is not nil.
+func (tool *tool) printResult(message string, err error) error {
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintln(tool.output, what)
+	_, err = fmt.Fprintln(tool.output, message)
 	return err
 }
 
 func (tool *tool) backupCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "backup FILE",
-		Short: "Write a snapshot of the whole state to a new file",
+		Short: "Write a snapshot of the complete state to a new file",
 		Args:  cobra.ExactArgs(1),
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
 			snapshot, err := calls.Backup(ctx)
@@ -161,24 +163,24 @@
 			if err := writeNewFile(arguments[0], snapshot); err != nil {
 				return err
 			}
-			return tool.done(fmt.Sprintf("%d bytes written to %s", len(snapshot), arguments[0]), nil)
+			return tool.printResult(fmt.Sprintf("%d bytes written to %s", len(snapshot), arguments[0]), nil)
 		}),
 	}
 }
 
-// writeNewFile writes and syncs a file that must not exist, so that a backup
-// never takes the place of an older one.
+// writeNewFile writes and syncs a file that must not exist yet, so that a backup never overwrites an
+// older one.
 func writeNewFile(name string, content []byte) error {
-	created, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, backupFileMode)
+	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, backupFileMode)
 	if err != nil {
 		return faults.New(faults.CodeUsage, "%v", err)
 	}
-	_, err = created.Write(content)
+	_, err = file.Write(content)
 	if err == nil {
-		err = created.Sync()
+		err = file.Sync()
 	}
-	if closed := created.Close(); err == nil {
-		err = closed
+	if closeError := file.Close(); err == nil {
+		err = closeError
 	}
 	if err != nil {
 		return faults.New(faults.CodeInternalFault, "write %s: %v", name, err)
@@ -190,7 +192,7 @@
 	var yes bool
 	command := &cobra.Command{
 		Use:   "restore FILE",
-		Short: "Put a backup into an empty control group",
+		Short: "Restore a backup into an empty control group",
 		Args:  cobra.ExactArgs(1),
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
 			content, err := os.ReadFile(arguments[0])
@@ -201,10 +203,10 @@
 				return err
 			}
 			answer, err := calls.Restore(ctx, content, client.Change{})
-			return tool.committed("backup restored", answer, err)
+			return tool.printCommitted("backup restored", answer, err)
 		}),
 	}
-	command.Flags().BoolVarP(&yes, "yes", "y", false, "do not ask")
+	command.Flags().BoolVarP(&yes, "yes", "y", false, "do not ask for confirmation")
 	return command
 }
 
@@ -212,7 +214,7 @@
 	var name, role, tenant string
 	create := &cobra.Command{
 		Use:   "new",
-		Short: "Make a token and its line for the token file; nothing is sent",
+		Short: "Generate a token and its entry for the token file, without contacting a member",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			token := auth.Generate()
@@ -221,14 +223,14 @@
 				return faults.New(faults.CodeUsage, "%v", err)
 			}
 			fmt.Fprintf(tool.errorOutput, "Add to the token file of every control member:\n%s", line)
-			return tool.done(token, nil)
+			return tool.printResult(token, nil)
 		},
 	}
 	create.Flags().StringVar(&name, "name", "", "name of the token in logs")
 	create.Flags().StringVar(&role, "role", string(auth.RoleViewer), "viewer, operator or admin")
 	create.Flags().StringVar(&tenant, "tenant", "", "tenant that the token is limited to")
 	_ = create.MarkFlagRequired("name")
-	command := &cobra.Command{Use: "token", Short: "Make bearer tokens", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
+	command := &cobra.Command{Use: "token", Short: "Generate bearer tokens", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
 	command.AddCommand(create)
 	return command
 }
--- a/internal/merlinctl/merlinctl_test.go
+++ b/internal/merlinctl/merlinctl_test.go
@@ -25,7 +25,7 @@
 
 const testToken = "admin-token"
 
-// fixture is a member with its API on a loopback port.
+// fixture is a control member that serves its administration API on a loopback port.
 type fixture struct {
 	t        *testing.T
 	group    *apitest.Group
@@ -47,15 +47,14 @@
 	return fixture
 }
 
-// outcome is what one run of the command line gave.
+// outcome is the exit code and the output of one run of the command line.
 type outcome struct {
 	code   int
 	output string
 	errors string
 }
 
-// run runs merlinctl with the fixture's endpoint and the given answer to its
-// question.
+// run runs merlinctl with the fixture's endpoint, and with answer as standard input.
 func (fixture *fixture) run(answer string, arguments ...string) outcome {
 	fixture.t.Helper()
 	arguments = append([]string{"--endpoints", fixture.endpoint, "--token", testToken, "--timeout", "500ms"}, arguments...)
@@ -64,15 +63,15 @@
 	return outcome{code: code, output: output.String(), errors: errors.String()}
 }
 
-// must runs a command that must succeed.
-func (fixture *fixture) must(arguments ...string) string {
+// mustRun runs a command that must succeed.
+func (fixture *fixture) mustRun(arguments ...string) string {
 	fixture.t.Helper()
 	ran := fixture.run("", arguments...)
 	require.Equal(fixture.t, ExitSuccess, ran.code, "%s%s", ran.output, ran.errors)
 	return ran.output
 }
 
-const objects = `
+const objectsYAML = `
 ---
 kind: Template
 name: web
@@ -100,7 +99,7 @@
       - {name: tip-2, zone: rix-purvciems, agent: "127.0.0.1:2002", backend: "127.0.0.1:3002"}
 `
 
-func (fixture *fixture) write(content string) string {
+func (fixture *fixture) writeFile(content string) string {
 	fixture.t.Helper()
 	name := filepath.Join(fixture.t.TempDir(), "objects.yaml")
 	require.NoError(fixture.t, os.WriteFile(name, []byte(content), 0o600))
@@ -109,10 +108,10 @@
 
 func TestApplyShowsTheDifferenceFirst(t *testing.T) {
 	fixture := newFixture(t)
-	file := fixture.write(objects)
+	file := fixture.writeFile(objectsYAML)
 
-	dry := fixture.must("apply", "-f", file, "--dry-run")
-	require.Contains(t, dry, "nothing was changed")
+	dryRun := fixture.mustRun("apply", "-f", file, "--dry-run")
+	require.Contains(t, dryRun, "nothing was changed")
 	require.Zero(t, fixture.group.Status().Committed)
 
 	declined := fixture.run("n\n", "apply", "-f", file)
@@ -123,11 +122,11 @@
 	require.Equal(t, ExitSuccess, confirmed.code, confirmed.errors)
 	require.Contains(t, confirmed.output, "Service riga/tipline: committed at revision 3")
 
-	again := fixture.must("apply", "-f", file, "--yes")
-	require.Equal(t, 3, strings.Count(again, "unchanged"), again)
-	require.EqualValues(t, 3, fixture.group.Status().Committed, "what is equal is not sent")
+	unchanged := fixture.mustRun("apply", "-f", file, "--yes")
+	require.Equal(t, 3, strings.Count(unchanged, "unchanged"), unchanged)
+	require.EqualValues(t, 3, fixture.group.Status().Committed, "unchanged objects are not sent")
 
-	changed := fixture.must("apply", "--yes", "-f", fixture.write(strings.Replace(objects, "address: 192.0.2.1:443", "address: 192.0.2.1:443\n    slots: 4", 1)))
+	changed := fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(strings.Replace(objectsYAML, "address: 192.0.2.1:443", "address: 192.0.2.1:443\n    slots: 4", 1)))
 	require.Contains(t, changed, `+     "slots": 4,`)
 	require.Contains(t, changed, "Service riga/tipline: changed")
 }
@@ -135,43 +134,43 @@
 func TestApplyWaitsUntilInForce(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.rollout.Set(model.RolloutStatus{InForce: 3})
-	waited := fixture.run("", "apply", "--yes", "--wait", "-f", fixture.write(objects))
-	require.Equal(t, ExitSuccess, waited.code, waited.errors)
-	require.Contains(t, waited.errors, "revision 3 is in force")
+	inForce := fixture.run("", "apply", "--yes", "--wait", "-f", fixture.writeFile(objectsYAML))
+	require.Equal(t, ExitSuccess, inForce.code, inForce.errors)
+	require.Contains(t, inForce.errors, "revision 3 is in force")
 
 	fixture.rollout.Set(model.RolloutStatus{InForce: 2})
-	late := fixture.run("", "wait", "--revision", "3", "--wait-limit", "50ms")
-	require.Equal(t, ExitWaitEnded, late.code, late.errors)
+	timedOut := fixture.run("", "wait", "--revision", "3", "--wait-limit", "50ms")
+	require.Equal(t, ExitWaitEnded, timedOut.code, timedOut.errors)
 }
 
 func TestApplyReadsTheStandardInput(t *testing.T) {
 	fixture := newFixture(t)
-	ran := fixture.run(objects, "apply", "-f", "-", "--yes")
+	ran := fixture.run(objectsYAML, "apply", "-f", "-", "--yes")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
-	unasked := fixture.run(strings.Replace(objects, "tips", "taps", 1), "apply", "-f", "-")
-	require.Equal(t, ExitDeclined, unasked.code, "the input is used up, so nobody can say yes")
+	unanswered := fixture.run(strings.Replace(objectsYAML, "tips", "taps", 1), "apply", "-f", "-")
+	require.Equal(t, ExitDeclined, unanswered.code, "the input is exhausted, so the question gets no answer")
 }
 
-func TestApplyNamesWhatIsWrong(t *testing.T) {
+func TestApplyReportsInvalidDocuments(t *testing.T) {
 	cases := []struct {
 		name, content, want string
 		code                int
 	}{
 		{"no document", "", "holds no document", ExitUsage},
-		{"no YAML", "kind: [", "objects.yaml", ExitUsage},
-		{"kind", "kind: Pod\nname: x\nspec: {}", `kind "Pod"`, ExitUsage},
+		{"malformed YAML", "kind: [", "objects.yaml", ExitUsage},
+		{"unknown kind", "kind: Pod\nname: x\nspec: {}", `kind "Pod"`, ExitUsage},
 		{"no name", "kind: Tenant\nspec: {}", "name is missing", ExitUsage},
 		{"no spec", "kind: Tenant\nname: x", "spec is missing", ExitUsage},
 		{"unknown field", "kind: Tenant\nname: x\nspec: {quota: 1}", `unknown field "quota"`, ExitUsage},
 		{"second document", "kind: Tenant\nname: x\nspec: {}\n---\nkind: Tenant\nname: y\nspecs: {}", "document 2 (line 5)", ExitUsage},
 		{"service without tenant", "kind: Service\nname: x\nspec: {}", "tenant belongs to a Service", ExitUsage},
-		{"refused", "kind: Tenant\nname: x\nspec: {maximum_services: -1}", "maximum_services", ExitInvalid},
-		{"refused name", "kind: Tenant\nname: X\nspec: {}", "document 1 (line 1)", ExitInvalid},
+		{"invalid field", "kind: Tenant\nname: x\nspec: {maximum_services: -1}", "maximum_services", ExitInvalid},
+		{"invalid name", "kind: Tenant\nname: X\nspec: {}", "document 1 (line 1)", ExitInvalid},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			fixture := newFixture(t)
-			ran := fixture.run("", "apply", "--yes", "-f", fixture.write(test.content))
+			ran := fixture.run("", "apply", "--yes", "-f", fixture.writeFile(test.content))
 			require.Equal(t, test.code, ran.code, ran.errors)
 			require.Contains(t, ran.errors, test.want)
 			require.Empty(t, fixture.group.Machine.View().Tenants())
@@ -181,7 +180,7 @@
 
 func TestReadCommands(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	for _, test := range []struct {
 		arguments string
 		want      string
@@ -201,19 +200,19 @@
 	} {
 		t.Run(test.arguments, func(t *testing.T) {
 			fixture.t = t
-			require.Contains(t, fixture.must(strings.Fields(test.arguments)...), test.want)
-			asJSON := fixture.must(append(strings.Fields(test.arguments), "-o", "json")...)
+			require.Contains(t, fixture.mustRun(strings.Fields(test.arguments)...), test.want)
+			asJSON := fixture.mustRun(append(strings.Fields(test.arguments), "-o", "json")...)
 			require.True(t, json.Valid([]byte(asJSON)), asJSON)
 		})
 	}
 }
 
-func TestStatusNamesAMemberWithoutAPlace(t *testing.T) {
+func TestStatusReportsANodeOutsideTheGroup(t *testing.T) {
 	fixture := newFixture(t)
-	require.NotContains(t, fixture.must("status"), "3010")
+	require.NotContains(t, fixture.mustRun("status"), "3010")
 	fixture.group.Fail(apitest.Faults{Refused: true})
-	require.Contains(t, fixture.must("status"), "empty disk without a place in the group (code 3010)")
-	require.Contains(t, fixture.must("status", "-o", "json"), `"refused": true`)
+	require.Contains(t, fixture.mustRun("status"), "empty disk without a place in the group (code 3010)")
+	require.Contains(t, fixture.mustRun("status", "-o", "json"), `"refused": true`)
 }
 
 func TestWrongArgumentsShowTheUsage(t *testing.T) {
@@ -223,31 +222,33 @@
 	require.Contains(t, ran.errors, "Usage: merlinctl list targets TENANT/SERVICE")
 }
 
-// TestWaitFitsIntoTheRequestsTime waits for a revision that never comes: the
-// wait ends, and no member counts as unreachable.
-func TestWaitFitsIntoTheRequestsTime(t *testing.T) {
+// TestWaitEndsWhileTheMemberStillAnswers waits for a revision that is never reached. The leader must
+// answer each request before it times out; otherwise the member counts as unreachable, and the
+// command fails with ExitUnavailable in place of ExitWaitEnded.
+func TestWaitEndsWhileTheMemberStillAnswers(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	ran := fixture.run("", "wait", "--revision", "99", "--wait-limit", "600ms")
 	require.Equal(t, ExitWaitEnded, ran.code, ran.errors)
 	require.Contains(t, ran.errors, "99")
 }
 
-// TestWaitOutlastsAnElection loses the leader in the middle of a wait.
+// TestWaitOutlastsAnElection loses the leader during a wait. The wait must go on if the group has
+// answered before, and fail at once if it never has.
 func TestWaitOutlastsAnElection(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	fixture.group.Fail(apitest.Faults{Leader: "control-2"})
-	require.Equal(t, ExitUnavailable, fixture.run("", "wait", "--revision", "9").code, "a group that never answered ends the wait")
+	require.Equal(t, ExitUnavailable, fixture.run("", "wait", "--revision", "9").code, "the wait must fail if the group has never answered")
 
 	fixture.group.Fail(apitest.Faults{ReadsBeforeLoss: 1})
 	ran := fixture.run("", "wait", "--revision", "9", "--wait-limit", "1500ms")
 	require.Equal(t, ExitWaitEnded, ran.code, ran.errors)
 }
 
-func TestDrainWaitsForWhatRemains(t *testing.T) {
+func TestDrainWaitsUntilNothingRemains(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	ran := fixture.run("", "drain", "riga/tipline/tip-1")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
 	require.Contains(t, ran.errors, "has not reported its flows")
@@ -259,14 +260,14 @@
 	require.Equal(t, ExitWaitEnded, waiting.code, waiting.errors)
 	require.Contains(t, waiting.errors, "3 feeds")
 
-	fixture.reportEmpty()
+	fixture.reportEarlierTargetsEmpty()
 	fixture.rollout.Set(model.RolloutStatus{Nodes: []model.NodeStatus{{Name: "tip-1", Load: &model.TargetLoad{Target: target.ID}}}})
 	require.Equal(t, ExitSuccess, fixture.run("", "drain", "riga/tipline/tip-1", "--wait").code)
-	require.Contains(t, fixture.must("undrain", "riga/tipline/tip-1"), "committed")
+	require.Contains(t, fixture.mustRun("undrain", "riga/tipline/tip-1"), "committed")
 }
 
-// reportEmpty reports every earlier target of every bucket empty.
-func (fixture *fixture) reportEmpty() {
+// reportEarlierTargetsEmpty commits a report that no earlier target of any bucket has flows left.
+func (fixture *fixture) reportEarlierTargetsEmpty() {
 	fixture.t.Helper()
 	configuration := fixture.group.Machine.Configuration()
 	var command state.ReportEmpty
@@ -283,77 +284,77 @@
 	require.NoError(fixture.t, err)
 }
 
-func TestDeletes(t *testing.T) {
+func TestDelete(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	require.Equal(t, ExitConflict, fixture.run("", "delete", "tenant", "riga", "--yes").code)
 	require.Equal(t, ExitDeclined, fixture.run("", "delete", "service", "riga/tipline").code)
-	require.Contains(t, fixture.must("delete", "service", "riga/tipline", "--yes"), "draining")
-	require.Contains(t, fixture.must("list", "services"), "removing")
+	require.Contains(t, fixture.mustRun("delete", "service", "riga/tipline", "--yes"), "draining")
+	require.Contains(t, fixture.mustRun("list", "services"), "removing")
 	for range 3 {
-		fixture.reportEmpty()
+		fixture.reportEarlierTargetsEmpty()
 	}
-	fixture.must("delete", "tenant", "riga", "--yes")
-	fixture.must("delete", "template", "web", "--yes")
+	fixture.mustRun("delete", "tenant", "riga", "--yes")
+	fixture.mustRun("delete", "template", "web", "--yes")
 	require.Equal(t, ExitNotFound, fixture.run("", "get", "template", "web").code)
 }
 
 func TestMembersCommands(t *testing.T) {
 	fixture := newFixture(t)
-	require.Contains(t, fixture.must("members", "add", "control-2"), "learner 2")
-	fixture.must("members", "promote", "2")
-	fixture.must("members", "transfer")
-	fixture.must("members", "remove", "2")
+	require.Contains(t, fixture.mustRun("members", "add", "control-2"), "learner 2")
+	fixture.mustRun("members", "promote", "2")
+	fixture.mustRun("members", "transfer")
+	fixture.mustRun("members", "remove", "2")
 	require.Equal(t, ExitNotFound, fixture.run("", "members", "remove", "2").code)
 }
 
-func TestReplaceGivesALostDiskANewPlace(t *testing.T) {
+func TestReplaceGivesANodeWithALostDiskANewMember(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("members", "add", "control-2")
-	fixture.must("members", "promote", "2")
+	fixture.mustRun("members", "add", "control-2")
+	fixture.mustRun("members", "promote", "2")
 
 	require.Equal(t, ExitNotFound, fixture.run("", "members", "replace", "control-9").code)
 	require.Equal(t, ExitDeclined, fixture.run("n\n", "members", "replace", "control-2").code)
-	require.Contains(t, fixture.must("members", "list"), "2   control-2  true")
+	require.Contains(t, fixture.mustRun("members", "list"), "2   control-2  true")
 
 	fixture.group.Fail(apitest.Faults{Promotions: 1})
-	replaced := fixture.must("members", "replace", "control-2", "--yes")
+	replaced := fixture.mustRun("members", "replace", "control-2", "--yes")
 	require.Equal(t, []string{"member 2 is removed", "control-2 is learner 3", "waiting until control-2 has caught up", "control-2 votes as member 3"},
 		strings.Split(strings.TrimSpace(replaced), "\n"))
 }
 
-func TestReplaceGoesOnAfterAnInterruption(t *testing.T) {
+func TestReplaceContinuesAfterAnInterruption(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("members", "add", "control-2")
+	fixture.mustRun("members", "add", "control-2")
 	fixture.group.Fail(apitest.Faults{Promotions: 1 << 30})
-	ended := fixture.run("", "members", "replace", "control-2", "--yes", "--wait-limit", "1ms")
-	require.Equal(t, ExitWaitEnded, ended.code, ended.errors)
+	interrupted := fixture.run("", "members", "replace", "control-2", "--yes", "--wait-limit", "1ms")
+	require.Equal(t, ExitWaitEnded, interrupted.code, interrupted.errors)
 	fixture.group.Fail(apitest.Faults{})
-	require.Equal(t, "control-2 votes as member 2\n", fixture.must("members", "replace", "control-2", "--yes"))
+	require.Equal(t, "control-2 votes as member 2\n", fixture.mustRun("members", "replace", "control-2", "--yes"))
 }
 
 func TestReplaceRefusesAWorkingMember(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	refused := fixture.run("", "members", "replace", string(apitest.Self), "--yes")
 	require.Equal(t, ExitConflict, refused.code)
 	require.Contains(t, refused.errors, "working member")
-	require.Contains(t, fixture.must("members", "list"), string(apitest.Self))
+	require.Contains(t, fixture.mustRun("members", "list"), string(apitest.Self))
 }
 
 func TestBackupAndRestore(t *testing.T) {
 	source := newFixture(t)
-	source.must("apply", "--yes", "-f", source.write(objects))
+	source.mustRun("apply", "--yes", "-f", source.writeFile(objectsYAML))
 	file := filepath.Join(t.TempDir(), "backup")
-	source.must("backup", file)
-	require.Equal(t, ExitUsage, source.run("", "backup", file).code, "an older backup is kept")
+	source.mustRun("backup", file)
+	require.Equal(t, ExitUsage, source.run("", "backup", file).code, "backup must not overwrite an older file")
 
 	target := newFixture(t)
 	require.Equal(t, ExitDeclined, target.run("", "restore", file).code)
-	target.must("restore", file, "--yes")
+	target.mustRun("restore", file, "--yes")
 	require.Equal(t, source.group.Machine.Configuration().Digest(), target.group.Machine.Configuration().Digest())
 	require.Equal(t, ExitConflict, target.run("", "restore", file, "--yes").code)
-	require.Equal(t, ExitInvalid, newFixture(t).run("", "restore", source.write("junk"), "--yes").code)
+	require.Equal(t, ExitInvalid, newFixture(t).run("", "restore", source.writeFile("junk"), "--yes").code)
 }
 
 func TestExitCodes(t *testing.T) {
@@ -384,9 +385,9 @@
 	}
 }
 
-func TestFailures(t *testing.T) {
+func TestErrorMessagesAndExitCodes(t *testing.T) {
 	fixture := newFixture(t)
-	fixture.must("apply", "--yes", "-f", fixture.write(objects))
+	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
 	for _, test := range []struct {
 		name      string
 		arguments string
@@ -397,8 +398,8 @@
 		{"unknown command", "explode", apitest.Faults{}, ExitUsage, "unknown command"},
 		{"unknown kind", "get pod x", apitest.Faults{}, ExitUsage, "unknown command"},
 		{"unknown flag", "status --loud", apitest.Faults{}, ExitUsage, "--loud"},
-		{"argument", "get service tipline", apitest.Faults{}, ExitUsage, "TENANT/SERVICE"},
-		{"output", "status -o xml", apitest.Faults{}, ExitUsage, "output"},
+		{"malformed service name", "get service tipline", apitest.Faults{}, ExitUsage, "TENANT/SERVICE"},
+		{"invalid output format", "status -o xml", apitest.Faults{}, ExitUsage, "output"},
 		{"not found", "get service riga/none", apitest.Faults{}, ExitNotFound, "What to do"},
 		{"answer lost", "drain riga/tipline/tip-1", apitest.Faults{AfterCommit: context.DeadlineExceeded}, ExitUnknown, "may have been committed"},
 		{"no leader", "list services", apitest.Faults{Leader: "control-9"}, ExitUnavailable, "control-9"},
@@ -426,12 +427,12 @@
 		code := Execute(append([]string{"--config", configuration}, arguments...), strings.NewReader(""), &output, &errors)
 		return outcome{code: code, output: output.String(), errors: errors.String()}
 	}
-	require.Equal(t, ExitUnavailable, run("list", "tenants").code, "the file's endpoint does not answer")
+	require.Equal(t, ExitUnavailable, run("list", "tenants").code, "the endpoint of the settings file does not answer")
 	t.Setenv("MERLINCTL_ENDPOINTS", "http://127.0.0.1:1,"+fixture.endpoint)
 	listed := run("list", "tenants")
 	require.Equal(t, ExitSuccess, listed.code, listed.errors)
-	require.Equal(t, "[]\n", listed.output, "the file asks for JSON")
-	require.Contains(t, run("list", "tenants", "-o", "table").output, "NAME", "flags win")
+	require.Equal(t, "[]\n", listed.output, "the settings file selects JSON")
+	require.Contains(t, run("list", "tenants", "-o", "table").output, "NAME", "flags override the settings file")
 
 	require.NoError(t, os.WriteFile(configuration, []byte("endpoint: x\n"), 0o600))
 	wrong := run("status")
@@ -440,14 +441,14 @@
 	require.Equal(t, ExitUsage, run("status", "--config", "/does/not/exist").code)
 }
 
-func TestTokenNewMakesALineForTheFile(t *testing.T) {
+func TestTokenNewPrintsALineForTheTokenFile(t *testing.T) {
 	fixture := newFixture(t)
-	made := fixture.run("", "token", "new", "--name", "deploy", "--role", "operator", "--tenant", "riga")
-	require.Equal(t, ExitSuccess, made.code, made.errors)
-	_, line, _ := strings.Cut(made.errors, "\n")
+	created := fixture.run("", "token", "new", "--name", "deploy", "--role", "operator", "--tenant", "riga")
+	require.Equal(t, ExitSuccess, created.code, created.errors)
+	_, line, _ := strings.Cut(created.errors, "\n")
 	tokens, err := auth.Parse([]byte(line))
 	require.NoError(t, err)
-	identity, known := tokens.Find(strings.TrimSpace(made.output))
+	identity, known := tokens.Find(strings.TrimSpace(created.output))
 	require.True(t, known)
 	require.Equal(t, auth.Identity{Name: "deploy", Role: auth.RoleOperator, Tenant: "riga"}, identity)
 	require.Equal(t, ExitUsage, fixture.run("", "token", "new", "--name", "x", "--role", "king").code)
@@ -456,13 +457,13 @@
 func TestCompletion(t *testing.T) {
 	fixture := newFixture(t)
 	for _, shell := range []string{"bash", "zsh", "fish"} {
-		require.Contains(t, fixture.must("completion", shell), "merlinctl")
+		require.Contains(t, fixture.mustRun("completion", shell), "merlinctl")
 	}
 }
 
-func TestDifference(t *testing.T) {
-	require.Empty(t, difference("a\nb", "a\nb"))
-	require.Equal(t, "+ a\n+ b\n", difference("", "a\nb"))
-	require.Equal(t, "- a\n", difference("a", ""))
-	require.Equal(t, "  ...\n  2\n  3\n- 4\n+ x\n  5\n  6\n", difference("1\n2\n3\n4\n5\n6\n7", "1\n2\n3\nx\n5\n6\n7"))
+func TestLineDifference(t *testing.T) {
+	require.Empty(t, lineDifference("a\nb", "a\nb"))
+	require.Equal(t, "+ a\n+ b\n", lineDifference("", "a\nb"))
+	require.Equal(t, "- a\n", lineDifference("a", ""))
+	require.Equal(t, "  ...\n  2\n  3\n- 4\n+ x\n  5\n  6\n", lineDifference("1\n2\n3\n4\n5\n6\n7", "1\n2\n3\nx\n5\n6\n7"))
 }
--- a/internal/merlinctl/read.go
+++ b/internal/merlinctl/read.go
@@ -14,27 +14,27 @@
 	"merlinpaddle/internal/state"
 )
 
-// action is the body of a command that calls the control group.
-type action func(ctx context.Context, calls *client.Client, arguments []string) error
+// commandBody is the function of a command that calls the control group.
+type commandBody func(ctx context.Context, calls *client.Client, arguments []string) error
 
-// run makes the client before the action.
-func (tool *tool) run(act action) func(*cobra.Command, []string) error {
+// run returns a Cobra function that creates the client and calls body with it.
+func (tool *tool) run(body commandBody) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, arguments []string) error {
 		calls, err := tool.client()
 		if err != nil {
 			return err
 		}
-		return act(command.Context(), calls, arguments)
+		return body(command.Context(), calls, arguments)
 	}
 }
 
 func (tool *tool) getCommand() *cobra.Command {
-	command := &cobra.Command{Use: "get", Short: "Show one object as JSON or table", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
+	command := &cobra.Command{Use: "get", Short: "Show one object as table or JSON", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
 	command.AddCommand(
 		&cobra.Command{Use: "template NAME", Short: "Show a template with its versions", Args: cobra.ExactArgs(1), RunE: tool.run(tool.getTemplate)},
 		&cobra.Command{Use: "tenant NAME", Short: "Show a tenant", Args: cobra.ExactArgs(1), RunE: tool.run(tool.getTenant)},
 		&cobra.Command{Use: "service TENANT/SERVICE", Short: "Show a service", Args: cobra.ExactArgs(1), RunE: tool.run(tool.getService)},
-		&cobra.Command{Use: "target TENANT/SERVICE/TARGET", Short: "Show a target and what remains at it", Args: cobra.ExactArgs(1), RunE: tool.run(tool.getTarget)},
+		&cobra.Command{Use: "target TENANT/SERVICE/TARGET", Short: "Show a target with its buckets, flows and feeds", Args: cobra.ExactArgs(1), RunE: tool.run(tool.getTarget)},
 	)
 	return command
 }
@@ -50,7 +50,8 @@
 	return command
 }
 
-// needsSubcommand is the body of a command that only groups others.
+// needsSubcommand is the function of a command that only groups others: it prints the help, or
+// returns an error for an unknown subcommand.
 func needsSubcommand(command *cobra.Command, arguments []string) error {
 	if len(arguments) == 0 {
 		return command.Help()
@@ -124,14 +125,15 @@
 }
 
 func (tool *tool) listServices(ctx context.Context, calls *client.Client, arguments []string) error {
-	services, err := servicesOf(ctx, calls, arguments)
+	services, err := fetchServices(ctx, calls, arguments)
 	if err != nil {
 		return err
 	}
 	return tool.show(services, serviceTable(services))
 }
 
-func servicesOf(ctx context.Context, calls *client.Client, arguments []string) ([]adminapi.Service, error) {
+// fetchServices returns the services of the tenant in arguments, or of all tenants without one.
+func fetchServices(ctx context.Context, calls *client.Client, arguments []string) ([]adminapi.Service, error) {
 	if len(arguments) == 0 {
 		return calls.Services(ctx)
 	}
--- a/internal/merlinctl/reference.go
+++ b/internal/merlinctl/reference.go
@@ -8,7 +8,8 @@
 	"merlinpaddle/internal/state"
 )
 
-// splitName splits a name such as tenant/service into its parts.
+// splitName splits a name at "/" and checks that it has as many parts as form, such as
+// TENANT/SERVICE, and that none is empty.
 func splitName(name, form string) ([]string, error) {
 	parts := strings.Split(name, "/")
 	if len(parts) != len(strings.Split(form, "/")) {
--- a/internal/merlinctl/replace.go
+++ b/internal/merlinctl/replace.go
@@ -17,9 +17,8 @@
 // that has not caught up.
 const promotePollInterval = 500 * time.Millisecond
 
-// replacement gives a node that lost its disk a new place in the group. Its
-// steps can be taken again after an interruption: it goes on where the group's
-// membership is.
+// replacement removes the member of a node that lost its disk and adds the node to the group again.
+// It can be repeated after an interruption: it continues from the current membership.
 type replacement struct {
 	tool  *tool
 	calls *client.Client
@@ -32,13 +31,13 @@
 	replacement := replacement{tool: tool}
 	command := &cobra.Command{
 		Use:   "replace NODE",
-		Short: "Give a node that lost its disk a new place, and wait until it votes",
-		Long: `Remove the former member of a node whose disk is lost, add a learner of the same
-node name, and promote it once it has caught up. Start the node on an empty
-data folder before or meanwhile; it joins by itself.
+		Short: "Replace the member of a node that lost its disk, and wait until the new one votes",
+		Long: `Remove the previous member of a node whose disk is lost, add a learner of the
+same node name, and promote it once it has caught up. Start the node on an empty
+data folder before or during this command; it joins by itself.
 
-A node that answers as a working member is refused. When the command is
-interrupted, give it again: it goes on where it was.`,
+A node that answers as a working member is refused. If the command is
+interrupted, run it again: it continues where it stopped.`,
 		Args: cobra.ExactArgs(1),
 		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
 			replacement.calls = calls
@@ -46,7 +45,7 @@
 			return replacement.run(ctx)
 		}),
 	}
-	command.Flags().BoolVarP(&replacement.yes, "yes", "y", false, "do not ask")
+	command.Flags().BoolVarP(&replacement.yes, "yes", "y", false, "do not ask for confirmation")
 	command.Flags().DurationVar(&replacement.limit, "wait-limit", defaultWaitLimit, "longest wait for the learner to catch up")
 	return command
 }
@@ -56,12 +55,12 @@
 	if err != nil {
 		return err
 	}
-	former, learner := placesOf(members, replacement.node)
-	if former == "" && learner == "" {
-		return faults.New(faults.UnknownMember, "node %s is no member; members add takes a new node in", replacement.node)
+	voter, learner := memberIDsOf(members, replacement.node)
+	if voter == "" && learner == "" {
+		return faults.New(faults.UnknownMember, "node %s is not a member; add a new node with: merlinctl members add", replacement.node)
 	}
-	if former != "" {
-		if err := replacement.removeFormer(ctx, former); err != nil {
+	if voter != "" {
+		if err := replacement.removePreviousMember(ctx, voter); err != nil {
 			return err
 		}
 	}
@@ -71,15 +70,15 @@
 			return err
 		}
 		learner = answer.ID
-		if err := replacement.say("%s is learner %s", replacement.node, learner); err != nil {
+		if err := replacement.printStep("%s is learner %s", replacement.node, learner); err != nil {
 			return err
 		}
 	}
 	return replacement.promote(ctx, learner)
 }
 
-// placesOf returns the IDs under which a node votes and learns, or empty text.
-func placesOf(members []adminapi.Member, node model.NodeName) (voter, learner string) {
+// memberIDsOf returns the IDs of the node's voter and of its learner; each is empty if there is none.
+func memberIDsOf(members []adminapi.Member, node model.NodeName) (voter, learner string) {
 	for _, member := range members {
 		switch {
 		case member.Name != node:
@@ -92,23 +91,25 @@
 	return voter, learner
 }
 
-func (replacement *replacement) removeFormer(ctx context.Context, id string) error {
-	if replacement.works(ctx) {
-		return faults.New(faults.CodeConflict, "node %s answers as a working member; stop it and put its data folder aside before you replace it", replacement.node)
+// removePreviousMember removes the voter with this ID after the operator's confirmation. It refuses
+// a node that still works.
+func (replacement *replacement) removePreviousMember(ctx context.Context, id string) error {
+	if replacement.isWorking(ctx) {
+		return faults.New(faults.CodeConflict, "node %s answers as a working member; stop it and move its data folder away before you replace it", replacement.node)
 	}
-	question := fmt.Sprintf("Remove member %s of %s for ever, and take the node in again with an empty disk?", id, replacement.node)
+	question := fmt.Sprintf("Remove member %s of %s permanently, and add the node again with an empty disk?", id, replacement.node)
 	if err := replacement.tool.confirm(replacement.yes, question); err != nil {
 		return err
 	}
 	if err := replacement.calls.RemoveMember(ctx, id); err != nil {
 		return err
 	}
-	return replacement.say("member %s is removed", id)
+	return replacement.printStep("member %s is removed", id)
 }
 
-// works tells whether the node answers and has applied anything of the log; a
-// node with an empty disk has not.
-func (replacement *replacement) works(ctx context.Context) bool {
+// isWorking reports whether the node answers and has applied entries of the log. A node with an
+// empty disk has applied none.
+func (replacement *replacement) isWorking(ctx context.Context) bool {
 	for _, answer := range replacement.calls.Statuses(ctx) {
 		if answer.Status != nil && answer.Status.Node == replacement.node && answer.Status.Applied > 0 {
 			return true
@@ -117,23 +118,23 @@
 	return false
 }
 
-// promote asks until the learner has caught up.
+// promote repeats the promotion until the learner has caught up or the limit has passed.
 func (replacement *replacement) promote(ctx context.Context, learner string) error {
 	ctx, cancel := context.WithTimeout(ctx, replacement.limit)
 	defer cancel()
-	said := false
+	announced := false
 	for {
 		err := replacement.calls.PromoteMember(ctx, learner)
 		code := client.Code(err)
-		waits := code == faults.LearnerBehind || code == faults.MembershipChangePending
+		retryable := code == faults.LearnerBehind || code == faults.MembershipChangePending
 		switch {
 		case err == nil:
-			return replacement.say("%s votes as member %s", replacement.node, learner)
-		case ctx.Err() != nil || !waits:
-			return waitEnded(ctx, err, "%s is learner %s and does not vote yet; check that it runs on an empty data folder, and give the command again", replacement.node, learner)
-		case !said:
-			said = true
-			if err := replacement.say("waiting until %s has caught up", replacement.node); err != nil {
+			return replacement.printStep("%s votes as member %s", replacement.node, learner)
+		case ctx.Err() != nil || !retryable:
+			return waitError(ctx, err, "%s is learner %s and does not vote yet; check that it runs on an empty data folder, and run the command again", replacement.node, learner)
+		case !announced:
+			announced = true
+			if err := replacement.printStep("waiting until %s has caught up", replacement.node); err != nil {
 				return err
 			}
 		}
@@ -144,6 +145,6 @@
 	}
 }
 
-func (replacement *replacement) say(format string, arguments ...any) error {
-	return replacement.tool.done(fmt.Sprintf(format, arguments...), nil)
+func (replacement *replacement) printStep(format string, arguments ...any) error {
+	return replacement.tool.printResult(fmt.Sprintf(format, arguments...), nil)
 }
--- a/internal/merlinctl/root.go
+++ b/internal/merlinctl/root.go
@@ -1,6 +1,6 @@
-// Package merlinctl is the operators' command line over the administration
-// API: it shows and changes templates, tenants, services and targets, waits for
-// changes to be in force, and looks after the members of the control group.
+// Package merlinctl implements the operators' command line, a client of the administration API. It
+// shows and changes templates, tenants, services and targets, waits until changes are in force, and
+// manages the members of the control group and the configuration of direct services.
 package merlinctl
 
 import (
@@ -18,13 +18,13 @@
 	"merlinpaddle/internal/faults"
 )
 
-// tool is what all commands share.
+// tool has the streams, settings and client factory that all commands share.
 type tool struct {
 	input       io.Reader
 	output      io.Writer
 	errorOutput io.Writer
 	settings    Settings
-	// connect makes the client from the settings; tests replace it.
+	// connect creates the client from the settings.
 	connect func(Settings) (*client.Client, error)
 }
 
@@ -37,7 +37,7 @@
 func (tool *tool) execute(arguments []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	root := tool.root()
+	root := tool.newRootCommand()
 	root.SetArgs(arguments)
 	root.SetIn(tool.input)
 	root.SetOut(tool.output)
@@ -46,26 +46,26 @@
 	if err == nil {
 		return ExitSuccess
 	}
-	tool.explain(command, err)
+	tool.printError(command, err)
 	return exitCodeOf(err)
 }
 
-// explain writes a failure with what the operator can do about it.
-func (tool *tool) explain(command *cobra.Command, err error) {
+// printError writes err with what the operator can do about it.
+func (tool *tool) printError(command *cobra.Command, err error) {
 	fmt.Fprintf(tool.errorOutput, "merlinctl: %v\n", err)
 	if client.Code(err) == 0 && !errors.Is(err, errDeclined) {
-		// Cobra's own errors about commands and arguments.
+		// Cobra's own errors, about unknown commands and wrong arguments, have no code.
 		fmt.Fprintf(tool.errorOutput, "Usage: %s\n", command.UseLine())
 	}
 	if client.MayHaveRun(err) {
-		fmt.Fprintln(tool.errorOutput, "The change may have been committed. Look at the object before you send it again.")
+		fmt.Fprintln(tool.errorOutput, "The change may have been committed. Read the object before you send the change again.")
 	}
 	if definition, known := faults.Lookup(client.Code(err)); known && definition.Action != "" {
 		fmt.Fprintf(tool.errorOutput, "What to do: %s\n", definition.Action)
 	}
 }
 
-func (tool *tool) root() *cobra.Command {
+func (tool *tool) newRootCommand() *cobra.Command {
 	var configuration string
 	root := &cobra.Command{
 		Use:           "merlinctl",
@@ -99,13 +99,13 @@
 
 const rootHelp = `Operate the control group of merlinpaddle.
 
-Settings come from flags, then from environment variables (MERLINCTL_ENDPOINTS,
+Settings come from flags first, then from environment variables (MERLINCTL_ENDPOINTS,
 MERLINCTL_TOKEN, MERLINCTL_TOKEN_FILE, MERLINCTL_AUTHORITY, ...), then from the
 settings file.
 
-Exit codes: 0 done; 1 fault; 2 usage; 3 refused as not valid; 4 not allowed;
-5 not found; 6 conflict with another change; 7 not available, nothing was
+Exit codes: 0 success; 1 internal error; 2 usage; 3 refused as invalid; 4 not
+allowed; 5 not found; 6 conflict with another change; 7 unavailable, nothing was
 changed; 8 outcome unknown; 9 the wait ended first; 10 declined.`
 
-// client makes the client from the settings.
+// client creates the client from the settings.
 func (tool *tool) client() (*client.Client, error) { return tool.connect(tool.settings) }
--- a/internal/merlinctl/settings.go
+++ b/internal/merlinctl/settings.go
@@ -20,34 +20,34 @@
 	"merlinpaddle/internal/faults"
 )
 
-// Forms of output.
+// Output formats.
 const (
 	OutputTable = "table"
 	OutputJSON  = "json"
 )
 
-// configurationFlag names the settings file and is no setting itself.
+// configurationFlag is the flag that names the settings file. It is not a setting itself.
 const configurationFlag = "config"
 
-// environmentPrefix starts the names of merlinctl's environment variables.
+// environmentPrefix is the prefix of merlinctl's environment variables.
 const environmentPrefix = "MERLINCTL_"
 
-// Settings are where and as whom merlinctl calls. Flags have the same names
-// with "-" in place of "_".
+// Settings are the endpoints, credentials and limits of merlinctl's requests, and its output format.
+// Each has a flag of the same name with "-" in place of "_".
 type Settings struct {
 	// Endpoints are the base URLs of the control members.
 	Endpoints []string `koanf:"endpoints"`
-	// Token is the bearer token; TokenFile is a file with it.
+	// Token is the bearer token. If it is empty, it is read from TokenFile.
 	Token     string `koanf:"token"`
 	TokenFile string `koanf:"token_file"`
-	// Authority is the file with the certificate authority.
+	// Authority is the path of the PEM file with the certificate authority of the members.
 	Authority string `koanf:"authority"`
 	// ServerName is the name in the members' certificates, if it is not the
 	// endpoint's host.
 	ServerName string `koanf:"server_name"`
 	// Output is "table" or "json".
 	Output string `koanf:"output"`
-	// Timeout bounds each request with all its attempts.
+	// Timeout is the time limit of each request, including all its attempts.
 	Timeout time.Duration `koanf:"timeout"`
 }
 
@@ -57,43 +57,46 @@
 	flags.String("token-file", "", "file with the bearer token")
 	flags.String("authority", "", "file with the certificate authority of the members (PEM)")
 	flags.String("server-name", "", "name in the members' certificates, if it is not the endpoint's host")
-	flags.StringP("output", "o", OutputTable, `form of output, "table" or "json"`)
-	flags.Duration("timeout", client.DefaultRetryBudget, "bound of each request with all its attempts")
+	flags.StringP("output", "o", OutputTable, `output format, "table" or "json"`)
+	flags.Duration("timeout", client.DefaultRetryBudget, "time limit of each request, including all its attempts")
 }
 
-// LoadSettings reads the settings file, the environment and the flags, of
-// which the later ones win. Without a path, a missing file is no error.
+// LoadSettings reads the settings file, the environment and the flags; each overrides those before
+// it. Without a path it reads merlinctl/config.yaml in the user's configuration folder, if that
+// exists.
 func LoadSettings(path string, flags *pflag.FlagSet) (Settings, error) {
 	loaded := koanf.New(".")
 	if err := loadFile(loaded, path); err != nil {
 		return Settings{}, err
 	}
-	variables := env.Provider(".", env.Opt{Prefix: environmentPrefix, TransformFunc: environmentValue})
-	if err := loaded.Load(variables, nil); err != nil {
+	environment := env.Provider(".", env.Opt{Prefix: environmentPrefix, TransformFunc: environmentValue})
+	if err := loaded.Load(environment, nil); err != nil {
 		return Settings{}, faults.New(faults.CodeUsage, "environment: %v", err)
 	}
-	named := posflag.ProviderWithFlag(flags, ".", loaded, func(flag *pflag.Flag) (string, any) {
+	flagValues := posflag.ProviderWithFlag(flags, ".", loaded, func(flag *pflag.Flag) (string, any) {
 		if flag.Name == configurationFlag {
 			return "", nil
 		}
 		return strings.ReplaceAll(flag.Name, "-", "_"), posflag.FlagVal(flags, flag)
 	})
-	if err := loaded.Load(named, nil); err != nil {
+	if err := loaded.Load(flagValues, nil); err != nil {
 		return Settings{}, faults.New(faults.CodeUsage, "flags: %v", err)
 	}
 	var settings Settings
-	decoding := &mapstructure.DecoderConfig{
+	decoderConfig := &mapstructure.DecoderConfig{
 		Result:           &settings,
 		WeaklyTypedInput: true,
 		ErrorUnused:      true,
 		DecodeHook:       mapstructure.StringToTimeDurationHookFunc(),
 	}
-	if err := loaded.UnmarshalWithConf("", &settings, koanf.UnmarshalConf{DecoderConfig: decoding}); err != nil {
+	if err := loaded.UnmarshalWithConf("", &settings, koanf.UnmarshalConf{DecoderConfig: decoderConfig}); err != nil {
 		return Settings{}, faults.New(faults.CodeUsage, "settings: %v", err)
 	}
-	return settings, settings.check()
+	return settings, settings.validate()
 }
 
+// environmentValue returns the setting for an environment variable, or an empty name for the one that
+// names the settings file.
 func environmentValue(name, value string) (string, any) {
 	key := strings.ToLower(strings.TrimPrefix(name, environmentPrefix))
 	if key == configurationFlag {
@@ -124,7 +127,7 @@
 	return nil
 }
 
-func (settings Settings) check() error {
+func (settings Settings) validate() error {
 	if settings.Output != OutputTable && settings.Output != OutputJSON {
 		return faults.New(faults.CodeUsage, `output must be "table" or "json", not %q`, settings.Output)
 	}
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// connect makes the client that the settings describe.
+// connect creates the client that the settings describe.
 func connect(settings Settings) (*client.Client, error) {
 	token := settings.Token
 	if token == "" && settings.TokenFile != "" {
--- a/internal/merlinctl/table.go
+++ b/internal/merlinctl/table.go
@@ -14,10 +14,10 @@
 	"merlinpaddle/internal/state"
 )
 
-// columnPadding is the space between columns.
+// columnPadding is the number of spaces between columns.
 const columnPadding = 2
 
-// printer writes tables.
+// printer writes a table with aligned columns.
 type printer struct {
 	writer *tabwriter.Writer
 }
@@ -34,7 +34,7 @@
 
 func (printer *printer) flush() error { return printer.writer.Flush() }
 
-// show writes value as JSON, or as a table by the given function.
+// show writes value as JSON, or calls table, as the output setting selects.
 func (tool *tool) show(value any, table func(io.Writer) error) error {
 	if tool.settings.Output == OutputJSON {
 		encoder := json.NewEncoder(tool.output)
@@ -44,9 +44,12 @@
 	return table(tool.output)
 }
 
-func number[Number ~uint32 | ~uint64 | ~int | ~int64](value Number) string { return fmt.Sprint(value) }
+func formatNumber[Number ~uint32 | ~uint64 | ~int | ~int64](value Number) string {
+	return fmt.Sprint(value)
+}
 
-func mark(set bool, text string) string {
+// textIf returns text if set, and "-" otherwise.
+func textIf(set bool, text string) string {
 	if set {
 		return text
 	}
@@ -57,7 +60,7 @@
 	return func(output io.Writer) error {
 		table := newPrinter(output, "NAME", "VERSION", "PROTOCOL", "REVISION", "DESCRIPTION")
 		for _, template := range templates {
-			table.row(template.Name, number(template.LatestVersion), string(template.Protocol), number(template.Revision), template.Description)
+			table.row(template.Name, formatNumber(template.LatestVersion), string(template.Protocol), formatNumber(template.Revision), template.Description)
 		}
 		return table.flush()
 	}
@@ -67,7 +70,7 @@
 	return func(output io.Writer) error {
 		table := newPrinter(output, "NAME", "REVISION", "UPDATED BY", "DESCRIPTION")
 		for _, tenant := range tenants {
-			table.row(string(tenant.Name), number(tenant.Revision), tenant.UpdatedBy, tenant.Spec.Description)
+			table.row(string(tenant.Name), formatNumber(tenant.Revision), tenant.UpdatedBy, tenant.Spec.Description)
 		}
 		return table.flush()
 	}
@@ -77,9 +80,9 @@
 	return func(output io.Writer) error {
 		table := newPrinter(output, "TENANT", "NAME", "ADDRESS", "PROTOCOL", "TEMPLATE", "TARGETS", "REVISION", "STATE")
 		for _, service := range services {
-			template := service.Spec.Template.Name + "@" + number(service.Spec.Template.Version)
+			template := service.Spec.Template.Name + "@" + formatNumber(service.Spec.Template.Version)
 			table.row(string(service.Tenant), service.Name, service.Address, string(service.Protocol), template,
-				number(service.Targets), number(service.Revision), mark(service.Removing, "removing"))
+				formatNumber(service.Targets), formatNumber(service.Revision), textIf(service.Removing, "removing"))
 		}
 		return table.flush()
 	}
@@ -89,11 +92,11 @@
 	return func(output io.Writer) error {
 		table := newPrinter(output, "NAME", "ZONE", "PHASE", "AGENT", "HEADS", "EARLIER", "FLOWS", "RUNNING", "FEEDS", "REVISION")
 		for _, target := range targets {
-			table.row(target.Name, string(target.Zone), phaseOf(target), target.Agent, number(target.Buckets.Heads), number(target.Buckets.Earlier),
+			table.row(target.Name, string(target.Zone), phaseOf(target), target.Agent, formatNumber(target.Buckets.Heads), formatNumber(target.Buckets.Earlier),
 				loadCell(target, func(load *adminapi.Load) uint32 { return load.Flows }),
 				loadCell(target, func(load *adminapi.Load) uint32 { return load.Running }),
 				loadCell(target, func(load *adminapi.Load) uint32 { return load.Feeds }),
-				number(target.Revision))
+				formatNumber(target.Revision))
 		}
 		return table.flush()
 	}
@@ -106,18 +109,19 @@
 	return target.Phase
 }
 
+// loadCell returns a number of the target's load, or "?" if its agent has not reported any.
 func loadCell(target adminapi.Target, value func(*adminapi.Load) uint32) string {
 	if target.Load == nil {
 		return "?"
 	}
-	return number(value(target.Load))
+	return formatNumber(value(target.Load))
 }
 
 func memberTable(members []adminapi.Member) func(io.Writer) error {
 	return func(output io.Writer) error {
 		table := newPrinter(output, "ID", "NAME", "VOTES", "LEADER")
 		for _, member := range members {
-			table.row(member.ID, string(member.Name), strconv.FormatBool(!member.Learner), mark(member.Leader, "yes"))
+			table.row(member.ID, string(member.Name), strconv.FormatBool(!member.Learner), textIf(member.Leader, "yes"))
 		}
 		return table.flush()
 	}
@@ -131,7 +135,7 @@
 		}
 		table := newPrinter(output, "NODE", "ROLE", "ZONE", "APPLIED", "LEASED", "SEEN")
 		for _, node := range rollout.Nodes {
-			table.row(string(node.Name), string(node.Role), string(node.Zone), number(node.Applied), strconv.FormatBool(node.Leased),
+			table.row(string(node.Name), string(node.Role), string(node.Zone), formatNumber(node.Applied), strconv.FormatBool(node.Leased),
 				fmt.Sprintf("%d ms ago", node.AgeMilliseconds))
 		}
 		return table.flush()
@@ -141,18 +145,18 @@
 func statusTable(statuses []client.EndpointStatus) func(io.Writer) error {
 	return func(output io.Writer) error {
 		table := newPrinter(output, "ENDPOINT", "NODE", "LEADER", "TERM", "COMMITTED", "APPLIED", "REVISION", "DIGEST", "SERVICES", "TARGETS", "CLAIMS")
-		for _, answered := range statuses {
-			if answered.Status == nil {
-				table.row(answered.Endpoint, "no answer: "+strings.SplitN(answered.Problem, "\n", 2)[0])
+		for _, endpoint := range statuses {
+			if endpoint.Status == nil {
+				table.row(endpoint.Endpoint, "no answer: "+strings.SplitN(endpoint.Problem, "\n", 2)[0])
 				continue
 			}
-			status := answered.Status
+			status := endpoint.Status
 			if status.Refused {
-				table.row(answered.Endpoint, string(status.Node), fmt.Sprintf("empty disk without a place in the group (code %d); see: merlinctl members replace --help", faults.DiskNotMember))
+				table.row(endpoint.Endpoint, string(status.Node), fmt.Sprintf("empty disk without a place in the group (code %d); see: merlinctl members replace --help", faults.DiskNotMember))
 				continue
 			}
-			table.row(answered.Endpoint, string(status.Node), string(status.Leader), number(status.Term), number(status.Committed),
-				number(status.Applied), number(status.Revision), status.ConfigurationDigest, number(status.Services), number(status.Targets), number(status.Claims.Rows))
+			table.row(endpoint.Endpoint, string(status.Node), string(status.Leader), formatNumber(status.Term), formatNumber(status.Committed),
+				formatNumber(status.Applied), formatNumber(status.Revision), status.ConfigurationDigest, formatNumber(status.Services), formatNumber(status.Targets), formatNumber(status.Claims.Rows))
 		}
 		return table.flush()
 	}
