--- a/cmd/merlinbench/main.go
+++ b/cmd/merlinbench/main.go
@@ -1,5 +1,5 @@
-// Command merlinbench drives fleets of separate processes: it renders their
-// settings, offers load, brings about faults, and measures.
+// Command merlinbench runs benchmarks on fleets of separate processes: it renders their settings,
+// generates load, injects faults, and measures.
 package main
 
 import (
--- a/cmd/merlinpaddle/main.go
+++ b/cmd/merlinpaddle/main.go
@@ -1,5 +1,5 @@
-// Command merlinpaddle runs one process of the load balancer; the role is its
-// first argument.
+// Command merlinpaddle runs one process of the load balancer in the role that its first argument
+// names, or one of the offline commands.
 package main
 
 import (
--- a/cmd/merlinsim/main.go
+++ b/cmd/merlinsim/main.go
@@ -8,11 +8,11 @@
 	"merlinpaddle/internal/sim/cli"
 )
 
-// garbagePercent lets runs make more garbage between two collections: a run's
-// live memory is small, and collecting takes a fifth of its time otherwise.
-const garbagePercent = 400
+// gcPercent makes garbage collections rarer: a run has little live memory, and at the default
+// setting it spends a fifth of its time in garbage collection.
+const gcPercent = 400
 
 func main() {
-	debug.SetGCPercent(garbagePercent)
+	debug.SetGCPercent(gcPercent)
 	os.Exit(cli.Execute(os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/internal/command/agent.go
+++ b/internal/command/agent.go
@@ -7,5 +7,5 @@
 )
 
 func newAgentCommand() *cobra.Command {
-	return newRoleCommand("agent", "Run an agent: the process in front of one back end", agent.Module())
+	return newRoleCommand("agent", "Run an agent, the process in front of one back end", agent.Module())
 }
--- a/internal/command/backend.go
+++ b/internal/command/backend.go
@@ -7,5 +7,5 @@
 )
 
 func newBackendCommand() *cobra.Command {
-	return newRoleCommand("backend", "Stand-in of a tenant's back end", backend.Module())
+	return newRoleCommand("backend", "Run the stand-in for a tenant's back end", backend.Module())
 }
--- a/internal/command/caller.go
+++ b/internal/command/caller.go
@@ -7,5 +7,5 @@
 )
 
 func newCallerCommand() *cobra.Command {
-	return newRoleCommand("caller", "Stand-in of a tenant's callers", caller.Module())
+	return newRoleCommand("caller", "Run the stand-in for a tenant's callers", caller.Module())
 }
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -18,7 +18,7 @@
 	flags := &settingsFlags{}
 	command := &cobra.Command{
 		Use:   "check",
-		Short: "Check a settings file and start nothing",
+		Short: "Check a settings file without starting a process",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if _, err := flags.load(); err != nil {
@@ -36,14 +36,14 @@
 	flags := &settingsFlags{}
 	command := &cobra.Command{
 		Use:   "print",
-		Short: "Print the settings in force: defaults, file, environment and overrides",
+		Short: "Print the effective settings: defaults, file, environment and overrides",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
-			chosen, err := flags.load()
+			loaded, err := flags.load()
 			if err != nil {
 				return err
 			}
-			text, err := settings.Marshal(chosen)
+			text, err := settings.Marshal(loaded)
 			if err != nil {
 				return err
 			}
--- a/internal/command/fabric.go
+++ b/internal/command/fabric.go
@@ -7,5 +7,5 @@
 )
 
 func newFabricCommand() *cobra.Command {
-	return newRoleCommand("fabric", "Run the stand-in of the platform's network fabric", fabric.Module())
+	return newRoleCommand("fabric", "Run the stand-in for the platform's network fabric", fabric.Module())
 }
--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -10,7 +10,7 @@
 )
 
 func newKeysCommand() *cobra.Command {
-	command := &cobra.Command{Use: "keys", Short: "Make the certificates of the system's own processes"}
+	command := &cobra.Command{Use: "keys", Short: "Create the keys and certificates of the system's processes"}
 	command.AddCommand(newKeysInitCommand())
 	return command
 }
@@ -19,9 +19,9 @@
 	var folder string
 	command := &cobra.Command{
 		Use:   "init role=name[@address,...]...",
-		Short: "Make the authority, if there is none, and one key folder for each process",
+		Short: "Create the certificate authority, if there is none, and a key folder for each process",
 		Example: "  merlinpaddle keys init --folder keys control=control-1@127.0.0.1 relay=relay-1 balancer=balancer-1\n" +
-			"  Each process then has the setting keys: keys/<name>.",
+			"  Then set keys: keys/<name> in the settings of each process.",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			var processes []keys.Process
@@ -39,6 +39,6 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&folder, "folder", "keys", "folder for the authority and the processes' folders")
+	command.Flags().StringVar(&folder, "folder", "keys", "folder for the certificate authority and the key folders")
 	return command
 }
--- a/internal/command/platform.go
+++ b/internal/command/platform.go
@@ -7,5 +7,5 @@
 )
 
 func newPlatformCommand() *cobra.Command {
-	return newRoleCommand("platform", "Stand-in of the platform's machine list", platform.Module())
+	return newRoleCommand("platform", "Run the stand-in for the platform's machine list", platform.Module())
 }
--- a/internal/command/reference.go
+++ b/internal/command/reference.go
@@ -9,7 +9,7 @@
 )
 
 func newReferenceCommand() *cobra.Command {
-	command := &cobra.Command{Use: "reference", Short: "Print a reference page that is made from the code"}
+	command := &cobra.Command{Use: "reference", Short: "Print a reference page that is generated from the code"}
 	command.AddCommand(
 		&cobra.Command{
 			Use:   "errors",
--- a/internal/command/refusal_test.go
+++ b/internal/command/refusal_test.go
@@ -18,23 +18,23 @@
 	"merlinpaddle/internal/model"
 )
 
-// A screen, in lines and columns, that a refusal must fit on.
+// The size of a terminal that the message of a refused start must fit on.
 const (
 	screenLines   = 24
 	screenColumns = 80
 )
 
-// machine has what a control member needs to start: a data folder with a log,
-// keys, a token file and free ports.
-type machine struct {
+// memberFixture has what a control member needs to start: a data folder with a log, keys, a token
+// file and free ports.
+type memberFixture struct {
 	root     string
 	settings map[string]string
 }
 
-func newMachine(t *testing.T) *machine {
+func newMemberFixture(t *testing.T) *memberFixture {
 	t.Helper()
 	root := t.TempDir()
-	writeMember(t, filepath.Join(root, "data"), 1)
+	writeMemberFolder(t, filepath.Join(root, "data"), 1)
 	processes := []keys.Process{
 		{Name: "control-1", Role: model.RoleControl},
 		{Name: "control-2", Role: model.RoleControl},
@@ -43,22 +43,22 @@
 	require.NoError(t, keys.Init(filepath.Join(root, "keys"), processes, time.Now()))
 	tokens := filepath.Join(root, "tokens.yaml")
 	require.NoError(t, os.WriteFile(tokens, []byte("tokens: []\n"), 0o600))
-	return &machine{root: root, settings: map[string]string{
+	return &memberFixture{root: root, settings: map[string]string{
 		"node": "control-1", "zone": "zone-1", "data_folder": filepath.Join(root, "data"), "keys": filepath.Join(root, "keys", "control-1"),
 		"listen": "127.0.0.1:0", "status": "127.0.0.1:0", "control.api": "127.0.0.1:0", "control.tokens": tokens,
 	}}
 }
 
-// start runs the real role and returns its exit code and what it printed.
-func (machine *machine) start(t *testing.T) (code int, output string) {
+// start runs the control command and returns its exit code and output.
+func (member *memberFixture) start(t *testing.T) (code int, output string) {
 	t.Helper()
-	file := filepath.Join(machine.root, "control.yaml")
-	text := fmt.Sprintf("node: %s\nzone: %s\ndata_folder: %s\ncontrol:\n  members: [{name: control-1, address: \"127.0.0.1:7000\"}, {name: control-2, address: \"127.0.0.1:7001\"}]\n",
-		machine.settings["node"], machine.settings["zone"], machine.settings["data_folder"])
-	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
+	file := filepath.Join(member.root, "control.yaml")
+	content := fmt.Sprintf("node: %s\nzone: %s\ndata_folder: %s\ncontrol:\n  members: [{name: control-1, address: \"127.0.0.1:7000\"}, {name: control-2, address: \"127.0.0.1:7001\"}]\n",
+		member.settings["node"], member.settings["zone"], member.settings["data_folder"])
+	require.NoError(t, os.WriteFile(file, []byte(content), 0o600))
 	arguments := []string{"control", "-c", file}
 	for _, key := range []string{"keys", "listen", "status", "control.api", "control.tokens", "control.election_timeout"} {
-		if value, set := machine.settings[key]; set {
+		if value, set := member.settings[key]; set {
 			arguments = append(arguments, "--set", key+"="+value)
 		}
 	}
@@ -67,15 +67,15 @@
 	return code, printed.String()
 }
 
-// data returns the member's files. Rings are diagnostics that a refused start
-// may add, and the lock file is empty.
-func (machine *machine) data(t *testing.T) map[string]string {
+// consensusFiles returns the content of the files in the consensus folder. It leaves out the log
+// rings, which a refused start may add as diagnostics, and the lock file, which is empty.
+func (member *memberFixture) consensusFiles(t *testing.T) map[string]string {
 	t.Helper()
-	return readTree(t, filepath.Join(machine.root, "data", "consensus"))
+	return readTree(t, filepath.Join(member.root, "data", "consensus"))
 }
 
-// occupy takes a port and returns its address.
-func occupy(t *testing.T) string {
+// occupyPort listens on a free loopback port and returns its address.
+func occupyPort(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -83,86 +83,86 @@
 	return listener.Addr().String()
 }
 
-// TestRefusedStartsOfTheRole starts the real role on a member's folder with
-// each fault. The refusal says code, cause and mend on one screen and leaves
-// every file as it was.
-func TestRefusedStartsOfTheRole(t *testing.T) {
-	wal := func(machine *machine) string { return filepath.Join(machine.root, "data/consensus/wal") }
+// TestControlRoleRefusesToStart starts the control command on a member's folder with one fault each.
+// The message must have the code, the cause and the remedy, and fit on one screen; the files of the
+// consensus folder must stay unchanged.
+func TestControlRoleRefusesToStart(t *testing.T) {
+	wal := func(member *memberFixture) string { return filepath.Join(member.root, "data/consensus/wal") }
 	cases := []struct {
-		name  string
-		fault func(*testing.T, *machine)
-		code  faults.Code
-		cause string
+		name       string
+		breakSetup func(*testing.T, *memberFixture)
+		code       faults.Code
+		cause      string
 	}{
-		{"corrupt log", func(t *testing.T, machine *machine) {
-			corrupt(t, firstFile(t, wal(machine)+"/*"), 100)
+		{"corrupt log", func(t *testing.T, member *memberFixture) {
+			corruptByte(t, firstMatch(t, wal(member)+"/*"), 100)
 		}, faults.StorageDamaged, "wal-"},
-		{"corrupt identity", func(t *testing.T, machine *machine) {
-			corrupt(t, filepath.Join(machine.root, "data/consensus/identity"), 4)
+		{"corrupt identity", func(t *testing.T, member *memberFixture) {
+			corruptByte(t, filepath.Join(member.root, "data/consensus/identity"), 4)
 		}, faults.StorageDamaged, "identity"},
-		{"log missing", func(t *testing.T, machine *machine) { require.NoError(t, os.RemoveAll(wal(machine))) }, faults.StorageIncomplete, "no log"},
-		{"foreign log", func(t *testing.T, machine *machine) {
-			other := filepath.Join(machine.root, "other")
-			writeMember(t, other, 2)
-			require.NoError(t, os.RemoveAll(wal(machine)))
-			require.NoError(t, os.Rename(filepath.Join(other, "consensus/wal"), wal(machine)))
+		{"log missing", func(t *testing.T, member *memberFixture) { require.NoError(t, os.RemoveAll(wal(member))) }, faults.StorageIncomplete, "no log"},
+		{"log of another group", func(t *testing.T, member *memberFixture) {
+			other := filepath.Join(member.root, "other")
+			writeMemberFolder(t, other, 2)
+			require.NoError(t, os.RemoveAll(wal(member)))
+			require.NoError(t, os.Rename(filepath.Join(other, "consensus/wal"), wal(member)))
 		}, faults.StorageForeign, "group"},
-		{"another node's folder", func(_ *testing.T, machine *machine) {
-			machine.settings["node"] = "control-2"
-			machine.settings["keys"] = filepath.Join(machine.root, "keys/control-2")
+		{"another node's folder", func(_ *testing.T, member *memberFixture) {
+			member.settings["node"] = "control-2"
+			member.settings["keys"] = filepath.Join(member.root, "keys/control-2")
 		}, faults.StorageForeign, "control-1"},
-		{"another node's key", func(_ *testing.T, machine *machine) {
-			machine.settings["keys"] = filepath.Join(machine.root, "keys/control-2")
+		{"another node's key", func(_ *testing.T, member *memberFixture) {
+			member.settings["keys"] = filepath.Join(member.root, "keys/control-2")
 		}, faults.CodeKeysInvalid, "control-2"},
-		{"another role's key", func(_ *testing.T, machine *machine) {
-			machine.settings["keys"] = filepath.Join(machine.root, "keys/relay-1")
+		{"another role's key", func(_ *testing.T, member *memberFixture) {
+			member.settings["keys"] = filepath.Join(member.root, "keys/relay-1")
 		}, faults.CodeKeysInvalid, "relay"},
-		{"key unreadable", func(t *testing.T, machine *machine) {
-			require.NoError(t, os.WriteFile(filepath.Join(machine.root, "keys/control-1/key.pem"), []byte("no key"), 0o600))
+		{"malformed key", func(t *testing.T, member *memberFixture) {
+			require.NoError(t, os.WriteFile(filepath.Join(member.root, "keys/control-1/key.pem"), []byte("no key"), 0o600))
 		}, faults.CodeKeysUnreadable, "key.pem"},
-		{"keys missing", func(_ *testing.T, machine *machine) {
-			machine.settings["keys"] = filepath.Join(machine.root, "nowhere")
+		{"keys missing", func(_ *testing.T, member *memberFixture) {
+			member.settings["keys"] = filepath.Join(member.root, "nowhere")
 		}, faults.CodeKeysUnreadable, "nowhere"},
-		{"setting out of range", func(_ *testing.T, machine *machine) {
-			machine.settings["control.election_timeout"] = "1ms"
+		{"setting out of range", func(_ *testing.T, member *memberFixture) {
+			member.settings["control.election_timeout"] = "1ms"
 		}, faults.CodeSettingsInvalid, "control.election_timeout"},
-		{"setting of the wrong form", func(_ *testing.T, machine *machine) { machine.settings["listen"] = "nowhere" }, faults.CodeSettingsInvalid, "listen"},
-		{"token file broken", func(t *testing.T, machine *machine) {
-			require.NoError(t, os.WriteFile(machine.settings["control.tokens"], []byte("tokens: [{name: a, role: king}]\n"), 0o600))
+		{"malformed setting", func(_ *testing.T, member *memberFixture) { member.settings["listen"] = "nowhere" }, faults.CodeSettingsInvalid, "listen"},
+		{"invalid token file", func(t *testing.T, member *memberFixture) {
+			require.NoError(t, os.WriteFile(member.settings["control.tokens"], []byte("tokens: [{name: a, role: king}]\n"), 0o600))
 		}, faults.CodeTokensInvalid, "king"},
-		{"control port taken", func(t *testing.T, machine *machine) { machine.settings["listen"] = occupy(t) }, faults.CodeAddressInUse, "control address"},
-		{"status port taken", func(t *testing.T, machine *machine) { machine.settings["status"] = occupy(t) }, faults.CodeAddressInUse, "status"},
-		{"API port taken", func(t *testing.T, machine *machine) { machine.settings["control.api"] = occupy(t) }, faults.CodeAddressInUse, "administration address"},
-		{"API port taken on an empty folder", func(t *testing.T, machine *machine) {
-			require.NoError(t, os.RemoveAll(filepath.Join(machine.root, "data")))
-			machine.settings["control.api"] = occupy(t)
+		{"control port taken", func(t *testing.T, member *memberFixture) { member.settings["listen"] = occupyPort(t) }, faults.CodeAddressInUse, "control address"},
+		{"status port taken", func(t *testing.T, member *memberFixture) { member.settings["status"] = occupyPort(t) }, faults.CodeAddressInUse, "status"},
+		{"API port taken", func(t *testing.T, member *memberFixture) { member.settings["control.api"] = occupyPort(t) }, faults.CodeAddressInUse, "administration address"},
+		{"API port taken on an empty folder", func(t *testing.T, member *memberFixture) {
+			require.NoError(t, os.RemoveAll(filepath.Join(member.root, "data")))
+			member.settings["control.api"] = occupyPort(t)
 		}, faults.CodeAddressInUse, "administration address"},
-		{"second process on the folder", func(t *testing.T, machine *machine) {
-			first, err := disk.Open(filepath.Join(machine.root, "data"))
+		{"second process on the folder", func(t *testing.T, member *memberFixture) {
+			first, err := disk.Open(filepath.Join(member.root, "data"))
 			require.NoError(t, err)
 			t.Cleanup(func() { _ = first.Close() })
 		}, faults.StorageLocked, "another process"},
 	}
-	for _, refused := range cases {
-		t.Run(refused.name, func(t *testing.T) {
-			machine := newMachine(t)
-			refused.fault(t, machine)
-			before := machine.data(t)
-			exit, output := machine.start(t)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			member := newMemberFixture(t)
+			test.breakSetup(t, member)
+			before := member.consensusFiles(t)
+			exit, output := member.start(t)
 			require.Equal(t, exitFailure, exit, output)
-			definition, known := faults.Lookup(refused.code)
+			definition, known := faults.Lookup(test.code)
 			require.True(t, known)
-			require.Contains(t, output, fmt.Sprintf("error %d %s: ", refused.code, definition.Name))
-			require.Contains(t, output, refused.cause)
+			require.Contains(t, output, fmt.Sprintf("error %d %s: ", test.code, definition.Name))
+			require.Contains(t, output, test.cause)
 			require.Contains(t, output, definition.Action)
-			require.LessOrEqual(t, rows(output), screenLines, output)
-			require.Equal(t, before, machine.data(t))
+			require.LessOrEqual(t, screenRows(output), screenLines, output)
+			require.Equal(t, before, member.consensusFiles(t))
 		})
 	}
 }
 
-// rows counts the rows that text takes on a screen.
-func rows(text string) int {
+// screenRows returns the number of rows that text takes on a screen, with long lines wrapped.
+func screenRows(text string) int {
 	count := 0
 	for line := range strings.Lines(text) {
 		count += 1 + (len(line)-1)/screenColumns
--- a/internal/command/relay.go
+++ b/internal/command/relay.go
@@ -8,5 +8,5 @@
 )
 
 func newRelayCommand() *cobra.Command {
-	return newRoleCommand(string(model.RoleRelay), "Fan configuration out to the nodes of a zone and fold their heartbeats", relay.Module())
+	return newRoleCommand(string(model.RoleRelay), "Run a relay, which distributes configuration to the nodes of a zone and aggregates their heartbeats", relay.Module())
 }
--- a/internal/command/role.go
+++ b/internal/command/role.go
@@ -10,7 +10,7 @@
 	"merlinpaddle/internal/settings"
 )
 
-// settingsFlags are the flags of every command that reads settings.
+// settingsFlags are the flags that name the settings file and override single settings.
 type settingsFlags struct {
 	path      string
 	overrides []string
@@ -27,7 +27,8 @@
 
 func (flags *settingsFlags) load() (settings.Settings, error) { return flags.file().Load() }
 
-// newRoleCommand returns the command that runs role until it is stopped.
+// newRoleCommand returns the command that runs a process of the given role, made of parts, until it
+// is stopped.
 func newRoleCommand(role, short string, parts ...fx.Option) *cobra.Command {
 	flags := &settingsFlags{}
 	command := &cobra.Command{
--- a/internal/command/root.go
+++ b/internal/command/root.go
@@ -1,5 +1,5 @@
-// Package command is the command line of merlinpaddle. Each role adds its own
-// subcommand in a file of its own, named after the role, through roles.go.
+// Package command implements the command line of merlinpaddle. Each role has a file of its own, named
+// after the role, with its subcommand; roles.go lists them.
 package command
 
 import (
@@ -16,7 +16,7 @@
 
 // Execute runs the command line and returns the exit code of the process.
 func Execute(arguments []string, output, errorOutput io.Writer) int {
-	root := newRoot()
+	root := newRootCommand()
 	root.SetArgs(arguments)
 	root.SetOut(output)
 	root.SetErr(errorOutput)
@@ -27,7 +27,7 @@
 	return 0
 }
 
-func newRoot() *cobra.Command {
+func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "merlinpaddle",
 		Short:         "Layer-4 load balancer: run one process of the system",
--- a/internal/command/storage.go
+++ b/internal/command/storage.go
@@ -12,7 +12,7 @@
 	"merlinpaddle/internal/replica"
 )
 
-// newStorageCommand returns the command for offline work on data folders.
+// newStorageCommand returns the command that inspects data folders offline.
 func newStorageCommand() *cobra.Command {
 	storage := &cobra.Command{
 		Use:   "storage",
@@ -20,7 +20,7 @@
 	}
 	storage.AddCommand(&cobra.Command{
 		Use:   "verify FOLDER",
-		Short: "Read log and snapshots of a data folder, report damage, change nothing",
+		Short: "Check the log and snapshots of a data folder for damage, without changing them",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			return verifyStorage(command.OutOrStdout(), arguments[0])
@@ -29,7 +29,7 @@
 	return storage
 }
 
-// verifyStorage writes a report and fails when the folder has a problem.
+// verifyStorage writes a report on the data folder and returns an error if it finds a problem.
 func verifyStorage(output io.Writer, folder string) error {
 	files, err := disk.OpenReadOnly(folder)
 	if err != nil {
@@ -52,7 +52,7 @@
 func writeIdentity(output io.Writer, inspection replica.Inspection) {
 	identity := inspection.Identity
 	if identity.Member == 0 {
-		fmt.Fprintf(output, "member: node %q has no place in a group yet\n", identity.Name)
+		fmt.Fprintf(output, "member: node %q is not in a group yet\n", identity.Name)
 		return
 	}
 	fmt.Fprintf(output, "member: node %q, member %d of group %x\n", identity.Name, identity.Member, identity.Group)
@@ -70,7 +70,7 @@
 		fmt.Fprintf(output, "  term %d from entry %d\n", start.Term, start.Index)
 	}
 	if log.TornBytes > 0 {
-		fmt.Fprintf(output, "torn tail: %d byte(s) of a record that was not written whole; the next start cuts them\n", log.TornBytes)
+		fmt.Fprintf(output, "torn tail: %d byte(s) of an incompletely written record; the next start truncates them\n", log.TornBytes)
 	}
 }
 
--- a/internal/command/storage_test.go
+++ b/internal/command/storage_test.go
@@ -16,9 +16,9 @@
 	"merlinpaddle/internal/state"
 )
 
-// writeMember runs a member in a folder for some changes. Members of different
-// seeds found different groups.
-func writeMember(t *testing.T, folder string, seed uint64) {
+// writeMemberFolder fills a data folder by running a single-member group for 80 changes. Different
+// seeds create different groups.
+func writeMemberFolder(t *testing.T, folder string, seed uint64) {
 	t.Helper()
 	files, err := disk.Open(folder)
 	require.NoError(t, err)
@@ -43,13 +43,15 @@
 	require.NoError(t, files.Close())
 }
 
-func verify(folder string) (code int, output string) {
+// runVerify runs "storage verify" on a folder.
+func runVerify(folder string) (code int, output string) {
 	var text bytes.Buffer
 	code = Execute([]string{"storage", "verify", folder}, &text, &text)
 	return code, text.String()
 }
 
-func corrupt(t *testing.T, name string, offset int) {
+// corruptByte inverts the byte of a file at offset.
+func corruptByte(t *testing.T, name string, offset int) {
 	t.Helper()
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
@@ -57,7 +59,8 @@
 	require.NoError(t, os.WriteFile(name, data, 0o600))
 }
 
-func firstFile(t *testing.T, pattern string) string {
+// firstMatch returns the first file, in lexical order, that matches pattern.
+func firstMatch(t *testing.T, pattern string) string {
 	t.Helper()
 	names, err := filepath.Glob(pattern)
 	require.NoError(t, err)
@@ -72,7 +75,7 @@
 		code   int
 		parts  []string
 	}{
-		{"sound", func(*testing.T, string) {}, 0, []string{"member 1", "segment(s)", "term 1 from entry", "snapshot: ", "result: sound"}},
+		{"intact", func(*testing.T, string) {}, 0, []string{"member 1", "segment(s)", "term 1 from entry", "snapshot: ", "result: sound"}},
 		{"torn tail", func(t *testing.T, folder string) {
 			names, err := filepath.Glob(filepath.Join(folder, "consensus/wal/*"))
 			require.NoError(t, err)
@@ -83,33 +86,33 @@
 			require.NoError(t, file.Close())
 		}, 0, []string{"torn tail: 4 byte(s)", "result: sound"}},
 		{"damaged log", func(t *testing.T, folder string) {
-			corrupt(t, firstFile(t, filepath.Join(folder, "consensus/wal/*")), 100)
+			corruptByte(t, firstMatch(t, filepath.Join(folder, "consensus/wal/*")), 100)
 		}, 1, []string{"problem 2001", "mend: "}},
 		{"damaged snapshot", func(t *testing.T, folder string) {
-			corrupt(t, firstFile(t, filepath.Join(folder, "consensus/snapshots/*")), 20)
+			corruptByte(t, firstMatch(t, filepath.Join(folder, "consensus/snapshots/*")), 20)
 		}, 1, []string{"problem 2007", "not usable"}},
 		{"damaged identity", func(t *testing.T, folder string) {
-			corrupt(t, filepath.Join(folder, "consensus/identity"), 3)
+			corruptByte(t, filepath.Join(folder, "consensus/identity"), 3)
 		}, 1, []string{"problem 2001"}},
 		{"log missing", func(t *testing.T, folder string) {
 			require.NoError(t, os.RemoveAll(filepath.Join(folder, "consensus/wal")))
 		}, 1, []string{"problem 2011"}},
-		{"another folder", func(t *testing.T, folder string) {
+		{"not a data folder", func(t *testing.T, folder string) {
 			require.NoError(t, os.RemoveAll(filepath.Join(folder, "consensus")))
 		}, 1, []string{"problem 2011"}},
-		{"no folder", func(t *testing.T, folder string) {
+		{"folder missing", func(t *testing.T, folder string) {
 			require.NoError(t, os.RemoveAll(folder))
 		}, 1, []string{"2009"}},
 	}
-	for _, verified := range cases {
-		t.Run(verified.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			folder := filepath.Join(t.TempDir(), "data")
-			writeMember(t, folder, 1)
-			verified.damage(t, folder)
+			writeMemberFolder(t, folder, 1)
+			test.damage(t, folder)
 			before := readTree(t, folder)
-			code, output := verify(folder)
-			require.Equal(t, verified.code, code, output)
-			for _, part := range verified.parts {
+			code, output := runVerify(folder)
+			require.Equal(t, test.code, code, output)
+			for _, part := range test.parts {
 				require.Contains(t, output, part)
 			}
 			require.Equal(t, before, readTree(t, folder), "verify must change nothing")
