--- a/internal/merlinctl/merlinctl_test.go
+++ b/internal/merlinctl/merlinctl_test.go
@@ -234,7 +234,7 @@
 }
 
 // TestWaitOutlastsAnElection loses the leader during a wait. The wait must go on if the group has
-// answered before, and fail at once if it never has.
+// answered before, and fail if it never has.
 func TestWaitOutlastsAnElection(t *testing.T) {
 	fixture := newFixture(t)
 	fixture.mustRun("apply", "--yes", "-f", fixture.writeFile(objectsYAML))
