--- a/internal/bench/audit/audit.go
+++ b/internal/bench/audit/audit.go
@@ -16,10 +16,10 @@
 )
 
 // weightCut is the weight of a cut feed or at-most-once call.
-const weightCut = 2
+const weightCostlyCut = 2
 
 // Line is one class of the comparison.
-type Line struct {
+type ClassResult struct {
 	Class     string `json:"class"`
 	Offered   int    `json:"offered"`
 	Delivered int    `json:"delivered"`
@@ -49,9 +49,9 @@
 
 // Result is the whole comparison.
 type Result struct {
-	Lines []Line      `json:"lines"`
-	Flows FlowAccount `json:"flows"`
-	Feeds FeedAccount `json:"feeds"`
+	Classes []ClassResult `json:"lines"`
+	Flows   FlowAccount   `json:"flows"`
+	Feeds   FeedAccount   `json:"feeds"`
 	// Lost at-most-once requests were answered and never completed a run.
 	Lost int `json:"lost"`
 	// WeightedOffered and WeightedDelivered count calls double.
@@ -83,12 +83,12 @@
 // WeightedBroken counts what was cut in progress: feeds and at-most-once calls
 // count double, because a cut feed or a call that may not be repeated costs the
 // users most.
-func (result Result) WeightedBroken() float64 {
+func (result Result) WeightedCuts() float64 {
 	total := 0.0
-	for _, line := range result.Lines {
+	for _, line := range result.Classes {
 		weight := 1.0
 		if line.Class == classFeed || line.Class == classOnce {
-			weight = weightCut
+			weight = weightCostlyCut
 		}
 		total += weight * float64(line.CutAttempts)
 	}
@@ -106,13 +106,13 @@
 }
 
 // Line returns the line of a class.
-func (result Result) Line(class string) Line {
-	for _, line := range result.Lines {
+func (result Result) Class(class string) ClassResult {
+	for _, line := range result.Classes {
 		if line.Class == class {
 			return line
 		}
 	}
-	return Line{Class: class}
+	return ClassResult{Class: class}
 }
 
 // Compare compares the accounts of all callers of a run with the runs in the
@@ -123,25 +123,25 @@
 		Flows:    FlowAccount{BrokenByNode: make(map[string]int)},
 	}
 	for _, class := range Classes {
-		result.Lines = append(result.Lines, sumClass(class, accounts))
+		result.Classes = append(result.Classes, sumClass(class, accounts))
 	}
 	for _, account := range accounts {
-		result.addFlows(account)
+		result.addAccount(account)
 	}
-	result.addRefusals(accounts)
+	result.addRefusedAttempts(accounts)
 	result.compareRuns(accounts, runs)
-	result.weigh(runs)
+	result.computeWeights(runs)
 	return result
 }
 
 // addRefusals adds up what the callers saw of refusals.
-func (result *Result) addRefusals(accounts []Account) {
+func (result *Result) addRefusedAttempts(accounts []Account) {
 	var latencies *hdrhistogram.Histogram
 	for _, account := range accounts {
 		result.RefusedAttempts += len(account.ClaimedNotRun)
 		result.RefusedWithoutRetryAfter += account.RefusedWithoutRetryAfter
 		result.RetriesOverBudget += account.RetriesOverBudget
-		latencies = merge(latencies, account.RefusalHistogram)
+		latencies = mergeHistogram(latencies, account.RefusalHistogram)
 	}
 	if latencies != nil {
 		result.RefusalLatency = latencyOf(latencies)
@@ -158,8 +158,8 @@
 }
 
 // sumClass adds one class up over all callers.
-func sumClass(class string, accounts []Account) Line {
-	line := Line{Class: class, CutByNode: make(map[string]int)}
+func sumClass(class string, accounts []Account) ClassResult {
+	line := ClassResult{Class: class, CutByNode: make(map[string]int)}
 	var latencies *hdrhistogram.Histogram
 	for _, account := range accounts {
 		counts := account.Classes[class]
@@ -171,7 +171,7 @@
 		line.CutAttempts += counts.CutAttempts
 		line.Crossed += counts.Crossed
 		addCounts(line.CutByNode, counts.CutByNode)
-		latencies = merge(latencies, counts.Histogram)
+		latencies = mergeHistogram(latencies, counts.Histogram)
 	}
 	if latencies != nil {
 		line.Latency = latencyOf(latencies)
@@ -185,7 +185,7 @@
 	}
 }
 
-func merge(into *hdrhistogram.Histogram, snapshot *hdrhistogram.Snapshot) *hdrhistogram.Histogram {
+func mergeHistogram(into *hdrhistogram.Histogram, snapshot *hdrhistogram.Snapshot) *hdrhistogram.Histogram {
 	if snapshot == nil {
 		return into
 	}
@@ -197,7 +197,7 @@
 	return into
 }
 
-func (result *Result) addFlows(account Account) {
+func (result *Result) addAccount(account Account) {
 	result.Flows.Opened += account.Flows.Opened
 	result.Flows.Failed += account.Flows.Failed
 	result.Flows.ClosedByCaller += account.Flows.ClosedByCaller
@@ -236,7 +236,7 @@
 	}
 	for identity, count := range starts {
 		if count > 1 {
-			result.line(classes[identity]).Doubled++
+			result.classResult(classes[identity]).Doubled++
 			result.Examples = append(result.Examples, fmt.Sprintf("%s ran %d times", identity, count))
 		}
 	}
@@ -244,7 +244,7 @@
 	for _, account := range accounts {
 		for _, request := range account.ClaimedNotRun {
 			if ran[request] {
-				result.line(classes[request]).RefusedYetRun++
+				result.classResult(classes[request]).RefusedYetRun++
 				result.Examples = append(result.Examples, fmt.Sprintf("%s was called not run and ran", request))
 			}
 		}
@@ -275,18 +275,18 @@
 	return ran
 }
 
-func (result *Result) line(class string) *Line {
-	for index := range result.Lines {
-		if result.Lines[index].Class == class {
-			return &result.Lines[index]
+func (result *Result) classResult(class string) *ClassResult {
+	for index := range result.Classes {
+		if result.Classes[index].Class == class {
+			return &result.Classes[index]
 		}
 	}
-	result.Lines = append(result.Lines, Line{Class: class})
-	return &result.Lines[len(result.Lines)-1]
+	result.Classes = append(result.Classes, ClassResult{Class: class})
+	return &result.Classes[len(result.Classes)-1]
 }
 
 // weigh computes the weighted service and the slot time.
-func (result *Result) weigh(runs []Run) {
+func (result *Result) computeWeights(runs []Run) {
 	sent := uint64(0)
 	for _, run := range runs {
 		sent += uint64(run.Updates)
@@ -294,7 +294,7 @@
 			result.SlotSeconds += run.Ended.Sub(run.Started).Seconds()
 		}
 	}
-	calls, once, uploads := result.Line(classCall), result.Line(classOnce), result.Line(classUpload)
+	calls, once, uploads := result.Class(classCall), result.Class(classOnce), result.Class(classUpload)
 	updates := float64(result.Feeds.Updates)
 	offeredUpdates := max(updates+float64(result.Feeds.Missing), float64(sent))
 	result.WeightedOffered = weightCall*float64(calls.Offered+once.Offered) + weightUpload*float64(uploads.Offered) + weightUpdate*offeredUpdates
--- a/internal/bench/audit/audit_test.go
+++ b/internal/bench/audit/audit_test.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func startAt(second int) time.Time { return time.Unix(int64(second), 0) }
+func atSecond(second int) time.Time { return time.Unix(int64(second), 0) }
 
-func keyed(request, key string) Run {
-	return Run{Request: request, Key: key, Class: classOnce, Started: startAt(1), Ended: startAt(2), Completed: true}
+func keyedRun(request, key string) Run {
+	return Run{Request: request, Key: key, Class: classOnce, Started: atSecond(1), Ended: atSecond(2), Completed: true}
 }
 
 // good is an account and its ledger in which everything holds.
-func good() (Account, []Run) {
+func cleanRun() (Account, []Run) {
 	account := Account{
 		Classes: map[string]ClassAccount{
 			classOnce: {Offered: 2, Delivered: 2},
@@ -28,8 +28,8 @@
 		ClaimedNotRun: []string{"r2.1"},
 	}
 	runs := []Run{
-		keyed("r1.1", "k1"), keyed("r2.2", "k2"),
-		{Request: "f1.1", Class: classFeed, Started: startAt(0), Ended: startAt(9), Completed: true, Updates: 10},
+		keyedRun("r1.1", "k1"), keyedRun("r2.2", "k2"),
+		{Request: "f1.1", Class: classFeed, Started: atSecond(0), Ended: atSecond(9), Completed: true, Updates: 10},
 	}
 	return account, runs
 }
@@ -42,12 +42,12 @@
 		invariant string
 	}{
 		{"nothing wrong", func(*Account, *[]Run) {}, ""},
-		{"key ran twice", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyed("r1.2", "k1")) }, "at most once"},
+		{"key ran twice", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyedRun("r1.2", "k1")) }, "at most once"},
 		{"attempt ran twice", func(_ *Account, runs *[]Run) {
-			twice := Run{Request: "c1.1", Class: classCall, Started: startAt(1)}
+			twice := Run{Request: "c1.1", Class: classCall, Started: atSecond(1)}
 			*runs = append(*runs, twice, twice)
 		}, "at most once"},
-		{"refused yet run", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyed("r2.1", "k3")) }, "refused as not run"},
+		{"refused yet run", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyedRun("r2.1", "k3")) }, "refused as not run"},
 		{"answered and never run", func(_ *Account, runs *[]Run) { *runs = (*runs)[1:] }, "answer means"},
 		{"answered and given up", func(_ *Account, runs *[]Run) { (*runs)[0].Completed = false }, "answer means"},
 		{"crossed", func(account *Account, _ *[]Run) {
@@ -74,7 +74,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			account, runs := good()
+			account, runs := cleanRun()
 			testCase.spoil(&account, &runs)
 			found := Compare([]Account{account}, runs).Violations(Expectation{}, runs)
 			if testCase.invariant == "" {
@@ -98,7 +98,7 @@
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			account, runs := good()
+			account, runs := cleanRun()
 			account.Flows.BrokenByNode = testCase.broken
 			result := Compare([]Account{account}, runs)
 			require.Len(t, result.Violations(Expectation{DeadNodes: []string{"b1"}}, runs), testCase.found)
@@ -107,8 +107,8 @@
 }
 
 func TestDrainedTargetGetsNoNewWork(t *testing.T) {
-	drain := Drain{Node: "b1", At: startAt(10)}
-	back := Drain{Node: "b1", At: startAt(10), Until: startAt(20)}
+	drain := Drain{Node: "b1", At: atSecond(10)}
+	back := Drain{Node: "b1", At: atSecond(10), Until: atSecond(20)}
 	cases := []struct {
 		name    string
 		drain   Drain
@@ -121,13 +121,13 @@
 		{"after the grace", drain, "b1", 14, 1},
 		{"at another target", drain, "b2", 14, 0},
 		{"after it was taken back", back, "b1", 21, 0},
-		{"within a longer grace", Drain{Node: "b1", At: startAt(10), Grace: 8 * time.Second}, "b1", 17, 0},
-		{"after a longer grace", Drain{Node: "b1", At: startAt(10), Grace: 8 * time.Second}, "b1", 19, 1},
+		{"within a longer grace", Drain{Node: "b1", At: atSecond(10), Grace: 8 * time.Second}, "b1", 17, 0},
+		{"after a longer grace", Drain{Node: "b1", At: atSecond(10), Grace: 8 * time.Second}, "b1", 19, 1},
 	}
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
-			account, runs := good()
-			runs = append(runs, Run{Node: testCase.node, Request: "c1.1", Class: classCall, Started: startAt(testCase.started)})
+			account, runs := cleanRun()
+			runs = append(runs, Run{Node: testCase.node, Request: "c1.1", Class: classCall, Started: atSecond(testCase.started)})
 			result := Compare([]Account{account}, runs)
 			require.Len(t, result.Violations(Expectation{Drains: []Drain{testCase.drain}}, runs), testCase.found)
 		})
@@ -135,17 +135,17 @@
 }
 
 func TestWeightedService(t *testing.T) {
-	account, runs := good()
+	account, runs := cleanRun()
 	account.Classes[classCall] = ClassAccount{Offered: 3, Delivered: 2}
 	result := Compare([]Account{account}, runs)
 	require.InDelta(t, 2*(2+3)+10, result.WeightedOffered, 0.001)
 	require.InDelta(t, 2*(2+2)+10, result.WeightedDelivered, 0.001)
 	require.InDelta(t, 2, result.SlotSeconds, 0.001, "feeds hold no slot")
 	require.InDelta(t, 2.0/8, result.SlotSecondsPerDelivery(), 0.001)
-	require.Zero(t, result.WeightedBroken())
+	require.Zero(t, result.WeightedCuts())
 	account.Classes[classOnce] = ClassAccount{Offered: 2, Delivered: 1, CutAttempts: 1}
 	account.Classes[classUpload] = ClassAccount{Offered: 2, Delivered: 1, CutAttempts: 3}
-	require.InDelta(t, 2*1+3, Compare([]Account{account}, runs).WeightedBroken(), 0.001)
+	require.InDelta(t, 2*1+3, Compare([]Account{account}, runs).WeightedCuts(), 0.001)
 	require.Contains(t, result.Table(), "| once   |       2 |")
 	require.Contains(t, result.Summary(), "weighted service: 0.9000")
 }
--- a/internal/bench/audit/table.go
+++ b/internal/bench/audit/table.go
@@ -10,7 +10,7 @@
 	var text strings.Builder
 	text.WriteString("| class  | offered | delivered | refused | unknown | broken | doubled | crossed | refused yet run | p50 ms | p99 ms |\n")
 	text.WriteString("|--------|--------:|----------:|--------:|--------:|-------:|--------:|--------:|----------------:|-------:|-------:|\n")
-	for _, line := range result.Lines {
+	for _, line := range result.Classes {
 		fmt.Fprintf(&text, "| %-6s | %7d | %9d | %7d | %7d | %6d | %7d | %7d | %15d | %6.1f | %6.1f |\n",
 			line.Class, line.Offered, line.Delivered, line.Refused, line.Unknown, line.Broken,
 			line.Doubled, line.Crossed, line.RefusedYetRun, milliseconds(line.Latency.P50), milliseconds(line.Latency.P99))
@@ -27,7 +27,7 @@
 	fmt.Fprintf(&text, "refused attempts: %d, answered after p50 %.1f ms, p99 %.1f ms, max %.1f ms; %d requests not sent again for want of retry budget\n",
 		result.RefusedAttempts, milliseconds(result.RefusalLatency.P50), milliseconds(result.RefusalLatency.P99),
 		milliseconds(result.RefusalLatency.Max), result.RetriesOverBudget)
-	fmt.Fprintf(&text, "weighted cuts (feeds and at-most-once calls double): %.0f\n", result.WeightedBroken())
+	fmt.Fprintf(&text, "weighted cuts (feeds and at-most-once calls double): %.0f\n", result.WeightedCuts())
 	fmt.Fprintf(&text, "feed updates: %d received, %d missing, %d twice; longest silence %d ms\n",
 		result.Feeds.Updates, result.Feeds.Missing, result.Feeds.Duplicates, result.Feeds.LongestSilenceMilliseconds)
 	fmt.Fprintf(&text, "weighted service: %.4f delivered over offered; %.1f ms of slot time for each weighted delivery\n",
--- a/internal/bench/audit/violations.go
+++ b/internal/bench/audit/violations.go
@@ -50,7 +50,7 @@
 }
 
 // unexpected sums the counts of back ends that must not break anything.
-func (expectation Expectation) unexpected(byNode map[string]int) int {
+func (expectation Expectation) unexpectedCount(byNode map[string]int) int {
 	total := 0
 	for node, count := range byNode {
 		if !expectation.mayBreak(node) {
@@ -74,12 +74,12 @@
 			found = append(found, Violation{Invariant: invariant, Detail: fmt.Sprintf("%d %s", count, what)})
 		}
 	}
-	add(expected.unexpected(result.Flows.BrokenByNode), "open flows survive", "flows broke whose target had not died")
+	add(expected.unexpectedCount(result.Flows.BrokenByNode), "open flows survive", "flows broke whose target had not died")
 	add(int(result.Feeds.Missing+result.Feeds.Duplicates), "feeds have no gaps and no duplicates", "updates were missing or came twice")
 	add(result.Lost, "an answer means that the request ran", "answered requests never completed")
 	add(result.RefusedWithoutRetryAfter, "a refusal says when to come back", "refusals for want of capacity had no Retry-After")
-	for _, line := range result.Lines {
-		add(expected.unexpected(line.CutByNode), "nothing in progress is cut", line.Class+" attempts were cut whose target had not died")
+	for _, line := range result.Classes {
+		add(expected.unexpectedCount(line.CutByNode), "nothing in progress is cut", line.Class+" attempts were cut whose target had not died")
 		add(line.Crossed, "answers belong to their own request", line.Class+" requests got another answer")
 		add(line.RefusedYetRun, "what is refused as not run did not run", line.Class+" attempts were refused and ran")
 		add(line.Doubled, "a request runs at most once", line.Class+" requests ran twice")
@@ -88,13 +88,13 @@
 		}
 	}
 	for _, drain := range expected.Drains {
-		add(newWork(drain, runs), "a leaving back end gets no new work", "runs began at "+drain.Node+" after "+drain.grace().String())
+		add(countRunsAfterDrain(drain, runs), "a leaving back end gets no new work", "runs began at "+drain.Node+" after "+drain.grace().String())
 	}
 	return found
 }
 
 // newWork counts the runs that began at a draining back end after the grace.
-func newWork(drain Drain, runs []Run) int {
+func countRunsAfterDrain(drain Drain, runs []Run) int {
 	count := 0
 	for _, run := range runs {
 		late := run.Started.After(drain.At.Add(drain.grace()))
--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -25,7 +25,7 @@
 	bytesPerMegabyte = 1e6
 )
 
-func eachPopulation(b *testing.B, run func(b *testing.B, population population)) {
+func forEachPopulation(b *testing.B, run func(b *testing.B, population population)) {
 	for _, services := range benchmarkServices {
 		b.Run(fmt.Sprintf("services=%d,targets=%d", services, services*benchmarkTargets), func(b *testing.B) {
 			run(b, population{
@@ -46,23 +46,23 @@
 
 // snapshots keeps the snapshots that benchmarks share, by number of services,
 // because making one applies a command for each service.
-var snapshots = make(map[int][]byte)
+var sharedSnapshots = make(map[int][]byte)
 
 func mustSnapshot(b *testing.B, population population) []byte {
 	b.Helper()
 	services := population.services
-	if _, known := snapshots[services]; !known {
+	if _, known := sharedSnapshots[services]; !known {
 		snapshot, _, err := population.snapshot()
 		if err != nil {
 			b.Fatal(err)
 		}
-		snapshots[services] = snapshot
+		sharedSnapshots[services] = snapshot
 	}
-	return snapshots[services]
+	return sharedSnapshots[services]
 }
 
 // restored returns a machine with the population and the heap it takes.
-func restored(b *testing.B, snapshot []byte) (*state.Machine, float64) {
+func restoreMachine(b *testing.B, snapshot []byte) (*state.Machine, float64) {
 	b.Helper()
 	before := heapBytes()
 	machine := state.NewMachine()
@@ -75,8 +75,8 @@
 // BenchmarkStateSnapshot measures a member's snapshot: time, bytes, and the
 // heap of the state that it holds.
 func BenchmarkStateSnapshot(b *testing.B) {
-	eachPopulation(b, func(b *testing.B, population population) {
-		machine, heap := restored(b, mustSnapshot(b, population))
+	forEachPopulation(b, func(b *testing.B, population population) {
+		machine, heap := restoreMachine(b, mustSnapshot(b, population))
 		size := 0
 		for b.Loop() {
 			snapshot, err := machine.Snapshot()
@@ -92,7 +92,7 @@
 
 // BenchmarkStateRestore measures how long a restarted member reads a snapshot.
 func BenchmarkStateRestore(b *testing.B) {
-	eachPopulation(b, func(b *testing.B, population population) {
+	forEachPopulation(b, func(b *testing.B, population population) {
 		snapshot := mustSnapshot(b, population)
 		for b.Loop() {
 			if err := state.NewMachine().Restore(snapshot); err != nil {
@@ -105,8 +105,8 @@
 // BenchmarkStateChange measures one change of a service's parameter at a
 // member, and its bytes in the log.
 func BenchmarkStateChange(b *testing.B) {
-	eachPopulation(b, func(b *testing.B, population population) {
-		machine, _ := restored(b, mustSnapshot(b, population))
+	forEachPopulation(b, func(b *testing.B, population population) {
+		machine, _ := restoreMachine(b, mustSnapshot(b, population))
 		record, _ := machine.View().Service(state.ServiceKey{Tenant: tenantName, Name: serviceName(0)})
 		index, base, bytes := model.Revision(population.services+10), record.Revision, 0
 		for b.Loop() {
@@ -134,8 +134,8 @@
 // encodes the whole configuration once for all that wait, and each node
 // decodes it.
 func BenchmarkUpdateSnapshot(b *testing.B) {
-	eachPopulation(b, func(b *testing.B, population population) {
-		machine, _ := restored(b, mustSnapshot(b, population))
+	forEachPopulation(b, func(b *testing.B, population population) {
+		machine, _ := restoreMachine(b, mustSnapshot(b, population))
 		update := protocol.Update{Snapshot: machine.Configuration()}
 		encoder := protocol.NewUpdateEncoder()
 		packed, err := encoder.Encode(update)
--- a/internal/bench/capacity/population_test.go
+++ b/internal/bench/capacity/population_test.go
@@ -58,7 +58,7 @@
 }
 
 // numbered returns the number-th address of the network with that first byte.
-func numbered(network byte, number int, port uint16) string {
+func numberedAddress(network byte, number int, port uint16) string {
 	address := netip.AddrFrom4([4]byte{network, byte(number >> 16), byte(number >> 8), byte(number)})
 	return netip.AddrPortFrom(address, port).String()
 }
@@ -70,8 +70,8 @@
 		targets[number] = target{
 			Name:    targetName(service, number),
 			Zone:    population.zoneOf(number),
-			Agent:   numbered(networkAgents, machine, portAgent),
-			Backend: numbered(networkAgents, machine, portBackend),
+			Agent:   numberedAddress(networkAgents, machine, portAgent),
+			Backend: numberedAddress(networkAgents, machine, portBackend),
 		}
 	}
 	return targets
@@ -81,7 +81,7 @@
 func (population population) spec(service, queue int) (adminapi.ServiceSpec, error) {
 	parameters := make(map[string]json.RawMessage)
 	for name, value := range map[string]any{
-		"address":        numbered(networkVirtual, service+1, portVirtual),
+		"address":        numberedAddress(networkVirtual, service+1, portVirtual),
 		"targets":        population.targets(service),
 		changedParameter: queue,
 	} {
--- a/internal/bench/command/control.go
+++ b/internal/bench/command/control.go
@@ -40,7 +40,7 @@
 			return runControl(command, flags, path, options)
 		},
 	}
-	flags.registerPlaces(command)
+	flags.registerPaths(command)
 	command.Flags().StringVar(&path, "fleet", "", "fleet file; empty means "+controlFleet)
 	command.Flags().IntVar(&options.Operators, "operators", defaultOperators, "number of operators")
 	command.Flags().DurationVar(&options.Phase, "phase", defaultPhase, "length of a failure, and of the rest after it")
--- a/internal/bench/command/progress.go
+++ b/internal/bench/command/progress.go
@@ -16,10 +16,10 @@
 // progress shows how far an experiment is: as a bar on a terminal, else as one
 // line for each step.
 type progress struct {
-	name   string
-	output io.Writer
-	bar    *progressbar.ProgressBar
-	latest string
+	name       string
+	output     io.Writer
+	bar        *progressbar.ProgressBar
+	latestText string
 }
 
 func newProgress(output io.Writer, name string) *progress {
@@ -41,8 +41,8 @@
 		_ = progress.bar.Set(int(barSteps * done / max(total, 1)))
 		return
 	}
-	if text != progress.latest {
-		progress.latest = text
+	if text != progress.latestText {
+		progress.latestText = text
 		fmt.Fprintf(progress.output, "%s %3.0f of %3.0f s: %s\n", progress.name, done.Seconds(), total.Seconds(), text)
 	}
 }
--- a/internal/bench/command/routing_plots.go
+++ b/internal/bench/command/routing_plots.go
@@ -20,19 +20,19 @@
 
 // plottedWays are the ways whose course is drawn; the simple ways open flows
 // by the same hashing, so one of them stands for all.
-var plottedWays = []compare.AlgorithmName{compare.AlgorithmHashing, compare.AlgorithmChain, compare.AlgorithmLeastFlows, compare.AlgorithmLeastRequests}
+var plottedAlgorithms = []compare.AlgorithmName{compare.AlgorithmHashing, compare.AlgorithmChain, compare.AlgorithmLeastFlows, compare.AlgorithmLeastRequests}
 
 // plot draws the courses of the first run.
 func (size routingSize) plot(folder string) error {
 	flows := func(point compare.TimelinePoint) float64 { return point.Flows }
-	if err := size.plotCourse(folder, "flows", "concurrent flows", flows); err != nil {
+	if err := size.plotTimeline(folder, "flows", "concurrent flows", flows); err != nil {
 		return err
 	}
 	requests := func(point compare.TimelinePoint) float64 { return point.Requests }
-	return size.plotCourse(folder, "requests", "requests over 30 s", requests)
+	return size.plotTimeline(folder, "requests", "requests over 30 s", requests)
 }
 
-func (size routingSize) plotCourse(folder, name, what string, figure func(compare.TimelinePoint) float64) error {
+func (size routingSize) plotTimeline(folder, name, what string, figure func(compare.TimelinePoint) float64) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("%s at %d targets", what, size.Targets)
 	drawing.X.Label.Text = "seconds of virtual time"
@@ -41,9 +41,9 @@
 	drawing.Legend.Top = true
 	drawing.Add(plotter.NewGrid())
 	var lines []any
-	for _, way := range plottedWays {
+	for _, way := range plottedAlgorithms {
 		if result, known := size.Runs[0].Result(way); known {
-			lines = append(lines, string(way), coursePoints(result, figure))
+			lines = append(lines, string(way), timelinePoints(result, figure))
 		}
 	}
 	if err := plotutil.AddLines(drawing, lines...); err != nil {
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func coursePoints(result compare.Result, figure func(compare.TimelinePoint) float64) plotter.XYs {
+func timelinePoints(result compare.Result, figure func(compare.TimelinePoint) float64) plotter.XYs {
 	points := make(plotter.XYs, len(result.Timeline))
 	for index, point := range result.Timeline {
 		points[index].X = point.Seconds
--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -33,13 +33,13 @@
 }
 
 func (flags *runFlags) register(command *cobra.Command) {
-	flags.registerPlaces(command)
+	flags.registerPaths(command)
 	command.Flags().StringVar(&flags.results, "results", "results", "folder for results")
 	command.Flags().StringVar(&flags.baseline, "baseline", "", "earlier result.json to compare with")
 }
 
 // registerPlaces registers the flags that every run of a fleet has.
-func (flags *runFlags) registerPlaces(command *cobra.Command) {
+func (flags *runFlags) registerPaths(command *cobra.Command) {
 	command.Flags().StringVar(&flags.root, "root", ".", "the repository's root")
 	command.Flags().StringVar(&flags.binaries, "binaries", "bin", "folder with the programs")
 	command.Flags().StringVar(&flags.folder, "folder", "", "folder of the fleet; empty means run/NAME")
--- a/internal/bench/experiment/expectation.go
+++ b/internal/bench/experiment/expectation.go
@@ -54,7 +54,7 @@
 
 // noteCut records the back ends that callers cannot reach.
 func (runner *stepRunner) noteCut(zones []string) {
-	for _, backend := range runner.layout.OfRole(fleet.RoleBackend) {
+	for _, backend := range runner.layout.WithRole(fleet.RoleBackend) {
 		if slices.Contains(zones, backend.Zone) {
 			runner.expected.DeadNodes = append(runner.expected.DeadNodes, backend.Name)
 		}
--- a/internal/bench/experiment/markdown.go
+++ b/internal/bench/experiment/markdown.go
@@ -97,13 +97,13 @@
 // figures are the numbers that comparisons show.
 var figures = []figure{
 	{"broken flows", func(result Result) float64 { return float64(result.Audit.Flows.Broken) }},
-	{"weighted cuts", func(result Result) float64 { return result.Audit.WeightedBroken() }},
+	{"weighted cuts", func(result Result) float64 { return result.Audit.WeightedCuts() }},
 	{"weighted service", func(result Result) float64 { return result.Audit.WeightedService() }},
 	{"slot ms for each weighted delivery", func(result Result) float64 { return 1000 * result.Audit.SlotSecondsPerDelivery() }},
-	{"call p50 ms", func(result Result) float64 { return float64(result.Audit.Line("call").Latency.P50) / 1000 }},
-	{"call p99 ms", func(result Result) float64 { return float64(result.Audit.Line("call").Latency.P99) / 1000 }},
-	{"at-most-once p50 ms", func(result Result) float64 { return float64(result.Audit.Line("once").Latency.P50) / 1000 }},
-	{"at-most-once p99 ms", func(result Result) float64 { return float64(result.Audit.Line("once").Latency.P99) / 1000 }},
+	{"call p50 ms", func(result Result) float64 { return float64(result.Audit.Class("call").Latency.P50) / 1000 }},
+	{"call p99 ms", func(result Result) float64 { return float64(result.Audit.Class("call").Latency.P99) / 1000 }},
+	{"at-most-once p50 ms", func(result Result) float64 { return float64(result.Audit.Class("once").Latency.P50) / 1000 }},
+	{"at-most-once p99 ms", func(result Result) float64 { return float64(result.Audit.Class("once").Latency.P99) / 1000 }},
 	{"imbalance of connections, median", func(result Result) float64 { return firstImbalance(result).Connections.Median }},
 	{"imbalance of requests, median", func(result Result) float64 { return firstImbalance(result).Requests.Median }},
 	{"rollout p99 ms", func(result Result) float64 { return result.Rollout.P99 }},
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -121,7 +121,7 @@
 	var all []RoleCost
 	for _, role := range systemRoles {
 		var bytes, processor, memory []float64
-		for _, process := range layout.OfRole(role) {
+		for _, process := range layout.WithRole(role) {
 			first, hasFirst := before[process.Name]
 			last, hasLast := after[process.Name]
 			if !hasFirst || !hasLast || last.processorUse < first.processorUse {
--- a/internal/bench/experiment/run.go
+++ b/internal/bench/experiment/run.go
@@ -135,7 +135,7 @@
 // startCallers starts one caller for each service.
 func (session *session) startCallers(ctx context.Context) error {
 	var names []string
-	for _, caller := range session.layout.OfRole(fleet.RoleCaller) {
+	for _, caller := range session.layout.WithRole(fleet.RoleCaller) {
 		arguments := append([]string{"start", caller.Name}, session.loadFlags(caller)...)
 		if err := session.script.Run(ctx, arguments...); err != nil {
 			return err
@@ -163,7 +163,7 @@
 func (session *session) collectReports(ctx context.Context) ([]audit.Account, error) {
 	deadline := session.started.Add(session.file.Duration + callerGrace)
 	var accounts []audit.Account
-	for _, caller := range session.layout.OfRole(fleet.RoleCaller) {
+	for _, caller := range session.layout.WithRole(fleet.RoleCaller) {
 		path := filepath.Join(session.options.Folder, fleet.ReportsFolder, caller.Name+".json")
 		if err := waitForFile(ctx, path, deadline); err != nil {
 			return nil, fmt.Errorf("report of %s: %w", caller.Name, err)
--- a/internal/bench/experiment/sampler.go
+++ b/internal/bench/experiment/sampler.go
@@ -45,7 +45,7 @@
 
 func newSampler(layout *fleet.Layout) *sampler {
 	created := &sampler{layout: layout, serving: make(map[string]bool)}
-	for _, agent := range layout.OfRole(fleet.RoleAgent) {
+	for _, agent := range layout.WithRole(fleet.RoleAgent) {
 		created.serving[agent.Name] = !agent.Standby
 	}
 	return created
@@ -88,7 +88,7 @@
 	var lock sync.Mutex
 	var group errgroup.Group
 	group.SetLimit(scrapeWorkers)
-	for _, agent := range sampler.layout.OfRole(fleet.RoleAgent) {
+	for _, agent := range sampler.layout.WithRole(fleet.RoleAgent) {
 		if !sampler.isServing(agent.Name) {
 			continue
 		}
@@ -119,7 +119,7 @@
 	var group errgroup.Group
 	group.SetLimit(scrapeWorkers)
 	for _, role := range systemRoles {
-		for _, process := range layout.OfRole(role) {
+		for _, process := range layout.WithRole(role) {
 			group.Go(func() error {
 				read, err := scrape(ctx, process)
 				if err == nil {
--- a/internal/bench/experiment/steps.go
+++ b/internal/bench/experiment/steps.go
@@ -47,7 +47,7 @@
 
 		drainGrace: drainGrace,
 	}
-	for _, agent := range layout.OfRole(fleet.RoleAgent) {
+	for _, agent := range layout.WithRole(fleet.RoleAgent) {
 		if !agent.Standby {
 			runner.targets[agent.Service] = append(runner.targets[agent.Service], agent.Name)
 		}
@@ -85,12 +85,12 @@
 		return names, each(ctx, names, runner.upgrade)
 	case ActionMisbehave:
 		return names, each(ctx, names, func(ctx context.Context, name string) error {
-			return runner.layout.Misbehave(ctx, name, step.Faults)
+			return runner.layout.SetMisbehavior(ctx, name, step.Faults)
 		})
 	case ActionImpair:
-		return nil, runner.layout.Impair(ctx, step.Impairments)
+		return nil, runner.layout.SetImpairments(ctx, step.Impairments)
 	case ActionHeal:
-		return nil, runner.layout.Heal(ctx)
+		return nil, runner.layout.ClearImpairments(ctx)
 	}
 	return nil, fmt.Errorf("action %q is not known", step.Action)
 }
--- a/internal/bench/experiment/targets.go
+++ b/internal/bench/experiment/targets.go
@@ -10,7 +10,7 @@
 // puts them into its parameters.
 func (runner *stepRunner) addTargets(ctx context.Context, service string) error {
 	var added []string
-	for _, agent := range runner.layout.OfRole(fleet.RoleAgent) {
+	for _, agent := range runner.layout.WithRole(fleet.RoleAgent) {
 		ownBackend := agent.Backend == fleet.BackendPrefix+agent.Name
 		if agent.Service != service || !agent.Standby || !ownBackend {
 			continue
--- a/internal/bench/fleet/documents.go
+++ b/internal/bench/fleet/documents.go
@@ -147,11 +147,11 @@
 func (layout *Layout) serviceDocument(index, maximumQueue int) document {
 	service := layout.file.Services[index]
 	parameters := serviceParameters{
-		Address:      layout.Virtual(index).String(),
+		Address:      layout.VirtualAddress(index).String(),
 		Slots:        service.Slots,
 		MaximumQueue: maximumQueue,
 	}
-	for _, process := range layout.OfRole(RoleAgent) {
+	for _, process := range layout.WithRole(RoleAgent) {
 		if process.Service == service.Name && !process.Standby {
 			parameters.Targets = append(parameters.Targets, targetOf(process))
 		}
--- a/internal/bench/fleet/file.go
+++ b/internal/bench/fleet/file.go
@@ -76,7 +76,7 @@
 }
 
 // networkNumbers is the count of numbers in File.Network.
-const networkNumbers = 2
+const networkOctets = 2
 
 // LoadFile reads and checks a fleet file.
 func LoadFile(path string) (File, error) {
@@ -126,7 +126,7 @@
 func (file File) checkNetwork() error {
 	address, err := netip.ParseAddr(file.Network + ".0.0")
 	if err != nil || !address.IsLoopback() {
-		return fmt.Errorf("network %q: must be the first %d numbers of loopback addresses, as 127.20", file.Network, networkNumbers)
+		return fmt.Errorf("network %q: must be the first %d numbers of loopback addresses, as 127.20", file.Network, networkOctets)
 	}
 	return nil
 }
--- a/internal/bench/fleet/fleet_test.go
+++ b/internal/bench/fleet/fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 // defaultTestWait bounds waits in tests; it is no measure of speed.
-const defaultTestWait = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 const smallFleet = `
 name: small
--- a/internal/bench/fleet/layout.go
+++ b/internal/bench/fleet/layout.go
@@ -177,12 +177,12 @@
 }
 
 // Virtual is the address that callers of the index-th service use.
-func (layout *Layout) Virtual(index int) netip.AddrPort {
+func (layout *Layout) VirtualAddress(index int) netip.AddrPort {
 	return netip.AddrPortFrom(layout.address(subnetVirtual, index+1), portVirtual)
 }
 
 // OfRole returns the processes of one role.
-func (layout *Layout) OfRole(role Role) []Process {
+func (layout *Layout) WithRole(role Role) []Process {
 	var found []Process
 	for _, process := range layout.Processes {
 		if process.Role == role {
@@ -195,7 +195,7 @@
 // APIEndpoints are the base URLs of the administration API.
 func (layout *Layout) APIEndpoints() []string {
 	var endpoints []string
-	for _, process := range layout.OfRole(RoleControl) {
+	for _, process := range layout.WithRole(RoleControl) {
 		endpoints = append(endpoints, fmt.Sprintf("https://%s", netip.AddrPortFrom(process.Machine, portAPI)))
 	}
 	return endpoints
--- a/internal/bench/fleet/render.go
+++ b/internal/bench/fleet/render.go
@@ -99,7 +99,7 @@
 func (renderer renderer) writeKeys() error {
 	var processes []keys.Process
 	for _, role := range []Role{RoleControl, RoleRelay, RoleBalancer, RoleAgent} {
-		for _, process := range renderer.layout.OfRole(role) {
+		for _, process := range renderer.layout.WithRole(role) {
 			processes = append(processes, keys.Process{
 				Name:      model.NodeName(process.Name),
 				Role:      model.Role(role),
--- a/internal/bench/fleet/script_test.go
+++ b/internal/bench/fleet/script_test.go
@@ -41,7 +41,7 @@
 		output, err := script(t, bin, folder, "start", name)
 		require.NoError(t, err, output)
 	}
-	require.NoError(t, layout.WaitReady(t.Context(), []string{first, second}, defaultTestWait))
+	require.NoError(t, layout.WaitReady(t.Context(), []string{first, second}, testTimeout))
 
 	steps := []struct {
 		arguments []string
@@ -65,7 +65,7 @@
 		}
 		require.Eventually(t, func() bool {
 			return strings.HasPrefix(statusOf(t, bin, folder, first), step.status)
-		}, defaultTestWait, readyPollInterval, "after %v", step.arguments)
+		}, testTimeout, readyPollInterval, "after %v", step.arguments)
 	}
 	require.True(t, strings.HasPrefix(statusOf(t, bin, folder, second), "running"), "the other process is untouched")
 
--- a/internal/bench/fleet/settings.go
+++ b/internal/bench/fleet/settings.go
@@ -29,25 +29,25 @@
 	chosen.Status = process.Status.String()
 	switch process.Role {
 	case RoleControl:
-		renderer.control(&chosen, process)
+		renderer.setControl(&chosen, process)
 	case RoleRelay:
 		chosen.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
 		chosen.Keys = renderer.keys(process)
-		chosen.Relay.Control = peers(renderer.layout.OfRole(RoleControl))
+		chosen.Relay.Control = peers(renderer.layout.WithRole(RoleControl))
 		renderer.setInterval(&chosen.Relay.ReportInterval)
 	case RoleBalancer:
 		chosen.Keys = renderer.keys(process)
 		chosen.Balancer.Packets = process.Data.String()
-		chosen.Balancer.Relays = renderer.relays(process.Zone)
+		chosen.Balancer.Relays = renderer.orderedRelays(process.Zone)
 		renderer.setInterval(&chosen.Balancer.HeartbeatInterval)
 	case RoleAgent:
-		renderer.agent(&chosen, process)
+		renderer.setAgent(&chosen, process)
 	case RoleBackend:
-		renderer.backend(&chosen, process)
+		renderer.setBackend(&chosen, process)
 	case RoleFabric:
-		renderer.fabric(&chosen, process)
+		renderer.setFabric(&chosen, process)
 	case RoleCaller:
-		renderer.caller(&chosen, process)
+		renderer.setCaller(&chosen, process)
 	case RolePlatform:
 		chosen.Platform.Listen = process.Data.String()
 		chosen.Platform.Delay = renderer.layout.file.PlatformDelay
@@ -67,30 +67,30 @@
 }
 
 func (renderer renderer) platformURL() string {
-	return fmt.Sprintf("http://%s", renderer.layout.OfRole(RolePlatform)[0].Data)
+	return fmt.Sprintf("http://%s", renderer.layout.WithRole(RolePlatform)[0].Data)
 }
 
-func (renderer renderer) control(chosen *settings.Settings, process Process) {
+func (renderer renderer) setControl(chosen *settings.Settings, process Process) {
 	chosen.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
 	chosen.Keys = renderer.keys(process)
-	chosen.Control.Members = peers(renderer.layout.OfRole(RoleControl))
+	chosen.Control.Members = peers(renderer.layout.WithRole(RoleControl))
 	chosen.Control.API = netip.AddrPortFrom(process.Machine, portAPI).String()
 	chosen.Control.Tokens = filepath.Join(renderer.folder, tokensFile)
 	chosen.Control.Platform = renderer.platformURL()
 }
 
-func (renderer renderer) agent(chosen *settings.Settings, process Process) {
+func (renderer renderer) setAgent(chosen *settings.Settings, process Process) {
 	service, _ := renderer.service(process)
 	chosen.Keys = renderer.keys(process)
 	chosen.Agent.Packets = process.Data.String()
-	chosen.Agent.Relays = renderer.relays(process.Zone)
-	chosen.Agent.Fabric = renderer.layout.OfRole(RoleFabric)[0].Data.String()
+	chosen.Agent.Relays = renderer.orderedRelays(process.Zone)
+	chosen.Agent.Fabric = renderer.layout.WithRole(RoleFabric)[0].Data.String()
 	chosen.Agent.Backend = netip.AddrPortFrom(process.Machine, portBackend).String()
 	chosen.Agent.ColdStart = service.ColdStart
 	renderer.setInterval(&chosen.Agent.HeartbeatInterval)
 }
 
-func (renderer renderer) backend(chosen *settings.Settings, process Process) {
+func (renderer renderer) setBackend(chosen *settings.Settings, process Process) {
 	service, _ := renderer.service(process)
 	chosen.Backend.Listen = process.Data.String()
 	chosen.Backend.Slots = service.Slots
@@ -100,10 +100,10 @@
 	chosen.Backend.Ledger = filepath.Join(renderer.folder, LedgersFolder, process.Name+".jsonl")
 }
 
-func (renderer renderer) fabric(chosen *settings.Settings, process Process) {
+func (renderer renderer) setFabric(chosen *settings.Settings, process Process) {
 	file := renderer.layout.file
 	for index := range file.Services {
-		chosen.Fabric.Addresses = append(chosen.Fabric.Addresses, renderer.layout.Virtual(index).String())
+		chosen.Fabric.Addresses = append(chosen.Fabric.Addresses, renderer.layout.VirtualAddress(index).String())
 	}
 	chosen.Fabric.Geneve = process.Data.String()
 	chosen.Fabric.Platform = renderer.platformURL()
@@ -129,10 +129,10 @@
 	return all
 }
 
-func (renderer renderer) caller(chosen *settings.Settings, process Process) {
+func (renderer renderer) setCaller(chosen *settings.Settings, process Process) {
 	service, index := renderer.service(process)
 	load := service.Load
-	chosen.Caller.Address = renderer.layout.Virtual(index).String()
+	chosen.Caller.Address = renderer.layout.VirtualAddress(index).String()
 	chosen.Caller.Source = process.Machine.String()
 	chosen.Caller.CallsPerSecond = load.CallsPerSecond
 	chosen.Caller.AtMostOnceFraction = load.AtMostOnceFraction
@@ -157,9 +157,9 @@
 }
 
 // relays lists the relays of a zone first and the others after them.
-func (renderer renderer) relays(zone string) []settings.Peer {
+func (renderer renderer) orderedRelays(zone string) []settings.Peer {
 	var near, far []Process
-	for _, relay := range renderer.layout.OfRole(RoleRelay) {
+	for _, relay := range renderer.layout.WithRole(RoleRelay) {
 		if relay.Zone == zone {
 			near = append(near, relay)
 		} else {
--- a/internal/bench/fleet/watch.go
+++ b/internal/bench/fleet/watch.go
@@ -16,7 +16,7 @@
 	// readyPollInterval is the time between two looks at a process.
 	readyPollInterval = 50 * time.Millisecond
 	// lookTimeout bounds one request to a process.
-	lookTimeout = 2 * time.Second
+	requestTimeout = 2 * time.Second
 	// maximumAnswerBytes bounds what is read of an answer in an error.
 	maximumAnswerBytes = 4 << 10
 )
@@ -94,12 +94,12 @@
 }
 
 // Misbehave makes a back end show exactly these faults.
-func (layout *Layout) Misbehave(ctx context.Context, name string, faults []string) error {
+func (layout *Layout) SetMisbehavior(ctx context.Context, name string, faults []string) error {
 	process, err := layout.Find(name)
 	if err != nil {
 		return err
 	}
-	wanted := control{Misbehavior: append([]string{}, faults...)}
+	wanted := misbehaviorRequest{Misbehavior: append([]string{}, faults...)}
 	if err := send(ctx, http.MethodPut, fmt.Sprintf("http://%s/control", process.Data), wanted); err != nil {
 		return fmt.Errorf("misbehavior of %s: %w", name, err)
 	}
@@ -107,32 +107,32 @@
 }
 
 // control is the body of a back end's control endpoint.
-type control struct {
+type misbehaviorRequest struct {
 	Misbehavior []string `json:"misbehavior"`
 }
 
 // Impair replaces the fabric's impairments, which are in its own form.
-func (layout *Layout) Impair(ctx context.Context, impairments any) error {
+func (layout *Layout) SetImpairments(ctx context.Context, impairments any) error {
 	return send(ctx, http.MethodPut, layout.impairmentsURL(), impairments)
 }
 
 // Heal ends the fabric's impairments.
-func (layout *Layout) Heal(ctx context.Context) error {
+func (layout *Layout) ClearImpairments(ctx context.Context) error {
 	return send(ctx, http.MethodDelete, layout.impairmentsURL(), nil)
 }
 
 func (layout *Layout) impairmentsURL() string {
-	fabric := layout.OfRole(RoleFabric)[0]
+	fabric := layout.WithRole(RoleFabric)[0]
 	return fmt.Sprintf("http://%s/impairments", netip.AddrPortFrom(fabric.Machine, portFabricControl))
 }
 
 func (layout *Layout) machinesURL() string {
-	return fmt.Sprintf("http://%s/machines", layout.OfRole(RolePlatform)[0].Data)
+	return fmt.Sprintf("http://%s/machines", layout.WithRole(RolePlatform)[0].Data)
 }
 
 // send makes one HTTP request and returns an error unless it succeeded.
 func send(ctx context.Context, method, url string, body any) error {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var content bytes.Buffer
 	if body != nil {
--- a/internal/bench/operators/deployment.go
+++ b/internal/bench/operators/deployment.go
@@ -61,7 +61,7 @@
 // process of the system to those of proxies.
 func (deployment *deployment) leadThroughProxies() error {
 	for _, role := range []fleet.Role{fleet.RoleControl, fleet.RoleRelay, fleet.RoleBalancer, fleet.RoleAgent} {
-		for _, process := range deployment.layout.OfRole(role) {
+		for _, process := range deployment.layout.WithRole(role) {
 			if err := deployment.changeSettings(process); err != nil {
 				return fmt.Errorf("settings of %s: %w", process.Name, err)
 			}
@@ -142,7 +142,7 @@
 // namesOf returns the processes of a role that start with the fleet.
 func (deployment *deployment) namesOf(role fleet.Role) []string {
 	var names []string
-	for _, process := range deployment.layout.OfRole(role) {
+	for _, process := range deployment.layout.WithRole(role) {
 		if !process.Standby {
 			names = append(names, process.Name)
 		}
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -101,7 +101,7 @@
 
 // endpointOf returns the administration API of one member.
 func (run *run) endpointOf(member string) string {
-	index := slices.IndexFunc(run.deployment.layout.OfRole(fleet.RoleControl), func(process fleet.Process) bool { return process.Name == member })
+	index := slices.IndexFunc(run.deployment.layout.WithRole(fleet.RoleControl), func(process fleet.Process) bool { return process.Name == member })
 	return run.deployment.layout.APIEndpoints()[index]
 }
 
@@ -125,7 +125,7 @@
 
 func (run *run) zoneWithoutMember() (string, bool) {
 	for _, zone := range run.options.Fleet.Zones {
-		hasMember := slices.ContainsFunc(run.deployment.layout.OfRole(fleet.RoleControl),
+		hasMember := slices.ContainsFunc(run.deployment.layout.WithRole(fleet.RoleControl),
 			func(process fleet.Process) bool { return process.Zone == zone })
 		if !hasMember {
 			return zone, true
@@ -138,7 +138,7 @@
 // change that is sent meanwhile may be accepted before the cut heals.
 func (run *run) cutQuorum(ctx context.Context) error {
 	var zones []string
-	for _, member := range run.deployment.layout.OfRole(fleet.RoleControl)[1:] {
+	for _, member := range run.deployment.layout.WithRole(fleet.RoleControl)[1:] {
 		zones = append(zones, member.Zone)
 	}
 	run.deployment.links.Cut(zones...)
--- a/internal/bench/operators/watch.go
+++ b/internal/bench/operators/watch.go
@@ -47,7 +47,7 @@
 		}
 		looks.Go(func() { repeat(ctx, func() { watcher.lookAtMember(ctx, api) }) })
 	}
-	for _, balancer := range watcher.layout.OfRole(fleet.RoleBalancer) {
+	for _, balancer := range watcher.layout.WithRole(fleet.RoleBalancer) {
 		looks.Go(func() { repeat(ctx, func() { watcher.lookAtBalancer(ctx, balancer) }) })
 	}
 	return nil
