--- a/internal/bench/audit/audit.go
+++ b/internal/bench/audit/audit.go
@@ -7,39 +7,43 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Weights of delivered requests: calls count double, uploads and updates of
-// feeds single.
+// Weights of delivered requests in the weighted service: calls count twice, uploads and feed
+// updates once.
 const (
 	weightCall   = 2
 	weightUpload = 1
 	weightUpdate = 1
 )
 
-// weightCut is the weight of a cut feed or at-most-once call.
+// weightCostlyCut is the weight of an interrupted feed or at-most-once call; other interrupted
+// attempts have weight 1.
 const weightCostlyCut = 2
 
-// Line is one class of the comparison.
+// ClassResult is the comparison for one request class, summed over all callers.
 type ClassResult struct {
 	Class     string `json:"class"`
 	Offered   int    `json:"offered"`
 	Delivered int    `json:"delivered"`
 	Refused   int    `json:"refused"`
 	Unknown   int    `json:"unknown"`
-	// Broken requests were cut and not made good by a retry.
+	// Broken counts the requests that were cut, that is, interrupted while in progress, and that no
+	// retry completed.
 	Broken int `json:"broken"`
-	// CutAttempts counts all cuts, also those that a retry made good.
+	// CutAttempts counts all interrupted attempts, including those that a retry made up for.
 	CutAttempts int `json:"cut_attempts"`
-	// CutByNode counts the cuts by back end.
+	// CutByNode counts the interrupted attempts by back end.
 	CutByNode map[string]int `json:"cut_by_node,omitempty"`
-	// Doubled requests ran more than once under one identifier or key.
+	// Doubled counts the keys, or attempts of requests without a key, that ran more than once.
 	Doubled int `json:"doubled"`
+	// Crossed counts the requests that received the answer to another request.
 	Crossed int `json:"crossed"`
-	// RefusedYetRun attempts were called "not run" and ran.
+	// RefusedYetRun counts the attempts that were refused as not run and ran nevertheless.
 	RefusedYetRun int     `json:"refused_yet_run"`
 	Latency       Latency `json:"latency_microseconds"`
 }
 
-// Latency gives latencies from the intended start, in microseconds.
+// Latency holds percentiles of latencies in microseconds. Request latencies count from the
+// intended start, refusal latencies from sending.
 type Latency struct {
 	P50  int64 `json:"p50"`
 	P99  int64 `json:"p99"`
@@ -47,32 +51,34 @@
 	Max  int64 `json:"max"`
 }
 
-// Result is the whole comparison.
+// Result is the comparison of all callers' accounts with the ledgers.
 type Result struct {
 	Classes []ClassResult `json:"lines"`
 	Flows   FlowAccount   `json:"flows"`
 	Feeds   FeedAccount   `json:"feeds"`
-	// Lost at-most-once requests were answered and never completed a run.
+	// Lost counts the at-most-once requests that were answered although no run of them completed.
 	Lost int `json:"lost"`
-	// WeightedOffered and WeightedDelivered count calls double.
+	// WeightedOffered and WeightedDelivered sum requests and feed updates by their weights.
 	WeightedOffered   float64 `json:"weighted_offered"`
 	WeightedDelivered float64 `json:"weighted_delivered"`
-	// SlotSeconds is the time that runs of calls and uploads held slots.
-	SlotSeconds float64     `json:"slot_seconds"`
-	Refusals    map[int]int `json:"refusals"`
-	// RefusedAttempts were refused as not run, after RefusalLatency, which is
-	// in microseconds from sending.
+	// SlotSeconds is the total time in seconds for which runs of calls and uploads occupied slots.
+	SlotSeconds float64 `json:"slot_seconds"`
+	// Refusals counts the attempts refused as not run and those of unknown outcome, by the system's
+	// error code; zero stands for attempts without a code.
+	Refusals map[int]int `json:"refusals"`
+	// RefusedAttempts counts the attempts that were refused as not run; RefusalLatency is their
+	// latency from sending to refusal.
 	RefusedAttempts          int     `json:"refused_attempts"`
 	RefusalLatency           Latency `json:"refusal_latency_microseconds"`
 	RefusedWithoutRetryAfter int     `json:"refused_without_retry_after"`
-	// RetriesOverBudget counts requests that were not sent again because the
-	// caller's retry budget was empty.
+	// RetriesOverBudget counts requests that were not retried because the caller's retry budget was
+	// exhausted.
 	RetriesOverBudget int `json:"retries_over_budget"`
-	// Examples describe some of the faults.
+	// Examples describe some of the faults found.
 	Examples []string `json:"examples,omitempty"`
 }
 
-// WeightedService is weighted delivered over weighted offered.
+// WeightedService returns WeightedDelivered over WeightedOffered, or 0 when nothing was offered.
 func (result Result) WeightedService() float64 {
 	if result.WeightedOffered == 0 {
 		return 0
@@ -80,23 +86,23 @@
 	return result.WeightedDelivered / result.WeightedOffered
 }
 
-// WeightedBroken counts what was cut in progress: feeds and at-most-once calls
-// count double, because a cut feed or a call that may not be repeated costs the
-// users most.
+// WeightedCuts returns the weighted number of attempts that were interrupted in progress. Feeds and
+// at-most-once calls count twice, because an interrupted feed and a call that must not be repeated
+// cost users most.
 func (result Result) WeightedCuts() float64 {
 	total := 0.0
-	for _, line := range result.Classes {
+	for _, classResult := range result.Classes {
 		weight := 1.0
-		if line.Class == classFeed || line.Class == classOnce {
+		if classResult.Class == classFeed || classResult.Class == classOnce {
 			weight = weightCostlyCut
 		}
-		total += weight * float64(line.CutAttempts)
+		total += weight * float64(classResult.CutAttempts)
 	}
 	return total
 }
 
-// SlotSecondsPerDelivery is the slot time for each weighted delivery of calls
-// and uploads; feeds hold no slot.
+// SlotSecondsPerDelivery returns the slot time in seconds per weighted delivery of calls and
+// uploads, or 0 when none was delivered. Feeds are left out because they occupy no slot.
 func (result Result) SlotSecondsPerDelivery() float64 {
 	delivered := result.WeightedDelivered - weightUpdate*float64(result.Feeds.Updates)
 	if delivered == 0 {
@@ -105,18 +111,18 @@
 	return result.SlotSeconds / delivered
 }
 
-// Line returns the line of a class.
+// Class returns the result of a class, which is zero when the comparison does not have the class.
 func (result Result) Class(class string) ClassResult {
-	for _, line := range result.Classes {
-		if line.Class == class {
-			return line
+	for _, classResult := range result.Classes {
+		if classResult.Class == class {
+			return classResult
 		}
 	}
 	return ClassResult{Class: class}
 }
 
-// Compare compares the accounts of all callers of a run with the runs in the
-// back ends' ledgers.
+// Compare compares the accounts of all callers of an experiment with the runs in the back ends'
+// ledgers.
 func Compare(accounts []Account, runs []Run) Result {
 	result := Result{
 		Refusals: make(map[int]int),
@@ -134,7 +140,8 @@
 	return result
 }
 
-// addRefusals adds up what the callers saw of refusals.
+// addRefusedAttempts sums the refused attempts, their latencies and the retries not made for want
+// of budget over all accounts.
 func (result *Result) addRefusedAttempts(accounts []Account) {
 	var latencies *hdrhistogram.Histogram
 	for _, account := range accounts {
@@ -148,6 +155,7 @@
 	}
 }
 
+// latencyOf returns the percentiles of a histogram in microseconds.
 func latencyOf(latencies *hdrhistogram.Histogram) Latency {
 	return Latency{
 		P50:  latencies.ValueAtQuantile(50),
@@ -157,26 +165,26 @@
 	}
 }
 
-// sumClass adds one class up over all callers.
+// sumClass sums the counts of one class over all callers.
 func sumClass(class string, accounts []Account) ClassResult {
-	line := ClassResult{Class: class, CutByNode: make(map[string]int)}
+	classResult := ClassResult{Class: class, CutByNode: make(map[string]int)}
 	var latencies *hdrhistogram.Histogram
 	for _, account := range accounts {
 		counts := account.Classes[class]
-		line.Offered += counts.Offered
-		line.Delivered += counts.Delivered
-		line.Refused += counts.Refused
-		line.Unknown += counts.Unknown
-		line.Broken += counts.Broken
-		line.CutAttempts += counts.CutAttempts
-		line.Crossed += counts.Crossed
-		addCounts(line.CutByNode, counts.CutByNode)
+		classResult.Offered += counts.Offered
+		classResult.Delivered += counts.Delivered
+		classResult.Refused += counts.Refused
+		classResult.Unknown += counts.Unknown
+		classResult.Broken += counts.Broken
+		classResult.CutAttempts += counts.CutAttempts
+		classResult.Crossed += counts.Crossed
+		addCounts(classResult.CutByNode, counts.CutByNode)
 		latencies = mergeHistogram(latencies, counts.Histogram)
 	}
 	if latencies != nil {
-		line.Latency = latencyOf(latencies)
+		classResult.Latency = latencyOf(latencies)
 	}
-	return line
+	return classResult
 }
 
 func addCounts(into, counts map[string]int) {
@@ -185,6 +193,8 @@
 	}
 }
 
+// mergeHistogram adds a snapshot, which may be nil, to a histogram, which is nil before the first
+// snapshot.
 func mergeHistogram(into *hdrhistogram.Histogram, snapshot *hdrhistogram.Snapshot) *hdrhistogram.Histogram {
 	if snapshot == nil {
 		return into
@@ -197,6 +207,7 @@
 	return into
 }
 
+// addAccount adds the flows, feeds, refusals and examples of one caller.
 func (result *Result) addAccount(account Account) {
 	result.Flows.Opened += account.Flows.Opened
 	result.Flows.Failed += account.Flows.Failed
@@ -220,7 +231,8 @@
 	}
 }
 
-// compareRuns finds doubled and lost requests, and refused ones that ran.
+// compareRuns counts the requests that ran more than once, that were answered without a completed
+// run, and that were refused as not run and ran.
 func (result *Result) compareRuns(accounts []Account, runs []Run) {
 	starts := make(map[string]int)
 	completedKeys := make(map[string]bool)
@@ -258,8 +270,8 @@
 	slices.Sort(result.Examples)
 }
 
-// identity is what must run at most once: the key of a keyed request, else
-// the attempt.
+// identity returns what must run at most once: the idempotency key of a request that has one, else
+// the identifier of the attempt.
 func (run Run) identity() string {
 	if run.Key != "" {
 		return run.Key
@@ -275,6 +287,7 @@
 	return ran
 }
 
+// classResult returns the result of a class for changes, and adds it when it is missing.
 func (result *Result) classResult(class string) *ClassResult {
 	for index := range result.Classes {
 		if result.Classes[index].Class == class {
@@ -285,7 +298,8 @@
 	return &result.Classes[len(result.Classes)-1]
 }
 
-// weigh computes the weighted service and the slot time.
+// computeWeights sets the weighted totals and the slot time. The number of offered feed updates is
+// the larger of the callers' count, received and missing, and the back ends' count of sent ones.
 func (result *Result) computeWeights(runs []Run) {
 	sent := uint64(0)
 	for _, run := range runs {
--- a/internal/bench/audit/audit_test.go
+++ b/internal/bench/audit/audit_test.go
@@ -12,11 +12,12 @@
 
 func atSecond(second int) time.Time { return time.Unix(int64(second), 0) }
 
+// keyedRun returns a completed run of an at-most-once call with an idempotency key.
 func keyedRun(request, key string) Run {
 	return Run{Request: request, Key: key, Class: classOnce, Started: atSecond(1), Ended: atSecond(2), Completed: true}
 }
 
-// good is an account and its ledger in which everything holds.
+// cleanRun returns an account and the matching runs of an experiment without violations.
 func cleanRun() (Account, []Run) {
 	account := Account{
 		Classes: map[string]ClassAccount{
@@ -34,12 +35,12 @@
 	return account, runs
 }
 
-// Each fault is found, and by its own invariant.
+// Each fault yields exactly one violation, of the invariant that it breaks.
 func TestViolations(t *testing.T) {
 	cases := []struct {
-		name      string
-		spoil     func(account *Account, runs *[]Run)
-		invariant string
+		name        string
+		injectFault func(account *Account, runs *[]Run)
+		invariant   string
 	}{
 		{"nothing wrong", func(*Account, *[]Run) {}, ""},
 		{"key ran twice", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyedRun("r1.2", "k1")) }, "at most once"},
@@ -49,8 +50,8 @@
 		}, "at most once"},
 		{"refused yet run", func(_ *Account, runs *[]Run) { *runs = append(*runs, keyedRun("r2.1", "k3")) }, "refused as not run"},
 		{"answered and never run", func(_ *Account, runs *[]Run) { *runs = (*runs)[1:] }, "answer means"},
-		{"answered and given up", func(_ *Account, runs *[]Run) { (*runs)[0].Completed = false }, "answer means"},
-		{"crossed", func(account *Account, _ *[]Run) {
+		{"answered and cancelled", func(_ *Account, runs *[]Run) { (*runs)[0].Completed = false }, "answer means"},
+		{"answer to another request", func(account *Account, _ *[]Run) {
 			account.Classes[classOnce] = ClassAccount{Offered: 2, Delivered: 1, Crossed: 1}
 		}, "own request"},
 		{"flow broke", func(account *Account, _ *[]Run) {
@@ -62,12 +63,12 @@
 		{"feed cut", func(account *Account, _ *[]Run) {
 			account.Classes[classFeed] = ClassAccount{Offered: 2, Delivered: 1, Broken: 1, CutByNode: map[string]int{"b1": 1}}
 		}, "nothing in progress"},
-		{"request cut and made good", func(account *Account, _ *[]Run) {
+		{"request cut and retried successfully", func(account *Account, _ *[]Run) {
 			account.Classes[classOnce] = ClassAccount{Offered: 2, Delivered: 2, CutByNode: map[string]int{"b1": 1}}
 		}, "nothing in progress"},
 		{"update missing", func(account *Account, _ *[]Run) { account.Feeds.Missing = 1 }, "no gaps"},
 		{"update twice", func(account *Account, _ *[]Run) { account.Feeds.Duplicates = 1 }, "no gaps"},
-		{"refused without a time", func(account *Account, _ *[]Run) { account.RefusedWithoutRetryAfter = 1 }, "when to come back"},
+		{"refused without Retry-After", func(account *Account, _ *[]Run) { account.RefusedWithoutRetryAfter = 1 }, "when to come back"},
 		{"nothing delivered", func(account *Account, _ *[]Run) {
 			account.Classes[classUpload] = ClassAccount{Offered: 5, Refused: 5}
 		}, "are served"},
@@ -75,7 +76,7 @@
 	for _, testCase := range cases {
 		t.Run(testCase.name, func(t *testing.T) {
 			account, runs := cleanRun()
-			testCase.spoil(&account, &runs)
+			testCase.injectFault(&account, &runs)
 			found := Compare([]Account{account}, runs).Violations(Expectation{}, runs)
 			if testCase.invariant == "" {
 				require.Empty(t, found)
@@ -108,7 +109,7 @@
 
 func TestDrainedTargetGetsNoNewWork(t *testing.T) {
 	drain := Drain{Node: "b1", At: atSecond(10)}
-	back := Drain{Node: "b1", At: atSecond(10), Until: atSecond(20)}
+	returned := Drain{Node: "b1", At: atSecond(10), Until: atSecond(20)}
 	cases := []struct {
 		name    string
 		drain   Drain
@@ -120,7 +121,7 @@
 		{"within the grace", drain, "b1", 12, 0},
 		{"after the grace", drain, "b1", 14, 1},
 		{"at another target", drain, "b2", 14, 0},
-		{"after it was taken back", back, "b1", 21, 0},
+		{"after its return to service", returned, "b1", 21, 0},
 		{"within a longer grace", Drain{Node: "b1", At: atSecond(10), Grace: 8 * time.Second}, "b1", 17, 0},
 		{"after a longer grace", Drain{Node: "b1", At: atSecond(10), Grace: 8 * time.Second}, "b1", 19, 1},
 	}
@@ -156,7 +157,7 @@
 		runs                 int
 	}{
 		{"start and end", `{"event":"start","request":"r1"}` + "\n" + `{"event":"completed","request":"r1"}` + "\n", "", 1},
-		{"died before the end", `{"event":"start","request":"r1"}` + "\n", "", 1},
+		{"back end died before the end", `{"event":"start","request":"r1"}` + "\n", "", 1},
 		{"end without start", `{"event":"completed","request":"r1"}` + "\n", "without a start", 0},
 		{"unknown event", `{"event":"paused","request":"r1"}` + "\n", "unknown event", 0},
 		{"not JSON", "what\n", "line 1", 0},
--- a/internal/bench/audit/ledger.go
+++ b/internal/bench/audit/ledger.go
@@ -1,9 +1,8 @@
-// Package audit compares the callers' accounts of a run with the back ends'
-// ledgers: what was answered, refused or cut, and what truly ran. Its findings
-// are the violations of what must always hold.
+// Package audit compares the callers' accounts of an experiment, which record what was answered,
+// refused or cut, with the back ends' ledgers, which record what ran, and reports violated invariants.
 //
-// It reads the files as they are written, with types of its own, so that a
-// mistake in a stand-in's code cannot hide behind a shared type.
+// It decodes the files with types of its own, so that a mistake in a stand-in's types isn't repeated
+// here and thereby hidden.
 package audit
 
 import (
@@ -16,7 +15,7 @@
 	"time"
 )
 
-// ledgerLine is one line of a back end's ledger.
+// ledgerLine is one line of a back end's ledger, a file of JSON lines.
 type ledgerLine struct {
 	At      time.Time `json:"at"`
 	Event   string    `json:"event"`
@@ -34,20 +33,21 @@
 	eventCancelled = "cancelled"
 )
 
-// Run is one start of a request at a back end.
+// Run is one execution of a request at a back end.
 type Run struct {
 	Node    string
 	Request string
 	Key     string
 	Class   string
 	Started time.Time
-	// Ended is zero when the back end died before the end.
+	// Ended is zero when the ledger has no end of the run, as when the back end died first.
 	Ended     time.Time
 	Completed bool
-	Updates   int
+	// Updates is the number of updates that a feed sent.
+	Updates int
 }
 
-// ReadLedgers reads all ledgers of a folder and returns the runs in them.
+// ReadLedgers returns the runs of all ledgers, the *.jsonl files, in a folder.
 func ReadLedgers(folder string) ([]Run, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, "*.jsonl"))
 	if err != nil {
@@ -96,14 +96,15 @@
 
 var errEndWithoutStart = errors.New("end without a start")
 
-// closeRun ends the earliest open run of the line's request.
+// closeRun records the end of the earliest open run of the line's request. The map open has the
+// positions in runs of each request's open runs.
 func closeRun(runs []Run, open map[string][]int, line ledgerLine) error {
-	waiting := open[line.Request]
-	if len(waiting) == 0 {
+	openRuns := open[line.Request]
+	if len(openRuns) == 0 {
 		return fmt.Errorf("request %q: %w", line.Request, errEndWithoutStart)
 	}
-	run := &runs[waiting[0]]
-	open[line.Request] = waiting[1:]
+	run := &runs[openRuns[0]]
+	open[line.Request] = openRuns[1:]
 	run.Ended = line.At
 	run.Completed = line.Event == eventCompleted
 	run.Updates = line.Updates
--- a/internal/bench/audit/report.go
+++ b/internal/bench/audit/report.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Class names of the callers' accounts and the ledgers.
+// Request classes of the callers' accounts and the ledgers; "once" is an at-most-once call.
 const (
 	classCall   = "call"
 	classOnce   = "once"
@@ -17,10 +17,10 @@
 	classFeed   = "feed"
 )
 
-// Classes lists the classes in the order of tables.
+// Classes lists the request classes in the order in which tables show them.
 var Classes = []string{classCall, classOnce, classUpload, classFeed}
 
-// Account is a caller's report, as far as the audit reads it.
+// Account has the fields of a caller's report that experiments use.
 type Account struct {
 	Caller            string                  `json:"caller"`
 	Address           string                  `json:"address"`
@@ -32,8 +32,7 @@
 	Refusals          map[int]int             `json:"refusals"`
 	RetriesOverBudget int                     `json:"retries_over_budget"`
 	RefusalHistogram  *hdrhistogram.Snapshot  `json:"refusal_histogram"`
-	// RefusedWithoutRetryAfter counts refusals for want of capacity that did
-	// not say when to come back.
+	// RefusedWithoutRetryAfter counts refusals as not run with status 503 and without a Retry-After.
 	RefusedWithoutRetryAfter int            `json:"refused_without_retry_after"`
 	ClaimedNotRun            []string       `json:"claimed_not_run"`
 	DeliveredKeys            []string       `json:"delivered_keys"`
@@ -41,7 +40,7 @@
 	Examples                 []FaultExample `json:"examples"`
 }
 
-// ClassAccount is the account of one class.
+// ClassAccount has a caller's counts and latencies of one request class.
 type ClassAccount struct {
 	Offered     int                    `json:"offered"`
 	Delivered   int                    `json:"delivered"`
@@ -56,7 +55,7 @@
 	Histogram   *hdrhistogram.Snapshot `json:"histogram"`
 }
 
-// FlowAccount counts connections.
+// FlowAccount counts a caller's connections by outcome.
 type FlowAccount struct {
 	Opened           int            `json:"opened"`
 	Failed           int            `json:"failed"`
@@ -67,7 +66,7 @@
 	Examples         []FlowExample  `json:"examples"`
 }
 
-// FeedAccount counts updates of feeds.
+// FeedAccount counts the received, missing and duplicate updates of feeds.
 type FeedAccount struct {
 	Updates                    uint64 `json:"updates"`
 	Missing                    uint64 `json:"missing"`
@@ -94,7 +93,7 @@
 func ReadAccount(path string) (Account, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return Account{}, fmt.Errorf("read the caller's report: %w", err)
+		return Account{}, fmt.Errorf("read caller's report: %w", err)
 	}
 	var account Account
 	if err := json.Unmarshal(content, &account); err != nil {
--- a/internal/bench/audit/table.go
+++ b/internal/bench/audit/table.go
@@ -10,15 +10,15 @@
 	var text strings.Builder
 	text.WriteString("| class  | offered | delivered | refused | unknown | broken | doubled | crossed | refused yet run | p50 ms | p99 ms |\n")
 	text.WriteString("|--------|--------:|----------:|--------:|--------:|-------:|--------:|--------:|----------------:|-------:|-------:|\n")
-	for _, line := range result.Classes {
+	for _, classResult := range result.Classes {
 		fmt.Fprintf(&text, "| %-6s | %7d | %9d | %7d | %7d | %6d | %7d | %7d | %15d | %6.1f | %6.1f |\n",
-			line.Class, line.Offered, line.Delivered, line.Refused, line.Unknown, line.Broken,
-			line.Doubled, line.Crossed, line.RefusedYetRun, milliseconds(line.Latency.P50), milliseconds(line.Latency.P99))
+			classResult.Class, classResult.Offered, classResult.Delivered, classResult.Refused, classResult.Unknown, classResult.Broken,
+			classResult.Doubled, classResult.Crossed, classResult.RefusedYetRun, milliseconds(classResult.Latency.P50), milliseconds(classResult.Latency.P99))
 	}
 	return text.String()
 }
 
-// Summary returns the figures beside the table, a line each.
+// Summary returns the figures that the table does not have, one group per line.
 func (result Result) Summary() string {
 	var text strings.Builder
 	flows := result.Flows
--- a/internal/bench/audit/violations.go
+++ b/internal/bench/audit/violations.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// unknownNode is the callers' name for the back end of a connection on which
-// nothing was answered.
+// unknownNode stands in callers' accounts for the back end of a connection that received no answer,
+// because callers learn the back end from answers.
 const unknownNode = "unknown"
 
-// Expectation states what a run may have besides what must always hold.
+// Expectation lists the failures and drains of an experiment, which decide what counts as a
+// violation.
 type Expectation struct {
-	// DeadNodes are back ends that died, froze or were cut off, or whose agent
-	// did, without warning: flows that lived on them may break, and their
-	// requests may be cut.
+	// DeadNodes are the back ends that crashed, froze or were partitioned without warning, or whose
+	// agent did or was. Their flows may break and their requests may be cut.
 	DeadNodes []string
-	// Drains are targets that were told to leave.
+	// Drains are the drains of back ends, each with its time.
 	Drains []Drain
 }
 
-// Drain is one back end that was told to leave.
+// Drain is one drain of a back end, after which it must receive no new work.
 type Drain struct {
 	Node string
-	At   time.Time
-	// Until is when it was taken back into service; zero means never.
+	// At is when the drain began.
+	At time.Time
+	// Until is when the back end returned to service; zero means never.
 	Until time.Time
-	// Grace replaces DrainGrace; zero does not.
+	// Grace replaces DrainGrace; zero means DrainGrace.
 	Grace time.Duration
 }
 
@@ -37,11 +38,12 @@
 	return DrainGrace
 }
 
-// DrainGrace is how long after a drain new work may still come, unless the
-// drain states another time.
+// DrainGrace is how long after the start of a drain new work may still arrive, unless Drain.Grace
+// replaces it.
 const DrainGrace = 3 * time.Second
 
-// mayBreak tells whether a flow of that back end may break.
+// mayBreak reports whether flows of a back end may break. Flows of an unknown back end may when any
+// back end died.
 func (expectation Expectation) mayBreak(node string) bool {
 	if len(expectation.DeadNodes) == 0 {
 		return false
@@ -49,7 +51,7 @@
 	return node == unknownNode || slices.Contains(expectation.DeadNodes, node)
 }
 
-// unexpected sums the counts of back ends that must not break anything.
+// unexpectedCount returns the sum of the counts of back ends whose flows may not break.
 func (expectation Expectation) unexpectedCount(byNode map[string]int) int {
 	total := 0
 	for node, count := range byNode {
@@ -60,31 +62,31 @@
 	return total
 }
 
-// Violation is one thing that must always hold and did not.
+// Violation is an invariant that did not hold, with what was found.
 type Violation struct {
 	Invariant string `json:"invariant"`
 	Detail    string `json:"detail"`
 }
 
-// Violations returns what must always hold and did not in this run.
+// Violations returns the invariants that the experiment violated.
 func (result Result) Violations(expected Expectation, runs []Run) []Violation {
 	var found []Violation
-	add := func(count int, invariant, what string) {
+	add := func(count int, invariant, detail string) {
 		if count > 0 {
-			found = append(found, Violation{Invariant: invariant, Detail: fmt.Sprintf("%d %s", count, what)})
+			found = append(found, Violation{Invariant: invariant, Detail: fmt.Sprintf("%d %s", count, detail)})
 		}
 	}
 	add(expected.unexpectedCount(result.Flows.BrokenByNode), "open flows survive", "flows broke whose target had not died")
 	add(int(result.Feeds.Missing+result.Feeds.Duplicates), "feeds have no gaps and no duplicates", "updates were missing or came twice")
 	add(result.Lost, "an answer means that the request ran", "answered requests never completed")
 	add(result.RefusedWithoutRetryAfter, "a refusal says when to come back", "refusals for want of capacity had no Retry-After")
-	for _, line := range result.Classes {
-		add(expected.unexpectedCount(line.CutByNode), "nothing in progress is cut", line.Class+" attempts were cut whose target had not died")
-		add(line.Crossed, "answers belong to their own request", line.Class+" requests got another answer")
-		add(line.RefusedYetRun, "what is refused as not run did not run", line.Class+" attempts were refused and ran")
-		add(line.Doubled, "a request runs at most once", line.Class+" requests ran twice")
-		if line.Offered > 0 && line.Delivered == 0 {
-			add(line.Offered, "requests are served", line.Class+" requests were offered and none delivered")
+	for _, classResult := range result.Classes {
+		add(expected.unexpectedCount(classResult.CutByNode), "nothing in progress is cut", classResult.Class+" attempts were cut whose target had not died")
+		add(classResult.Crossed, "answers belong to their own request", classResult.Class+" requests got another answer")
+		add(classResult.RefusedYetRun, "what is refused as not run did not run", classResult.Class+" attempts were refused and ran")
+		add(classResult.Doubled, "a request runs at most once", classResult.Class+" requests ran twice")
+		if classResult.Offered > 0 && classResult.Delivered == 0 {
+			add(classResult.Offered, "requests are served", classResult.Class+" requests were offered and none delivered")
 		}
 	}
 	for _, drain := range expected.Drains {
@@ -93,13 +95,14 @@
 	return found
 }
 
-// newWork counts the runs that began at a draining back end after the grace.
+// countRunsAfterDrain counts the runs that began at a draining back end after the grace period and
+// before its return to service.
 func countRunsAfterDrain(drain Drain, runs []Run) int {
 	count := 0
 	for _, run := range runs {
-		late := run.Started.After(drain.At.Add(drain.grace()))
-		over := !drain.Until.IsZero() && run.Started.After(drain.Until)
-		if run.Node == drain.Node && late && !over {
+		afterGrace := run.Started.After(drain.At.Add(drain.grace()))
+		afterReturn := !drain.Until.IsZero() && run.Started.After(drain.Until)
+		if run.Node == drain.Node && afterGrace && !afterReturn {
 			count++
 		}
 	}
--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -1,5 +1,5 @@
-// Package capacity has the benchmarks behind the slopes of docs/CAPACITY.md that need
-// the state of many services.
+// Package capacity has those benchmarks behind the slopes (costs per service, target or flow) of
+// docs/CAPACITY.md that need the state of many services.
 package capacity
 
 import (
@@ -16,8 +16,8 @@
 	"merlinpaddle/internal/state"
 )
 
-// benchmarkServices are the numbers of services, of nine targets each. More
-// take minutes to make, because each command copies the map of targets.
+// benchmarkServices are the numbers of services, of nine targets each. More services take minutes
+// to build, because each command copies the map of targets.
 var benchmarkServices = []int{300, 600, 1200, 2400}
 
 const (
@@ -25,6 +25,7 @@
 	bytesPerMegabyte = 1e6
 )
 
+// forEachPopulation runs a sub-benchmark for each number of services.
 func forEachPopulation(b *testing.B, run func(b *testing.B, population population)) {
 	for _, services := range benchmarkServices {
 		b.Run(fmt.Sprintf("services=%d,targets=%d", services, services*benchmarkTargets), func(b *testing.B) {
@@ -37,6 +38,7 @@
 	}
 }
 
+// heapBytes returns the bytes in use on the heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
 	var statistics runtime.MemStats
@@ -44,14 +46,14 @@
 	return float64(statistics.HeapAlloc)
 }
 
-// snapshots keeps the snapshots that benchmarks share, by number of services,
-// because making one applies a command for each service.
+// sharedSnapshots holds the snapshots that benchmarks share, by number of services, because building
+// one applies a command for each service.
 var sharedSnapshots = make(map[int][]byte)
 
 func mustSnapshot(b *testing.B, population population) []byte {
 	b.Helper()
 	services := population.services
-	if _, known := sharedSnapshots[services]; !known {
+	if _, found := sharedSnapshots[services]; !found {
 		snapshot, _, err := population.snapshot()
 		if err != nil {
 			b.Fatal(err)
@@ -61,7 +63,7 @@
 	return sharedSnapshots[services]
 }
 
-// restored returns a machine with the population and the heap it takes.
+// restoreMachine returns a state machine restored from a snapshot, and the heap bytes that it uses.
 func restoreMachine(b *testing.B, snapshot []byte) (*state.Machine, float64) {
 	b.Helper()
 	before := heapBytes()
@@ -72,8 +74,8 @@
 	return machine, heapBytes() - before
 }
 
-// BenchmarkStateSnapshot measures a member's snapshot: time, bytes, and the
-// heap of the state that it holds.
+// BenchmarkStateSnapshot measures how long a member takes to encode its snapshot, the snapshot's
+// bytes, and the heap bytes of the state.
 func BenchmarkStateSnapshot(b *testing.B) {
 	forEachPopulation(b, func(b *testing.B, population population) {
 		machine, heap := restoreMachine(b, mustSnapshot(b, population))
@@ -90,7 +92,7 @@
 	})
 }
 
-// BenchmarkStateRestore measures how long a restarted member reads a snapshot.
+// BenchmarkStateRestore measures how long a restarted member takes to restore a snapshot.
 func BenchmarkStateRestore(b *testing.B) {
 	forEachPopulation(b, func(b *testing.B, population population) {
 		snapshot := mustSnapshot(b, population)
@@ -102,8 +104,8 @@
 	})
 }
 
-// BenchmarkStateChange measures one change of a service's parameter at a
-// member, and its bytes in the log.
+// BenchmarkStateChange measures how long a member takes to encode and apply a change of a service,
+// and the bytes of its log entry.
 func BenchmarkStateChange(b *testing.B) {
 	forEachPopulation(b, func(b *testing.B, population population) {
 		machine, _ := restoreMachine(b, mustSnapshot(b, population))
@@ -130,9 +132,8 @@
 	})
 }
 
-// BenchmarkUpdateSnapshot measures what a node that starts costs: a relay
-// encodes the whole configuration once for all that wait, and each node
-// decodes it.
+// BenchmarkUpdateSnapshot measures the cost of starting nodes: a relay encodes the full
+// configuration once for all waiting nodes, and each node decodes it.
 func BenchmarkUpdateSnapshot(b *testing.B) {
 	forEachPopulation(b, func(b *testing.B, population population) {
 		machine, _ := restoreMachine(b, mustSnapshot(b, population))
@@ -159,8 +160,8 @@
 				}
 			}
 		})
-		// A decoded configuration has no sum of its rows yet, so this digest
-		// is computed from every row, as nodes do at an interval.
+		// A decoded configuration has no cached sum of its rows, so the digest is computed from every
+		// row, as nodes do periodically.
 		b.Run("digest", func(b *testing.B) {
 			decoded, err := protocol.NewUpdateDecoder().Decode(packed)
 			if err != nil {
@@ -183,22 +184,22 @@
 	}
 }
 
-// BenchmarkFlowCache measures a balancer's cache: heap bytes a flow when full,
-// and the time to remember a new flow.
+// BenchmarkFlowCache measures a balancer's flow cache: heap bytes per flow when it is full, and the
+// time to insert a new flow.
 func BenchmarkFlowCache(b *testing.B) {
 	for _, flows := range []int{31_250, 125_000, 500_000, 2_000_000} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
 			before := heapBytes()
 			cache := flow.NewCache(flows)
 			for number := range flows {
-				known := benchmarkFlow(number)
-				cache.Insert(routing.FlowHash(known), known, 1)
+				tuple := benchmarkFlow(number)
+				cache.Insert(routing.FlowHash(tuple), tuple, 1)
 			}
 			heap := heapBytes() - before
 			number := flows
 			for b.Loop() {
-				known := benchmarkFlow(number)
-				cache.Insert(routing.FlowHash(known), known, 1)
+				tuple := benchmarkFlow(number)
+				cache.Insert(routing.FlowHash(tuple), tuple, 1)
 				number++
 			}
 			b.ReportMetric(heap/float64(flows), "heap-B/flow")
@@ -207,8 +208,8 @@
 	}
 }
 
-// BenchmarkOwners measures an agent's flows: heap bytes a flow, and the time
-// to open and close one.
+// BenchmarkOwners measures an agent's table of owned flows: heap bytes per flow, and the time to
+// open and close one.
 func BenchmarkOwners(b *testing.B) {
 	const buckets = 64
 	for _, flows := range []int{800, 3200, 12_800, 51_200} {
--- a/internal/bench/capacity/population_test.go
+++ b/internal/bench/capacity/population_test.go
@@ -14,16 +14,16 @@
 	"merlinpaddle/internal/state"
 )
 
-// Names of what a population consists of.
+// Names of the objects in a population.
 const (
 	tenantName   = "capacity"
 	templateName = "web"
 
-	// changedParameter is the parameter that changes set.
+	// changedParameter is a parameter that operators can change.
 	changedParameter = "maximum_queue"
 )
 
-// First numbers of the addresses of a population, which nothing listens at.
+// First octets and ports of a population's addresses. Nothing listens on them.
 const (
 	networkVirtual = 10
 	networkAgents  = 11
@@ -41,7 +41,7 @@
 	Backend string `json:"backend"`
 }
 
-// population is the services and targets of one size.
+// population describes services and their targets to build a configuration from.
 type population struct {
 	services          int
 	targetsPerService int
@@ -52,12 +52,13 @@
 
 func targetName(service, number int) string { return fmt.Sprintf("s%d-t%d", service, number) }
 
-// zoneOf spreads the targets of a service over the zones.
+// zoneOf returns the zone of the number-th target of a service; targets are spread over the zones
+// round-robin.
 func (population population) zoneOf(number int) string {
 	return population.zones[number%len(population.zones)]
 }
 
-// numbered returns the number-th address of the network with that first byte.
+// numberedAddress returns the number-th address, with the port, of the network with that first octet.
 func numberedAddress(network byte, number int, port uint16) string {
 	address := netip.AddrFrom4([4]byte{network, byte(number >> 16), byte(number >> 8), byte(number)})
 	return netip.AddrPortFrom(address, port).String()
@@ -66,18 +67,18 @@
 func (population population) targets(service int) []target {
 	targets := make([]target, population.targetsPerService)
 	for number := range targets {
-		machine := service*population.targetsPerService + number + 1
+		machineNumber := service*population.targetsPerService + number + 1
 		targets[number] = target{
 			Name:    targetName(service, number),
 			Zone:    population.zoneOf(number),
-			Agent:   numberedAddress(networkAgents, machine, portAgent),
-			Backend: numberedAddress(networkAgents, machine, portBackend),
+			Agent:   numberedAddress(networkAgents, machineNumber, portAgent),
+			Backend: numberedAddress(networkAgents, machineNumber, portBackend),
 		}
 	}
 	return targets
 }
 
-// spec returns what an operator sends for a service.
+// spec returns the specification of a service that an operator would send.
 func (population population) spec(service, queue int) (adminapi.ServiceSpec, error) {
 	parameters := make(map[string]json.RawMessage)
 	for name, value := range map[string]any{
@@ -112,8 +113,8 @@
 	}}
 }
 
-// snapshot returns a backup of a control group that has the population, and
-// the revision of its configuration.
+// snapshot returns a snapshot of a control group's state with the population, and the revision of
+// its configuration.
 func (population population) snapshot() ([]byte, model.Revision, error) {
 	log := &commandLog{machine: state.NewMachine(), now: time.Now()}
 	log.run(template())
@@ -134,6 +135,7 @@
 	return snapshot, log.machine.Configuration().Revision, err
 }
 
+// put returns the command that creates or replaces a service.
 func (population population) put(service int) (state.PutService, error) {
 	spec, err := population.spec(service, model.DefaultMaximumQueue)
 	if err != nil {
@@ -146,8 +148,8 @@
 	return command, nil
 }
 
-// commandLog applies commands to a state machine as a log would. It stops at
-// the first that is refused.
+// commandLog applies commands to a state machine as the replicated log does. After the first error it
+// ignores commands.
 type commandLog struct {
 	machine *state.Machine
 	now     time.Time
@@ -172,7 +174,7 @@
 	log.err = err
 }
 
-// The snapshot holds as many services and targets as a size asks for.
+// The snapshot has as many services and targets as the population describes.
 func TestPopulation(t *testing.T) {
 	population := population{services: 20, targetsPerService: 3, zones: []string{"a", "b"}}
 	snapshot, revision, err := population.snapshot()
--- a/internal/bench/command/control.go
+++ b/internal/bench/command/control.go
@@ -15,9 +15,8 @@
 	"merlinpaddle/internal/bench/operators"
 )
 
-// Defaults of the control run. The freeze is longer than the election
-// timeout, the leases, the links' read timeout and the administration API's
-// time limits for proposals and read barriers.
+// Defaults of the control command. The freeze is longer than the election timeout, the leases, the
+// links' read timeout and the administration API's timeouts of proposals and read barriers.
 const (
 	controlFleet     = "fleets/control.yaml"
 	defaultOperators = 8
@@ -31,7 +30,7 @@
 	var path string
 	command := &cobra.Command{
 		Use:   "control",
-		Short: "Race operators against a control group whose members are killed, frozen and cut off",
+		Short: "Run concurrent operators against a control group whose members are killed, frozen and partitioned",
 		Args:  cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error {
 			if path == "" {
@@ -54,12 +53,12 @@
 	if err != nil {
 		return err
 	}
-	places, err := flags.options(experiment.File{Name: file.Name})
+	paths, err := flags.options(experiment.File{Name: file.Name})
 	if err != nil {
 		return err
 	}
 	options.Fleet = file
-	options.Script = experiment.Script{Root: places.Root, Folder: places.Folder, Binaries: places.Binaries}
+	options.Script = experiment.Script{Root: paths.Root, Folder: paths.Folder, Binaries: paths.Binaries}
 	started := time.Now()
 	options.Progress = func(text string) {
 		fmt.Fprintf(command.ErrOrStderr(), "%s %3.0f s: %s\n", file.Name, time.Since(started).Seconds(), text)
--- a/internal/bench/command/fleet.go
+++ b/internal/bench/command/fleet.go
@@ -46,7 +46,7 @@
 	var timeout time.Duration
 	command := &cobra.Command{
 		Use:   "ready FOLDER NAME...",
-		Short: "Wait until processes say that they are ready",
+		Short: "Wait until processes report that they are ready",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			layout, err := fleet.Open(arguments[0])
@@ -64,7 +64,7 @@
 	var leaving bool
 	command := &cobra.Command{
 		Use:   "register FOLDER NAME...",
-		Short: "List machines with the platform",
+		Short: "Add machines to the platform's list",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			layout, err := fleet.Open(arguments[0])
@@ -81,7 +81,7 @@
 func newRemoveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "remove FOLDER NAME...",
-		Short: "Take machines off the platform's list",
+		Short: "Remove machines from the platform's list",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(command *cobra.Command, arguments []string) error {
 			layout, err := fleet.Open(arguments[0])
--- a/internal/bench/command/progress.go
+++ b/internal/bench/command/progress.go
@@ -10,11 +10,11 @@
 	"golang.org/x/term"
 )
 
-// barSteps is the number of steps of a full bar.
+// barSteps is the number of steps of a full progress bar.
 const barSteps = 1000
 
-// progress shows how far an experiment is: as a bar on a terminal, else as one
-// line for each step.
+// progress shows the progress of an experiment: as a bar on a terminal, elsewhere as one line whenever
+// the text changes.
 type progress struct {
 	name       string
 	output     io.Writer
--- a/internal/bench/command/root.go
+++ b/internal/bench/command/root.go
@@ -8,8 +8,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitFailure is the exit code of a command that failed, or of a run in which
-// something that must always hold did not.
+// exitFailure is the exit code of a command that failed, or of a run that violated an invariant.
 const exitFailure = 1
 
 // Execute runs the command line and returns the exit code of the process.
--- a/internal/bench/command/routing.go
+++ b/internal/bench/command/routing.go
@@ -17,30 +17,30 @@
 	// routingFolderMode and routingFileMode are the modes of results.
 	routingFolderMode = 0o755
 	routingFileMode   = 0o644
-	// defaultRoutingWorkers is the number of ways that run at once.
+	// defaultRoutingWorkers is the number of algorithms that run concurrently.
 	defaultRoutingWorkers = 3
 )
 
-// routingFlags are the settings of a comparison of routing ways.
+// routingFlags are the flags of the routing command.
 type routingFlags struct {
 	targets []int
 	seed    uint64
 	runs    int
 	workers int
-	// flowsPerSecond is the number of new flows a second for each target.
+	// flowsPerSecond is the number of new flows per second and target.
 	flowsPerSecond float64
 	results        string
-	// revision is that of the sources; empty means as the program was built.
+	// revision is the revision of the sources; empty means the one that the program was built from.
 	revision string
 }
 
-// routingReport is what the command writes as JSON.
+// routingReport is the JSON form of the results, written to routing.json.
 type routingReport struct {
 	Revision string        `json:"revision"`
 	Sizes    []routingSize `json:"sizes"`
 }
 
-// routingSize has the runs of one number of targets.
+// routingSize has the runs with one number of targets, one run for each seed.
 type routingSize struct {
 	Targets   int                  `json:"targets"`
 	Options   compare.Options      `json:"options"`
@@ -52,8 +52,8 @@
 	flags := &routingFlags{}
 	command := &cobra.Command{
 		Use:   "routing",
-		Short: "Compare ways of routing over the same flows, on virtual time",
-		Long: "Compare ways of routing over the same flows and changes, on virtual time and without processes. " +
+		Short: "Compare routing algorithms on the same flows, in virtual time",
+		Long: "Compare routing algorithms on the same flows and changes, in virtual time and without processes. " +
 			"Prints Markdown tables; writes routing.json, routing.md and plots. The same seed gives the same tables.",
 		Args: cobra.NoArgs,
 		RunE: func(command *cobra.Command, _ []string) error { return flags.run(command) },
@@ -77,12 +77,12 @@
 		report.Revision = buildRevision()
 	}
 	page := fmt.Sprintf("Revision %s, seeds %d to %d.\n\n", report.Revision, flags.seed, flags.seed+uint64(flags.runs)-1)
-	shown := newProgress(command.ErrOrStderr(), "routing")
-	defer shown.finish()
+	bar := newProgress(command.ErrOrStderr(), "routing")
+	defer bar.finish()
 	for position, targets := range flags.targets {
 		size, err := flags.runSize(targets, func(run int) {
 			done := time.Duration(position*flags.runs + run)
-			shown.show(done*time.Second, time.Duration(len(flags.targets)*flags.runs)*time.Second, fmt.Sprintf("%d targets", targets))
+			bar.show(done*time.Second, time.Duration(len(flags.targets)*flags.runs)*time.Second, fmt.Sprintf("%d targets", targets))
 		})
 		if err != nil {
 			return err
@@ -94,8 +94,8 @@
 	return report.write(flags.results, page)
 }
 
-// runSize runs all seeds of one number of targets and calls started before
-// each.
+// runSize runs the comparison with one number of targets for all seeds, and calls started before each
+// run.
 func (flags *routingFlags) runSize(targets int, started func(run int)) (routingSize, error) {
 	size := routingSize{Targets: targets, Options: compare.DefaultOptions(flags.seed, targets)}
 	size.Options.FlowsPerSecond = flags.flowsPerSecond
@@ -113,7 +113,8 @@
 	return size, nil
 }
 
-// buildRevision returns the revision that the program was built from.
+// buildRevision returns the short revision that the program was built from, or "unknown", with a
+// note when the sources had uncommitted changes.
 func buildRevision() string {
 	information, known := debug.ReadBuildInfo()
 	if !known {
@@ -131,7 +132,7 @@
 	return revision + modified
 }
 
-// shortRevision is the length of a revision as shown.
+// shortRevision is the number of characters of a revision that are bar.
 const shortRevision = 12
 
 func (report routingReport) write(folder, page string) error {
--- a/internal/bench/command/routing_plots.go
+++ b/internal/bench/command/routing_plots.go
@@ -18,11 +18,12 @@
 	routingPlotHeight = 11 * vg.Centimeter
 )
 
-// plottedWays are the ways whose course is drawn; the simple ways open flows
-// by the same hashing, so one of them stands for all.
+// plottedAlgorithms are the algorithms whose timelines are plotted. The simple algorithms place new
+// flows by the same hashing, so one of them stands for all.
 var plottedAlgorithms = []compare.AlgorithmName{compare.AlgorithmHashing, compare.AlgorithmChain, compare.AlgorithmLeastFlows, compare.AlgorithmLeastRequests}
 
-// plot draws the courses of the first run.
+// plot writes plots of the first run: the maximum over the mean of targets' concurrent flows and of
+// their requests, over time.
 func (size routingSize) plot(folder string) error {
 	flows := func(point compare.TimelinePoint) float64 { return point.Flows }
 	if err := size.plotTimeline(folder, "flows", "concurrent flows", flows); err != nil {
@@ -32,18 +33,18 @@
 	return size.plotTimeline(folder, "requests", "requests over 30 s", requests)
 }
 
-func (size routingSize) plotTimeline(folder, name, what string, figure func(compare.TimelinePoint) float64) error {
+func (size routingSize) plotTimeline(folder, name, quantity string, value func(compare.TimelinePoint) float64) error {
 	drawing := plot.New()
-	drawing.Title.Text = fmt.Sprintf("%s at %d targets", what, size.Targets)
+	drawing.Title.Text = fmt.Sprintf("%s at %d targets", quantity, size.Targets)
 	drawing.X.Label.Text = "seconds of virtual time"
 	drawing.Y.Label.Text = "maximum over mean"
 	drawing.Y.Min = 1
 	drawing.Legend.Top = true
 	drawing.Add(plotter.NewGrid())
 	var lines []any
-	for _, way := range plottedAlgorithms {
-		if result, known := size.Runs[0].Result(way); known {
-			lines = append(lines, string(way), timelinePoints(result, figure))
+	for _, algorithm := range plottedAlgorithms {
+		if result, known := size.Runs[0].Result(algorithm); known {
+			lines = append(lines, string(algorithm), timelinePoints(result, value))
 		}
 	}
 	if err := plotutil.AddLines(drawing, lines...); err != nil {
@@ -56,11 +57,11 @@
 	return nil
 }
 
-func timelinePoints(result compare.Result, figure func(compare.TimelinePoint) float64) plotter.XYs {
+func timelinePoints(result compare.Result, value func(compare.TimelinePoint) float64) plotter.XYs {
 	points := make(plotter.XYs, len(result.Timeline))
 	for index, point := range result.Timeline {
 		points[index].X = point.Seconds
-		points[index].Y = figure(point)
+		points[index].Y = value(point)
 	}
 	return points
 }
--- a/internal/bench/command/run.go
+++ b/internal/bench/command/run.go
@@ -18,11 +18,10 @@
 // demoExperiment is the experiment that "make demo" runs.
 const demoExperiment = "experiments/demo.yaml"
 
-// errViolations is the error of a run in which something that must always
-// hold did not.
-var errViolations = errors.New("something that must always hold did not; see the list above")
+// errViolations is the error of a run that violated an invariant.
+var errViolations = errors.New("the run violated invariants; see the list above")
 
-// runFlags are the places of a run.
+// runFlags are the flags that state the paths of a run.
 type runFlags struct {
 	root     string
 	binaries string
@@ -38,7 +37,7 @@
 	command.Flags().StringVar(&flags.baseline, "baseline", "", "earlier result.json to compare with")
 }
 
-// registerPlaces registers the flags that every run of a fleet has.
+// registerPaths registers the flags for paths that every command which runs a fleet has.
 func (flags *runFlags) registerPaths(command *cobra.Command) {
 	command.Flags().StringVar(&flags.root, "root", ".", "the repository's root")
 	command.Flags().StringVar(&flags.binaries, "binaries", "bin", "folder with the programs")
@@ -66,11 +65,11 @@
 		Short: "Run experiment files, one after another",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, paths []string) error {
-			var all []error
+			var failures []error
 			for _, path := range paths {
-				all = append(all, runExperiments(command, flags, path))
+				failures = append(failures, runExperiments(command, flags, path))
 			}
-			return errors.Join(all...)
+			return errors.Join(failures...)
 		},
 	}
 	command.Flags().StringVar(&flags.fleet, "fleet", "", "only run on this one of the experiment's fleet files")
@@ -78,7 +77,7 @@
 	return command
 }
 
-// newPlotCommand writes the table and the plots of a stored result again.
+// newPlotCommand returns the command that writes the table and plots of a stored result again.
 func newPlotCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plot RESULT.json FOLDER",
@@ -114,24 +113,24 @@
 	}
 }
 
-// runExperiments runs an experiment file on each of its fleets.
+// runExperiments runs an experiment file on each of its fleets, or on the one that the flag states.
 func runExperiments(command *cobra.Command, flags *runFlags, path string) error {
 	files, err := experiment.LoadFiles(flags.root, path)
 	if err != nil {
 		return err
 	}
-	var all []error
+	var failures []error
 	for _, file := range files {
 		if flags.fleet != "" && filepath.Clean(file.Fleet) != filepath.Clean(flags.fleet) {
 			continue
 		}
-		all = append(all, runExperiment(command, flags, file))
+		failures = append(failures, runExperiment(command, flags, file))
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
-// runExperiment runs one experiment, prints and stores its result, and fails
-// when something that must always hold did not.
+// runExperiment runs one experiment, prints and stores its result, and returns errViolations when an
+// invariant was violated.
 func runExperiment(command *cobra.Command, flags *runFlags, file experiment.File) error {
 	options, err := flags.options(file)
 	if err != nil {
@@ -159,6 +158,7 @@
 	return nil
 }
 
+// options returns the absolute paths of a run. It fails when the programs are not built.
 func (flags *runFlags) options(file experiment.File) (experiment.Options, error) {
 	folder := flags.folder
 	if folder == "" {
@@ -176,6 +176,7 @@
 	return experiment.Options{Root: root, Binaries: binaries, Folder: folder}, nil
 }
 
+// compare prints the comparison with the baseline, if one is given.
 func (flags *runFlags) compare(output io.Writer, result experiment.Result) error {
 	if flags.baseline == "" {
 		return nil
--- a/internal/bench/fleet/documents.go
+++ b/internal/bench/fleet/documents.go
@@ -11,7 +11,7 @@
 // templateName is the template that all of a fleet's services use.
 const templateName = "tenant-http3"
 
-// document is one object for merlinctl apply.
+// document is one object in a file that merlinctl apply reads.
 type document struct {
 	Kind   string `yaml:"kind"`
 	Name   string `yaml:"name"`
@@ -19,7 +19,7 @@
 	Spec   any    `yaml:"spec"`
 }
 
-// templateSpec is the part of a template that fleets use.
+// templateSpec has the fields of a template that fleets use.
 type templateSpec struct {
 	Description string                `yaml:"description"`
 	Protocol    string                `yaml:"protocol"`
@@ -63,7 +63,7 @@
 	Name string `yaml:"name"`
 }
 
-// serviceParameters fills the template for one service.
+// serviceParameters are the template's parameters of one service.
 type serviceParameters struct {
 	Address      string   `yaml:"address"`
 	Slots        int      `yaml:"slots"`
@@ -79,6 +79,7 @@
 	Backend string `yaml:"backend" json:"backend"`
 }
 
+// targetOf returns an agent and its back end as a target.
 func targetOf(agent Process) Target {
 	return Target{
 		Name:    agent.Name,
@@ -88,7 +89,7 @@
 	}
 }
 
-// Targets returns the named agents as targets of a service's parameters.
+// Targets returns the named agents as targets for a service's parameters.
 func (layout *Layout) Targets(names []string) ([]Target, error) {
 	var targets []Target
 	for _, name := range names {
@@ -101,12 +102,12 @@
 	return targets, nil
 }
 
-// DefaultMaximumQueue is the queue length that rendered services start with;
-// the demonstration changes it while traffic runs.
+// DefaultMaximumQueue is the initial maximum queue length of rendered services. The demonstration
+// changes it under traffic.
 const DefaultMaximumQueue = 64
 
-// template returns the template for the users' mix: calls weigh two, uploads
-// and feeds one.
+// template returns the template of all services, in which calls have weight two, uploads and feeds
+// one.
 func template() document {
 	return document{Kind: "Template", Name: templateName, Spec: templateSpec{
 		Description: "HTTP/3 service with calls, at-most-once calls, uploads and feeds",
@@ -127,7 +128,8 @@
 	}}
 }
 
-// documents returns the objects that fill a fresh control group.
+// documents returns the objects to apply to a new control group: the template, the tenants and the
+// services.
 func (layout *Layout) documents() []document {
 	all := []document{template()}
 	known := make(map[string]bool)
@@ -164,7 +166,7 @@
 	}
 }
 
-// encodeDocuments writes objects as one YAML stream.
+// encodeDocuments encodes objects as one YAML stream.
 func encodeDocuments(documents []document) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := yaml.NewEncoder(&buffer)
--- a/internal/bench/fleet/file.go
+++ b/internal/bench/fleet/file.go
@@ -1,6 +1,6 @@
-// Package fleet turns one fleet file into the settings files of a whole fleet
-// of processes on loopback addresses, one address a machine, and reads what
-// it rendered back for the tools that drive the fleet.
+// Package fleet renders a fleet file into the settings, keys, tokens and documents of a fleet of
+// processes on loopback addresses, one address per machine. Tools that drive the fleet read the
+// rendered fleet back with Open.
 package fleet
 
 import (
@@ -15,30 +15,32 @@
 	"gopkg.in/yaml.v3"
 )
 
-// File is a fleet file.
+// File is a fleet file: the processes, services and load of a fleet.
 type File struct {
 	// Name is the fleet's name.
 	Name string `yaml:"name" validate:"required,max=32"`
-	// Network is the first two numbers of all loopback addresses, as "127.20".
+	// Network is the first two octets of all loopback addresses, such as "127.20".
 	Network string `yaml:"network" validate:"required"`
-	// Region and Zones are the places of the fleet.
+	// Region and Zones are the region and the zones that processes are spread over.
 	Region string   `yaml:"region" validate:"required,max=64"`
 	Zones  []string `yaml:"zones" validate:"min=1,max=8,unique,dive,required,max=64"`
-	// BetweenZones and ToCallers are one-way latencies.
+	// BetweenZones and ToCallers are the one-way latencies between two zones, and between a zone and
+	// the callers.
 	BetweenZones time.Duration `yaml:"between_zones" validate:"min=0"`
 	ToCallers    time.Duration `yaml:"to_callers" validate:"min=0"`
-	// ControlMembers is the number of voters, spread over the zones.
+	// ControlMembers is the number of voting control members, spread over the zones.
 	ControlMembers   int `yaml:"control_members" validate:"min=1,max=7"`
 	RelaysPerZone    int `yaml:"relays_per_zone" validate:"min=1,max=4"`
 	BalancersPerZone int `yaml:"balancers_per_zone" validate:"min=1,max=20"`
-	// StandbyBalancers are rendered and not started with the fleet.
+	// StandbyBalancers is the number of balancers that are rendered but not started with the fleet.
 	StandbyBalancers int `yaml:"standby_balancers" validate:"min=0,max=20"`
 	// ReportInterval is the time between two heartbeats of a node and between
 	// two reports of a relay; zero means the defaults of the settings.
 	ReportInterval time.Duration `yaml:"report_interval" validate:"min=0"`
-	// PlatformDelay is how late the platform's machine list is.
+	// PlatformDelay is the delay with which changes appear in the platform's machine list.
 	PlatformDelay time.Duration `yaml:"platform_delay" validate:"min=0"`
-	// Seed fixes the fabric's spraying and the callers' requests.
+	// Seed is the random seed of the fabric's spraying of packets over balancers and of the callers'
+	// requests.
 	Seed     uint64    `yaml:"seed"`
 	Services []Service `yaml:"services" validate:"min=1,max=20,dive"`
 }
@@ -47,23 +49,23 @@
 type Service struct {
 	Name   string `yaml:"name" validate:"required,max=32"`
 	Tenant string `yaml:"tenant" validate:"required,max=32"`
-	// Targets is the number of targets; StandbyTargets are rendered and
-	// neither started with the fleet nor in the service's parameters.
+	// Targets is the number of targets. StandbyTargets is the number of further ones that are
+	// rendered, but neither started with the fleet nor listed in the service's parameters.
 	Targets        int `yaml:"targets" validate:"min=1,max=200"`
 	StandbyTargets int `yaml:"standby_targets" validate:"min=0,max=50"`
-	// UpgradeTargets are the first targets for which a second agent is
-	// rendered, which an upgrade starts beside the first one.
+	// UpgradeTargets is the number of targets, counted from the first, for which a second agent is
+	// rendered. An upgrade starts it beside the first agent.
 	UpgradeTargets int `yaml:"upgrade_targets" validate:"min=0,max=200,ltefield=Targets"`
 	Slots          int `yaml:"slots" validate:"min=1,max=1000"`
 	// ServiceTime is the mean time of a call at the back end.
 	ServiceTime  time.Duration `yaml:"service_time" validate:"min=0"`
 	FeedInterval time.Duration `yaml:"feed_interval" validate:"min=1000000"`
-	// ColdStart is how long back ends are slow after their start.
+	// ColdStart is how long back ends are slow after they start.
 	ColdStart time.Duration `yaml:"cold_start" validate:"min=0"`
 	Load      Load          `yaml:"load"`
 }
 
-// Load is what the callers of a service offer.
+// Load is the load that the callers of a service offer.
 type Load struct {
 	CallsPerSecond     float64       `yaml:"calls_per_second" validate:"min=0"`
 	AtMostOnceFraction float64       `yaml:"at_most_once_fraction" validate:"min=0,max=1"`
@@ -75,10 +77,10 @@
 	RequestTimeout     time.Duration `yaml:"request_timeout" validate:"min=1000000"`
 }
 
-// networkNumbers is the count of numbers in File.Network.
+// networkOctets is the number of octets in File.Network.
 const networkOctets = 2
 
-// LoadFile reads and checks a fleet file.
+// LoadFile reads and validates a fleet file.
 func LoadFile(path string) (File, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -91,8 +93,8 @@
 	return file, nil
 }
 
-// ParseFile reads and checks the content of a fleet file. Unknown keys are
-// refused; the error names every wrong field.
+// ParseFile decodes and validates the content of a fleet file. Unknown keys are errors. A validation
+// error names every invalid field.
 func ParseFile(content []byte) (File, error) {
 	var file File
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -112,21 +114,21 @@
 
 func checkFields(file File) error {
 	err := validator.New(validator.WithRequiredStructEnabled()).Struct(file)
-	var wrong validator.ValidationErrors
-	if !errors.As(err, &wrong) {
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) {
 		return err
 	}
-	var all []error
-	for _, field := range wrong {
-		all = append(all, fmt.Errorf("%s: value %v breaks the rule %s=%s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
+	var problems []error
+	for _, field := range invalid {
+		problems = append(problems, fmt.Errorf("%s: value %v violates the rule %s=%s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
 func (file File) checkNetwork() error {
 	address, err := netip.ParseAddr(file.Network + ".0.0")
 	if err != nil || !address.IsLoopback() {
-		return fmt.Errorf("network %q: must be the first %d numbers of loopback addresses, as 127.20", file.Network, networkOctets)
+		return fmt.Errorf("network %q: must be the first %d octets of loopback addresses, such as 127.20", file.Network, networkOctets)
 	}
 	return nil
 }
--- a/internal/bench/fleet/fleet_test.go
+++ b/internal/bench/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 	"merlinpaddle/internal/standin/platform"
 )
 
-// defaultTestWait bounds waits in tests; it is no measure of speed.
+// testTimeout bounds waits in tests. It is generous, and not an expectation of speed.
 const testTimeout = 20 * time.Second
 
 const smallFleet = `
@@ -40,7 +40,7 @@
     load: {calls_per_second: 1, upload_bytes: 10, connections: 1, request_timeout: 1s}
 `
 
-func TestParseFileNamesTheWrongField(t *testing.T) {
+func TestParseFileNamesTheInvalidField(t *testing.T) {
 	cases := []struct {
 		name, old, new, fault string
 	}{
@@ -66,8 +66,7 @@
 	}
 }
 
-// Every fleet file of the repository renders, and no two processes of it
-// share an address.
+// Every fleet file of the repository loads, and no two of its processes share an address.
 func TestFleetFilesOfTheRepository(t *testing.T) {
 	paths, err := filepath.Glob("../../../fleets/*.yaml")
 	require.NoError(t, err)
@@ -94,40 +93,40 @@
 	layout, err := Render(file, folder)
 	require.NoError(t, err)
 
-	t.Run("is read back", func(t *testing.T) {
+	t.Run("can be opened", func(t *testing.T) {
 		opened, err := Open(folder)
 		require.NoError(t, err)
 		require.Equal(t, layout, opened)
 	})
-	t.Run("refuses a folder that holds a fleet", func(t *testing.T) {
+	t.Run("refuses a folder that already has a fleet", func(t *testing.T) {
 		_, err := Render(file, folder)
 		require.ErrorContains(t, err, "holds a fleet already")
 	})
-	t.Run("prefers relays of the own zone", func(t *testing.T) {
-		chosen, err := settings.Load(SettingsPath(folder, "balancer-2"), nil)
+	t.Run("lists relays of the own zone first", func(t *testing.T) {
+		loaded, err := settings.Load(SettingsPath(folder, "balancer-2"), nil)
 		require.NoError(t, err)
-		require.Equal(t, "b", chosen.Balancer.Relays[0].Zone)
-		require.Len(t, chosen.Balancer.Relays, 2)
+		require.Equal(t, "b", loaded.Balancer.Relays[0].Zone)
+		require.Len(t, loaded.Balancer.Relays, 2)
 	})
-	t.Run("knows the latency between zones", func(t *testing.T) {
-		chosen, err := settings.Load(SettingsPath(folder, "fabric"), nil)
+	t.Run("sets the latencies between zones and to callers", func(t *testing.T) {
+		loaded, err := settings.Load(SettingsPath(folder, "fabric"), nil)
 		require.NoError(t, err)
-		require.Contains(t, chosen.Fabric.Latencies, settings.Latency{From: "a", To: "b", Delay: 500 * time.Microsecond})
-		require.Contains(t, chosen.Fabric.Latencies, settings.Latency{From: "b", To: "caller", Delay: time.Millisecond})
+		require.Contains(t, loaded.Fabric.Latencies, settings.Latency{From: "a", To: "b", Delay: 500 * time.Microsecond})
+		require.Contains(t, loaded.Fabric.Latencies, settings.Latency{From: "b", To: "caller", Delay: time.Millisecond})
 	})
-	t.Run("keeps tokens private", func(t *testing.T) {
+	t.Run("makes the token file private", func(t *testing.T) {
 		info, err := os.Stat(filepath.Join(folder, TokenFile))
 		require.NoError(t, err)
 		require.EqualValues(t, privateMode, info.Mode().Perm())
 	})
-	t.Run("leaves standbys out of the service", func(t *testing.T) {
+	t.Run("leaves standby targets out of the service", func(t *testing.T) {
 		documents, err := os.ReadFile(filepath.Join(folder, documentsFile))
 		require.NoError(t, err)
 		require.Contains(t, string(documents), "name: web-2")
 		require.NotContains(t, string(documents), "name: web-3")
 		require.NotContains(t, string(documents), UpgradeName("web-1"))
 	})
-	t.Run("puts the upgraded agent in front of the same back end", func(t *testing.T) {
+	t.Run("gives the upgrade agent the same back end", func(t *testing.T) {
 		first, err := settings.Load(SettingsPath(folder, "web-1"), nil)
 		require.NoError(t, err)
 		second, err := settings.Load(SettingsPath(folder, UpgradeName("web-1")), nil)
--- a/internal/bench/fleet/layout.go
+++ b/internal/bench/fleet/layout.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// Role is the role of a process, as merlinpaddle's subcommand.
+// Role is the role of a process, which is the subcommand of merlinpaddle that runs it.
 type Role string
 
-// The roles of a fleet.
+// The roles of a fleet's processes.
 const (
 	RolePlatform Role = "platform"
 	RoleControl  Role = "control"
@@ -20,8 +20,8 @@
 	RoleCaller   Role = "caller"
 )
 
-// Third numbers of the machines' addresses, by kind of machine. Targets of
-// the n-th service have subnetTargets + n.
+// Third octets of the machines' addresses, by kind of machine. Targets of the n-th service, counted
+// from 0, have subnetTargets + n.
 const (
 	subnetControl  = 1
 	subnetRelay    = 2
@@ -33,13 +33,13 @@
 	subnetTargets  = 20
 )
 
-// Ports are the same on every machine. The back end's status port differs
-// because it shares a machine with its agent.
+// Ports are the same on every machine. The back end's status port differs from portStatus because
+// a back end shares its machine with its agent.
 const (
 	portListen        = 7000
 	portStatus        = 7001
 	portBackendStatus = 7002
-	// The second agent of a machine, which an upgrade starts.
+	// Ports of the second agent of a machine, which an upgrade starts.
 	portUpgradeStatus = 7004
 	portUpgradeGeneve = 6082
 	portAPI           = 7443
@@ -57,26 +57,25 @@
 	Zone string
 	// Machine is the loopback address of its machine.
 	Machine netip.Addr
-	// Status is where it serves health, readiness and metrics.
+	// Status is the address on which it serves health, readiness and metrics.
 	Status netip.AddrPort
-	// Data is the address that the platform lists: for balancers and agents
-	// the one that takes Geneve packets.
+	// Data is the address that the platform lists. On it, balancers and agents receive Geneve packets.
 	Data netip.AddrPort
-	// Standby processes do not start with the fleet.
+	// Standby is true for processes that do not start with the fleet.
 	Standby bool
 	// Service is the service of a back end, agent or caller.
 	Service string
-	// Backend is the back end that an agent is in front of.
+	// Backend is the name of the back end that an agent forwards to.
 	Backend string
 }
 
-// Layout is where every process of a fleet runs.
+// Layout lists the processes of a fleet with their addresses.
 type Layout struct {
 	file      File
 	Processes []Process
 }
 
-// NewLayout places the processes of a fleet in the order in which they start.
+// NewLayout returns the processes of a fleet in the order in which they start.
 func NewLayout(file File) *Layout {
 	layout := &Layout{file: file}
 	layout.add(RolePlatform, "platform", 0, subnetPlatform, 1, portPlatform)
@@ -91,12 +90,12 @@
 	return layout
 }
 
-// address is the number-th machine of a subnet.
+// address returns the address of the number-th machine of a subnet.
 func (layout *Layout) address(subnet, number int) netip.Addr {
 	return netip.MustParseAddr(fmt.Sprintf("%s.%d.%d", layout.file.Network, subnet, number))
 }
 
-// add places one process and returns it for changes.
+// add appends a process and returns a pointer for changes, valid until the next call.
 func (layout *Layout) add(role Role, name string, zone, subnet, number int, dataPort uint16) *Process {
 	machine := layout.address(subnet, number)
 	layout.Processes = append(layout.Processes, Process{
@@ -135,12 +134,11 @@
 	}
 }
 
-// UpgradeName is the name of the agent that takes over from the agent of a
-// target in an upgrade.
+// UpgradeName returns the name of the agent that replaces a target's agent in an upgrade.
 func UpgradeName(target string) string { return target + "-upgrade" }
 
-// addTargets places each target's back end and agent on one machine. The
-// agent's name is the target's name.
+// addTargets adds the back end and the agent of each target, both on one machine. The agent has the
+// target's name.
 func (layout *Layout) addTargets(index int, service Service) {
 	subnet := subnetTargets + index
 	for number := 1; number <= service.Targets+service.StandbyTargets; number++ {
@@ -159,7 +157,7 @@
 	}
 }
 
-// addUpgrade places a second agent on the machine of the first.
+// addUpgrade adds a second agent on the machine of the first, with the same back end.
 func (layout *Layout) addUpgrade(first Process, zone, subnet, number int) {
 	second := layout.add(RoleAgent, UpgradeName(first.Name), zone, subnet, number, portUpgradeGeneve)
 	second.Status = netip.AddrPortFrom(second.Machine, portUpgradeStatus)
@@ -176,12 +174,12 @@
 	}
 }
 
-// Virtual is the address that callers of the index-th service use.
+// VirtualAddress returns the address that callers of the index-th service connect to.
 func (layout *Layout) VirtualAddress(index int) netip.AddrPort {
 	return netip.AddrPortFrom(layout.address(subnetVirtual, index+1), portVirtual)
 }
 
-// OfRole returns the processes of one role.
+// WithRole returns the processes that have a role.
 func (layout *Layout) WithRole(role Role) []Process {
 	var found []Process
 	for _, process := range layout.Processes {
@@ -192,7 +190,7 @@
 	return found
 }
 
-// APIEndpoints are the base URLs of the administration API.
+// APIEndpoints returns the base URLs of the administration API, one for each control member.
 func (layout *Layout) APIEndpoints() []string {
 	var endpoints []string
 	for _, process := range layout.WithRole(RoleControl) {
@@ -201,7 +199,7 @@
 	return endpoints
 }
 
-// LoadOf returns what the callers of a service offer.
+// LoadOf returns the load of a service, which is zero when the fleet has no such service.
 func (layout *Layout) LoadOf(service string) Load {
 	for _, candidate := range layout.file.Services {
 		if candidate.Name == service {
--- a/internal/bench/fleet/processes.go
+++ b/internal/bench/fleet/processes.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// processColumns is the head of the process list, which shell scripts read.
+// processColumns are the columns of the process list, a file of tab-separated values that shell
+// scripts read too.
 var processColumns = []string{"name", "role", "zone", "machine", "status", "data", "standby", "service", "backend"}
 
 // noValue stands for an empty service or back end in the list.
@@ -45,7 +46,7 @@
 	return value
 }
 
-// valueOf is the inverse of valueOrNone.
+// valueOf returns the value in a column; it is the inverse of valueOrNone.
 func valueOf(column string) string {
 	if column == noValue {
 		return ""
@@ -66,7 +67,7 @@
 	return &Layout{file: file, Processes: processes}, nil
 }
 
-// File returns the fleet file that the layout was made from.
+// File returns the fleet file that the layout was built from.
 func (layout *Layout) File() File { return layout.file }
 
 // Find returns the process with that name.
@@ -101,7 +102,7 @@
 func parseProcess(line string) (Process, error) {
 	columns := strings.Split(line, "\t")
 	if len(columns) != len(processColumns) {
-		return Process{}, fmt.Errorf("line %q has %d columns, wanted %d", line, len(columns), len(processColumns))
+		return Process{}, fmt.Errorf("line %q has %d columns, want %d", line, len(columns), len(processColumns))
 	}
 	machine, machineErr := netip.ParseAddr(columns[3])
 	status, statusErr := netip.ParseAddrPort(columns[4])
--- a/internal/bench/fleet/render.go
+++ b/internal/bench/fleet/render.go
@@ -28,9 +28,9 @@
 	documentsFile  = "apply.yaml"
 	fleetFile      = "fleet.yaml"
 
-	// BackendPrefix and a target's name make the name of its back end.
+	// BackendPrefix precedes a target's name in the name of its back end.
 	BackendPrefix = "backend-"
-	// AuthorityFile has the certificate authority of a fleet.
+	// AuthorityFile is the path of the certificate authority's certificate in a fleet's folder.
 	AuthorityFile = keysFolder + "/" + keys.AuthorityFolder + "/" + keys.AuthorityFile
 
 	folderMode  = 0o755
@@ -38,8 +38,8 @@
 	privateMode = 0o600
 )
 
-// Render writes everything that a fleet needs into folder, which must not
-// hold a fleet yet.
+// Render writes the settings, keys, tokens, documents and process list of a fleet into folder. It
+// fails when folder already has a fleet.
 func Render(file File, folder string) (*Layout, error) {
 	folder, err := filepath.Abs(folder)
 	if err != nil {
@@ -61,23 +61,24 @@
 	if err != nil {
 		return nil, err
 	}
-	// The list comes last: a folder with a list is a whole fleet.
+	// The process list is written last, so that a folder which has one has a complete fleet.
 	return layout, writeProcesses(filepath.Join(folder, processesFile), layout.Processes)
 }
 
 func (renderer renderer) makeFolders() error {
-	var all []error
+	var problems []error
 	for _, name := range []string{settingsFolder, keysFolder, LedgersFolder, ReportsFolder} {
-		all = append(all, os.MkdirAll(filepath.Join(renderer.folder, name), folderMode))
+		problems = append(problems, os.MkdirAll(filepath.Join(renderer.folder, name), folderMode))
 	}
-	return errors.Join(all...)
+	return errors.Join(problems...)
 }
 
-// SettingsPath is the settings file of the process with that name.
+// SettingsPath returns the path of the settings file of the process with that name.
 func SettingsPath(folder, process string) string {
 	return filepath.Join(folder, settingsFolder, process+".yaml")
 }
 
+// writeSettings writes the settings file of each process, and loads it to validate it.
 func (renderer renderer) writeSettings() error {
 	for _, process := range renderer.layout.Processes {
 		text, err := settings.Marshal(renderer.settingsOf(process))
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// writeKeys makes the keys of the system's own processes.
+// writeKeys creates the keys of control members, relays, balancers and agents. The stand-ins have
+// none.
 func (renderer renderer) writeKeys() error {
 	var processes []keys.Process
 	for _, role := range []Role{RoleControl, RoleRelay, RoleBalancer, RoleAgent} {
@@ -110,7 +112,7 @@
 	return keys.Init(filepath.Join(renderer.folder, keysFolder), processes, time.Now())
 }
 
-// tokenList is the token file of the administration API.
+// tokenList is the content of the administration API's token file.
 type tokenList struct {
 	Tokens []tokenEntry `yaml:"tokens"`
 }
--- a/internal/bench/fleet/script_test.go
+++ b/internal/bench/fleet/script_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// script runs hack/fleet in a folder and returns what it printed.
+// script runs hack/fleet on a fleet's folder and returns its combined output.
 func script(t *testing.T, bin, folder string, arguments ...string) (string, error) {
 	t.Helper()
 	command := exec.Command("../../../hack/fleet", append([]string{"--folder", folder}, arguments...)...)
@@ -26,7 +26,8 @@
 	return bin
 }
 
-// The script signals, lists and ends only processes of its own fleet.
+// The script starts, freezes, resumes and kills the named process of its fleet, reports its status,
+// and leaves other processes alone.
 func TestFleetScript(t *testing.T) {
 	bin := buildPrograms(t)
 	file, err := ParseFile([]byte(strings.Replace(smallFleet, "127.30", "127.31", 1)))
@@ -67,7 +68,7 @@
 			return strings.HasPrefix(statusOf(t, bin, folder, first), step.status)
 		}, testTimeout, readyPollInterval, "after %v", step.arguments)
 	}
-	require.True(t, strings.HasPrefix(statusOf(t, bin, folder, second), "running"), "the other process is untouched")
+	require.True(t, strings.HasPrefix(statusOf(t, bin, folder, second), "running"), "the other process still runs")
 
 	output, err := script(t, bin, folder, "down")
 	require.NoError(t, err, output)
@@ -81,6 +82,7 @@
 	require.Contains(t, output, "no fleet")
 }
 
+// statusOf returns the status of a process as hack/fleet prints it.
 func statusOf(t *testing.T, bin, folder, name string) string {
 	t.Helper()
 	output, err := script(t, bin, folder, "status")
--- a/internal/bench/fleet/settings.go
+++ b/internal/bench/fleet/settings.go
@@ -9,10 +9,10 @@
 	"merlinpaddle/internal/settings"
 )
 
-// callerZone names the callers in the fabric's latencies.
+// callerZone stands for the callers in the fabric's latencies.
 const callerZone = "caller"
 
-// renderer makes the settings of a fleet's processes.
+// renderer writes the files of a fleet.
 type renderer struct {
 	layout *Layout
 	// folder is the fleet's folder, as an absolute path.
@@ -21,44 +21,44 @@
 
 // settingsOf returns the settings of one process.
 func (renderer renderer) settingsOf(process Process) settings.Settings {
-	chosen := settings.Default()
-	chosen.Node = process.Name
-	chosen.Zone = process.Zone
-	chosen.Region = renderer.layout.file.Region
-	chosen.DataFolder = filepath.Join(renderer.folder, "data", process.Name)
-	chosen.Status = process.Status.String()
+	rendered := settings.Default()
+	rendered.Node = process.Name
+	rendered.Zone = process.Zone
+	rendered.Region = renderer.layout.file.Region
+	rendered.DataFolder = filepath.Join(renderer.folder, "data", process.Name)
+	rendered.Status = process.Status.String()
 	switch process.Role {
 	case RoleControl:
-		renderer.setControl(&chosen, process)
+		renderer.setControl(&rendered, process)
 	case RoleRelay:
-		chosen.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
-		chosen.Keys = renderer.keys(process)
-		chosen.Relay.Control = peers(renderer.layout.WithRole(RoleControl))
-		renderer.setInterval(&chosen.Relay.ReportInterval)
+		rendered.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
+		rendered.Keys = renderer.keys(process)
+		rendered.Relay.Control = peers(renderer.layout.WithRole(RoleControl))
+		renderer.setInterval(&rendered.Relay.ReportInterval)
 	case RoleBalancer:
-		chosen.Keys = renderer.keys(process)
-		chosen.Balancer.Packets = process.Data.String()
-		chosen.Balancer.Relays = renderer.orderedRelays(process.Zone)
-		renderer.setInterval(&chosen.Balancer.HeartbeatInterval)
+		rendered.Keys = renderer.keys(process)
+		rendered.Balancer.Packets = process.Data.String()
+		rendered.Balancer.Relays = renderer.orderedRelays(process.Zone)
+		renderer.setInterval(&rendered.Balancer.HeartbeatInterval)
 	case RoleAgent:
-		renderer.setAgent(&chosen, process)
+		renderer.setAgent(&rendered, process)
 	case RoleBackend:
-		renderer.setBackend(&chosen, process)
+		renderer.setBackend(&rendered, process)
 	case RoleFabric:
-		renderer.setFabric(&chosen, process)
+		renderer.setFabric(&rendered, process)
 	case RoleCaller:
-		renderer.setCaller(&chosen, process)
+		renderer.setCaller(&rendered, process)
 	case RolePlatform:
-		chosen.Platform.Listen = process.Data.String()
-		chosen.Platform.Delay = renderer.layout.file.PlatformDelay
+		rendered.Platform.Listen = process.Data.String()
+		rendered.Platform.Delay = renderer.layout.file.PlatformDelay
 	}
-	return chosen
+	return rendered
 }
 
-// setInterval replaces a default interval when the fleet file states one.
+// setInterval replaces a default interval by the fleet file's report interval, if that is set.
 func (renderer renderer) setInterval(interval *time.Duration) {
-	if stated := renderer.layout.file.ReportInterval; stated > 0 {
-		*interval = stated
+	if configured := renderer.layout.file.ReportInterval; configured > 0 {
+		*interval = configured
 	}
 }
 
@@ -70,50 +70,50 @@
 	return fmt.Sprintf("http://%s", renderer.layout.WithRole(RolePlatform)[0].Data)
 }
 
-func (renderer renderer) setControl(chosen *settings.Settings, process Process) {
-	chosen.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
-	chosen.Keys = renderer.keys(process)
-	chosen.Control.Members = peers(renderer.layout.WithRole(RoleControl))
-	chosen.Control.API = netip.AddrPortFrom(process.Machine, portAPI).String()
-	chosen.Control.Tokens = filepath.Join(renderer.folder, tokensFile)
-	chosen.Control.Platform = renderer.platformURL()
+func (renderer renderer) setControl(rendered *settings.Settings, process Process) {
+	rendered.Listen = netip.AddrPortFrom(process.Machine, portListen).String()
+	rendered.Keys = renderer.keys(process)
+	rendered.Control.Members = peers(renderer.layout.WithRole(RoleControl))
+	rendered.Control.API = netip.AddrPortFrom(process.Machine, portAPI).String()
+	rendered.Control.Tokens = filepath.Join(renderer.folder, tokensFile)
+	rendered.Control.Platform = renderer.platformURL()
 }
 
-func (renderer renderer) setAgent(chosen *settings.Settings, process Process) {
+func (renderer renderer) setAgent(rendered *settings.Settings, process Process) {
 	service, _ := renderer.service(process)
-	chosen.Keys = renderer.keys(process)
-	chosen.Agent.Packets = process.Data.String()
-	chosen.Agent.Relays = renderer.orderedRelays(process.Zone)
-	chosen.Agent.Fabric = renderer.layout.WithRole(RoleFabric)[0].Data.String()
-	chosen.Agent.Backend = netip.AddrPortFrom(process.Machine, portBackend).String()
-	chosen.Agent.ColdStart = service.ColdStart
-	renderer.setInterval(&chosen.Agent.HeartbeatInterval)
+	rendered.Keys = renderer.keys(process)
+	rendered.Agent.Packets = process.Data.String()
+	rendered.Agent.Relays = renderer.orderedRelays(process.Zone)
+	rendered.Agent.Fabric = renderer.layout.WithRole(RoleFabric)[0].Data.String()
+	rendered.Agent.Backend = netip.AddrPortFrom(process.Machine, portBackend).String()
+	rendered.Agent.ColdStart = service.ColdStart
+	renderer.setInterval(&rendered.Agent.HeartbeatInterval)
 }
 
-func (renderer renderer) setBackend(chosen *settings.Settings, process Process) {
+func (renderer renderer) setBackend(rendered *settings.Settings, process Process) {
 	service, _ := renderer.service(process)
-	chosen.Backend.Listen = process.Data.String()
-	chosen.Backend.Slots = service.Slots
-	chosen.Backend.ServiceTime = service.ServiceTime
-	chosen.Backend.FeedInterval = service.FeedInterval
-	chosen.Backend.ColdStart = service.ColdStart
-	chosen.Backend.Ledger = filepath.Join(renderer.folder, LedgersFolder, process.Name+".jsonl")
+	rendered.Backend.Listen = process.Data.String()
+	rendered.Backend.Slots = service.Slots
+	rendered.Backend.ServiceTime = service.ServiceTime
+	rendered.Backend.FeedInterval = service.FeedInterval
+	rendered.Backend.ColdStart = service.ColdStart
+	rendered.Backend.Ledger = filepath.Join(renderer.folder, LedgersFolder, process.Name+".jsonl")
 }
 
-func (renderer renderer) setFabric(chosen *settings.Settings, process Process) {
+func (renderer renderer) setFabric(rendered *settings.Settings, process Process) {
 	file := renderer.layout.file
 	for index := range file.Services {
-		chosen.Fabric.Addresses = append(chosen.Fabric.Addresses, renderer.layout.VirtualAddress(index).String())
+		rendered.Fabric.Addresses = append(rendered.Fabric.Addresses, renderer.layout.VirtualAddress(index).String())
 	}
-	chosen.Fabric.Geneve = process.Data.String()
-	chosen.Fabric.Platform = renderer.platformURL()
-	chosen.Fabric.Control = netip.AddrPortFrom(process.Machine, portFabricControl).String()
-	chosen.Fabric.Seed = file.Seed
-	chosen.Fabric.Latencies = latencies(file)
+	rendered.Fabric.Geneve = process.Data.String()
+	rendered.Fabric.Platform = renderer.platformURL()
+	rendered.Fabric.Control = netip.AddrPortFrom(process.Machine, portFabricControl).String()
+	rendered.Fabric.Seed = file.Seed
+	rendered.Fabric.Latencies = latencies(file)
 }
 
-// latencies lists both directions between callers and each zone, and between
-// each two zones.
+// latencies returns the latencies between the callers and each zone and between any two zones, in
+// both directions.
 func latencies(file File) []settings.Latency {
 	var all []settings.Latency
 	for _, zone := range file.Zones {
@@ -129,24 +129,24 @@
 	return all
 }
 
-func (renderer renderer) setCaller(chosen *settings.Settings, process Process) {
+func (renderer renderer) setCaller(rendered *settings.Settings, process Process) {
 	service, index := renderer.service(process)
 	load := service.Load
-	chosen.Caller.Address = renderer.layout.VirtualAddress(index).String()
-	chosen.Caller.Source = process.Machine.String()
-	chosen.Caller.CallsPerSecond = load.CallsPerSecond
-	chosen.Caller.AtMostOnceFraction = load.AtMostOnceFraction
-	chosen.Caller.UploadsPerSecond = load.UploadsPerSecond
-	chosen.Caller.UploadBytes = load.UploadBytes
-	chosen.Caller.Feeds = load.Feeds
-	chosen.Caller.Connections = load.Connections
-	chosen.Caller.ConnectionLifetime = load.ConnectionLifetime
-	chosen.Caller.RequestTimeout = load.RequestTimeout
-	chosen.Caller.Report = filepath.Join(renderer.folder, ReportsFolder, process.Name+".json")
-	chosen.Caller.Seed = renderer.layout.file.Seed
+	rendered.Caller.Address = renderer.layout.VirtualAddress(index).String()
+	rendered.Caller.Source = process.Machine.String()
+	rendered.Caller.CallsPerSecond = load.CallsPerSecond
+	rendered.Caller.AtMostOnceFraction = load.AtMostOnceFraction
+	rendered.Caller.UploadsPerSecond = load.UploadsPerSecond
+	rendered.Caller.UploadBytes = load.UploadBytes
+	rendered.Caller.Feeds = load.Feeds
+	rendered.Caller.Connections = load.Connections
+	rendered.Caller.ConnectionLifetime = load.ConnectionLifetime
+	rendered.Caller.RequestTimeout = load.RequestTimeout
+	rendered.Caller.Report = filepath.Join(renderer.folder, ReportsFolder, process.Name+".json")
+	rendered.Caller.Seed = renderer.layout.file.Seed
 }
 
-// service returns the service of a process and its index.
+// service returns the service of a process and its index, or a zero Service and 0 when it has none.
 func (renderer renderer) service(process Process) (Service, int) {
 	for index, service := range renderer.layout.file.Services {
 		if service.Name == process.Service {
@@ -156,19 +156,20 @@
 	return Service{}, 0
 }
 
-// relays lists the relays of a zone first and the others after them.
+// orderedRelays returns all relays, those of the zone first.
 func (renderer renderer) orderedRelays(zone string) []settings.Peer {
-	var near, far []Process
+	var local, remote []Process
 	for _, relay := range renderer.layout.WithRole(RoleRelay) {
 		if relay.Zone == zone {
-			near = append(near, relay)
+			local = append(local, relay)
 		} else {
-			far = append(far, relay)
+			remote = append(remote, relay)
 		}
 	}
-	return peers(append(near, far...))
+	return peers(append(local, remote...))
 }
 
+// peers returns the listen addresses of control members or relays.
 func peers(processes []Process) []settings.Peer {
 	var all []settings.Peer
 	for _, process := range processes {
--- a/internal/bench/fleet/watch.go
+++ b/internal/bench/fleet/watch.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// readyPollInterval is the time between two looks at a process.
+	// readyPollInterval is the time between two readiness checks of a process.
 	readyPollInterval = 50 * time.Millisecond
-	// lookTimeout bounds one request to a process.
+	// requestTimeout bounds one HTTP request to a process.
 	requestTimeout = 2 * time.Second
-	// maximumAnswerBytes bounds what is read of an answer in an error.
+	// maximumAnswerBytes is the most that an error quotes of a response's body.
 	maximumAnswerBytes = 4 << 10
 )
 
-// machine is one entry of the platform's list.
+// machine is one entry of the platform's machine list.
 type machine struct {
 	Name    string `json:"name"`
 	Role    Role   `json:"role"`
@@ -30,7 +30,7 @@
 	State   string `json:"state"`
 }
 
-// WaitReady waits until each named process says that it is ready.
+// WaitReady waits until each named process reports that it is ready. The timeout is for all together.
 func (layout *Layout) WaitReady(ctx context.Context, names []string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -60,11 +60,12 @@
 	}
 }
 
+// ready returns nil when the process reports that it is ready.
 func (process Process) ready(ctx context.Context) error {
 	return send(ctx, http.MethodGet, fmt.Sprintf("http://%s/readyz", process.Status), nil)
 }
 
-// Register lists the named machines with the platform, as live or leaving.
+// Register adds the named machines to the platform's list, as live or leaving.
 func (layout *Layout) Register(ctx context.Context, names []string, leaving bool) error {
 	state := "live"
 	if leaving {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// Remove takes the named machines off the platform's list.
+// Remove removes the named machines from the platform's list.
 func (layout *Layout) Remove(ctx context.Context, names []string) error {
 	for _, name := range names {
 		if err := send(ctx, http.MethodDelete, layout.machinesURL()+"/"+name, nil); err != nil {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// Misbehave makes a back end show exactly these faults.
+// SetMisbehavior replaces the faults that a back end injects; none ends its misbehavior.
 func (layout *Layout) SetMisbehavior(ctx context.Context, name string, faults []string) error {
 	process, err := layout.Find(name)
 	if err != nil {
@@ -106,17 +107,17 @@
 	return nil
 }
 
-// control is the body of a back end's control endpoint.
+// misbehaviorRequest is the body of requests to a back end's control endpoint.
 type misbehaviorRequest struct {
 	Misbehavior []string `json:"misbehavior"`
 }
 
-// Impair replaces the fabric's impairments, which are in its own form.
+// SetImpairments replaces the fabric's impairments, which are encoded as JSON.
 func (layout *Layout) SetImpairments(ctx context.Context, impairments any) error {
 	return send(ctx, http.MethodPut, layout.impairmentsURL(), impairments)
 }
 
-// Heal ends the fabric's impairments.
+// ClearImpairments removes the fabric's impairments.
 func (layout *Layout) ClearImpairments(ctx context.Context) error {
 	return send(ctx, http.MethodDelete, layout.impairmentsURL(), nil)
 }
@@ -130,7 +131,8 @@
 	return fmt.Sprintf("http://%s/machines", layout.WithRole(RolePlatform)[0].Data)
 }
 
-// send makes one HTTP request and returns an error unless it succeeded.
+// send makes an HTTP request, with body as JSON unless it is nil, and returns an error for status 400
+// and above.
 func send(ctx context.Context, method, url string, body any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
