--- a/internal/bench/experiment/expectation.go
+++ b/internal/bench/experiment/expectation.go
@@ -9,12 +9,12 @@
 )
 
 // note records what the step means for imbalance and for the audit.
-func (runner *stepRunner) note(step Step, names []string) {
+func (runner *stepRunner) recordEffects(step Step, names []string) {
 	for _, name := range names {
 		switch step.Action {
 		case ActionKill, ActionFreeze:
 			runner.sampler.setServing(name, false)
-			runner.noteDeath(name)
+			runner.recordDeadNode(name)
 		case ActionThaw:
 			runner.sampler.setServing(name, true)
 		case ActionDrain:
@@ -25,13 +25,13 @@
 		}
 	}
 	if step.Impairments != nil {
-		runner.noteCut(step.Impairments.CutZones)
+		runner.recordCutBackends(step.Impairments.CutZones)
 	}
 }
 
 // noteDrain records a drain that control has accepted. The users' time counts
 // from there: before, the target was not told to leave.
-func (runner *stepRunner) noteDrain(name string) {
+func (runner *stepRunner) recordDrain(name string) {
 	runner.expected.Drains = append(runner.expected.Drains, audit.Drain{
 		Node: runner.backendOf(name), At: time.Now(), Grace: runner.drainGrace,
 	})
@@ -39,7 +39,7 @@
 
 // noteDeath records the back end of a target whose agent or back end dies or
 // freezes.
-func (runner *stepRunner) noteDeath(name string) {
+func (runner *stepRunner) recordDeadNode(name string) {
 	process, err := runner.layout.Find(name)
 	if err != nil {
 		return
@@ -53,7 +53,7 @@
 }
 
 // noteCut records the back ends that callers cannot reach.
-func (runner *stepRunner) noteCut(zones []string) {
+func (runner *stepRunner) recordCutBackends(zones []string) {
 	for _, backend := range runner.layout.OfRole(fleet.RoleBackend) {
 		if slices.Contains(zones, backend.Zone) {
 			runner.expected.DeadNodes = append(runner.expected.DeadNodes, backend.Name)
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -63,7 +63,7 @@
 	ActionParameter Action = "parameter"
 	// ActionTargets starts a service's standby targets and adds them to its
 	// parameters.
-	ActionTargets Action = "add_targets"
+	ActionAddTargets Action = "add_targets"
 	// ActionUpgrade starts a second agent beside each named one, adds it to
 	// the service, drains the first one and asks it to end.
 	ActionUpgrade Action = "upgrade"
@@ -157,7 +157,7 @@
 		if step.Service == "" || step.Parameter == "" || len(step.Values) == 0 {
 			return fmt.Errorf("parameter needs service, parameter and values")
 		}
-	case ActionTargets:
+	case ActionAddTargets:
 		if step.Service == "" {
 			return fmt.Errorf("add_targets needs service")
 		}
--- a/internal/bench/experiment/imbalance.go
+++ b/internal/bench/experiment/imbalance.go
@@ -31,8 +31,8 @@
 	for _, service := range services {
 		all = append(all, Imbalance{
 			Service:     service,
-			Connections: spreadOf(seriesOf(samples, service, connectionsOf)),
-			Requests:    spreadOf(seriesOf(samples, service, requestsOf)),
+			Connections: spreadOf(imbalanceSeries(samples, service, connectionsOf)),
+			Requests:    spreadOf(imbalanceSeries(samples, service, requestsOf)),
 		})
 	}
 	return all
@@ -47,7 +47,7 @@
 
 // seriesOf returns maximum over mean for each sample in which the service's
 // targets had anything.
-func seriesOf(samples []Sample, service string, figure func(TargetSample) float64) []point {
+func imbalanceSeries(samples []Sample, service string, figure func(TargetSample) float64) []point {
 	var series []point
 	for _, sample := range samples {
 		total, highest, count := 0.0, 0.0, 0
@@ -87,10 +87,10 @@
 }
 
 // quantile returns the value below which the given part of sorted values lies.
-func quantile(sorted []float64, part float64) float64 {
+func quantile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
 	}
-	index := int(part * float64(len(sorted)))
+	index := int(fraction * float64(len(sorted)))
 	return sorted[min(index, len(sorted)-1)]
 }
--- a/internal/bench/experiment/load.go
+++ b/internal/bench/experiment/load.go
@@ -75,7 +75,7 @@
 		if err != nil {
 			return nil, err
 		}
-		filled, err := fillNames(content, namesOf(loaded))
+		filled, err := fillPlaceholders(content, placeholderFunctions(loaded))
 		if err != nil {
 			return nil, err
 		}
@@ -95,7 +95,7 @@
 // fleetsOf returns the fleet files that an experiment file names.
 func fleetsOf(content []byte) ([]string, error) {
 	anyName := func(int) (string, error) { return "any", nil }
-	filled, err := fillNames(content, template.FuncMap{"service": anyName, "zone": anyName})
+	filled, err := fillPlaceholders(content, template.FuncMap{"service": anyName, "zone": anyName})
 	if err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // namesOf are the functions that give the names of a fleet.
-func namesOf(file fleet.File) template.FuncMap {
+func placeholderFunctions(file fleet.File) template.FuncMap {
 	return template.FuncMap{
 		"service": func(number int) (string, error) {
 			if number < 1 || number > len(file.Services) {
@@ -133,7 +133,7 @@
 	}
 }
 
-func fillNames(content []byte, names template.FuncMap) ([]byte, error) {
+func fillPlaceholders(content []byte, names template.FuncMap) ([]byte, error) {
 	parsed, err := template.New("experiment").Funcs(names).Parse(string(content))
 	if err != nil {
 		return nil, err
--- a/internal/bench/experiment/metrics.go
+++ b/internal/bench/experiment/metrics.go
@@ -19,11 +19,11 @@
 
 // Names of the metrics that are read.
 const (
-	metricConnections  = "merlinpaddle_agent_connections"
-	metricRequests     = "merlinpaddle_agent_requests"
-	metricControlBytes = "merlinpaddle_control_bytes_total"
-	metricProcessorUse = "process_cpu_seconds_total"
-	metricMemory       = "process_resident_memory_bytes"
+	metricConnections      = "merlinpaddle_agent_connections"
+	metricRequests         = "merlinpaddle_agent_requests"
+	metricControlBytes     = "merlinpaddle_control_bytes_total"
+	metricProcessorSeconds = "process_cpu_seconds_total"
+	metricMemory           = "process_resident_memory_bytes"
 
 	labelState   = "state"
 	stateRunning = "running"
@@ -33,14 +33,14 @@
 
 // reading is what was read of one process.
 type reading struct {
-	connections     float64
-	running         float64
-	waiting         float64
-	feeds           float64
-	controlBytes    float64
-	processorUse    float64
-	residentMemory  float64
-	hasControlBytes bool
+	connections      float64
+	running          float64
+	waiting          float64
+	feeds            float64
+	controlBytes     float64
+	processorSeconds float64
+	residentMemory   float64
+	hasControlBytes  bool
 }
 
 // scrape reads the metrics of one process.
@@ -87,8 +87,8 @@
 	case metricControlBytes:
 		read.controlBytes = sum(family)
 		read.hasControlBytes = true
-	case metricProcessorUse:
-		read.processorUse = sum(family)
+	case metricProcessorSeconds:
+		read.processorSeconds = sum(family)
 	case metricMemory:
 		read.residentMemory = sum(family)
 	case metricRequests:
--- a/internal/bench/experiment/operator.go
+++ b/internal/bench/experiment/operator.go
@@ -23,7 +23,7 @@
 	// attemptTimeout bounds one attempt at one control member.
 	attemptTimeout = 4 * time.Second
 	// inForceSlice is how long one attempt waits for a change to be in force.
-	inForceSlice = 2 * time.Second
+	rolloutAttemptWait = 2 * time.Second
 )
 
 // Operator makes changes as an operator's automation does: by the
@@ -111,7 +111,7 @@
 func (operator *Operator) waitInForce(ctx context.Context, revision model.Revision) error {
 	deadline := time.Now().Add(inForceTimeout)
 	for {
-		rollout, err := operator.client.Rollout(ctx, revision, inForceSlice)
+		rollout, err := operator.client.Rollout(ctx, revision, rolloutAttemptWait)
 		if err != nil {
 			return fmt.Errorf("wait for revision %d: %w", revision, err)
 		}
--- a/internal/bench/experiment/plots.go
+++ b/internal/bench/experiment/plots.go
@@ -25,10 +25,10 @@
 
 // longestGap is the time between two samples above which a line is broken: the
 // target did not serve in between.
-const longestGap = 2 * sampleInterval
+const maximumSampleGap = 2 * sampleInterval
 
 // nearestLabels is the time in seconds between two labels that can be read.
-const nearestLabels = 0.6
+const minimumLabelGap = 0.6
 
 // stepColor is the color of the marks of steps.
 var stepColor = color.Gray{Y: 110}
@@ -45,63 +45,63 @@
 
 // plotService draws the courses of one service.
 func (result Result) plotService(folder, service string) error {
-	connections := course{
+	connections := timeChart{
 		name: "connections-" + service, title: "connections of each target of " + service,
 		unit: "open connections", lines: result.connectionLines(service),
 	}
-	imbalance := course{
+	imbalance := timeChart{
 		name: "imbalance-" + service, title: "imbalance of connections of " + service,
-		unit: "maximum over mean", least: 1,
-		lines: [][]point{seriesOf(result.Samples, service, connectionsOf)},
+		unit: "maximum over mean", minimumY: 1,
+		lines: [][]point{imbalanceSeries(result.Samples, service, connectionsOf)},
 	}
-	requests := course{
+	requests := timeChart{
 		name: "requests-" + service, title: "imbalance of requests that run and wait at " + service,
-		unit: "maximum over mean", least: 1,
-		lines: [][]point{seriesOf(result.Samples, service, requestsOf)},
+		unit: "maximum over mean", minimumY: 1,
+		lines: [][]point{imbalanceSeries(result.Samples, service, requestsOf)},
 	}
-	for _, course := range []course{connections, imbalance, requests} {
-		if err := result.plotCourse(folder, course); err != nil {
-			return fmt.Errorf("plot %s: %w", course.name, err)
+	for _, chart := range []timeChart{connections, imbalance, requests} {
+		if err := result.drawChart(folder, chart); err != nil {
+			return fmt.Errorf("plot %s: %w", chart.name, err)
 		}
 	}
 	return nil
 }
 
 // course is one plot over the time of the run.
-type course struct {
+type timeChart struct {
 	name  string
 	title string
 	unit  string
 	// least is the lower end of the vertical axis.
-	least float64
-	lines [][]point
+	minimumY float64
+	lines    [][]point
 }
 
 // highest is the upper end of the vertical axis.
-func (course course) highest() float64 {
+func (chart timeChart) maximumY() float64 {
 	const headroom = 1.1
-	highest := course.least
-	for _, line := range course.lines {
+	highest := chart.minimumY
+	for _, line := range chart.lines {
 		for _, point := range line {
 			highest = math.Max(highest, point.value)
 		}
 	}
-	return course.least + max((highest-course.least)*headroom, 0.1)
+	return chart.minimumY + max((highest-chart.minimumY)*headroom, 0.1)
 }
 
-func (result Result) plotCourse(folder string, course course) error {
+func (result Result) drawChart(folder string, chart timeChart) error {
 	drawing := plot.New()
-	drawing.Title.Text = result.Name + ": " + course.title
+	drawing.Title.Text = result.Name + ": " + chart.title
 	drawing.Title.Padding = titlePadding
 	drawing.X.Label.Text = "seconds of load"
-	drawing.Y.Label.Text = course.unit
+	drawing.Y.Label.Text = chart.unit
 	drawing.X.Min, drawing.X.Max = 0, result.Seconds
-	drawing.Y.Min, drawing.Y.Max = course.least, course.highest()
+	drawing.Y.Min, drawing.Y.Max = chart.minimumY, chart.maximumY()
 	if err := result.markSteps(drawing); err != nil {
 		return err
 	}
-	for index, line := range course.lines {
-		for _, part := range unbroken(line) {
+	for index, line := range chart.lines {
+		for _, part := range splitAtGaps(line) {
 			drawn, err := plotter.NewLine(xy(part))
 			if err != nil {
 				return err
@@ -112,8 +112,8 @@
 	}
 	// The lines have their own, smaller ranges.
 	drawing.X.Min, drawing.X.Max = 0, result.Seconds
-	drawing.Y.Min, drawing.Y.Max = course.least, course.highest()
-	return save(drawing, folder, course.name)
+	drawing.Y.Min, drawing.Y.Max = chart.minimumY, chart.maximumY()
+	return save(drawing, folder, chart.name)
 }
 
 // markSteps draws a vertical line with a label at the time of each step.
@@ -155,7 +155,7 @@
 // written over each other.
 func addLabel(places plotter.XYLabels, at plotter.XY, label string) plotter.XYLabels {
 	last := len(places.Labels) - 1
-	if last >= 0 && at.X-places.XYs[last].X < nearestLabels {
+	if last >= 0 && at.X-places.XYs[last].X < minimumLabelGap {
 		if !strings.Contains(places.Labels[last], label) {
 			places.Labels[last] += ", " + label
 		}
@@ -176,12 +176,12 @@
 }
 
 // unbroken splits a series where samples are missing.
-func unbroken(series []point) [][]point {
+func splitAtGaps(series []point) [][]point {
 	var parts [][]point
 	begin := 0
 	for index := 1; index < len(series); index++ {
 		gap := time.Duration((series[index].at - series[index-1].at) * float64(time.Second))
-		if gap > longestGap {
+		if gap > maximumSampleGap {
 			parts = append(parts, series[begin:index])
 			begin = index
 		}
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -124,11 +124,11 @@
 		for _, process := range layout.OfRole(role) {
 			first, hasFirst := before[process.Name]
 			last, hasLast := after[process.Name]
-			if !hasFirst || !hasLast || last.processorUse < first.processorUse {
+			if !hasFirst || !hasLast || last.processorSeconds < first.processorSeconds {
 				continue
 			}
 			bytes = append(bytes, (last.controlBytes-first.controlBytes)/seconds)
-			processor = append(processor, (last.processorUse-first.processorUse)/seconds)
+			processor = append(processor, (last.processorSeconds-first.processorSeconds)/seconds)
 			memory = append(memory, last.residentMemory)
 		}
 		all = append(all, RoleCost{
--- a/internal/bench/experiment/result_test.go
+++ b/internal/bench/experiment/result_test.go
@@ -52,7 +52,7 @@
 	require.Equal(t, Spread{Median: 1, P90: 1.5, Max: 1.5, Last: 1, Samples: 3}, measured.Connections)
 }
 
-func TestUnbroken(t *testing.T) {
+func TestSplitAtGaps(t *testing.T) {
 	cases := []struct {
 		name  string
 		at    []float64
@@ -70,7 +70,7 @@
 				series = append(series, point{at: at})
 			}
 			var lengths []int
-			for _, part := range unbroken(series) {
+			for _, part := range splitAtGaps(series) {
 				lengths = append(lengths, len(part))
 			}
 			require.Equal(t, testCase.parts, lengths)
--- a/internal/bench/experiment/run.go
+++ b/internal/bench/experiment/run.go
@@ -105,7 +105,7 @@
 		return Result{}, err
 	}
 	session.started = time.Now()
-	before := costs(ctx, session.layout)
+	before := scrapeSystem(ctx, session.layout)
 	sampling, stopSampling := context.WithCancel(ctx)
 	sampled := make(chan struct{})
 	go func() {
@@ -118,7 +118,7 @@
 	if err != nil {
 		return Result{}, err
 	}
-	after := costs(ctx, session.layout)
+	after := scrapeSystem(ctx, session.layout)
 	seconds := time.Since(session.started).Seconds()
 	session.options.Progress(session.file.Duration, session.file.Duration, "waiting for the callers' reports")
 	accounts, err := session.collectReports(ctx)
--- a/internal/bench/experiment/sampler.go
+++ b/internal/bench/experiment/sampler.go
@@ -76,14 +76,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			sampler.take(ctx, started)
+			sampler.sampleOnce(ctx, started)
 		}
 	}
 }
 
 // take reads all serving targets once. A target that cannot be read is left
 // out of the sample.
-func (sampler *sampler) take(ctx context.Context, started time.Time) {
+func (sampler *sampler) sampleOnce(ctx context.Context, started time.Time) {
 	sample := Sample{At: time.Since(started).Seconds()}
 	var lock sync.Mutex
 	var group errgroup.Group
@@ -113,7 +113,7 @@
 }
 
 // costs reads what each process of the system has used so far.
-func costs(ctx context.Context, layout *fleet.Layout) map[string]reading {
+func scrapeSystem(ctx context.Context, layout *fleet.Layout) map[string]reading {
 	readings := make(map[string]reading)
 	var lock sync.Mutex
 	var group errgroup.Group
--- a/internal/bench/experiment/schedule.go
+++ b/internal/bench/experiment/schedule.go
@@ -12,23 +12,23 @@
 const progressInterval = 200 * time.Millisecond
 
 // scheduled is one step at its next time.
-type scheduled struct {
+type scheduledStep struct {
 	step Step
 	at   time.Duration
 	// turn counts the repetitions of the step.
-	turn int
+	repetition int
 }
 
 // runSteps carries out the steps at their times, one after another, and
 // returns when the load is over.
 func (session *session) runSteps(ctx context.Context) error {
-	var waiting []scheduled
+	var waiting []scheduledStep
 	for _, step := range session.file.Steps {
-		waiting = append(waiting, scheduled{step: step, at: step.At})
+		waiting = append(waiting, scheduledStep{step: step, at: step.At})
 	}
 	text := "load runs"
 	for {
-		slices.SortStableFunc(waiting, func(left, right scheduled) int { return int(left.at - right.at) })
+		slices.SortStableFunc(waiting, func(left, right scheduledStep) int { return int(left.at - right.at) })
 		if len(waiting) == 0 || waiting[0].at >= session.file.Duration {
 			return session.waitUntil(ctx, session.file.Duration, text)
 		}
@@ -38,9 +38,9 @@
 			return err
 		}
 		text = next.step.describe()
-		session.carryOut(ctx, next)
+		session.executeStep(ctx, next)
 		if next.step.Every > 0 {
-			next.turn++
+			next.repetition++
 			next.at += next.step.Every
 			waiting = append(waiting, next)
 		}
@@ -57,12 +57,12 @@
 }
 
 // carryOut runs one step and records what came of it.
-func (session *session) carryOut(ctx context.Context, next scheduled) {
+func (session *session) executeStep(ctx context.Context, next scheduledStep) {
 	begun := time.Now()
 	var names []string
 	var err error
 	if next.step.Action == ActionParameter {
-		names, err = []string{next.step.Service}, session.steps.setParameter(ctx, next.step, next.turn)
+		names, err = []string{next.step.Service}, session.steps.setParameter(ctx, next.step, next.repetition)
 	} else {
 		names, err = session.steps.run(ctx, next.step)
 	}
--- a/internal/bench/experiment/steps.go
+++ b/internal/bench/experiment/steps.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	runner.note(step, names)
+	runner.recordEffects(step, names)
 	switch step.Action {
 	case ActionKill, ActionStop, ActionFreeze, ActionThaw:
 		return names, runner.script.Run(ctx, append([]string{string(step.Action)}, names...)...)
@@ -74,17 +74,17 @@
 	case ActionUnregister:
 		return names, runner.layout.Remove(ctx, names)
 	case ActionDrain:
-		return names, each(ctx, names, runner.drain)
+		return names, forEachName(ctx, names, runner.drain)
 	case ActionUndrain:
-		return names, each(ctx, names, runner.operator.Undrain)
+		return names, forEachName(ctx, names, runner.operator.Undrain)
 	case ActionParameter:
 		return []string{step.Service}, runner.setParameter(ctx, step, 0)
-	case ActionTargets:
+	case ActionAddTargets:
 		return []string{step.Service}, runner.addTargets(ctx, step.Service)
 	case ActionUpgrade:
-		return names, each(ctx, names, runner.upgrade)
+		return names, forEachName(ctx, names, runner.upgrade)
 	case ActionMisbehave:
-		return names, each(ctx, names, func(ctx context.Context, name string) error {
+		return names, forEachName(ctx, names, func(ctx context.Context, name string) error {
 			return runner.layout.Misbehave(ctx, name, step.Faults)
 		})
 	case ActionImpair:
@@ -121,7 +121,7 @@
 	if err := runner.operator.Drain(ctx, name); err != nil {
 		return err
 	}
-	runner.noteDrain(name)
+	runner.recordDrain(name)
 	return nil
 }
 
@@ -136,9 +136,9 @@
 
 // setParameter changes a parameter to the value whose turn it is, and keeps
 // how long the change took to be in force.
-func (runner *stepRunner) setParameter(ctx context.Context, step Step, turn int) error {
+func (runner *stepRunner) setParameter(ctx context.Context, step Step, repetition int) error {
 	before := time.Now()
-	err := runner.operator.SetParameter(ctx, step.Service, step.Parameter, step.Values[turn%len(step.Values)])
+	err := runner.operator.SetParameter(ctx, step.Service, step.Parameter, step.Values[repetition%len(step.Values)])
 	if err == nil {
 		runner.rollouts = append(runner.rollouts, time.Since(before))
 	}
@@ -146,7 +146,7 @@
 }
 
 // each applies change to every name and joins the errors.
-func each(ctx context.Context, names []string, change func(ctx context.Context, name string) error) error {
+func forEachName(ctx context.Context, names []string, change func(ctx context.Context, name string) error) error {
 	var all []error
 	for _, name := range names {
 		all = append(all, change(ctx, name))
--- a/internal/bench/experiment/usage.go
+++ b/internal/bench/experiment/usage.go
@@ -24,7 +24,7 @@
 	}
 	return Usage{
 		ControlBytes:     read.controlBytes,
-		ProcessorSeconds: read.processorUse,
+		ProcessorSeconds: read.processorSeconds,
 		ResidentBytes:    read.residentMemory,
 	}, nil
 }
--- a/internal/bench/operators/deployment.go
+++ b/internal/bench/operators/deployment.go
@@ -48,18 +48,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("address of the proxies: %w", err)
 	}
-	made := &deployment{layout: layout, links: NewLinks(address), script: script}
+	deployed := &deployment{layout: layout, links: NewLinks(address), script: script}
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := errors.Join(made.leadThroughProxies(), made.start(starting)); err != nil {
-		return nil, errors.Join(err, made.down())
+	if err := errors.Join(deployed.routeThroughProxies(), deployed.start(starting)); err != nil {
+		return nil, errors.Join(err, deployed.down())
 	}
-	return made, nil
+	return deployed, nil
 }
 
 // leadThroughProxies changes the peers' addresses in the settings of every
 // process of the system to those of proxies.
-func (deployment *deployment) leadThroughProxies() error {
+func (deployment *deployment) routeThroughProxies() error {
 	for _, role := range []fleet.Role{fleet.RoleControl, fleet.RoleRelay, fleet.RoleBalancer, fleet.RoleAgent} {
 		for _, process := range deployment.layout.OfRole(role) {
 			if err := deployment.changeSettings(process); err != nil {
@@ -72,11 +72,11 @@
 
 func (deployment *deployment) changeSettings(process fleet.Process) error {
 	path := fleet.SettingsPath(deployment.script.Folder, process.Name)
-	chosen, err := settings.Load(path, nil)
+	loaded, err := settings.Load(path, nil)
 	if err != nil {
 		return err
 	}
-	for _, peers := range [][]settings.Peer{chosen.Control.Members, chosen.Relay.Control, chosen.Balancer.Relays, chosen.Agent.Relays} {
+	for _, peers := range [][]settings.Peer{loaded.Control.Members, loaded.Relay.Control, loaded.Balancer.Relays, loaded.Agent.Relays} {
 		for index := range peers {
 			peer := &peers[index]
 			if peer.Name == process.Name {
@@ -89,7 +89,7 @@
 			peer.Address = proxy
 		}
 	}
-	text, err := settings.Marshal(chosen)
+	text, err := settings.Marshal(loaded)
 	if err != nil {
 		return err
 	}
--- a/internal/bench/operators/frozen.go
+++ b/internal/bench/operators/frozen.go
@@ -17,11 +17,11 @@
 const (
 	// waitingProbes is the number of reads, and of changes, that wait in the
 	// frozen leader's sockets when it wakes.
-	waitingProbes = 12
+	queuedProbes = 12
 	// probeLead is how long before the wake the waiting probes are sent.
 	probeLead = 500 * time.Millisecond
 	// probeTime is how long the woken member is asked on.
-	probeTime = 2 * time.Second
+	probeDuration = 2 * time.Second
 	// probeTimeout bounds one probe.
 	probeTimeout = 10 * time.Second
 )
@@ -44,7 +44,7 @@
 	values    *values
 	history   *history
 	// before has the registers' revisions when the member was frozen.
-	before map[string]model.Revision
+	revisionsAtFreeze map[string]model.Revision
 
 	lock   sync.Mutex
 	counts probeCounts
@@ -63,14 +63,14 @@
 		return nil, fmt.Errorf("client of %s: %w", name, err)
 	}
 	return &frozenLeader{name: name, api: api, registers: registers, values: values, history: history,
-		before: make(map[string]model.Revision)}, nil
+		revisionsAtFreeze: make(map[string]model.Revision)}, nil
 }
 
 // warm opens the connections that the waiting probes use, and must be called
 // while the member leads.
-func (leader *frozenLeader) warm(ctx context.Context) {
+func (leader *frozenLeader) openConnections(ctx context.Context) {
 	var reads sync.WaitGroup
-	for index := range 2 * waitingProbes {
+	for index := range 2 * queuedProbes {
 		reads.Go(func() {
 			_, _ = readRegister(ctx, leader.history, leader.api, "warm", leader.registers[index%len(leader.registers)])
 		})
@@ -79,30 +79,30 @@
 }
 
 // freezing notes the state at the freeze.
-func (leader *frozenLeader) freezing() {
+func (leader *frozenLeader) recordFreeze() {
 	for _, register := range leader.registers {
-		leader.before[register.name()] = leader.history.latestOf(register.name())
+		leader.revisionsAtFreeze[register.name()] = leader.history.latestRevision(register.name())
 	}
 }
 
 // probe sends the waiting probes, wakes the member, and goes on asking it.
-func (leader *frozenLeader) probe(ctx context.Context, wake func() error) error {
+func (leader *frozenLeader) probe(ctx context.Context, resume func() error) error {
 	for _, register := range leader.registers {
-		if leader.history.latestOf(register.name()) > leader.before[register.name()] {
+		if leader.history.latestRevision(register.name()) > leader.revisionsAtFreeze[register.name()] {
 			leader.counts.committedWhileFrozen++
 		}
 	}
 	var probes sync.WaitGroup
-	for index := range waitingProbes {
+	for index := range queuedProbes {
 		chosen := leader.registers[index%len(leader.registers)]
 		probes.Go(func() { leader.read(ctx, chosen) })
 		probes.Go(func() { leader.change(ctx, chosen) })
 	}
 	pause(ctx, probeLead)
-	if err := wake(); err != nil {
+	if err := resume(); err != nil {
 		return err
 	}
-	until := time.Now().Add(probeTime)
+	until := time.Now().Add(probeDuration)
 	for index := 0; time.Now().Before(until) && ctx.Err() == nil; index++ {
 		chosen := leader.registers[index%len(leader.registers)]
 		leader.read(ctx, chosen)
@@ -115,7 +115,7 @@
 // read reads from the member itself. What it answers must not be older than
 // what was accepted before the read was sent.
 func (leader *frozenLeader) read(ctx context.Context, chosen register) {
-	newest := leader.history.latestOf(chosen.name())
+	newest := leader.history.latestRevision(chosen.name())
 	revision, err := readRegister(ctx, leader.history, leader.api, "probe", chosen)
 	leader.lock.Lock()
 	defer leader.lock.Unlock()
@@ -126,7 +126,7 @@
 	leader.counts.readsAnswered++
 	if revision < newest {
 		leader.counts.staleReads++
-		leader.history.violated(checker.InvariantLinearizable, "%s answered %s at revision %d after it woke; %d was accepted before the read",
+		leader.history.recordViolation(checker.InvariantLinearizable, "%s answered %s at revision %d after it woke; %d was accepted before the read",
 			leader.name, chosen.name(), revision, newest)
 	}
 }
@@ -134,8 +134,8 @@
 // change bases a change on what the member knew when it was frozen. Others
 // have changed the register since, so it must not be accepted.
 func (leader *frozenLeader) change(ctx context.Context, chosen register) {
-	base := leader.before[chosen.name()]
-	if leader.history.latestOf(chosen.name()) <= base {
+	base := leader.revisionsAtFreeze[chosen.name()]
+	if leader.history.latestRevision(chosen.name()) <= base {
 		return
 	}
 	change := client.Change{Base: base, Key: uuid.NewString()}
@@ -145,7 +145,7 @@
 	leader.counts.changes++
 	if result == checker.ResultAccepted {
 		leader.counts.changesAccepted++
-		leader.history.violated(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it woke", leader.name, chosen.name(), base)
+		leader.history.recordViolation(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it woke", leader.name, chosen.name(), base)
 	}
 }
 
--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -9,7 +9,7 @@
 )
 
 // changeID is the place of a change among those with the same base.
-type changeID struct {
+type changeBase struct {
 	object string
 	base   model.Revision
 }
@@ -27,8 +27,8 @@
 	// latest has the highest accepted revision of each object.
 	latest map[string]model.Revision
 	// rivals counts the changes that were based on one revision.
-	rivals map[changeID]int
-	phases []*phaseCounts
+	changesPerBase map[changeBase]int
+	phases         []*phaseCounts
 }
 
 // phaseCounts is what happened in one phase.
@@ -51,21 +51,23 @@
 func newHistory() *history {
 	report := &checker.Report{}
 	return &history{
-		started:   time.Now(),
-		report:    report,
-		operators: checker.NewOperators(report),
-		rollout:   checker.NewRollout(report, 0),
-		replicas:  checker.NewReplicas(report),
-		latest:    make(map[string]model.Revision),
-		rivals:    make(map[changeID]int),
+		started:        time.Now(),
+		report:         report,
+		operators:      checker.NewOperators(report),
+		rollout:        checker.NewRollout(report, 0),
+		replicas:       checker.NewReplicas(report),
+		latest:         make(map[string]model.Revision),
+		changesPerBase: make(map[changeBase]int),
 	}
 }
 
 // at is the time since the start of the run.
-func (history *history) at(moment time.Time) time.Duration { return moment.Sub(history.started) }
+func (history *history) sinceStart(moment time.Time) time.Duration {
+	return moment.Sub(history.started)
+}
 
 // begin ends the present phase and begins the next.
-func (history *history) begin(name string) {
+func (history *history) beginPhase(name string) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.endPhase()
@@ -77,33 +79,33 @@
 	if len(history.phases) == 0 {
 		return
 	}
-	phase := history.present()
+	phase := history.currentPhase()
 	if phase.ended.IsZero() {
 		phase.ended = time.Now()
 		phase.longestGap = max(phase.longestGap, phase.ended.Sub(phase.lastAccepted))
 	}
 }
 
-func (history *history) present() *phaseCounts { return history.phases[len(history.phases)-1] }
+func (history *history) currentPhase() *phaseCounts { return history.phases[len(history.phases)-1] }
 
 // count changes the counts of the present phase.
-func (history *history) count(change func(counts *phaseCounts)) {
+func (history *history) updatePhase(change func(counts *phaseCounts)) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
-	change(history.present())
+	change(history.currentPhase())
 }
 
 // ended records one operation.
-func (history *history) ended(operation checker.Operation) {
+func (history *history) recordOperation(operation checker.Operation) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.operators.Completed(operation)
-	phase := history.present()
+	phase := history.currentPhase()
 	if operation.Kind == checker.OperationRead {
 		phase.reads++
 		return
 	}
-	history.rivals[changeID{object: operation.Object, base: model.Revision(operation.Base)}]++
+	history.changesPerBase[changeBase{object: operation.Object, base: model.Revision(operation.Base)}]++
 	switch operation.Result {
 	case checker.ResultAccepted:
 		phase.accepted++
@@ -119,7 +121,7 @@
 }
 
 // acknowledged records that an answer gave a key's change a revision.
-func (history *history) acknowledged(key string, revision model.Revision) {
+func (history *history) recordAcknowledgement(key string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	answer := checker.ChangeAnswer{Accepted: true, Revision: uint64(revision)}
@@ -127,21 +129,21 @@
 }
 
 // latestOf returns the highest accepted revision of an object.
-func (history *history) latestOf(object string) model.Revision {
+func (history *history) latestRevision(object string) model.Revision {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	return history.latest[object]
 }
 
 // violated records a violation that this package found itself.
-func (history *history) violated(invariant checker.Invariant, format string, arguments ...any) {
+func (history *history) recordViolation(invariant checker.Invariant, format string, arguments ...any) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.report.Add(invariant, time.Since(history.started), format, arguments...)
 }
 
 // memberSeen records what a member says of itself.
-func (history *history) memberSeen(member string, term uint64, leading bool, revision model.Revision, digest uint64) {
+func (history *history) recordMemberStatus(member string, term uint64, leading bool, revision model.Revision, digest uint64) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	at := time.Since(history.started)
@@ -152,7 +154,7 @@
 }
 
 // nodeSeen records which revision a node runs.
-func (history *history) nodeSeen(node string, revision model.Revision) {
+func (history *history) recordNodeRevision(node string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.rollout.Applied(checker.Node(node), uint64(revision), 0, time.Since(history.started))
@@ -163,7 +165,7 @@
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	races := 0
-	for _, rivals := range history.rivals {
+	for _, rivals := range history.changesPerBase {
 		if rivals > 1 {
 			races++
 		}
--- a/internal/bench/operators/links.go
+++ b/internal/bench/operators/links.go
@@ -85,54 +85,54 @@
 
 func (links *Links) accept(listener net.Listener, ends linkEnds, target string) {
 	for {
-		near, err := listener.Accept()
+		inbound, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		links.tasks.Go(func() { links.forward(near, ends, target) })
+		links.tasks.Go(func() { links.forward(inbound, ends, target) })
 	}
 }
 
 // forward joins an accepted connection to the target until either end closes.
-func (links *Links) forward(near net.Conn, ends linkEnds, target string) {
+func (links *Links) forward(inbound net.Conn, ends linkEnds, target string) {
 	ctx, cancel := context.WithCancel(links.context)
 	defer cancel()
-	defer near.Close()
-	if !links.wait(ctx, ends) {
+	defer inbound.Close()
+	if !links.waitUntilHealed(ctx, ends) {
 		return
 	}
 	var dialer net.Dialer
-	far, err := dialer.DialContext(ctx, "tcp", target)
+	outbound, err := dialer.DialContext(ctx, "tcp", target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer outbound.Close()
 	stop := context.AfterFunc(ctx, func() {
-		_ = near.Close()
-		_ = far.Close()
+		_ = inbound.Close()
+		_ = outbound.Close()
 	})
 	defer stop()
 	var copies sync.WaitGroup
-	copies.Go(func() { defer cancel(); links.copy(ctx, ends, far, near) })
-	copies.Go(func() { defer cancel(); links.copy(ctx, ends, near, far) })
+	copies.Go(func() { defer cancel(); links.copy(ctx, ends, outbound, inbound) })
+	copies.Go(func() { defer cancel(); links.copy(ctx, ends, inbound, outbound) })
 	copies.Wait()
 }
 
 func (links *Links) copy(ctx context.Context, ends linkEnds, to io.Writer, from io.Reader) {
-	piece := make([]byte, copyBytes)
+	buffer := make([]byte, copyBytes)
 	for {
-		count, err := from.Read(piece)
-		if err != nil || !links.wait(ctx, ends) {
+		count, err := from.Read(buffer)
+		if err != nil || !links.waitUntilHealed(ctx, ends) {
 			return
 		}
-		if _, err := to.Write(piece[:count]); err != nil {
+		if _, err := to.Write(buffer[:count]); err != nil {
 			return
 		}
 	}
 }
 
 // wait returns once the link is not cut, or false when ctx ended.
-func (links *Links) wait(ctx context.Context, ends linkEnds) bool {
+func (links *Links) waitUntilHealed(ctx context.Context, ends linkEnds) bool {
 	for {
 		cut, changed := links.isCut(ends)
 		if !cut {
--- a/internal/bench/operators/operator.go
+++ b/internal/bench/operators/operator.go
@@ -23,8 +23,8 @@
 
 // Behavior of an operator.
 const (
-	leastPause = 40 * time.Millisecond
-	morePause  = 80 * time.Millisecond
+	minimumPause = 40 * time.Millisecond
+	pauseJitter  = 80 * time.Millisecond
 	// sharedBaseShare of the changes are based on the latest revision that any
 	// operator knows, so that several are based on the same one.
 	sharedBaseShare = 0.6
@@ -52,7 +52,7 @@
 }
 
 // with returns the service's spec with another value.
-func (register register) with(value uint64) adminapi.ServiceSpec {
+func (register register) withValue(value uint64) adminapi.ServiceSpec {
 	spec := register.spec
 	spec.Parameters = maps.Clone(spec.Parameters)
 	spec.Parameters[changedParameter] = json.RawMessage(strconv.FormatUint(value, 10))
@@ -69,9 +69,9 @@
 }
 
 // values gives each change another value, as far as the range goes.
-type values struct{ given atomic.Uint64 }
+type values struct{ issued atomic.Uint64 }
 
-func (values *values) next() uint64 { return values.given.Add(1)%maximumValue + 1 }
+func (values *values) next() uint64 { return values.issued.Add(1)%maximumValue + 1 }
 
 // operator reads and changes registers until it is told to stop.
 type operator struct {
@@ -87,20 +87,20 @@
 func (operator *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		chosen := operator.registers[operator.random.IntN(len(operator.registers))]
-		operator.round(context.WithoutCancel(ctx), chosen)
-		pause(ctx, leastPause+time.Duration(operator.random.Int64N(int64(morePause))))
+		operator.readAndChange(context.WithoutCancel(ctx), chosen)
+		pause(ctx, minimumPause+time.Duration(operator.random.Int64N(int64(pauseJitter))))
 	}
 }
 
 // round reads a register and changes it.
-func (operator *operator) round(ctx context.Context, chosen register) {
+func (operator *operator) readAndChange(ctx context.Context, chosen register) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	base := operator.history.latestOf(chosen.name())
+	base := operator.history.latestRevision(chosen.name())
 	if operator.random.Float64() >= sharedBaseShare || base == 0 {
 		read, err := readRegister(ctx, operator.history, operator.api, operator.name, chosen)
 		if err != nil {
-			operator.history.count(func(counts *phaseCounts) { counts.refused++ })
+			operator.history.updatePhase(func(counts *phaseCounts) { counts.refused++ })
 			return
 		}
 		base = read
@@ -111,7 +111,7 @@
 	revision, result := changeRegister(ctx, operator.history, operator.api, operator.name, chosen, change, value)
 	switch {
 	case result == resultRefused:
-		operator.history.count(func(counts *phaseCounts) { counts.refused++ })
+		operator.history.updatePhase(func(counts *phaseCounts) { counts.refused++ })
 	case result == checker.ResultAccepted && operator.random.Float64() < resendShare:
 		operator.resend(ctx, chosen, change, value, revision)
 	}
@@ -119,15 +119,15 @@
 
 // resend sends an accepted change again: it must get its first answer.
 func (operator *operator) resend(ctx context.Context, chosen register, change client.Change, value uint64, first model.Revision) {
-	answer, err := operator.api.PutService(ctx, chosen.key, change, chosen.with(value))
+	answer, err := operator.api.PutService(ctx, chosen.key, change, chosen.withValue(value))
 	if err != nil {
 		if code := client.Code(err); code == faults.CodeRevisionMismatch {
-			operator.history.violated(checker.InvariantAppliedOnce, "change %s was accepted at %d and refused when it was sent again", change.Key, first)
+			operator.history.recordViolation(checker.InvariantAppliedOnce, "change %s was accepted at %d and refused when it was sent again", change.Key, first)
 		}
 		return
 	}
-	operator.history.count(func(counts *phaseCounts) { counts.resent++ })
-	operator.history.acknowledged(change.Key, answer.Revision)
+	operator.history.updatePhase(func(counts *phaseCounts) { counts.resent++ })
+	operator.history.recordAcknowledgement(change.Key, answer.Revision)
 }
 
 // readRegister reads a register and records the operation.
@@ -141,9 +141,9 @@
 	if err != nil {
 		return 0, err
 	}
-	history.ended(checker.Operation{
+	history.recordOperation(checker.Operation{
 		Object: chosen.name(), Client: reader, Kind: checker.OperationRead,
-		Call: history.at(call), Return: history.at(time.Now()),
+		Call: history.sinceStart(call), Return: history.sinceStart(time.Now()),
 		Value: value, Revision: uint64(service.Revision), Result: checker.ResultAccepted,
 	})
 	return service.Revision, nil
@@ -158,16 +158,16 @@
 func changeRegister(ctx context.Context, history *history, api *client.Client, writer string, chosen register,
 	change client.Change, value uint64) (model.Revision, checker.OperationResult) {
 	call := time.Now()
-	answer, err := api.PutService(ctx, chosen.key, change, chosen.with(value))
+	answer, err := api.PutService(ctx, chosen.key, change, chosen.withValue(value))
 	operation := checker.Operation{
 		Object: chosen.name(), Client: writer, Kind: checker.OperationWrite, Key: change.Key,
-		Call: history.at(call), Return: history.at(time.Now()), Base: uint64(change.Base), Value: value,
+		Call: history.sinceStart(call), Return: history.sinceStart(time.Now()), Base: uint64(change.Base), Value: value,
 	}
-	switch present, isConflict := presentRevision(err); {
+	switch present, isConflict := currentRevision(err); {
 	case err == nil:
 		operation.Result = checker.ResultAccepted
 		operation.Revision = uint64(answer.Revision)
-		history.acknowledged(change.Key, answer.Revision)
+		history.recordAcknowledgement(change.Key, answer.Revision)
 	case isConflict:
 		operation.Result = checker.ResultConflict
 		operation.Revision = uint64(present)
@@ -176,12 +176,12 @@
 	default:
 		return 0, resultRefused
 	}
-	history.ended(operation)
+	history.recordOperation(operation)
 	return answer.Revision, operation.Result
 }
 
 // presentRevision returns the present revision of a change that lost.
-func presentRevision(err error) (model.Revision, bool) {
+func currentRevision(err error) (model.Revision, bool) {
 	var failure *client.Error
 	if !errors.As(err, &failure) || failure.Problem.Code != faults.CodeRevisionMismatch || failure.Problem.Revision == nil {
 		return 0, false
--- a/internal/bench/operators/operators_test.go
+++ b/internal/bench/operators/operators_test.go
@@ -71,9 +71,9 @@
 	target := echoServer(t)
 	crossing, err := links.Add("a", "b", target)
 	require.NoError(t, err)
-	beside, err := links.Add("b", "c", target)
+	otherLink, err := links.Add("b", "c", target)
 	require.NoError(t, err)
-	cut, open := dial(t, crossing), dial(t, beside)
+	cut, open := dial(t, crossing), dial(t, otherLink)
 	send(t, cut, "before")
 	require.Equal(t, "before", receive(t, cut, len("before")))
 
@@ -105,7 +105,7 @@
 
 // member plays a control member with one register. A faulty one answers from
 // an old copy, as a leader without read barriers and quorum would.
-type member struct {
+type fakeMember struct {
 	lock     sync.Mutex
 	revision model.Revision
 	changes  int
@@ -113,7 +113,7 @@
 	faulty   bool
 }
 
-func (member *member) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (member *fakeMember) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	member.lock.Lock()
 	defer member.lock.Unlock()
 	if request.Method == http.MethodGet {
@@ -141,7 +141,7 @@
 
 func testHistory() *history {
 	made := newHistory()
-	made.begin("test")
+	made.beginPhase("test")
 	return made
 }
 
@@ -160,12 +160,12 @@
 	return strings.Join(names, " ")
 }
 
-func TestAWokenLeaderThatServesOldStateIsFound(t *testing.T) {
-	server := httptest.NewServer(&member{revision: 5, keys: make(map[string]model.Revision)})
+func TestResumedLeaderServingStaleStateIsReported(t *testing.T) {
+	server := httptest.NewServer(&fakeMember{revision: 5, keys: make(map[string]model.Revision)})
 	defer server.Close()
 	history := testHistory()
 	leader := &frozenLeader{name: "control-1", api: clientOf(t, server, http.DefaultTransport), registers: []register{testRegister()},
-		values: &values{}, history: history, before: map[string]model.Revision{"riga/ledger": 5}}
+		values: &values{}, history: history, revisionsAtFreeze: map[string]model.Revision{"riga/ledger": 5}}
 	history.latest["riga/ledger"] = 9
 	leader.read(t.Context(), testRegister())
 	require.Equal(t, 1, leader.counts.staleReads)
@@ -175,9 +175,9 @@
 	require.Equal(t, "linearizable one-winner", history.violatedInvariants())
 }
 
-func TestAResentChangeThatIsAppliedAgainIsFound(t *testing.T) {
+func TestChangeAppliedTwiceIsReported(t *testing.T) {
 	for name, faulty := range map[string]bool{"": false, "applied-once": true} {
-		played := &member{revision: 5, keys: make(map[string]model.Revision), faulty: faulty}
+		played := &fakeMember{revision: 5, keys: make(map[string]model.Revision), faulty: faulty}
 		server := httptest.NewServer(played)
 		history := testHistory()
 		worker := &operator{name: "operator", api: clientOf(t, server, http.DefaultTransport), history: history}
@@ -193,15 +193,15 @@
 func TestLostRequestsAndAnswersAreSentAgainWithTheirKey(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		transport losingTransport
+		transport lossyTransport
 		changes   int
 	}{
-		{"requests", losingTransport{requestShare: 1}, 0},
-		{"answers", losingTransport{answerShare: 1}, 1},
+		{"requests", lossyTransport{requestShare: 1}, 0},
+		{"answers", lossyTransport{answerShare: 1}, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transport := test.transport
-			played := &member{revision: 5, keys: make(map[string]model.Revision)}
+			played := &fakeMember{revision: 5, keys: make(map[string]model.Revision)}
 			server := httptest.NewServer(played)
 			defer server.Close()
 			lost := 0
@@ -215,7 +215,7 @@
 					return nil
 				}})
 			require.NoError(t, err)
-			_, err = api.PutService(t.Context(), testRegister().key, client.Change{Base: 5, Key: "key"}, testRegister().with(3))
+			_, err = api.PutService(t.Context(), testRegister().key, client.Change{Base: 5, Key: "key"}, testRegister().withValue(3))
 			require.True(t, client.MayHaveRun(err))
 			require.Equal(t, 4, lost)
 			require.Equal(t, test.changes, played.changes, "sent again with its key, the change is applied once")
@@ -223,12 +223,12 @@
 	}
 }
 
-func TestOnlyCheckedViolationsFailARun(t *testing.T) {
+func TestTableMarksViolatedAndHeldChecks(t *testing.T) {
 	history := testHistory()
-	history.nodeSeen("balancer-1", 9)
-	history.nodeSeen("balancer-1", 8)
-	history.memberSeen("control-1", 3, true, 9, 1)
-	history.memberSeen("control-2", 3, true, 9, 2)
+	history.recordNodeRevision("balancer-1", 9)
+	history.recordNodeRevision("balancer-1", 8)
+	history.recordMemberStatus("control-1", 3, true, 9, 1)
+	history.recordMemberStatus("control-2", 3, true, 9, 2)
 	require.Equal(t, "no-revert one-leader replicas-agree", history.violatedInvariants())
 	table := Result{Violations: history.report.Violations()}.Table()
 	require.Contains(t, table, "| no balancer's revision goes back | **violated** |")
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -33,7 +33,7 @@
 	}
 	for _, step := range steps {
 		run.options.Progress(step.name)
-		run.history.begin(step.name)
+		run.history.beginPhase(step.name)
 		if err := step.work(ctx); err != nil {
 			return fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -57,7 +57,7 @@
 				return string(member.Name), nil
 			}
 		}
-		pause(ctx, watchInterval)
+		pause(ctx, pollInterval)
 	}
 	return "", fmt.Errorf("no leader within %s", leaderTimeout)
 }
@@ -88,11 +88,11 @@
 	if err != nil {
 		return err
 	}
-	frozen.warm(ctx)
+	frozen.openConnections(ctx)
 	if err := run.deployment.script.Run(ctx, "freeze", name); err != nil {
 		return err
 	}
-	frozen.freezing()
+	frozen.recordFreeze()
 	pause(ctx, run.options.Freeze)
 	err = frozen.probe(ctx, func() error { return run.deployment.script.Run(ctx, "thaw", name) })
 	run.probes = frozen.counts
@@ -144,17 +144,17 @@
 	run.deployment.links.Cut(zones...)
 	// What was under way when the cut came may still be answered.
 	pause(ctx, attemptTimeout)
-	before := run.acceptedNow()
+	before := run.acceptedInPhase()
 	pause(ctx, run.options.Phase)
-	if accepted := run.acceptedNow() - before; accepted > 0 {
-		run.history.violated(checker.InvariantCommittedKept, "%d changes were accepted without a quorum", accepted)
+	if accepted := run.acceptedInPhase() - before; accepted > 0 {
+		run.history.recordViolation(checker.InvariantCommittedKept, "%d changes were accepted without a quorum", accepted)
 	}
 	run.deployment.links.Cut()
 	return run.rest(ctx)
 }
 
-func (run *run) acceptedNow() int {
+func (run *run) acceptedInPhase() int {
 	accepted := 0
-	run.history.count(func(counts *phaseCounts) { accepted = counts.accepted })
+	run.history.updatePhase(func(counts *phaseCounts) { accepted = counts.accepted })
 	return accepted
 }
--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -18,10 +18,10 @@
 
 // Time limits of the operators' clients, and shares that they lose.
 const (
-	attemptTimeout = 2 * time.Second
-	retryBudget    = 45 * time.Second
-	lostRequests   = 0.05
-	lostAnswers    = 0.08
+	attemptTimeout   = 2 * time.Second
+	retryBudget      = 45 * time.Second
+	lostRequestShare = 0.05
+	lostAnswerShare  = 0.08
 	// finalTimeout bounds the wait until the last change is in force.
 	finalTimeout = 30 * time.Second
 	// minimumRaces and minimumChanges keep a run from passing because nothing
@@ -106,7 +106,7 @@
 
 // race runs operators and watchers through all phases, and then checks.
 func (run *run) race(ctx context.Context) error {
-	run.history.begin("undisturbed")
+	run.history.beginPhase("undisturbed")
 	working, stopWorking := context.WithCancel(ctx)
 	defer stopWorking()
 	watching, stopWatching := context.WithCancel(ctx)
@@ -123,7 +123,7 @@
 	stopWorking()
 	operators.Wait()
 	if err == nil {
-		err = run.settle(ctx)
+		err = run.checkFinalState(ctx)
 	}
 	stopWatching()
 	watchers.Wait()
@@ -132,11 +132,11 @@
 
 func (run *run) startOperators(ctx context.Context, tasks *sync.WaitGroup) error {
 	for number := range run.options.Operators {
-		transport := losingTransport{
+		transport := lossyTransport{
 			RoundTripper: run.access.transport(),
-			requestShare: lostRequests,
-			answerShare:  lostAnswers,
-			lost:         func() { run.history.count(func(counts *phaseCounts) { counts.lost++ }) },
+			requestShare: lostRequestShare,
+			answerShare:  lostAnswerShare,
+			lost:         func() { run.history.updatePhase(func(counts *phaseCounts) { counts.lost++ }) },
 		}
 		api, err := run.access.client(run.deployment.layout.APIEndpoints(), transport, attemptTimeout, retryBudget)
 		if err != nil {
@@ -153,7 +153,7 @@
 
 // settle waits until the last change is in force everywhere and reads all
 // registers for the last time.
-func (run *run) settle(ctx context.Context) error {
+func (run *run) checkFinalState(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, finalTimeout)
 	defer cancel()
 	var last model.Revision
@@ -167,25 +167,25 @@
 		if err != nil {
 			return err
 		}
-		run.history.operators.FinalState(register.name(), value, uint64(present.Revision), run.history.at(call))
+		run.history.operators.FinalState(register.name(), value, uint64(present.Revision), run.history.sinceStart(call))
 		last = max(last, present.Revision)
 	}
 	run.checkProgress()
-	return run.waitEverywhere(ctx, last)
+	return run.waitForBalancers(ctx, last)
 }
 
 func (run *run) checkProgress() {
 	accepted, _, _ := run.history.operators.Counts()
 	if races := run.history.races(); races < minimumRaces || accepted < minimumChanges {
-		run.history.violated(checker.InvariantProgress, "only %d changes and %d races at equal revisions", accepted, races)
+		run.history.recordViolation(checker.InvariantProgress, "only %d changes and %d races at equal revisions", accepted, races)
 	}
 	if run.probes.changes == 0 || run.probes.committedWhileFrozen == 0 {
-		run.history.violated(checker.InvariantProgress, "nothing was changed while the leader was frozen")
+		run.history.recordViolation(checker.InvariantProgress, "nothing was changed while the leader was frozen")
 	}
 }
 
 // waitEverywhere waits until every balancer says itself that it runs revision.
-func (run *run) waitEverywhere(ctx context.Context, revision model.Revision) error {
+func (run *run) waitForBalancers(ctx context.Context, revision model.Revision) error {
 	for _, name := range run.deployment.namesOf(fleet.RoleBalancer) {
 		balancer, err := run.deployment.layout.Find(name)
 		if err != nil {
@@ -197,10 +197,10 @@
 				break
 			}
 			if ctx.Err() != nil {
-				run.history.violated(checker.InvariantInForce, "%s runs revision %d at the end, not %d", name, present, revision)
+				run.history.recordViolation(checker.InvariantInForce, "%s runs revision %d at the end, not %d", name, present, revision)
 				break
 			}
-			pause(ctx, watchInterval)
+			pause(ctx, pollInterval)
 		}
 	}
 	return nil
--- a/internal/bench/operators/transport.go
+++ b/internal/bench/operators/transport.go
@@ -62,7 +62,7 @@
 
 // losingTransport loses some changes on the way out and some answers on the
 // way back. The client sees a broken connection and sends again.
-type losingTransport struct {
+type lossyTransport struct {
 	http.RoundTripper
 	requestShare float64
 	answerShare  float64
@@ -70,7 +70,7 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (transport losingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (transport lossyTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.Method == http.MethodGet {
 		return transport.RoundTripper.RoundTrip(request)
 	}
--- a/internal/bench/operators/watch.go
+++ b/internal/bench/operators/watch.go
@@ -19,9 +19,9 @@
 
 const (
 	// watchInterval is the time between two looks at a process.
-	watchInterval = 200 * time.Millisecond
+	pollInterval = 200 * time.Millisecond
 	// lookTimeout bounds one look.
-	lookTimeout = time.Second
+	pollTimeout = time.Second
 	// metricRevision is the revision that a balancer routes by.
 	metricRevision = "merlinpaddle_balancer_revision"
 
@@ -38,29 +38,29 @@
 
 // run watches until ctx ends.
 func (watcher watcher) run(ctx context.Context) error {
-	var looks sync.WaitGroup
-	defer looks.Wait()
+	var polls sync.WaitGroup
+	defer polls.Wait()
 	for _, endpoint := range watcher.layout.APIEndpoints() {
-		api, err := watcher.access.client([]string{endpoint}, watcher.access.transport(), lookTimeout, lookTimeout)
+		api, err := watcher.access.client([]string{endpoint}, watcher.access.transport(), pollTimeout, pollTimeout)
 		if err != nil {
 			return err
 		}
-		looks.Go(func() { repeat(ctx, func() { watcher.lookAtMember(ctx, api) }) })
+		polls.Go(func() { repeat(ctx, func() { watcher.pollMember(ctx, api) }) })
 	}
 	for _, balancer := range watcher.layout.OfRole(fleet.RoleBalancer) {
-		looks.Go(func() { repeat(ctx, func() { watcher.lookAtBalancer(ctx, balancer) }) })
+		polls.Go(func() { repeat(ctx, func() { watcher.pollBalancer(ctx, balancer) }) })
 	}
 	return nil
 }
 
-func repeat(ctx context.Context, look func()) {
+func repeat(ctx context.Context, poll func()) {
 	for ctx.Err() == nil {
-		look()
-		pause(ctx, watchInterval)
+		poll()
+		pause(ctx, pollInterval)
 	}
 }
 
-func (watcher watcher) lookAtMember(ctx context.Context, api *client.Client) {
+func (watcher watcher) pollMember(ctx context.Context, api *client.Client) {
 	for _, answer := range api.Statuses(ctx) {
 		if answer.Status == nil {
 			continue
@@ -68,7 +68,7 @@
 		digest, err := digestOf(*answer.Status)
 		if err == nil {
 			status := answer.Status
-			watcher.history.memberSeen(string(status.Node), status.Term, status.Leading, status.Revision, digest)
+			watcher.history.recordMemberStatus(string(status.Node), status.Term, status.Leading, status.Revision, digest)
 		}
 	}
 }
@@ -77,16 +77,16 @@
 	return strconv.ParseUint(status.ConfigurationDigest, hexadecimal, wordBits)
 }
 
-func (watcher watcher) lookAtBalancer(ctx context.Context, balancer fleet.Process) {
+func (watcher watcher) pollBalancer(ctx context.Context, balancer fleet.Process) {
 	revision, err := balancerRevision(ctx, balancer)
 	if err == nil {
-		watcher.history.nodeSeen(balancer.Name, revision)
+		watcher.history.recordNodeRevision(balancer.Name, revision)
 	}
 }
 
 // balancerRevision asks a balancer itself which revision it routes by.
 func balancerRevision(ctx context.Context, balancer fleet.Process) (model.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/metrics", balancer.Status), nil)
 	if err != nil {
