--- a/internal/bench/experiment/expectation.go
+++ b/internal/bench/experiment/expectation.go
@@ -8,7 +8,8 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// note records what the step means for imbalance and for the audit.
+// recordEffects updates the serving targets of the imbalance figure and the
+// failures and drains that the audit expects, before a step runs.
 func (runner *stepRunner) recordEffects(step Step, names []string) {
 	for _, name := range names {
 		switch step.Action {
@@ -29,16 +30,17 @@
 	}
 }
 
-// noteDrain records a drain that control has accepted. The users' time counts
-// from there: before, the target was not told to leave.
+// recordDrain records a drain that the control group has accepted. The drain
+// grace promised to users starts then, because the target is not notified
+// earlier.
 func (runner *stepRunner) recordDrain(name string) {
 	runner.expected.Drains = append(runner.expected.Drains, audit.Drain{
 		Node: runner.backendOf(name), At: time.Now(), Grace: runner.drainGrace,
 	})
 }
 
-// noteDeath records the back end of a target whose agent or back end dies or
-// freezes.
+// recordDeadNode records the back end of an agent or back end that is killed or
+// frozen. Other processes are ignored.
 func (runner *stepRunner) recordDeadNode(name string) {
 	process, err := runner.layout.Find(name)
 	if err != nil {
@@ -52,7 +54,8 @@
 	}
 }
 
-// noteCut records the back ends that callers cannot reach.
+// recordCutBackends records the back ends in the cut zones, which callers
+// cannot reach.
 func (runner *stepRunner) recordCutBackends(zones []string) {
 	for _, backend := range runner.layout.OfRole(fleet.RoleBackend) {
 		if slices.Contains(zones, backend.Zone) {
@@ -61,6 +64,7 @@
 	}
 }
 
+// endDrain sets the end of a node's open drains to now.
 func (runner *stepRunner) endDrain(node string) {
 	for index := range runner.expected.Drains {
 		drain := &runner.expected.Drains[index]
@@ -70,7 +74,8 @@
 	}
 }
 
-// backendOf is the name of the back end behind a target's agent.
+// backendOf returns the name of the back end behind a target's agent, or "" if
+// the fleet has no such target.
 func (runner *stepRunner) backendOf(target string) string {
 	process, err := runner.layout.Find(target)
 	if err != nil {
--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -1,7 +1,7 @@
 // Package experiment runs experiment files against a fleet of separate
-// processes: callers offer load, steps bring about changes and faults at
-// stated times, and the result says what was delivered, what broke, how even
-// the load was, and what control traffic cost.
+// processes. Callers offer load, steps make changes and inject faults at given
+// times, and the result reports deliveries, broken flows, load imbalance, and
+// the resource usage of the processes, control traffic included.
 package experiment
 
 import (
@@ -14,14 +14,14 @@
 	"gopkg.in/yaml.v3"
 )
 
-// File is an experiment file.
+// File is the content of an experiment file.
 type File struct {
 	Name        string `yaml:"name" validate:"required,max=48"`
 	Description string `yaml:"description"`
-	// Fleet is the path of the fleet file, from the repository's root.
+	// Fleet is the path of the fleet file, relative to the repository's root.
 	Fleet string `yaml:"fleet" validate:"required_without=Fleets"`
 	// Fleets lists several fleet files: the experiment runs once on each. See
-	// LoadFiles for the names that such a file may use.
+	// LoadFiles for the placeholders that stand for names of each fleet.
 	Fleets []string `yaml:"fleets" validate:"excluded_with=Fleet,dive,required"`
 	// Changes replace values of the fleet file.
 	Changes FleetChanges `yaml:"fleet_changes"`
@@ -30,32 +30,34 @@
 	// LoadFactor multiplies the rates and counts of the fleet's load; zero
 	// means one.
 	LoadFactor float64 `yaml:"load_factor" validate:"min=0,max=100"`
-	// DrainGrace is how long after a drain new work may still come; zero means
-	// what the users were promised, audit.DrainGrace.
+	// DrainGrace is how long after a drain new work may still arrive at the
+	// target; zero means audit.DrainGrace, the time promised to users.
 	DrainGrace time.Duration `yaml:"drain_grace" validate:"min=0"`
 	Steps      []Step        `yaml:"steps" validate:"dive"`
 }
 
-// Action is what a step does.
+// Action is the kind of change or fault that a step applies.
 type Action string
 
 // The actions of steps.
 const (
-	// ActionKill ends processes by SIGKILL.
+	// ActionKill ends processes with SIGKILL.
 	ActionKill Action = "kill"
-	// ActionStop asks processes to end by SIGTERM.
+	// ActionStop asks processes to end with SIGTERM.
 	ActionStop Action = "stop"
 	// ActionStart starts processes and waits until they are ready.
 	ActionStart Action = "start"
-	// ActionFreeze stops processes by SIGSTOP and ActionThaw continues them.
+	// ActionFreeze suspends processes with SIGSTOP and ActionThaw resumes them
+	// with SIGCONT.
 	ActionFreeze Action = "freeze"
 	ActionThaw   Action = "thaw"
 	// ActionRegister lists machines as live, ActionLeaving as leaving, and
-	// ActionUnregister takes them off the platform's list.
+	// ActionUnregister removes them from the platform's machine list.
 	ActionRegister   Action = "register"
 	ActionLeaving    Action = "leaving"
 	ActionUnregister Action = "unregister"
-	// ActionDrain and ActionUndrain change targets by the administration API.
+	// ActionDrain and ActionUndrain drain targets and end the drain, through the
+	// administration API.
 	ActionDrain   Action = "drain"
 	ActionUndrain Action = "undrain"
 	// ActionParameter changes a parameter of a service and waits until the
@@ -67,50 +69,55 @@
 	// ActionUpgrade starts a second agent beside each named one, adds it to
 	// the service, drains the first one and asks it to end.
 	ActionUpgrade Action = "upgrade"
-	// ActionMisbehave makes back ends show faults.
+	// ActionMisbehave injects faults into back ends.
 	ActionMisbehave Action = "misbehave"
-	// ActionImpair sets the fabric's impairments; ActionHeal ends them.
+	// ActionImpair sets the fabric's network impairments; ActionHeal removes
+	// them.
 	ActionImpair Action = "impair"
 	ActionHeal   Action = "heal"
 )
 
-// leaderName is the name in a step that stands for the control leader.
+// leaderName in a step's Names stands for the control leader.
 const leaderName = "leader"
 
-// Step is one change or fault.
+// Step is one change or fault of an experiment.
 type Step struct {
-	// At is the time after the load began.
+	// At is the time since the start of the load.
 	At     time.Duration `yaml:"at" validate:"min=0"`
 	Action Action        `yaml:"action" validate:"required,oneof=kill stop start freeze thaw register leaving unregister drain undrain parameter add_targets upgrade misbehave impair heal"`
-	// Names are the processes or targets that the step is for. "leader" is the
-	// control leader at that time.
+	// Names are the processes or targets that the step acts on. "leader" stands
+	// for the control leader at the time of the step.
 	Names []string `yaml:"names"`
-	// As keeps the leader's name for later steps.
+	// As is an alias under which later steps refer to the resolved name, usually
+	// that of the leader.
 	As string `yaml:"as"`
-	// Service, Parameter and Values are for parameter: the values take turns.
+	// Service, Parameter and Values apply to the action parameter. Repetitions
+	// cycle through Values. Service also applies to add_targets.
 	Service   string `yaml:"service"`
 	Parameter string `yaml:"parameter"`
 	Values    []any  `yaml:"values"`
-	// Every repeats a parameter step.
+	// Every is the interval at which a parameter step repeats until the load
+	// ends; zero runs it once.
 	Every time.Duration `yaml:"every" validate:"min=0"`
-	// Faults are for misbehave; an empty list ends all faults.
+	// Faults applies to misbehave; an empty list ends all faults.
 	Faults []string `yaml:"faults"`
-	// Impairments are for impair.
+	// Impairments applies to impair.
 	Impairments *Impairments `yaml:"impairments"`
 }
 
-// Impairments are faults of the network, as the fabric takes them.
+// Impairments are network faults in the form that the fabric accepts.
 type Impairments struct {
 	Loss                     float64 `yaml:"loss" json:"loss"`
 	Duplicate                float64 `yaml:"duplicate" json:"duplicate"`
 	Reorder                  float64 `yaml:"reorder" json:"reorder"`
 	ReorderDelayMilliseconds int64   `yaml:"reorder_delay_milliseconds" json:"reorder_delay_milliseconds"`
-	// CutZones are zones that callers' packets and answers cannot cross.
+	// CutZones are zones that packets and answers of callers cannot enter or
+	// leave.
 	CutZones []string `yaml:"cut_zones" json:"cut_zones,omitempty"`
 }
 
-// ParseFile reads and checks the content of an experiment file. Unknown keys
-// are refused; the error names every wrong field.
+// ParseFile parses and validates the content of an experiment file. Unknown
+// keys are an error; a validation error names every invalid field.
 func ParseFile(content []byte) (File, error) {
 	var file File
 	decoder := yaml.NewDecoder(bytes.NewReader(content))
@@ -147,7 +154,7 @@
 	return errors.Join(all...)
 }
 
-// check finds what the validator's rules cannot say.
+// check applies the rules that the validator's tags cannot express.
 func (step Step) check(duration time.Duration) error {
 	if step.At > duration {
 		return fmt.Errorf("at %s is after the end of the load at %s", step.At, duration)
--- a/internal/bench/experiment/imbalance.go
+++ b/internal/bench/experiment/imbalance.go
@@ -4,28 +4,28 @@
 	"slices"
 )
 
-// Imbalance sums up the maximum over the mean of the serving targets of one
-// service, over all samples.
+// Imbalance summarizes, over all samples, the ratio of the maximum to the mean
+// over the serving targets of one service. One means perfectly even.
 type Imbalance struct {
 	Service string `json:"service"`
 	// Connections is the imbalance of open connections.
 	Connections Spread `json:"connections"`
-	// Requests is the imbalance of requests running and waiting.
+	// Requests is the imbalance of running and waiting requests.
 	Requests Spread `json:"requests"`
 }
 
-// Spread gives quantiles of a figure over the samples.
+// Spread holds quantiles of a figure over the samples.
 type Spread struct {
 	Median float64 `json:"median"`
 	P90    float64 `json:"p90"`
 	Max    float64 `json:"max"`
 	// Last is the figure of the last sample.
 	Last float64 `json:"last"`
-	// Samples is the number of samples that the figure has.
+	// Samples is the number of samples with a value for the figure.
 	Samples int `json:"samples"`
 }
 
-// imbalances sums up the samples of each service.
+// imbalances returns the imbalance of each service over the samples.
 func imbalances(samples []Sample, services []string) []Imbalance {
 	var all []Imbalance
 	for _, service := range services {
@@ -42,11 +42,12 @@
 
 func requestsOf(target TargetSample) float64 { return target.Running + target.Waiting }
 
-// point is one value of a series.
+// point is one value of a time series; at is in seconds since the start of the
+// load.
 type point struct{ at, value float64 }
 
-// seriesOf returns maximum over mean for each sample in which the service's
-// targets had anything.
+// imbalanceSeries returns the ratio of maximum to mean for each sample in which
+// the figure is not zero at all targets of the service.
 func imbalanceSeries(samples []Sample, service string, figure func(TargetSample) float64) []point {
 	var series []point
 	for _, sample := range samples {
@@ -66,7 +67,7 @@
 	return series
 }
 
-// spreadOf returns the quantiles of a series.
+// spreadOf returns the quantiles, last value and length of a series.
 func spreadOf(series []point) Spread {
 	if len(series) == 0 {
 		return Spread{}
@@ -86,7 +87,8 @@
 	}
 }
 
-// quantile returns the value below which the given part of sorted values lies.
+// quantile returns the value below which the given fraction of the sorted values
+// lies, or zero if there are none.
 func quantile(sorted []float64, fraction float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/bench/experiment/load.go
+++ b/internal/bench/experiment/load.go
@@ -16,18 +16,18 @@
 // FleetChanges are values that an experiment sets in its fleet file; zero
 // leaves the file's own value.
 type FleetChanges struct {
-	// ServiceTime is the mean time of a call at every back end.
+	// ServiceTime is the mean service time of a call at every back end.
 	ServiceTime time.Duration `yaml:"service_time" validate:"min=0"`
-	// ReportInterval is the time between two reports of nodes and of relays.
+	// ReportInterval is the interval at which nodes and relays send reports.
 	ReportInterval time.Duration `yaml:"report_interval" validate:"min=0"`
-	// PlatformDelay is how late the platform's machine list is.
+	// PlatformDelay is the delay of the platform's machine list.
 	PlatformDelay time.Duration `yaml:"platform_delay" validate:"min=0"`
-	// Network replaces the first two numbers of all addresses; "free" picks
-	// ones that no other run uses.
+	// Network replaces the first two octets of all addresses; "free" picks a
+	// network that no other run uses.
 	Network string `yaml:"network"`
 }
 
-// apply returns the fleet file with the changes.
+// apply returns a copy of the fleet file with the changes.
 func (changes FleetChanges) apply(file fleet.File) fleet.File {
 	if changes.Network != "" {
 		file.Network = changes.Network
@@ -47,7 +47,7 @@
 	return file
 }
 
-// LoadFiles reads and checks an experiment file and returns one experiment for
+// LoadFiles reads and validates an experiment file and returns one experiment for
 // each of its fleets. In the file {{service N}} and {{zone N}} stand for the
 // names of the fleet's N-th service and zone, counted from one. root is the
 // repository's root.
@@ -63,7 +63,8 @@
 	return files, nil
 }
 
-// expand makes one experiment for each fleet of an experiment file.
+// expand returns one experiment for each fleet of an experiment file. With
+// several fleets, the fleet's name is appended to that of the experiment.
 func expand(root string, content []byte) ([]File, error) {
 	fleets, err := fleetsOf(content)
 	if err != nil {
@@ -92,7 +93,7 @@
 	return files, nil
 }
 
-// fleetsOf returns the fleet files that an experiment file names.
+// fleetsOf returns the paths of the fleet files that an experiment file lists.
 func fleetsOf(content []byte) ([]string, error) {
 	anyName := func(int) (string, error) { return "any", nil }
 	filled, err := fillPlaceholders(content, template.FuncMap{"service": anyName, "zone": anyName})
@@ -115,7 +116,8 @@
 	return []string{named.Fleet}, nil
 }
 
-// namesOf are the functions that give the names of a fleet.
+// placeholderFunctions returns the template functions service and zone for a
+// fleet.
 func placeholderFunctions(file fleet.File) template.FuncMap {
 	return template.FuncMap{
 		"service": func(number int) (string, error) {
@@ -133,6 +135,7 @@
 	}
 }
 
+// fillPlaceholders replaces the placeholders of an experiment file.
 func fillPlaceholders(content []byte, names template.FuncMap) ([]byte, error) {
 	parsed, err := template.New("experiment").Funcs(names).Parse(string(content))
 	if err != nil {
--- a/internal/bench/experiment/load_test.go
+++ b/internal/bench/experiment/load_test.go
@@ -13,8 +13,8 @@
 
 const repositoryRoot = "../../.."
 
-// Every experiment file of the repository loads on each of its fleets, and its
-// steps name processes that these fleets have.
+// Every experiment file of the repository must load with each of its fleets, and
+// its steps must only name processes and services of these fleets.
 func TestExperimentFilesOfTheRepository(t *testing.T) {
 	paths, err := filepath.Glob(filepath.Join(repositoryRoot, "experiments", "*.yaml"))
 	require.NoError(t, err)
--- a/internal/bench/experiment/markdown.go
+++ b/internal/bench/experiment/markdown.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown returns the result as a page.
+// Markdown returns the result as a Markdown page.
 func (result Result) Markdown() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "# %s\n\n%s\n\nFleet %s, load %g times its own for %.0f s, %s.\n\n",
@@ -88,13 +88,13 @@
 	return fmt.Sprintf("%.3f", second/first)
 }
 
-// figure is one number of a result.
+// figure is one number of a result, with the label that comparisons show.
 type figure struct {
 	name string
 	read func(Result) float64
 }
 
-// figures are the numbers that comparisons show.
+// figures are the rows of a comparison table.
 var figures = []figure{
 	{"broken flows", func(result Result) float64 { return float64(result.Audit.Flows.Broken) }},
 	{"weighted cuts", func(result Result) float64 { return result.Audit.WeightedBroken() }},
--- a/internal/bench/experiment/metrics.go
+++ b/internal/bench/experiment/metrics.go
@@ -14,10 +14,10 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// scrapeTimeout bounds the reading of one process's metrics.
+// scrapeTimeout bounds one scrape of a process; it is below the sample interval.
 const scrapeTimeout = 800 * time.Millisecond
 
-// Names of the metrics that are read.
+// Names of the scraped metrics and their labels.
 const (
 	metricConnections      = "merlinpaddle_agent_connections"
 	metricRequests         = "merlinpaddle_agent_requests"
@@ -31,7 +31,7 @@
 	stateFeeds   = "feeds"
 )
 
-// reading is what was read of one process.
+// reading holds the metric values of one scrape of a process.
 type reading struct {
 	connections      float64
 	running          float64
@@ -43,7 +43,7 @@
 	hasControlBytes  bool
 }
 
-// scrape reads the metrics of one process.
+// scrape reads the metrics of one process over HTTP.
 func scrape(ctx context.Context, process fleet.Process) (reading, error) {
 	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
@@ -63,7 +63,7 @@
 	return read, nil
 }
 
-// parseMetrics reads the families that the bench needs.
+// parseMetrics reads the metric families that the bench uses and skips others.
 func parseMetrics(body io.Reader, format expfmt.Format) (reading, error) {
 	var read reading
 	decoder := expfmt.NewDecoder(body, format)
--- a/internal/bench/experiment/network.go
+++ b/internal/bench/experiment/network.go
@@ -6,11 +6,12 @@
 	"net"
 )
 
-// freeNetwork asks for addresses that no other run uses.
+// freeNetwork is the value of FleetChanges.Network that requests a network that
+// no other run uses.
 const freeNetwork = "free"
 
-// The networks that runs pick from, as the second number of their addresses,
-// and the port whose listener marks a network as taken.
+// The range of networks that runs pick from, as the second octet of 127.x, and
+// the last two octets and port of the listener that marks a network as taken.
 const (
 	firstFreeNetwork  = 100
 	lastFreeNetwork   = 199
@@ -18,14 +19,14 @@
 	reservationSuffix = "255.1"
 )
 
-// reservation holds a network for one run. The kernel gives it back also when
-// the run is killed.
+// reservation reserves a network for one run by an open listener. The kernel
+// closes the listener also when the run is killed.
 type reservation struct {
 	network  string
 	listener net.Listener
 }
 
-// reserveNetwork takes the first network that no other run holds.
+// reserveNetwork reserves the first network that no other run has reserved.
 func reserveNetwork() (*reservation, error) {
 	var all []error
 	for number := firstFreeNetwork; number <= lastFreeNetwork; number++ {
--- a/internal/bench/experiment/network_test.go
+++ b/internal/bench/experiment/network_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two runs at once never share addresses, and a network is free again after
-// its run.
+// Concurrent runs must never share addresses, and a network must be free again
+// after its run.
 func TestReservedNetworksDiffer(t *testing.T) {
 	first, err := reserveNetwork()
 	require.NoError(t, err)
--- a/internal/bench/experiment/operator.go
+++ b/internal/bench/experiment/operator.go
@@ -16,18 +16,20 @@
 	"merlinpaddle/internal/state"
 )
 
-// inForceTimeout bounds the wait until a change is in force.
+// inForceTimeout bounds the wait until a change is in force, and the wait until
+// processes are ready.
 const inForceTimeout = 20 * time.Second
 
 const (
-	// attemptTimeout bounds one attempt at one control member.
+	// attemptTimeout bounds one request to one control member.
 	attemptTimeout = 4 * time.Second
-	// inForceSlice is how long one attempt waits for a change to be in force.
+	// rolloutAttemptWait is how long one request waits for a change to be in
+	// force. It is shorter than attemptTimeout.
 	rolloutAttemptWait = 2 * time.Second
 )
 
-// Operator makes changes as an operator's automation does: by the
-// administration API.
+// Operator makes changes through the administration API, as an operator's
+// automation does.
 type Operator struct {
 	layout *fleet.Layout
 	client *client.Client
@@ -43,7 +45,7 @@
 		Endpoints: layout.APIEndpoints(),
 		Token:     strings.TrimSpace(string(token)),
 		Authority: filepath.Join(folder, fleet.AuthorityFile),
-		// A member that is frozen keeps an attempt until its time-out.
+		// A frozen member blocks an attempt until this timeout.
 		AttemptTimeout: attemptTimeout,
 	})
 	if err != nil {
@@ -52,12 +54,12 @@
 	return &Operator{layout: layout, client: made}, nil
 }
 
-// Drain stops new flows to a target.
+// Drain drains a target: it receives no new flows.
 func (operator *Operator) Drain(ctx context.Context, name string) error {
 	return operator.changeTarget(ctx, name, operator.client.Drain)
 }
 
-// Undrain lets a drained target take new flows again.
+// Undrain ends the drain of a target: it receives new flows again.
 func (operator *Operator) Undrain(ctx context.Context, name string) error {
 	return operator.changeTarget(ctx, name, operator.client.Undrain)
 }
@@ -84,8 +86,8 @@
 	return nil
 }
 
-// SetParameter changes one parameter of a service and returns once every
-// leased balancer runs the change.
+// SetParameter changes one parameter of a service and waits until every balancer
+// with a lease applies the change, or fails after inForceTimeout.
 func (operator *Operator) SetParameter(ctx context.Context, service, parameter string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -124,7 +126,7 @@
 	}
 }
 
-// Leader returns the name of the control leader.
+// Leader returns the name of the control leader, or an error if there is none.
 func (operator *Operator) Leader(ctx context.Context) (string, error) {
 	members, err := operator.client.Members(ctx)
 	if err != nil {
@@ -135,7 +137,7 @@
 			return string(member.Name), nil
 		}
 	}
-	return "", fmt.Errorf("the control group names no leader")
+	return "", fmt.Errorf("the control group reports no leader")
 }
 
 func (operator *Operator) serviceKey(name string) (state.ServiceKey, error) {
--- a/internal/bench/experiment/plots.go
+++ b/internal/bench/experiment/plots.go
@@ -15,25 +15,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of plots.
+// Dimensions of plots.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	// titlePadding keeps the title off the edge and the labels of steps.
+	// titlePadding separates the title from the edge and from the step labels.
 	titlePadding = 3 * vg.Millimeter
 )
 
-// longestGap is the time between two samples above which a line is broken: the
-// target did not serve in between.
+// maximumSampleGap is the time between two samples above which a line is split,
+// because the target was not serving in between.
 const maximumSampleGap = 2 * sampleInterval
 
-// nearestLabels is the time in seconds between two labels that can be read.
+// minimumLabelGap is the time in seconds between two step labels below which
+// they would overlap.
 const minimumLabelGap = 0.6
 
-// stepColor is the color of the marks of steps.
+// stepColor is the color of step lines and labels.
 var stepColor = color.Gray{Y: 110}
 
-// writePlots draws the run's courses into folder.
+// writePlots writes the charts of all services to folder as PNG files.
 func (result Result) writePlots(folder string) error {
 	for _, imbalance := range result.Imbalance {
 		if err := result.plotService(folder, imbalance.Service); err != nil {
@@ -43,7 +44,7 @@
 	return nil
 }
 
-// plotService draws the courses of one service.
+// plotService writes the charts of one service.
 func (result Result) plotService(folder, service string) error {
 	connections := timeChart{
 		name: "connections-" + service, title: "connections of each target of " + service,
@@ -67,17 +68,17 @@
 	return nil
 }
 
-// course is one plot over the time of the run.
+// timeChart is a line chart over the time of the run.
 type timeChart struct {
 	name  string
 	title string
 	unit  string
-	// least is the lower end of the vertical axis.
+	// minimumY is the lower end of the vertical axis.
 	minimumY float64
 	lines    [][]point
 }
 
-// highest is the upper end of the vertical axis.
+// maximumY returns the upper end of the vertical axis.
 func (chart timeChart) maximumY() float64 {
 	const headroom = 1.1
 	highest := chart.minimumY
@@ -110,7 +111,7 @@
 			drawing.Add(drawn)
 		}
 	}
-	// The lines have their own, smaller ranges.
+	// Adding a line changed the axis ranges to fit it, so set them again.
 	drawing.X.Min, drawing.X.Max = 0, result.Seconds
 	drawing.Y.Min, drawing.Y.Max = chart.minimumY, chart.maximumY()
 	return save(drawing, folder, chart.name)
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// addLabel adds a label, or joins it with the one before when both would be
-// written over each other.
+// addLabel adds a label, or appends it to the previous one when the two would
+// overlap.
 func addLabel(places plotter.XYLabels, at plotter.XY, label string) plotter.XYLabels {
 	last := len(places.Labels) - 1
 	if last >= 0 && at.X-places.XYs[last].X < minimumLabelGap {
@@ -166,7 +167,8 @@
 	return places
 }
 
-// connectionLines returns the course of each target of a service.
+// connectionLines returns the open connections over time of each target of a
+// service.
 func (result Result) connectionLines(service string) [][]point {
 	var lines [][]point
 	for _, target := range targetsOf(result.Samples, service) {
@@ -175,7 +177,7 @@
 	return lines
 }
 
-// unbroken splits a series where samples are missing.
+// splitAtGaps splits a series where samples are missing.
 func splitAtGaps(series []point) [][]point {
 	var parts [][]point
 	begin := 0
@@ -192,7 +194,7 @@
 	return parts
 }
 
-// targetsOf lists a service's targets in the order in which they were seen.
+// targetsOf lists a service's targets in the order of their first sample.
 func targetsOf(samples []Sample, service string) []string {
 	seen := make(map[string]bool)
 	var names []string
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -13,13 +13,13 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// Result is what a run showed, as written to its JSON file.
+// Result is the outcome of a run, as stored in its JSON file.
 type Result struct {
 	Name        string    `json:"name"`
 	Description string    `json:"description"`
 	Fleet       string    `json:"fleet"`
 	Started     time.Time `json:"started"`
-	// Revision is that of the programs' source; empty when it is not known.
+	// Revision is the source revision of the bench program; empty if unknown.
 	Revision string `json:"revision,omitempty"`
 	// Seconds is how long the load ran.
 	Seconds    float64           `json:"seconds"`
@@ -33,26 +33,26 @@
 	Samples    []Sample          `json:"samples"`
 }
 
-// RoleCost is what the processes of one role used while the load ran.
+// RoleCost is the resource usage of the processes of one role during the load.
 type RoleCost struct {
 	Role  fleet.Role `json:"role"`
 	Nodes int        `json:"nodes"`
-	// ControlBytesPerSecond counts both directions.
+	// ControlBytesPerSecond is control traffic in both directions.
 	ControlBytesPerSecond MeanAndMax `json:"control_bytes_per_second"`
-	// ProcessorShare is in cores.
+	// ProcessorShare is processor time per second, in cores.
 	ProcessorShare MeanAndMax `json:"processor_share"`
-	// MemoryBytes is the resident memory at the end.
+	// MemoryBytes is the resident memory at the end of the load.
 	MemoryBytes MeanAndMax `json:"memory_bytes"`
 }
 
-// MeanAndMax sums up one figure over nodes.
+// MeanAndMax is the mean and the maximum of one figure over nodes.
 type MeanAndMax struct {
 	Mean float64 `json:"mean"`
 	Max  float64 `json:"max"`
 }
 
-// RolloutTimes are the times from a change's request until it was in force,
-// in milliseconds.
+// RolloutTimes summarizes the times, in milliseconds, from the request of a
+// change until the change was in force.
 type RolloutTimes struct {
 	Changes int     `json:"changes"`
 	P50     float64 `json:"p50_ms"`
@@ -60,7 +60,7 @@
 	Max     float64 `json:"max_ms"`
 }
 
-// result puts the run's figures together.
+// result assembles the run's result. Failed steps count as violations.
 func (session *session) result(accounts []audit.Account, runs []audit.Run, costs []RoleCost) Result {
 	compared := audit.Compare(accounts, runs)
 	violations := compared.Violations(session.steps.expected, runs)
@@ -91,11 +91,11 @@
 	}
 }
 
-// shortRevision is the number of digits of a revision that are shown.
+// shortRevision is the number of digits to which a revision is shortened.
 const shortRevision = 12
 
-// sourceRevision returns the revision that this program was built from, with a
-// mark when files had been changed since.
+// sourceRevision returns the revision that this program was built from, marked
+// if the tree had uncommitted changes, or "" if it is unknown.
 func sourceRevision() string {
 	build, known := debug.ReadBuildInfo()
 	if !known {
@@ -115,8 +115,9 @@
 	return revision + mark
 }
 
-// roleCosts compares two readings of all nodes. A node that restarted between
-// them is left out.
+// roleCosts returns the usage between two readings of all nodes. A node that
+// restarted in between, seen by processor time that went back, is left out, and
+// so is a node without both readings.
 func roleCosts(layout *fleet.Layout, before, after map[string]reading, seconds float64) []RoleCost {
 	var all []RoleCost
 	for _, role := range systemRoles {
@@ -172,7 +173,8 @@
 	tableFile  = "result.md"
 )
 
-// Write stores the result, its table and its plots in folder.
+// Write stores the result as JSON and as a Markdown page, with its plots, in
+// folder.
 func (result Result) Write(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return fmt.Errorf("results folder: %w", err)
@@ -190,7 +192,7 @@
 	return result.writePlots(folder)
 }
 
-// Read reads a result that Write stored; path is the JSON file.
+// Read reads a result stored by Write; path is that of the JSON file.
 func Read(path string) (Result, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/bench/experiment/run.go
+++ b/internal/bench/experiment/run.go
@@ -14,27 +14,29 @@
 )
 
 const (
-	// teardownTimeout bounds the stop of a fleet.
+	// teardownTimeout bounds stopping the fleet.
 	teardownTimeout = 30 * time.Second
-	// callerGrace is how long past the load a caller may take for its report.
+	// callerGrace is how long after the end of the load a caller may take to
+	// write its report.
 	callerGrace = 25 * time.Second
-	// reportPollInterval is the time between two looks for a report.
+	// reportPollInterval is the interval of checks for a report file.
 	reportPollInterval = 100 * time.Millisecond
 )
 
-// Options are where and how an experiment runs.
+// Options are the folders and the progress callback of a run.
 type Options struct {
-	// Root is the repository's root; Binaries has the programs.
+	// Root is the repository's root; Binaries is the folder of the programs.
 	Root     string
 	Binaries string
 	// Folder is the fleet's folder during the run.
 	Folder string
-	// Progress is told how far the run is; it may be nil.
+	// Progress receives the elapsed and total time of the load and a short
+	// text on the current activity; it may be nil.
 	Progress func(done, total time.Duration, text string)
 }
 
 // Run starts a fleet, runs the experiment, stops the fleet, and returns the
-// result. The fleet is stopped also when the run fails or ctx ends.
+// result. It stops the fleet also when the run fails or ctx ends.
 func Run(ctx context.Context, file File, options Options) (result Result, err error) {
 	if options.Progress == nil {
 		options.Progress = func(time.Duration, time.Duration, string) {}
@@ -68,7 +70,7 @@
 	return session.run(ctx)
 }
 
-// session is one run against a fleet that is up.
+// session is one run against a running fleet.
 type session struct {
 	file    File
 	options Options
@@ -145,7 +147,7 @@
 	return session.layout.WaitReady(ctx, names, inForceTimeout)
 }
 
-// loadFlags are the settings of a caller that the experiment decides.
+// loadFlags returns the flags that set a caller's load and duration.
 func (session *session) loadFlags(caller fleet.Process) []string {
 	load := session.layout.LoadOf(caller.Service)
 	factor := session.file.LoadFactor
--- a/internal/bench/experiment/sampler.go
+++ b/internal/bench/experiment/sampler.go
@@ -12,18 +12,18 @@
 
 const (
 	sampleInterval = time.Second
-	// scrapeWorkers bounds the processes that are read at once.
+	// scrapeWorkers is the maximum number of concurrent scrapes.
 	scrapeWorkers = 16
 )
 
-// Sample is what the targets of all services had at one moment.
+// Sample is the state of the serving targets of all services at one moment.
 type Sample struct {
-	// At is the time after the load began, in seconds.
+	// At is the time since the start of the load, in seconds.
 	At      float64        `json:"at"`
 	Targets []TargetSample `json:"targets"`
 }
 
-// TargetSample is one serving target at one moment.
+// TargetSample is the state of one serving target at one moment.
 type TargetSample struct {
 	Service     string  `json:"service"`
 	Target      string  `json:"target"`
@@ -33,12 +33,12 @@
 	Feeds       float64 `json:"feeds"`
 }
 
-// sampler reads the agents each second.
+// sampler scrapes the agents of serving targets once per sampleInterval.
 type sampler struct {
 	layout *fleet.Layout
 	lock   sync.Mutex
-	// serving are the targets that count for imbalance: in a service, neither
-	// drained nor dead.
+	// serving reports for each agent whether its target counts for imbalance:
+	// it is part of a service and neither drained nor dead.
 	serving map[string]bool
 	samples []Sample
 }
@@ -51,8 +51,8 @@
 	return created
 }
 
-// setServing tells whether a target counts from now on. Names that are no
-// targets are ignored.
+// setServing sets whether a target is included in later samples. Names that are
+// not agents are ignored.
 func (sampler *sampler) setServing(target string, serving bool) {
 	sampler.lock.Lock()
 	defer sampler.lock.Unlock()
@@ -67,7 +67,7 @@
 	return sampler.serving[target]
 }
 
-// run samples until ctx ends.
+// run takes samples until ctx ends.
 func (sampler *sampler) run(ctx context.Context, started time.Time) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
@@ -81,8 +81,8 @@
 	}
 }
 
-// take reads all serving targets once. A target that cannot be read is left
-// out of the sample.
+// sampleOnce scrapes all serving targets and adds a sample. A target whose scrape
+// fails is left out of the sample.
 func (sampler *sampler) sampleOnce(ctx context.Context, started time.Time) {
 	sample := Sample{At: time.Since(started).Seconds()}
 	var lock sync.Mutex
@@ -112,7 +112,8 @@
 	sampler.samples = append(sampler.samples, sample)
 }
 
-// costs reads what each process of the system has used so far.
+// scrapeSystem reads the metrics of each process of the system, by its name.
+// Processes whose scrape fails are left out.
 func scrapeSystem(ctx context.Context, layout *fleet.Layout) map[string]reading {
 	readings := make(map[string]reading)
 	var lock sync.Mutex
@@ -135,5 +136,6 @@
 	return readings
 }
 
-// systemRoles are the roles of the system itself.
+// systemRoles are the roles of the system under test, without the bench's own
+// processes.
 var systemRoles = []fleet.Role{fleet.RoleControl, fleet.RoleRelay, fleet.RoleBalancer, fleet.RoleAgent}
--- a/internal/bench/experiment/schedule.go
+++ b/internal/bench/experiment/schedule.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// progressInterval is the time between two progress reports.
+// progressInterval is the maximum time between two progress reports.
 const progressInterval = 200 * time.Millisecond
 
-// scheduled is one step at its next time.
+// scheduledStep is a step with the time of its next execution.
 type scheduledStep struct {
 	step Step
 	at   time.Duration
-	// turn counts the repetitions of the step.
+	// repetition counts the earlier executions of the step.
 	repetition int
 }
 
-// runSteps carries out the steps at their times, one after another, and
-// returns when the load is over.
+// runSteps executes the steps at their times, one after another, and returns
+// when the load ends. A step that overruns delays the next ones.
 func (session *session) runSteps(ctx context.Context) error {
 	var waiting []scheduledStep
 	for _, step := range session.file.Steps {
@@ -47,7 +47,7 @@
 	}
 }
 
-// describe returns the step as a few words.
+// describe returns a short description of the step for progress reports.
 func (step Step) describe() string {
 	subject := strings.Join(step.Names, " ")
 	if step.Service != "" {
@@ -56,7 +56,7 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %s", step.Action, subject))
 }
 
-// carryOut runs one step and records what came of it.
+// executeStep executes one step and records its outcome.
 func (session *session) executeStep(ctx context.Context, next scheduledStep) {
 	begun := time.Now()
 	var names []string
@@ -78,7 +78,7 @@
 	session.records = append(session.records, record)
 }
 
-// waitUntil waits until the load has run for at.
+// waitUntil reports progress until the load has run for at.
 func (session *session) waitUntil(ctx context.Context, at time.Duration, text string) error {
 	for {
 		elapsed := time.Since(session.started)
--- a/internal/bench/experiment/script.go
+++ b/internal/bench/experiment/script.go
@@ -18,7 +18,7 @@
 	Binaries string
 }
 
-// Run runs one command of the script. The error has what it printed.
+// Run runs one command of the script. An error includes the script's output.
 func (script Script) Run(ctx context.Context, arguments ...string) error {
 	all := append([]string{"--folder", script.Folder}, arguments...)
 	command := exec.CommandContext(ctx, filepath.Join(script.Root, "hack", "fleet"), all...)
--- a/internal/bench/experiment/steps.go
+++ b/internal/bench/experiment/steps.go
@@ -10,9 +10,10 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// StepRecord is what came of one step.
+// StepRecord is the outcome of one executed step.
 type StepRecord struct {
-	// At and Took are in seconds; At counts from the begin of the load.
+	// At and Took are the start, since the start of the load, and the duration
+	// of the step, in seconds.
 	At     float64  `json:"at"`
 	Took   float64  `json:"took"`
 	Action Action   `json:"action"`
@@ -20,17 +21,17 @@
 	Error  string   `json:"error,omitempty"`
 }
 
-// stepRunner carries out the steps of one run.
+// stepRunner executes the steps of one run.
 type stepRunner struct {
 	script   Script
 	layout   *fleet.Layout
 	operator *Operator
 	sampler  *sampler
-	// aliases are names that earlier steps kept.
+	// aliases maps the As names of earlier steps to the names of processes.
 	aliases map[string]string
-	// targets are the targets in each service's parameters.
+	// targets lists the targets in the parameters of each service.
 	targets map[string][]string
-	// drainGrace is the grace of drains; zero means the usual one.
+	// drainGrace is the grace of drains; zero means audit.DrainGrace.
 	drainGrace time.Duration
 	expected   audit.Expectation
 	rollouts   []time.Duration
@@ -55,7 +56,7 @@
 	return runner
 }
 
-// run carries out one step and returns the names that it resolved.
+// run executes one step and returns the resolved names that it acted on.
 func (runner *stepRunner) run(ctx context.Context, step Step) ([]string, error) {
 	names, err := runner.resolve(ctx, step)
 	if err != nil {
@@ -95,7 +96,8 @@
 	return nil, fmt.Errorf("action %q is not known", step.Action)
 }
 
-// resolve replaces "leader" and kept names by names of processes.
+// resolve replaces "leader" and aliases by names of processes, and stores the
+// step's own alias.
 func (runner *stepRunner) resolve(ctx context.Context, step Step) ([]string, error) {
 	var names []string
 	for _, name := range step.Names {
@@ -134,8 +136,8 @@
 	return runner.layout.WaitReady(ctx, names, inForceTimeout)
 }
 
-// setParameter changes a parameter to the value whose turn it is, and keeps
-// how long the change took to be in force.
+// setParameter sets the parameter to the step's value for this repetition, and
+// records how long the change took to be in force.
 func (runner *stepRunner) setParameter(ctx context.Context, step Step, repetition int) error {
 	before := time.Now()
 	err := runner.operator.SetParameter(ctx, step.Service, step.Parameter, step.Values[repetition%len(step.Values)])
@@ -145,7 +147,7 @@
 	return err
 }
 
-// each applies change to every name and joins the errors.
+// forEachName calls change for every name and joins the errors.
 func forEachName(ctx context.Context, names []string, change func(ctx context.Context, name string) error) error {
 	var all []error
 	for _, name := range names {
--- a/internal/bench/experiment/targets.go
+++ b/internal/bench/experiment/targets.go
@@ -6,8 +6,9 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// addTargets starts the service's standby back ends with their agents and
-// puts them into its parameters.
+// addTargets starts the service's standby back ends with their agents and adds
+// them to the targets in its parameters. Second agents for upgrades share a back
+// end with another agent and are left out.
 func (runner *stepRunner) addTargets(ctx context.Context, service string) error {
 	var added []string
 	for _, agent := range runner.layout.OfRole(fleet.RoleAgent) {
@@ -23,7 +24,8 @@
 	return runner.startAgents(ctx, service, added)
 }
 
-// startAgents starts agents and puts them into their service's parameters.
+// startAgents starts agents, registers their machines, adds them to the targets
+// of the service, and waits until they are ready.
 func (runner *stepRunner) startAgents(ctx context.Context, service string, names []string) error {
 	for _, name := range names {
 		if err := runner.script.Run(ctx, "start", name); err != nil {
@@ -47,8 +49,8 @@
 	return runner.layout.WaitReady(ctx, names, inForceTimeout)
 }
 
-// upgrade starts the second agent of a target, drains the first one, and asks
-// it to end once its flows have ended.
+// upgrade starts the second agent of a target, drains the first one, and stops
+// it with SIGTERM, on which it ends after its flows.
 func (runner *stepRunner) upgrade(ctx context.Context, name string) error {
 	first, err := runner.layout.Find(name)
 	if err != nil {
--- a/internal/bench/experiment/usage.go
+++ b/internal/bench/experiment/usage.go
@@ -6,17 +6,17 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// Usage is what one process has used since its start.
+// Usage is the resource usage of one process since its start.
 type Usage struct {
-	// ControlBytes counts both directions of the control connections.
+	// ControlBytes is the traffic of control connections in both directions.
 	ControlBytes float64
-	// ProcessorSeconds is user and system time.
+	// ProcessorSeconds is the sum of user and system time.
 	ProcessorSeconds float64
-	// ResidentBytes is the resident memory at present.
+	// ResidentBytes is the current resident memory.
 	ResidentBytes float64
 }
 
-// ReadUsage reads what a process of the fleet has used, from its metrics.
+// ReadUsage reads the resource usage of a process of the fleet from its metrics.
 func ReadUsage(ctx context.Context, process fleet.Process) (Usage, error) {
 	read, err := scrape(ctx, process)
 	if err != nil {
--- a/internal/bench/operators/deployment.go
+++ b/internal/bench/operators/deployment.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// proxySubnet is the third number of the proxies' address.
+	// proxySubnet is the third octet of the proxies' address.
 	proxySubnet = 90
-	// readyTimeout bounds the wait for processes.
+	// readyTimeout bounds the wait until processes are ready.
 	readyTimeout = 30 * time.Second
-	// startTimeout bounds the whole start, also the wait until the fleet's
-	// documents are in force.
+	// startTimeout bounds the start of the fleet, including the wait until its
+	// configuration documents are in force.
 	startTimeout = time.Minute
-	// downTimeout bounds the stop of the fleet.
+	// downTimeout bounds stopping the fleet.
 	downTimeout = 30 * time.Second
 
 	settingsMode = 0o644
@@ -34,11 +34,11 @@
 	script experiment.Script
 }
 
-// deploy renders a fleet, leads its control links through proxies, and starts
-// it without callers, because the control group is what is watched.
+// deploy renders a fleet, routes its control links through proxies, and starts
+// it without callers, because only the control group is under test.
 func deploy(ctx context.Context, file fleet.File, script experiment.Script) (*deployment, error) {
 	if err := os.RemoveAll(script.Folder); err != nil {
-		return nil, fmt.Errorf("remove the former fleet: %w", err)
+		return nil, fmt.Errorf("remove the previous fleet: %w", err)
 	}
 	layout, err := fleet.Render(file, script.Folder)
 	if err != nil {
@@ -57,8 +57,8 @@
 	return deployed, nil
 }
 
-// leadThroughProxies changes the peers' addresses in the settings of every
-// process of the system to those of proxies.
+// routeThroughProxies replaces the peers' addresses in the settings of every
+// process of the system by those of proxies.
 func (deployment *deployment) routeThroughProxies() error {
 	for _, role := range []fleet.Role{fleet.RoleControl, fleet.RoleRelay, fleet.RoleBalancer, fleet.RoleAgent} {
 		for _, process := range deployment.layout.OfRole(role) {
@@ -70,6 +70,8 @@
 	return nil
 }
 
+// changeSettings adds a proxy for each peer of a process and rewrites the
+// process's settings file.
 func (deployment *deployment) changeSettings(process fleet.Process) error {
 	path := fleet.SettingsPath(deployment.script.Folder, process.Name)
 	loaded, err := settings.Load(path, nil)
@@ -96,7 +98,7 @@
 	return os.WriteFile(path, text, settingsMode)
 }
 
-// start starts the processes in the order of hack/fleet's "up".
+// start starts the processes in the same order as "hack/fleet up".
 func (deployment *deployment) start(ctx context.Context) error {
 	order := []fleet.Role{fleet.RolePlatform, fleet.RoleControl, fleet.RoleRelay, fleet.RoleFabric,
 		fleet.RoleBackend, fleet.RoleAgent, fleet.RoleBalancer}
@@ -121,7 +123,7 @@
 	)
 }
 
-// inOrder runs steps until one fails.
+// inOrder runs steps in order and returns the first error.
 func inOrder(steps ...func() error) error {
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// ready waits until the processes of the roles are ready.
 func (deployment *deployment) ready(ctx context.Context, roles ...fleet.Role) error {
 	var names []string
 	for _, role := range roles {
@@ -139,7 +142,7 @@
 	return deployment.layout.WaitReady(ctx, names, readyTimeout)
 }
 
-// namesOf returns the processes of a role that start with the fleet.
+// namesOf returns the names of a role's processes, without standbys.
 func (deployment *deployment) namesOf(role fleet.Role) []string {
 	var names []string
 	for _, process := range deployment.layout.OfRole(role) {
@@ -150,7 +153,7 @@
 	return names
 }
 
-// zoneOf returns the zone of a process.
+// zoneOf returns the zone of a process, or "" if there is no such process.
 func (deployment *deployment) zoneOf(name string) string {
 	process, err := deployment.layout.Find(name)
 	if err != nil {
--- a/internal/bench/operators/doc.go
+++ b/internal/bench/operators/doc.go
@@ -1,9 +1,9 @@
-// Package operators runs racing operators against a fleet of separate
-// processes while control members are killed, frozen and cut off, and checks
-// from outside that the control group kept its promises.
+// Package operators runs concurrent operators against a fleet of separate
+// processes while control members are killed, frozen and partitioned, and checks
+// the invariants of the control group from outside.
 //
-// The fleet's control links go through proxies of this package, so a cut is a
-// real one: the bytes between the zones stop while both processes keep
-// running. The administration API is not cut, because an operator may sit on
-// either side.
+// The fleet's control links go through TCP proxies of this package. A cut stops
+// the bytes between zones while the processes at both ends keep running. The
+// administration API is not cut, because operators may be on either side of a
+// partition.
 package operators
--- a/internal/bench/operators/frozen.go
+++ b/internal/bench/operators/frozen.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// waitingProbes is the number of reads, and of changes, that wait in the
-	// frozen leader's sockets when it wakes.
+	// queuedProbes is the number of reads, and also of changes, that are queued in
+	// the frozen leader's sockets when it resumes.
 	queuedProbes = 12
-	// probeLead is how long before the wake the waiting probes are sent.
+	// probeLead is how long before the leader resumes the queued probes are sent.
 	probeLead = 500 * time.Millisecond
-	// probeTime is how long the woken member is asked on.
+	// probeDuration is how long probes continue after the member resumes.
 	probeDuration = 2 * time.Second
 	// probeTimeout bounds one probe.
 	probeTimeout = 10 * time.Second
 )
 
-// probeCounts is what a frozen leader did with the probes after it woke.
+// probeCounts counts the probes sent to a frozen leader and its answers after it
+// resumed.
 type probeCounts struct {
 	reads, changes       int
 	readsAnswered        int
@@ -35,15 +36,16 @@
 	committedWhileFrozen int
 }
 
-// frozenLeader asks one member directly: probes wait in its sockets while it
-// is frozen, and more follow as soon as it wakes.
+// frozenLeader sends probes to one member directly: some are queued in its
+// sockets while it is frozen, and more follow as soon as it resumes.
 type frozenLeader struct {
 	name      string
 	api       *client.Client
 	registers []register
 	values    *values
 	history   *history
-	// before has the registers' revisions when the member was frozen.
+	// revisionsAtFreeze has the registers' highest accepted revisions when the
+	// member was frozen.
 	revisionsAtFreeze map[string]model.Revision
 
 	lock   sync.Mutex
@@ -66,8 +68,8 @@
 		revisionsAtFreeze: make(map[string]model.Revision)}, nil
 }
 
-// warm opens the connections that the waiting probes use, and must be called
-// while the member leads.
+// openConnections opens the connections that the queued probes reuse. Call it
+// while the member leads: a frozen one completes no TLS handshake.
 func (leader *frozenLeader) openConnections(ctx context.Context) {
 	var reads sync.WaitGroup
 	for index := range 2 * queuedProbes {
@@ -78,14 +80,15 @@
 	reads.Wait()
 }
 
-// freezing notes the state at the freeze.
+// recordFreeze records the registers' revisions at the freeze.
 func (leader *frozenLeader) recordFreeze() {
 	for _, register := range leader.registers {
 		leader.revisionsAtFreeze[register.name()] = leader.history.latestRevision(register.name())
 	}
 }
 
-// probe sends the waiting probes, wakes the member, and goes on asking it.
+// probe sends the queued probes, resumes the member, and continues to send
+// probes for probeDuration.
 func (leader *frozenLeader) probe(ctx context.Context, resume func() error) error {
 	for _, register := range leader.registers {
 		if leader.history.latestRevision(register.name()) > leader.revisionsAtFreeze[register.name()] {
@@ -112,8 +115,8 @@
 	return nil
 }
 
-// read reads from the member itself. What it answers must not be older than
-// what was accepted before the read was sent.
+// read reads a register from the member. An answer must not be older than the
+// latest revision accepted before the read was sent.
 func (leader *frozenLeader) read(ctx context.Context, chosen register) {
 	newest := leader.history.latestRevision(chosen.name())
 	revision, err := readRegister(ctx, leader.history, leader.api, "probe", chosen)
@@ -126,13 +129,13 @@
 	leader.counts.readsAnswered++
 	if revision < newest {
 		leader.counts.staleReads++
-		leader.history.recordViolation(checker.InvariantLinearizable, "%s answered %s at revision %d after it woke; %d was accepted before the read",
+		leader.history.recordViolation(checker.InvariantLinearizable, "%s answered %s at revision %d after it resumed; %d was accepted before the read",
 			leader.name, chosen.name(), revision, newest)
 	}
 }
 
-// change bases a change on what the member knew when it was frozen. Others
-// have changed the register since, so it must not be accepted.
+// change sends a change based on the register's revision at the freeze. It sends
+// none unless the register has changed since, so the member must refuse it.
 func (leader *frozenLeader) change(ctx context.Context, chosen register) {
 	base := leader.revisionsAtFreeze[chosen.name()]
 	if leader.history.latestRevision(chosen.name()) <= base {
@@ -145,11 +148,11 @@
 	leader.counts.changes++
 	if result == checker.ResultAccepted {
 		leader.counts.changesAccepted++
-		leader.history.recordViolation(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it woke", leader.name, chosen.name(), base)
+		leader.history.recordViolation(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it resumed", leader.name, chosen.name(), base)
 	}
 }
 
-// String is the row of the report.
+// String returns the counts as a line of the report.
 func (counts probeCounts) String() string {
 	return fmt.Sprintf("%d reads (%d answered, %d stale) and %d changes on the old revision (%d accepted), sent before and after it woke",
 		counts.reads, counts.readsAnswered, counts.staleReads, counts.changes, counts.changesAccepted)
--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -8,14 +8,15 @@
 	"merlinpaddle/internal/model"
 )
 
-// changeID is the place of a change among those with the same base.
+// changeBase identifies the changes of an object that have the same base
+// revision.
 type changeBase struct {
 	object string
 	base   model.Revision
 }
 
-// history gathers what operators and watchers saw, for the checkers. It is
-// safe for concurrent use.
+// history passes the observations of operators and watchers to the checkers and
+// counts operations by phase. It is safe for concurrent use.
 type history struct {
 	started time.Time
 
@@ -26,12 +27,12 @@
 	replicas  *checker.Replicas
 	// latest has the highest accepted revision of each object.
 	latest map[string]model.Revision
-	// rivals counts the changes that were based on one revision.
+	// changesPerBase counts the changes based on the same revision of an object.
 	changesPerBase map[changeBase]int
 	phases         []*phaseCounts
 }
 
-// phaseCounts is what happened in one phase.
+// phaseCounts counts the operations of one phase by their outcome.
 type phaseCounts struct {
 	name      string
 	began     time.Time
@@ -43,7 +44,8 @@
 	reads     int
 	resent    int
 	lost      int
-	// lastAccepted and longestGap tell for how long no change was accepted.
+	// lastAccepted is the time of the last accepted change, and longestGap the
+	// longest time without one.
 	lastAccepted time.Time
 	longestGap   time.Duration
 }
@@ -61,12 +63,12 @@
 	}
 }
 
-// at is the time since the start of the run.
+// sinceStart returns the time from the start of the run to moment.
 func (history *history) sinceStart(moment time.Time) time.Duration {
 	return moment.Sub(history.started)
 }
 
-// begin ends the present phase and begins the next.
+// beginPhase ends the current phase and begins the next.
 func (history *history) beginPhase(name string) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
@@ -75,6 +77,7 @@
 	history.phases = append(history.phases, &phaseCounts{name: name, began: now, lastAccepted: now})
 }
 
+// endPhase ends the current phase, if any; the caller holds the lock.
 func (history *history) endPhase() {
 	if len(history.phases) == 0 {
 		return
@@ -88,14 +91,14 @@
 
 func (history *history) currentPhase() *phaseCounts { return history.phases[len(history.phases)-1] }
 
-// count changes the counts of the present phase.
+// updatePhase calls change with the counts of the current phase, under the lock.
 func (history *history) updatePhase(change func(counts *phaseCounts)) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	change(history.currentPhase())
 }
 
-// ended records one operation.
+// recordOperation records one completed operation.
 func (history *history) recordOperation(operation checker.Operation) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
@@ -120,7 +123,8 @@
 	}
 }
 
-// acknowledged records that an answer gave a key's change a revision.
+// recordAcknowledgement records that the change with this idempotency key was
+// answered as accepted at revision.
 func (history *history) recordAcknowledgement(key string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
@@ -135,14 +139,14 @@
 	return history.latest[object]
 }
 
-// violated records a violation that this package found itself.
+// recordViolation records a violation found by this package, not by a checker.
 func (history *history) recordViolation(invariant checker.Invariant, format string, arguments ...any) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.report.Add(invariant, time.Since(history.started), format, arguments...)
 }
 
-// memberSeen records what a member says of itself.
+// recordMemberStatus records the status that a member reports of itself.
 func (history *history) recordMemberStatus(member string, term uint64, leading bool, revision model.Revision, digest uint64) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
@@ -153,14 +157,14 @@
 	history.replicas.State(member, uint64(revision), digest, at)
 }
 
-// nodeSeen records which revision a node runs.
+// recordNodeRevision records the revision that a node reports as applied.
 func (history *history) recordNodeRevision(node string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.rollout.Applied(checker.Node(node), uint64(revision), 0, time.Since(history.started))
 }
 
-// races returns the number of revisions on which several changes were based.
+// races returns the number of revisions on which more than one change was based.
 func (history *history) races() int {
 	history.lock.Lock()
 	defer history.lock.Unlock()
--- a/internal/bench/operators/links.go
+++ b/internal/bench/operators/links.go
@@ -10,28 +10,29 @@
 	"sync"
 )
 
-// copyBytes is the size of one forwarded piece.
+// copyBytes is the size of a copy buffer.
 const copyBytes = 32 << 10
 
-// linkEnds names the zones of a control link.
+// linkEnds are the zones at the two ends of a control link.
 type linkEnds struct {
 	from string
 	to   string
 }
 
-// crosses tells whether the link passes the border of one of the zones.
+// crosses reports whether the link enters or leaves one of the zones.
 func (ends linkEnds) crosses(zones map[string]bool) bool {
 	return ends.from != ends.to && (zones[ends.from] || zones[ends.to])
 }
 
 // Links forwards the control connections of a fleet and holds back the bytes
-// of those that cross the border of a cut zone, as a network that drops every
-// packet does: connections stay open until an end gives them up.
+// of those that enter or leave a cut zone. As in a network that drops every
+// packet, connections stay open until one of the ends closes them.
 type Links struct {
 	address netip.Addr
 
 	lock sync.Mutex
-	// cut has the zones that are cut off; changed is closed when that changes.
+	// cut has the zones that are cut off; changed is closed and replaced when cut
+	// changes.
 	cut     map[string]bool
 	changed chan struct{}
 
@@ -60,7 +61,7 @@
 }
 
 // Cut cuts off each of the zones from all others. It replaces an earlier cut;
-// without zones it heals.
+// without zones it heals all links.
 func (links *Links) Cut(zones ...string) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
@@ -72,7 +73,7 @@
 	links.changed = make(chan struct{})
 }
 
-// Close ends all proxies and their connections.
+// Close stops all proxies and closes their connections.
 func (links *Links) Close() error {
 	links.cancel()
 	var all []error
@@ -93,7 +94,8 @@
 	}
 }
 
-// forward joins an accepted connection to the target until either end closes.
+// forward copies between an accepted connection and the target until either end
+// closes. While the link is cut it doesn't dial the target.
 func (links *Links) forward(inbound net.Conn, ends linkEnds, target string) {
 	ctx, cancel := context.WithCancel(links.context)
 	defer cancel()
@@ -118,6 +120,8 @@
 	copies.Wait()
 }
 
+// copy copies one direction. It holds back what it has read while the link is
+// cut, and then delivers it in order.
 func (links *Links) copy(ctx context.Context, ends linkEnds, to io.Writer, from io.Reader) {
 	buffer := make([]byte, copyBytes)
 	for {
@@ -131,7 +135,7 @@
 	}
 }
 
-// wait returns once the link is not cut, or false when ctx ended.
+// waitUntilHealed waits until the link is not cut, and returns false if ctx ended.
 func (links *Links) waitUntilHealed(ctx context.Context, ends linkEnds) bool {
 	for {
 		cut, changed := links.isCut(ends)
@@ -146,7 +150,8 @@
 	}
 }
 
-// isCut tells whether a link is cut; the channel is closed at the next change.
+// isCut reports whether a link is cut, and returns a channel that is closed at
+// the next call of Cut.
 func (links *Links) isCut(ends linkEnds) (bool, <-chan struct{}) {
 	links.lock.Lock()
 	defer links.lock.Unlock()
--- a/internal/bench/operators/operator.go
+++ b/internal/bench/operators/operator.go
@@ -23,25 +23,27 @@
 
 // Behavior of an operator.
 const (
+	// An operator pauses between rounds for minimumPause plus a random time below
+	// pauseJitter.
 	minimumPause = 40 * time.Millisecond
 	pauseJitter  = 80 * time.Millisecond
-	// sharedBaseShare of the changes are based on the latest revision that any
-	// operator knows, so that several are based on the same one.
+	// sharedBaseShare is the share of changes based on the latest revision known
+	// to any operator, so that several changes compete for the same base.
 	sharedBaseShare = 0.6
-	// resendShare of the accepted changes are sent once more.
+	// resendShare is the share of accepted changes that are sent again.
 	resendShare = 0.25
 	// operationTimeout bounds one operation with all its attempts.
 	operationTimeout = 60 * time.Second
 )
 
-// changedParameter is what operators change; its values go from 1 to
-// maximumValue, as the fleet's template allows.
+// changedParameter is the parameter that operators change, with values from 1 to
+// maximumValue, the range that the fleet's template allows.
 const (
 	changedParameter = "maximum_queue"
 	maximumValue     = 1000
 )
 
-// register is one service, used as a register that changes by compare and set.
+// register is a service used as a compare-and-set register.
 type register struct {
 	key  state.ServiceKey
 	spec adminapi.ServiceSpec
@@ -51,7 +53,7 @@
 	return fmt.Sprintf("%s/%s", register.key.Tenant, register.key.Name)
 }
 
-// with returns the service's spec with another value.
+// withValue returns a copy of the service's spec with the given value.
 func (register register) withValue(value uint64) adminapi.ServiceSpec {
 	spec := register.spec
 	spec.Parameters = maps.Clone(spec.Parameters)
@@ -59,7 +61,7 @@
 	return spec
 }
 
-// valueOf reads the register's value out of a service.
+// valueOf returns the register's value in a service.
 func valueOf(service adminapi.Service) (uint64, error) {
 	var value uint64
 	if err := json.Unmarshal(service.Spec.Parameters[changedParameter], &value); err != nil {
@@ -68,12 +70,13 @@
 	return value, nil
 }
 
-// values gives each change another value, as far as the range goes.
+// values gives each change a different value; values repeat after maximumValue
+// changes.
 type values struct{ issued atomic.Uint64 }
 
 func (values *values) next() uint64 { return values.issued.Add(1)%maximumValue + 1 }
 
-// operator reads and changes registers until it is told to stop.
+// operator reads and changes randomly chosen registers.
 type operator struct {
 	name      string
 	api       *client.Client
@@ -83,7 +86,7 @@
 	random    *rand.Rand
 }
 
-// run works until ctx ends; the operation under way is ended first.
+// run works until ctx ends; an operation in progress is completed first.
 func (operator *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		chosen := operator.registers[operator.random.IntN(len(operator.registers))]
@@ -92,7 +95,8 @@
 	}
 }
 
-// round reads a register and changes it.
+// readAndChange changes a register, based on a fresh read or on the latest
+// accepted revision, and may send an accepted change again.
 func (operator *operator) readAndChange(ctx context.Context, chosen register) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -117,7 +121,8 @@
 	}
 }
 
-// resend sends an accepted change again: it must get its first answer.
+// resend sends an accepted change again with the same idempotency key; the answer
+// must be the same as the first.
 func (operator *operator) resend(ctx context.Context, chosen register, change client.Change, value uint64, first model.Revision) {
 	answer, err := operator.api.PutService(ctx, chosen.key, change, chosen.withValue(value))
 	if err != nil {
@@ -149,8 +154,8 @@
 	return service.Revision, nil
 }
 
-// resultRefused tells that a change was refused before the state machine saw
-// it; it is no operation on the register.
+// resultRefused is the result of a change that was refused before it reached the
+// state machine. Such a change is not recorded as an operation.
 const resultRefused checker.OperationResult = 0
 
 // changeRegister changes a register, records the operation, and returns the
@@ -180,7 +185,8 @@
 	return answer.Revision, operation.Result
 }
 
-// presentRevision returns the present revision of a change that lost.
+// currentRevision returns the register's current revision from the error of a
+// change that conflicted, and reports whether err is such a conflict.
 func currentRevision(err error) (model.Revision, bool) {
 	var failure *client.Error
 	if !errors.As(err, &failure) || failure.Problem.Code != faults.CodeRevisionMismatch || failure.Problem.Revision == nil {
--- a/internal/bench/operators/operators_test.go
+++ b/internal/bench/operators/operators_test.go
@@ -22,7 +22,8 @@
 	"merlinpaddle/internal/state"
 )
 
-// echoServer sends back what it receives.
+// echoServer starts a TCP server that echoes what it receives, and returns its
+// address.
 func echoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -103,8 +104,9 @@
 	}
 }
 
-// member plays a control member with one register. A faulty one answers from
-// an old copy, as a leader without read barriers and quorum would.
+// fakeMember simulates a control member with one register. It accepts changes on
+// any base, as a leader without read barriers and quorum would. A faulty one also
+// ignores idempotency keys and applies a resent change again.
 type fakeMember struct {
 	lock     sync.Mutex
 	revision model.Revision
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -14,8 +14,8 @@
 // leaderTimeout bounds the wait for a leader.
 const leaderTimeout = 20 * time.Second
 
-// phases brings one failure about after another, with a phase of rest between
-// them in which what failed comes back.
+// phases runs an undisturbed phase and then injects one failure after another.
+// Each step repairs its failure; after cuts it also waits for a phase length.
 func (run *run) phases(ctx context.Context) error {
 	steps := []struct {
 		name string
@@ -41,12 +41,13 @@
 	return nil
 }
 
+// rest waits for the length of a phase.
 func (run *run) rest(ctx context.Context) error {
 	pause(ctx, run.options.Phase)
 	return ctx.Err()
 }
 
-// leader returns the name of the leader, once there is one.
+// leader waits for a leader and returns its name.
 func (run *run) leader(ctx context.Context) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
@@ -62,7 +63,7 @@
 	return "", fmt.Errorf("no leader within %s", leaderTimeout)
 }
 
-// killLeader ends the leader with SIGKILL and starts it again later.
+// killLeader ends the leader with SIGKILL and restarts it after one phase length.
 func (run *run) killLeader(ctx context.Context) error {
 	leader, err := run.leader(ctx)
 	if err != nil {
@@ -76,9 +77,9 @@
 	)
 }
 
-// freezeLeader stops the leader with SIGSTOP for longer than every time-out.
-// Requests that were sent to it meanwhile are the first thing it sees when
-// SIGCONT wakes it.
+// freezeLeader suspends the leader with SIGSTOP for longer than all its timeouts.
+// When SIGCONT resumes it, requests sent in the meantime are already queued in
+// its sockets.
 func (run *run) freezeLeader(ctx context.Context) error {
 	name, err := run.leader(ctx)
 	if err != nil {
@@ -99,14 +100,14 @@
 	return err
 }
 
-// endpointOf returns the administration API of one member.
+// endpointOf returns the endpoint of one member's administration API.
 func (run *run) endpointOf(member string) string {
 	index := slices.IndexFunc(run.deployment.layout.OfRole(fleet.RoleControl), func(process fleet.Process) bool { return process.Name == member })
 	return run.deployment.layout.APIEndpoints()[index]
 }
 
-// cutMinority cuts off the leader's zone and a zone without a member, each on
-// its own; the other members keep a quorum.
+// cutMinority isolates the leader's zone and, if there is one, a zone without a
+// member; the other members keep a quorum.
 func (run *run) cutMinority(ctx context.Context) error {
 	leader, err := run.leader(ctx)
 	if err != nil {
@@ -134,15 +135,15 @@
 	return "", false
 }
 
-// cutQuorum cuts off all zones but one, so that no member has a quorum. No
-// change that is sent meanwhile may be accepted before the cut heals.
+// cutQuorum cuts off the zones of all members but the first, so that no member
+// has a quorum. No change may be accepted until the cut heals.
 func (run *run) cutQuorum(ctx context.Context) error {
 	var zones []string
 	for _, member := range run.deployment.layout.OfRole(fleet.RoleControl)[1:] {
 		zones = append(zones, member.Zone)
 	}
 	run.deployment.links.Cut(zones...)
-	// What was under way when the cut came may still be answered.
+	// Changes in flight at the cut may still be answered as accepted.
 	pause(ctx, attemptTimeout)
 	before := run.acceptedInPhase()
 	pause(ctx, run.options.Phase)
--- a/internal/bench/operators/result.go
+++ b/internal/bench/operators/result.go
@@ -8,7 +8,9 @@
 	"merlinpaddle/internal/checker"
 )
 
-// PhaseResult is what happened in one phase.
+// PhaseResult has the counts of one phase. Refused counts operations given up by
+// the client or refused before they reached the state machine, Resent accepted
+// changes sent again, and Lost requests and answers dropped on purpose.
 type PhaseResult struct {
 	Name      string
 	Seconds   float64
@@ -19,11 +21,13 @@
 	Reads     int
 	Resent    int
 	Lost      int
-	// LongestGap is the longest time in which no change was accepted.
+	// LongestGap is the longest time without an accepted change.
 	LongestGap time.Duration
 }
 
-// Result is what a run found.
+// Result is the outcome of a run. Races is the number of revisions on which more
+// than one change was based, Terms the number of terms with a leader, and Probes
+// the summary of the probes of the frozen leader.
 type Result struct {
 	Phases     []PhaseResult
 	Races      int
@@ -54,7 +58,7 @@
 	return result
 }
 
-// checks lists what a run checks, in the order of the report.
+// checks lists the checked invariants in the order of the report.
 var checks = []struct {
 	invariant checker.Invariant
 	text      string
--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -16,7 +16,8 @@
 	"merlinpaddle/internal/state"
 )
 
-// Time limits of the operators' clients, and shares that they lose.
+// Timeouts of the operators' clients, and the shares of changes and of answers
+// that their transport drops.
 const (
 	attemptTimeout   = 2 * time.Second
 	retryBudget      = 45 * time.Second
@@ -24,32 +25,32 @@
 	lostAnswerShare  = 0.08
 	// finalTimeout bounds the wait until the last change is in force.
 	finalTimeout = 30 * time.Second
-	// minimumRaces and minimumChanges keep a run from passing because nothing
-	// happened.
+	// minimumRaces and minimumChanges keep a run from passing with too little
+	// activity.
 	minimumRaces   = 20
 	minimumChanges = 50
 )
 
-// Options are where and how long a run works.
+// Options are the fleet, the load and the timing of a run.
 type Options struct {
 	Fleet     fleet.File
 	Script    experiment.Script
 	Operators int
 	Seed      uint64
-	// Phase is the length of a phase without a freeze, and Freeze how long the
-	// leader is frozen: longer than every time-out of its own.
+	// Phase is the length of a phase without a freeze. Freeze is how long the
+	// leader is frozen; it must be longer than all of the leader's timeouts.
 	Phase  time.Duration
 	Freeze time.Duration
-	// Progress is told what the run does.
+	// Progress receives a short text on the current activity.
 	Progress func(text string)
 }
 
-// run is one run against a fleet that is up.
+// run is one run against a running fleet.
 type run struct {
 	options    Options
 	deployment *deployment
 	access     access
-	// api is an operator's client that loses nothing.
+	// api is a client whose transport drops nothing.
 	api       *client.Client
 	registers []register
 	values    values
@@ -57,8 +58,8 @@
 	probes    probeCounts
 }
 
-// Run starts the fleet, lets operators race while members fail, stops the
-// fleet, and returns what was found.
+// Run starts the fleet, runs concurrent operators while members fail, stops the
+// fleet, and returns the result.
 func Run(ctx context.Context, options Options) (result Result, err error) {
 	options.Progress("starting the fleet")
 	deployed, err := deploy(ctx, options.Fleet, options.Script)
@@ -84,7 +85,7 @@
 	return run.result(), nil
 }
 
-// readRegisters makes each service a register.
+// readRegisters reads each service's state and makes the service a register.
 func (run *run) readRegisters(ctx context.Context) error {
 	for _, service := range run.options.Fleet.Services {
 		key := state.ServiceKey{Tenant: model.TenantName(service.Tenant), Name: service.Name}
@@ -104,7 +105,8 @@
 	return nil
 }
 
-// race runs operators and watchers through all phases, and then checks.
+// race runs operators and watchers through all phases, and then checks the final
+// state while the watchers continue.
 func (run *run) race(ctx context.Context) error {
 	run.history.beginPhase("undisturbed")
 	working, stopWorking := context.WithCancel(ctx)
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// settle waits until the last change is in force everywhere and reads all
-// registers for the last time.
+// checkFinalState reads all registers for the last time and waits until the last
+// change is in force on all balancers.
 func (run *run) checkFinalState(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, finalTimeout)
 	defer cancel()
@@ -174,6 +176,7 @@
 	return run.waitForBalancers(ctx, last)
 }
 
+// checkProgress records a violation if the run had too few changes or races.
 func (run *run) checkProgress() {
 	accepted, _, _ := run.history.operators.Counts()
 	if races := run.history.races(); races < minimumRaces || accepted < minimumChanges {
@@ -184,7 +187,8 @@
 	}
 }
 
-// waitEverywhere waits until every balancer says itself that it runs revision.
+// waitForBalancers waits until every balancer reports that it routes by revision
+// or a later one, and records a violation for each that doesn't.
 func (run *run) waitForBalancers(ctx context.Context, revision model.Revision) error {
 	for _, name := range run.deployment.namesOf(fleet.RoleBalancer) {
 		balancer, err := run.deployment.layout.Find(name)
--- a/internal/bench/operators/transport.go
+++ b/internal/bench/operators/transport.go
@@ -16,10 +16,11 @@
 	"merlinpaddle/internal/client"
 )
 
-// idleConnections is the number of open connections that wait for reuse.
+// idleConnections is the maximum number of idle connections kept per endpoint.
 const idleConnections = 64
 
-// access is what is needed to reach a fleet's administration API.
+// access has the token and the certificate authority for a fleet's
+// administration API.
 type access struct {
 	token     string
 	authority *x509.CertPool
@@ -41,7 +42,7 @@
 	return access{token: strings.TrimSpace(string(token)), authority: pool}, nil
 }
 
-// transport returns an own pool of connections.
+// transport returns a new transport with its own connection pool.
 func (access access) transport() http.RoundTripper {
 	return &http.Transport{
 		TLSClientConfig:     &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: access.authority},
@@ -60,8 +61,8 @@
 	return made, nil
 }
 
-// losingTransport loses some changes on the way out and some answers on the
-// way back. The client sees a broken connection and sends again.
+// lossyTransport drops some changes before they are sent and some answers to
+// changes. The client sees a broken connection and retries.
 type lossyTransport struct {
 	http.RoundTripper
 	requestShare float64
--- a/internal/bench/operators/watch.go
+++ b/internal/bench/operators/watch.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	// watchInterval is the time between two looks at a process.
+	// pollInterval is the pause between two polls of a process.
 	pollInterval = 200 * time.Millisecond
-	// lookTimeout bounds one look.
+	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// metricRevision is the revision that a balancer routes by.
+	// metricRevision is the name of the metric with the revision that a balancer
+	// routes by.
 	metricRevision = "merlinpaddle_balancer_revision"
 
 	hexadecimal = 16
 	wordBits    = 64
 )
 
-// watcher looks at every member and every balancer, each on its own.
+// watcher polls every member and every balancer, each in its own goroutine.
 type watcher struct {
 	history *history
 	layout  *fleet.Layout
@@ -84,7 +85,7 @@
 	}
 }
 
-// balancerRevision asks a balancer itself which revision it routes by.
+// balancerRevision reads from a balancer's metrics the revision that it routes by.
 func balancerRevision(ctx context.Context, balancer fleet.Process) (model.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
