--- a/internal/bench/experiment/expectation.go
+++ b/internal/bench/experiment/expectation.go
@@ -8,8 +8,8 @@
 	"merlinpaddle/internal/bench/fleet"
 )
 
-// recordEffects updates the serving targets of the imbalance figure and the
-// failures and drains that the audit expects, before a step runs.
+// recordEffects updates, before a step runs, which targets count for imbalance,
+// and the dead nodes and ends of drains that the audit expects.
 func (runner *stepRunner) recordEffects(step Step, names []string) {
 	for _, name := range names {
 		switch step.Action {
--- a/internal/bench/experiment/load_test.go
+++ b/internal/bench/experiment/load_test.go
@@ -36,14 +36,14 @@
 	loaded, err := fleet.LoadFile(filepath.Join(repositoryRoot, file.Fleet))
 	require.NoError(t, err)
 	layout := fleet.NewLayout(loaded)
-	kept := map[string]bool{leaderName: true}
+	aliases := map[string]bool{leaderName: true}
 	for _, step := range file.Steps {
 		for _, name := range step.Names {
-			if _, err := layout.Find(name); !kept[name] {
+			if _, err := layout.Find(name); !aliases[name] {
 				require.NoError(t, err, "%s: step %s", file.Name, step.describe())
 			}
 		}
-		kept[step.As] = true
+		aliases[step.As] = true
 		if step.Service != "" {
 			require.NotZero(t, layout.LoadOf(step.Service).Connections, "%s: no service %s", file.Name, step.Service)
 		}
--- a/internal/bench/experiment/operator.go
+++ b/internal/bench/experiment/operator.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read the operator's token: %w", err)
 	}
-	made, err := client.New(client.Options{
+	api, err := client.New(client.Options{
 		Endpoints: layout.APIEndpoints(),
 		Token:     strings.TrimSpace(string(token)),
 		Authority: filepath.Join(folder, fleet.AuthorityFile),
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("client of the administration API: %w", err)
 	}
-	return &Operator{layout: layout, client: made}, nil
+	return &Operator{layout: layout, client: api}, nil
 }
 
 // Drain drains a target: it receives no new flows.
@@ -76,11 +76,11 @@
 		return err
 	}
 	key := state.TargetKey{Tenant: service.Tenant, Service: service.Name, Name: name}
-	present, err := operator.client.Target(ctx, key)
+	current, err := operator.client.Target(ctx, key)
 	if err != nil {
 		return fmt.Errorf("read target %s: %w", name, err)
 	}
-	if _, err := apply(ctx, key, client.Change{Base: present.Revision}); err != nil {
+	if _, err := apply(ctx, key, client.Change{Base: current.Revision}); err != nil {
 		return fmt.Errorf("change target %s: %w", name, err)
 	}
 	return nil
@@ -97,13 +97,13 @@
 	if err != nil {
 		return err
 	}
-	present, err := operator.client.Service(ctx, key)
+	current, err := operator.client.Service(ctx, key)
 	if err != nil {
 		return fmt.Errorf("read service %s: %w", service, err)
 	}
-	spec := present.Spec
+	spec := current.Spec
 	spec.Parameters[parameter] = encoded
-	answer, err := operator.client.PutService(ctx, key, client.Change{Base: present.Revision}, spec)
+	answer, err := operator.client.PutService(ctx, key, client.Change{Base: current.Revision}, spec)
 	if err != nil {
 		return fmt.Errorf("change service %s: %w", service, err)
 	}
--- a/internal/bench/experiment/steps.go
+++ b/internal/bench/experiment/steps.go
@@ -101,8 +101,8 @@
 func (runner *stepRunner) resolve(ctx context.Context, step Step) ([]string, error) {
 	var names []string
 	for _, name := range step.Names {
-		if kept, known := runner.aliases[name]; known {
-			name = kept
+		if process, known := runner.aliases[name]; known {
+			name = process
 		}
 		if name == leaderName {
 			leader, err := runner.operator.Leader(ctx)
--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -169,8 +169,8 @@
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	races := 0
-	for _, rivals := range history.changesPerBase {
-		if rivals > 1 {
+	for _, changes := range history.changesPerBase {
+		if changes > 1 {
 			races++
 		}
 	}
--- a/internal/bench/operators/operator.go
+++ b/internal/bench/operators/operator.go
@@ -168,14 +168,14 @@
 		Object: chosen.name(), Client: writer, Kind: checker.OperationWrite, Key: change.Key,
 		Call: history.sinceStart(call), Return: history.sinceStart(time.Now()), Base: uint64(change.Base), Value: value,
 	}
-	switch present, isConflict := currentRevision(err); {
+	switch current, isConflict := currentRevision(err); {
 	case err == nil:
 		operation.Result = checker.ResultAccepted
 		operation.Revision = uint64(answer.Revision)
 		history.recordAcknowledgement(change.Key, answer.Revision)
 	case isConflict:
 		operation.Result = checker.ResultConflict
-		operation.Revision = uint64(present)
+		operation.Revision = uint64(current)
 	case client.MayHaveRun(err):
 		operation.Result = checker.ResultUnknown
 	default:
--- a/internal/bench/operators/operators_test.go
+++ b/internal/bench/operators/operators_test.go
@@ -82,11 +82,11 @@
 	send(t, cut, "during")
 	send(t, open, "beside")
 	require.Equal(t, "beside", receive(t, open, len("beside")), "a link between other zones stays open")
-	held, _ := links.isCut(linkEnds{from: "a", to: "b"})
-	require.True(t, held)
+	crossingCut, _ := links.isCut(linkEnds{from: "a", to: "b"})
+	require.True(t, crossingCut)
 
 	links.Cut()
-	require.Equal(t, "during", receive(t, cut, len("during")), "what was held back arrives, in order")
+	require.Equal(t, "during", receive(t, cut, len("during")), "the bytes held back arrive after the cut heals")
 }
 
 func TestLinksWithinAZoneAreNeverCut(t *testing.T) {
@@ -142,9 +142,9 @@
 }
 
 func testHistory() *history {
-	made := newHistory()
-	made.beginPhase("test")
-	return made
+	created := newHistory()
+	created.beginPhase("test")
+	return created
 }
 
 func clientOf(t *testing.T, server *httptest.Server, transport http.RoundTripper) *client.Client {
@@ -179,8 +179,8 @@
 
 func TestChangeAppliedTwiceIsReported(t *testing.T) {
 	for name, faulty := range map[string]bool{"": false, "applied-once": true} {
-		played := &fakeMember{revision: 5, keys: make(map[string]model.Revision), faulty: faulty}
-		server := httptest.NewServer(played)
+		control := &fakeMember{revision: 5, keys: make(map[string]model.Revision), faulty: faulty}
+		server := httptest.NewServer(control)
 		history := testHistory()
 		worker := &operator{name: "operator", api: clientOf(t, server, http.DefaultTransport), history: history}
 		change := client.Change{Base: 5, Key: "key"}
@@ -203,8 +203,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			transport := test.transport
-			played := &fakeMember{revision: 5, keys: make(map[string]model.Revision)}
-			server := httptest.NewServer(played)
+			control := &fakeMember{revision: 5, keys: make(map[string]model.Revision)}
+			server := httptest.NewServer(control)
 			defer server.Close()
 			lost := 0
 			transport.RoundTripper = http.DefaultTransport
@@ -220,7 +220,7 @@
 			_, err = api.PutService(t.Context(), testRegister().key, client.Change{Base: 5, Key: "key"}, testRegister().withValue(3))
 			require.True(t, client.MayHaveRun(err))
 			require.Equal(t, 4, lost)
-			require.Equal(t, test.changes, played.changes, "sent again with its key, the change is applied once")
+			require.Equal(t, test.changes, control.changes, "retries with the same key apply the change at most once")
 		})
 	}
 }
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -107,7 +107,7 @@
 }
 
 // cutMinority isolates the leader's zone and, if there is one, a zone without a
-// member; the other members keep a quorum.
+// member, also from each other; the other members keep a quorum.
 func (run *run) cutMinority(ctx context.Context) error {
 	leader, err := run.leader(ctx)
 	if err != nil {
@@ -136,7 +136,8 @@
 }
 
 // cutQuorum cuts off the zones of all members but the first, so that no member
-// has a quorum. No change may be accepted until the cut heals.
+// has a quorum. No change sent in the meantime may be accepted until the cut
+// heals.
 func (run *run) cutQuorum(ctx context.Context) error {
 	var zones []string
 	for _, member := range run.deployment.layout.OfRole(fleet.RoleControl)[1:] {
--- a/internal/bench/operators/result.go
+++ b/internal/bench/operators/result.go
@@ -43,8 +43,8 @@
 	history.endPhase()
 	history.operators.CheckLinearizable()
 	result := Result{Terms: history.replicas.Terms(), Probes: run.probes.String(), Violations: history.report.Violations()}
-	for _, rivals := range history.changesPerBase {
-		if rivals > 1 {
+	for _, changes := range history.changesPerBase {
+		if changes > 1 {
 			result.Races++
 		}
 	}
--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -89,18 +89,18 @@
 func (run *run) readRegisters(ctx context.Context) error {
 	for _, service := range run.options.Fleet.Services {
 		key := state.ServiceKey{Tenant: model.TenantName(service.Tenant), Name: service.Name}
-		present, err := run.api.Service(ctx, key)
+		current, err := run.api.Service(ctx, key)
 		if err != nil {
 			return fmt.Errorf("read service %s: %w", service.Name, err)
 		}
-		value, err := valueOf(present)
+		value, err := valueOf(current)
 		if err != nil {
 			return err
 		}
-		made := register{key: key, spec: present.Spec}
-		run.registers = append(run.registers, made)
-		run.history.operators.Created(made.name(), checker.InitialState{Value: value, Revision: uint64(present.Revision)})
-		run.history.latest[made.name()] = present.Revision
+		added := register{key: key, spec: current.Spec}
+		run.registers = append(run.registers, added)
+		run.history.operators.Created(added.name(), checker.InitialState{Value: value, Revision: uint64(current.Revision)})
+		run.history.latest[added.name()] = current.Revision
 	}
 	return nil
 }
@@ -161,16 +161,16 @@
 	var last model.Revision
 	for _, register := range run.registers {
 		call := time.Now()
-		present, err := run.api.Service(ctx, register.key)
+		current, err := run.api.Service(ctx, register.key)
 		if err != nil {
 			return fmt.Errorf("last read of %s: %w", register.name(), err)
 		}
-		value, err := valueOf(present)
+		value, err := valueOf(current)
 		if err != nil {
 			return err
 		}
-		run.history.operators.FinalState(register.name(), value, uint64(present.Revision), run.history.sinceStart(call))
-		last = max(last, present.Revision)
+		run.history.operators.FinalState(register.name(), value, uint64(current.Revision), run.history.sinceStart(call))
+		last = max(last, current.Revision)
 	}
 	run.checkProgress()
 	return run.waitForBalancers(ctx, last)
@@ -196,12 +196,12 @@
 			return err
 		}
 		for {
-			present, err := balancerRevision(ctx, balancer)
-			if err == nil && present >= revision {
+			current, err := balancerRevision(ctx, balancer)
+			if err == nil && current >= revision {
 				break
 			}
 			if ctx.Err() != nil {
-				run.history.recordViolation(checker.InvariantInForce, "%s runs revision %d at the end, not %d", name, present, revision)
+				run.history.recordViolation(checker.InvariantInForce, "%s runs revision %d at the end, not %d", name, current, revision)
 				break
 			}
 			pause(ctx, pollInterval)
--- a/internal/bench/operators/transport.go
+++ b/internal/bench/operators/transport.go
@@ -52,13 +52,13 @@
 
 // client returns a client of the endpoints over transport.
 func (access access) client(endpoints []string, transport http.RoundTripper, attempt, budget time.Duration) (*client.Client, error) {
-	made, err := client.New(client.Options{
+	api, err := client.New(client.Options{
 		Endpoints: endpoints, Token: access.token, Transport: transport, AttemptTimeout: attempt, RetryBudget: budget,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("client of the administration API: %w", err)
 	}
-	return made, nil
+	return api, nil
 }
 
 // lossyTransport drops some changes before they are sent and some answers to
