--- a/internal/bench/experiment/plots.go
+++ b/internal/bench/experiment/plots.go
@@ -15,25 +15,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of plots.
+// Dimensions of plots.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
-	// titlePadding keeps the title off the edge and the labels of steps.
+	// titlePadding separates the title from the edge and from the step labels.
 	titlePadding = 3 * vg.Millimeter
 )
 
-// longestGap is the time between two samples above which a line is broken: the
-// target did not serve in between.
-const longestGap = 2 * sampleInterval
+// maximumSampleGap is the time between two samples above which a line is split,
+// because the target was not serving in between.
+const maximumSampleGap = 2 * sampleInterval
 
-// nearestLabels is the time in seconds between two labels that can be read.
-const nearestLabels = 0.6
+// minimumLabelGap is the time in seconds between two step labels below which
+// they would overlap.
+const minimumLabelGap = 0.6
 
-// stepColor is the color of the marks of steps.
+// stepColor is the color of step lines and labels.
 var stepColor = color.Gray{Y: 110}
 
-// writePlots draws the run's courses into folder.
+// writePlots writes the charts of all services to folder as PNG files.
 func (result Result) writePlots(folder string) error {
 	for _, imbalance := range result.Imbalance {
 		if err := result.plotService(folder, imbalance.Service); err != nil {
@@ -43,65 +44,65 @@
 	return nil
 }
 
-// plotService draws the courses of one service.
+// plotService writes the charts of one service.
 func (result Result) plotService(folder, service string) error {
-	connections := course{
+	connections := timeChart{
 		name: "connections-" + service, title: "connections of each target of " + service,
 		unit: "open connections", lines: result.connectionLines(service),
 	}
-	imbalance := course{
+	imbalance := timeChart{
 		name: "imbalance-" + service, title: "imbalance of connections of " + service,
-		unit: "maximum over mean", least: 1,
-		lines: [][]point{seriesOf(result.Samples, service, connectionsOf)},
+		unit: "maximum over mean", minimumY: 1,
+		lines: [][]point{imbalanceSeries(result.Samples, service, connectionsOf)},
 	}
-	requests := course{
+	requests := timeChart{
 		name: "requests-" + service, title: "imbalance of requests that run and wait at " + service,
-		unit: "maximum over mean", least: 1,
-		lines: [][]point{seriesOf(result.Samples, service, requestsOf)},
+		unit: "maximum over mean", minimumY: 1,
+		lines: [][]point{imbalanceSeries(result.Samples, service, requestsOf)},
 	}
-	for _, course := range []course{connections, imbalance, requests} {
-		if err := result.plotCourse(folder, course); err != nil {
-			return fmt.Errorf("plot %s: %w", course.name, err)
+	for _, chart := range []timeChart{connections, imbalance, requests} {
+		if err := result.drawChart(folder, chart); err != nil {
+			return fmt.Errorf("plot %s: %w", chart.name, err)
 		}
 	}
 	return nil
 }
 
-// course is one plot over the time of the run.
-type course struct {
+// timeChart is a line chart over the time of the run.
+type timeChart struct {
 	name  string
 	title string
 	unit  string
-	// least is the lower end of the vertical axis.
-	least float64
-	lines [][]point
+	// minimumY is the lower end of the vertical axis.
+	minimumY float64
+	lines    [][]point
 }
 
-// highest is the upper end of the vertical axis.
-func (course course) highest() float64 {
+// maximumY returns the upper end of the vertical axis.
+func (chart timeChart) maximumY() float64 {
 	const headroom = 1.1
-	highest := course.least
-	for _, line := range course.lines {
+	highest := chart.minimumY
+	for _, line := range chart.lines {
 		for _, point := range line {
 			highest = math.Max(highest, point.value)
 		}
 	}
-	return course.least + max((highest-course.least)*headroom, 0.1)
+	return chart.minimumY + max((highest-chart.minimumY)*headroom, 0.1)
 }
 
-func (result Result) plotCourse(folder string, course course) error {
+func (result Result) drawChart(folder string, chart timeChart) error {
 	drawing := plot.New()
-	drawing.Title.Text = result.Name + ": " + course.title
+	drawing.Title.Text = result.Name + ": " + chart.title
 	drawing.Title.Padding = titlePadding
 	drawing.X.Label.Text = "seconds of load"
-	drawing.Y.Label.Text = course.unit
+	drawing.Y.Label.Text = chart.unit
 	drawing.X.Min, drawing.X.Max = 0, result.Seconds
-	drawing.Y.Min, drawing.Y.Max = course.least, course.highest()
+	drawing.Y.Min, drawing.Y.Max = chart.minimumY, chart.maximumY()
 	if err := result.markSteps(drawing); err != nil {
 		return err
 	}
-	for index, line := range course.lines {
-		for _, part := range unbroken(line) {
+	for index, line := range chart.lines {
+		for _, part := range splitAtGaps(line) {
 			drawn, err := plotter.NewLine(xy(part))
 			if err != nil {
 				return err
@@ -110,10 +111,10 @@
 			drawing.Add(drawn)
 		}
 	}
-	// The lines have their own, smaller ranges.
+	// Adding a line changed the axis ranges to fit it, so set them again.
 	drawing.X.Min, drawing.X.Max = 0, result.Seconds
-	drawing.Y.Min, drawing.Y.Max = course.least, course.highest()
-	return save(drawing, folder, course.name)
+	drawing.Y.Min, drawing.Y.Max = chart.minimumY, chart.maximumY()
+	return save(drawing, folder, chart.name)
 }
 
 // markSteps draws a vertical line with a label at the time of each step.
@@ -151,11 +152,11 @@
 	return nil
 }
 
-// addLabel adds a label, or joins it with the one before when both would be
-// written over each other.
+// addLabel adds a label, or appends it to the previous one when the two would
+// overlap.
 func addLabel(places plotter.XYLabels, at plotter.XY, label string) plotter.XYLabels {
 	last := len(places.Labels) - 1
-	if last >= 0 && at.X-places.XYs[last].X < nearestLabels {
+	if last >= 0 && at.X-places.XYs[last].X < minimumLabelGap {
 		if !strings.Contains(places.Labels[last], label) {
 			places.Labels[last] += ", " + label
 		}
@@ -166,7 +167,8 @@
 	return places
 }
 
-// connectionLines returns the course of each target of a service.
+// connectionLines returns the open connections over time of each target of a
+// service.
 func (result Result) connectionLines(service string) [][]point {
 	var lines [][]point
 	for _, target := range targetsOf(result.Samples, service) {
@@ -175,13 +177,13 @@
 	return lines
 }
 
-// unbroken splits a series where samples are missing.
-func unbroken(series []point) [][]point {
+// splitAtGaps splits a series where samples are missing.
+func splitAtGaps(series []point) [][]point {
 	var parts [][]point
 	begin := 0
 	for index := 1; index < len(series); index++ {
 		gap := time.Duration((series[index].at - series[index-1].at) * float64(time.Second))
-		if gap > longestGap {
+		if gap > maximumSampleGap {
 			parts = append(parts, series[begin:index])
 			begin = index
 		}
@@ -192,7 +194,7 @@
 	return parts
 }
 
-// targetsOf lists a service's targets in the order in which they were seen.
+// targetsOf lists a service's targets in the order of their first sample.
 func targetsOf(samples []Sample, service string) []string {
 	seen := make(map[string]bool)
 	var names []string
--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -8,14 +8,15 @@
 	"merlinpaddle/internal/model"
 )
 
-// changeID is the place of a change among those with the same base.
-type changeID struct {
+// changeBase identifies the changes of an object that have the same base
+// revision.
+type changeBase struct {
 	object string
 	base   model.Revision
 }
 
-// history gathers what operators and watchers saw, for the checkers. It is
-// safe for concurrent use.
+// history passes the observations of operators and watchers to the checkers and
+// counts operations by phase. It is safe for concurrent use.
 type history struct {
 	started time.Time
 
@@ -26,12 +27,12 @@
 	replicas  *checker.Replicas
 	// latest has the highest accepted revision of each object.
 	latest map[string]model.Revision
-	// rivals counts the changes that were based on one revision.
-	rivals map[changeID]int
-	phases []*phaseCounts
+	// changesPerBase counts the changes based on the same revision of an object.
+	changesPerBase map[changeBase]int
+	phases         []*phaseCounts
 }
 
-// phaseCounts is what happened in one phase.
+// phaseCounts counts the operations of one phase by their outcome.
 type phaseCounts struct {
 	name      string
 	began     time.Time
@@ -43,7 +44,8 @@
 	reads     int
 	resent    int
 	lost      int
-	// lastAccepted and longestGap tell for how long no change was accepted.
+	// lastAccepted is the time of the last accepted change, and longestGap the
+	// longest time without one.
 	lastAccepted time.Time
 	longestGap   time.Duration
 }
@@ -51,21 +53,23 @@
 func newHistory() *history {
 	report := &checker.Report{}
 	return &history{
-		started:   time.Now(),
-		report:    report,
-		operators: checker.NewOperators(report),
-		rollout:   checker.NewRollout(report, 0),
-		replicas:  checker.NewReplicas(report),
-		latest:    make(map[string]model.Revision),
-		rivals:    make(map[changeID]int),
+		started:        time.Now(),
+		report:         report,
+		operators:      checker.NewOperators(report),
+		rollout:        checker.NewRollout(report, 0),
+		replicas:       checker.NewReplicas(report),
+		latest:         make(map[string]model.Revision),
+		changesPerBase: make(map[changeBase]int),
 	}
 }
 
-// at is the time since the start of the run.
-func (history *history) at(moment time.Time) time.Duration { return moment.Sub(history.started) }
+// sinceStart returns the time from the start of the run to moment.
+func (history *history) sinceStart(moment time.Time) time.Duration {
+	return moment.Sub(history.started)
+}
 
-// begin ends the present phase and begins the next.
-func (history *history) begin(name string) {
+// beginPhase ends the current phase and begins the next.
+func (history *history) beginPhase(name string) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.endPhase()
@@ -73,37 +77,38 @@
 	history.phases = append(history.phases, &phaseCounts{name: name, began: now, lastAccepted: now})
 }
 
+// endPhase ends the current phase, if any; the caller holds the lock.
 func (history *history) endPhase() {
 	if len(history.phases) == 0 {
 		return
 	}
-	phase := history.present()
+	phase := history.currentPhase()
 	if phase.ended.IsZero() {
 		phase.ended = time.Now()
 		phase.longestGap = max(phase.longestGap, phase.ended.Sub(phase.lastAccepted))
 	}
 }
 
-func (history *history) present() *phaseCounts { return history.phases[len(history.phases)-1] }
+func (history *history) currentPhase() *phaseCounts { return history.phases[len(history.phases)-1] }
 
-// count changes the counts of the present phase.
-func (history *history) count(change func(counts *phaseCounts)) {
+// updatePhase calls change with the counts of the current phase, under the lock.
+func (history *history) updatePhase(change func(counts *phaseCounts)) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
-	change(history.present())
+	change(history.currentPhase())
 }
 
-// ended records one operation.
-func (history *history) ended(operation checker.Operation) {
+// recordOperation records one completed operation.
+func (history *history) recordOperation(operation checker.Operation) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.operators.Completed(operation)
-	phase := history.present()
+	phase := history.currentPhase()
 	if operation.Kind == checker.OperationRead {
 		phase.reads++
 		return
 	}
-	history.rivals[changeID{object: operation.Object, base: model.Revision(operation.Base)}]++
+	history.changesPerBase[changeBase{object: operation.Object, base: model.Revision(operation.Base)}]++
 	switch operation.Result {
 	case checker.ResultAccepted:
 		phase.accepted++
@@ -118,8 +123,9 @@
 	}
 }
 
-// acknowledged records that an answer gave a key's change a revision.
-func (history *history) acknowledged(key string, revision model.Revision) {
+// recordAcknowledgement records that the change with this idempotency key was
+// answered as accepted at revision.
+func (history *history) recordAcknowledgement(key string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	answer := checker.ChangeAnswer{Accepted: true, Revision: uint64(revision)}
@@ -127,21 +133,21 @@
 }
 
 // latestOf returns the highest accepted revision of an object.
-func (history *history) latestOf(object string) model.Revision {
+func (history *history) latestRevision(object string) model.Revision {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	return history.latest[object]
 }
 
-// violated records a violation that this package found itself.
-func (history *history) violated(invariant checker.Invariant, format string, arguments ...any) {
+// recordViolation records a violation found by this package, not by a checker.
+func (history *history) recordViolation(invariant checker.Invariant, format string, arguments ...any) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.report.Add(invariant, time.Since(history.started), format, arguments...)
 }
 
-// memberSeen records what a member says of itself.
-func (history *history) memberSeen(member string, term uint64, leading bool, revision model.Revision, digest uint64) {
+// recordMemberStatus records the status that a member reports of itself.
+func (history *history) recordMemberStatus(member string, term uint64, leading bool, revision model.Revision, digest uint64) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	at := time.Since(history.started)
@@ -151,20 +157,20 @@
 	history.replicas.State(member, uint64(revision), digest, at)
 }
 
-// nodeSeen records which revision a node runs.
-func (history *history) nodeSeen(node string, revision model.Revision) {
+// recordNodeRevision records the revision that a node reports as applied.
+func (history *history) recordNodeRevision(node string, revision model.Revision) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	history.rollout.Applied(checker.Node(node), uint64(revision), 0, time.Since(history.started))
 }
 
-// races returns the number of revisions on which several changes were based.
+// races returns the number of revisions on which more than one change was based.
 func (history *history) races() int {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	races := 0
-	for _, rivals := range history.rivals {
-		if rivals > 1 {
+	for _, changes := range history.changesPerBase {
+		if changes > 1 {
 			races++
 		}
 	}
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -14,8 +14,8 @@
 // leaderTimeout bounds the wait for a leader.
 const leaderTimeout = 20 * time.Second
 
-// phases brings one failure about after another, with a phase of rest between
-// them in which what failed comes back.
+// phases runs an undisturbed phase and then injects one failure after another.
+// Each step repairs its failure; after cuts it also waits for a phase length.
 func (run *run) phases(ctx context.Context) error {
 	steps := []struct {
 		name string
@@ -33,7 +33,7 @@
 	}
 	for _, step := range steps {
 		run.options.Progress(step.name)
-		run.history.begin(step.name)
+		run.history.beginPhase(step.name)
 		if err := step.work(ctx); err != nil {
 			return fmt.Errorf("%s: %w", step.name, err)
 		}
@@ -41,12 +41,13 @@
 	return nil
 }
 
+// rest waits for the length of a phase.
 func (run *run) rest(ctx context.Context) error {
 	pause(ctx, run.options.Phase)
 	return ctx.Err()
 }
 
-// leader returns the name of the leader, once there is one.
+// leader waits for a leader and returns its name.
 func (run *run) leader(ctx context.Context) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
@@ -57,12 +58,12 @@
 				return string(member.Name), nil
 			}
 		}
-		pause(ctx, watchInterval)
+		pause(ctx, pollInterval)
 	}
 	return "", fmt.Errorf("no leader within %s", leaderTimeout)
 }
 
-// killLeader ends the leader with SIGKILL and starts it again later.
+// killLeader ends the leader with SIGKILL and restarts it after one phase length.
 func (run *run) killLeader(ctx context.Context) error {
 	leader, err := run.leader(ctx)
 	if err != nil {
@@ -76,9 +77,9 @@
 	)
 }
 
-// freezeLeader stops the leader with SIGSTOP for longer than every time-out.
-// Requests that were sent to it meanwhile are the first thing it sees when
-// SIGCONT wakes it.
+// freezeLeader suspends the leader with SIGSTOP for longer than all its timeouts.
+// When SIGCONT resumes it, requests sent in the meantime are already queued in
+// its sockets.
 func (run *run) freezeLeader(ctx context.Context) error {
 	name, err := run.leader(ctx)
 	if err != nil {
@@ -88,25 +89,25 @@
 	if err != nil {
 		return err
 	}
-	frozen.warm(ctx)
+	frozen.openConnections(ctx)
 	if err := run.deployment.script.Run(ctx, "freeze", name); err != nil {
 		return err
 	}
-	frozen.freezing()
+	frozen.recordFreeze()
 	pause(ctx, run.options.Freeze)
 	err = frozen.probe(ctx, func() error { return run.deployment.script.Run(ctx, "thaw", name) })
 	run.probes = frozen.counts
 	return err
 }
 
-// endpointOf returns the administration API of one member.
+// endpointOf returns the endpoint of one member's administration API.
 func (run *run) endpointOf(member string) string {
 	index := slices.IndexFunc(run.deployment.layout.WithRole(fleet.RoleControl), func(process fleet.Process) bool { return process.Name == member })
 	return run.deployment.layout.APIEndpoints()[index]
 }
 
-// cutMinority cuts off the leader's zone and a zone without a member, each on
-// its own; the other members keep a quorum.
+// cutMinority isolates the leader's zone and, if there is one, a zone without a
+// member, also from each other; the other members keep a quorum.
 func (run *run) cutMinority(ctx context.Context) error {
 	leader, err := run.leader(ctx)
 	if err != nil {
@@ -134,27 +135,28 @@
 	return "", false
 }
 
-// cutQuorum cuts off all zones but one, so that no member has a quorum. No
-// change that is sent meanwhile may be accepted before the cut heals.
+// cutQuorum cuts off the zones of all members but the first, so that no member
+// has a quorum. No change sent in the meantime may be accepted until the cut
+// heals.
 func (run *run) cutQuorum(ctx context.Context) error {
 	var zones []string
 	for _, member := range run.deployment.layout.WithRole(fleet.RoleControl)[1:] {
 		zones = append(zones, member.Zone)
 	}
 	run.deployment.links.Cut(zones...)
-	// What was under way when the cut came may still be answered.
+	// Changes in flight at the cut may still be answered as accepted.
 	pause(ctx, attemptTimeout)
-	before := run.acceptedNow()
+	before := run.acceptedInPhase()
 	pause(ctx, run.options.Phase)
-	if accepted := run.acceptedNow() - before; accepted > 0 {
-		run.history.violated(checker.InvariantCommittedKept, "%d changes were accepted without a quorum", accepted)
+	if accepted := run.acceptedInPhase() - before; accepted > 0 {
+		run.history.recordViolation(checker.InvariantCommittedKept, "%d changes were accepted without a quorum", accepted)
 	}
 	run.deployment.links.Cut()
 	return run.rest(ctx)
 }
 
-func (run *run) acceptedNow() int {
+func (run *run) acceptedInPhase() int {
 	accepted := 0
-	run.history.count(func(counts *phaseCounts) { accepted = counts.accepted })
+	run.history.updatePhase(func(counts *phaseCounts) { accepted = counts.accepted })
 	return accepted
 }
--- a/internal/bench/operators/transport.go
+++ b/internal/bench/operators/transport.go
@@ -16,10 +16,11 @@
 	"merlinpaddle/internal/client"
 )
 
-// idleConnections is the number of open connections that wait for reuse.
+// idleConnections is the maximum number of idle connections kept per endpoint.
 const idleConnections = 64
 
-// access is what is needed to reach a fleet's administration API.
+// access has the token and the certificate authority for a fleet's
+// administration API.
 type access struct {
 	token     string
 	authority *x509.CertPool
@@ -41,7 +42,7 @@
 	return access{token: strings.TrimSpace(string(token)), authority: pool}, nil
 }
 
-// transport returns an own pool of connections.
+// transport returns a new transport with its own connection pool.
 func (access access) transport() http.RoundTripper {
 	return &http.Transport{
 		TLSClientConfig:     &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: access.authority},
@@ -51,18 +52,18 @@
 
 // client returns a client of the endpoints over transport.
 func (access access) client(endpoints []string, transport http.RoundTripper, attempt, budget time.Duration) (*client.Client, error) {
-	made, err := client.New(client.Options{
+	api, err := client.New(client.Options{
 		Endpoints: endpoints, Token: access.token, Transport: transport, AttemptTimeout: attempt, RetryBudget: budget,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("client of the administration API: %w", err)
 	}
-	return made, nil
+	return api, nil
 }
 
-// losingTransport loses some changes on the way out and some answers on the
-// way back. The client sees a broken connection and sends again.
-type losingTransport struct {
+// lossyTransport drops some changes before they are sent and some answers to
+// changes. The client sees a broken connection and retries.
+type lossyTransport struct {
 	http.RoundTripper
 	requestShare float64
 	answerShare  float64
@@ -70,7 +71,7 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (transport losingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (transport lossyTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.Method == http.MethodGet {
 		return transport.RoundTripper.RoundTrip(request)
 	}
