--- a/internal/bench/audit/report.go
+++ b/internal/bench/audit/report.go
@@ -32,22 +32,27 @@
 	Refusals          map[int]int             `json:"refusals"`
 	RetriesOverBudget int                     `json:"retries_over_budget"`
 	RefusalHistogram  *hdrhistogram.Snapshot  `json:"refusal_histogram"`
-	// RefusedWithoutRetryAfter counts refusals as not run with status 503 and without a Retry-After.
-	RefusedWithoutRetryAfter int            `json:"refused_without_retry_after"`
-	ClaimedNotRun            []string       `json:"claimed_not_run"`
-	DeliveredKeys            []string       `json:"delivered_keys"`
-	RefusedKeys              []string       `json:"refused_keys"`
-	Examples                 []FaultExample `json:"examples"`
+	// RefusedWithoutRetryAfter counts the attempts that were refused as not run with status 503 and
+	// without a Retry-After header.
+	RefusedWithoutRetryAfter int `json:"refused_without_retry_after"`
+	// ClaimedNotRun lists the attempts that the system refused as not run.
+	ClaimedNotRun []string `json:"claimed_not_run"`
+	// DeliveredKeys lists the idempotency keys of at-most-once calls that were answered, and
+	// RefusedKeys of those whose every attempt was refused as not run or was not sent.
+	DeliveredKeys []string       `json:"delivered_keys"`
+	RefusedKeys   []string       `json:"refused_keys"`
+	Examples      []FaultExample `json:"examples"`
 }
 
 // ClassAccount has a caller's counts and latencies of one request class.
 type ClassAccount struct {
-	Offered     int                    `json:"offered"`
-	Delivered   int                    `json:"delivered"`
-	Refused     int                    `json:"refused"`
-	Unknown     int                    `json:"unknown"`
-	Broken      int                    `json:"broken"`
-	Crossed     int                    `json:"crossed"`
+	Offered   int `json:"offered"`
+	Delivered int `json:"delivered"`
+	Refused   int `json:"refused"`
+	Unknown   int `json:"unknown"`
+	Broken    int `json:"broken"`
+	Crossed   int `json:"crossed"`
+	// Abandoned counts the requests that were unanswered when the caller was stopped.
 	Abandoned   int                    `json:"abandoned"`
 	Attempts    int                    `json:"attempts"`
 	CutAttempts int                    `json:"cut_attempts"`
@@ -84,9 +89,10 @@
 
 // FlowExample describes a connection that failed or broke.
 type FlowExample struct {
-	At    time.Time `json:"at"`
-	Local string    `json:"local"`
-	Error string    `json:"error"`
+	At time.Time `json:"at"`
+	// Local is the connection's local address, or "open" when the connection never opened.
+	Local string `json:"local"`
+	Error string `json:"error"`
 }
 
 // ReadAccount reads a caller's report.
--- a/internal/bench/audit/violations.go
+++ b/internal/bench/audit/violations.go
@@ -13,8 +13,8 @@
 // Expectation lists the failures and drains of an experiment, which decide what counts as a
 // violation.
 type Expectation struct {
-	// DeadNodes are the back ends that crashed, froze or were partitioned without warning, or whose
-	// agent did or was. Their flows may break and their requests may be cut.
+	// DeadNodes are the back ends that, or whose agents, crashed, froze or were partitioned without
+	// warning. Their flows may break and their requests may be cut.
 	DeadNodes []string
 	// Drains are the drains of back ends, each with its time.
 	Drains []Drain
@@ -42,8 +42,8 @@
 // replaces it.
 const DrainGrace = 3 * time.Second
 
-// mayBreak reports whether flows of a back end may break. Flows of an unknown back end may when any
-// back end died.
+// mayBreak reports whether flows of a back end may break and its requests may be cut. For an unknown
+// back end it is true when any back end died.
 func (expectation Expectation) mayBreak(node string) bool {
 	if len(expectation.DeadNodes) == 0 {
 		return false
@@ -51,7 +51,8 @@
 	return node == unknownNode || slices.Contains(expectation.DeadNodes, node)
 }
 
-// unexpectedCount returns the sum of the counts of back ends whose flows may not break.
+// unexpectedCount returns the sum of the counts of broken flows or cut attempts, by back end, without
+// those of back ends for which mayBreak is true.
 func (expectation Expectation) unexpectedCount(byNode map[string]int) int {
 	total := 0
 	for node, count := range byNode {
--- a/internal/bench/command/routing.go
+++ b/internal/bench/command/routing.go
@@ -132,7 +132,7 @@
 	return revision + modified
 }
 
-// shortRevision is the number of characters of a revision that are bar.
+// shortRevision is the number of characters in a short revision.
 const shortRevision = 12
 
 func (report routingReport) write(folder, page string) error {
--- a/internal/bench/fleet/file.go
+++ b/internal/bench/fleet/file.go
@@ -34,8 +34,8 @@
 	BalancersPerZone int `yaml:"balancers_per_zone" validate:"min=1,max=20"`
 	// StandbyBalancers is the number of balancers that are rendered but not started with the fleet.
 	StandbyBalancers int `yaml:"standby_balancers" validate:"min=0,max=20"`
-	// ReportInterval is the time between two heartbeats of a node and between
-	// two reports of a relay; zero means the defaults of the settings.
+	// ReportInterval is the time between two heartbeats of a node and between two reports of a relay;
+	// zero means the defaults of the settings.
 	ReportInterval time.Duration `yaml:"report_interval" validate:"min=0"`
 	// PlatformDelay is the delay with which changes appear in the platform's machine list.
 	PlatformDelay time.Duration `yaml:"platform_delay" validate:"min=0"`
--- a/internal/bench/fleet/render.go
+++ b/internal/bench/fleet/render.go
@@ -23,10 +23,12 @@
 	keysFolder     = "keys"
 	LedgersFolder  = "ledgers"
 	ReportsFolder  = "reports"
-	tokensFile     = "tokens.yaml"
-	TokenFile      = "admin.token"
-	documentsFile  = "apply.yaml"
-	fleetFile      = "fleet.yaml"
+	// tokensFile has the hash of the administrator's token, for control members; TokenFile has the
+	// token itself, for clients.
+	tokensFile    = "tokens.yaml"
+	TokenFile     = "admin.token"
+	documentsFile = "apply.yaml"
+	fleetFile     = "fleet.yaml"
 
 	// BackendPrefix precedes a target's name in the name of its back end.
 	BackendPrefix = "backend-"
--- a/internal/bench/fleet/watch.go
+++ b/internal/bench/fleet/watch.go
@@ -17,7 +17,7 @@
 	readyPollInterval = 50 * time.Millisecond
 	// requestTimeout bounds one HTTP request to a process.
 	requestTimeout = 2 * time.Second
-	// maximumAnswerBytes is the most that an error quotes of a response's body.
+	// maximumAnswerBytes is the maximum number of bytes of a response's body that an error quotes.
 	maximumAnswerBytes = 4 << 10
 )
 
@@ -30,7 +30,8 @@
 	State   string `json:"state"`
 }
 
-// WaitReady waits until each named process reports that it is ready. The timeout is for all together.
+// WaitReady waits until each named process reports that it is ready. The timeout covers the whole wait,
+// not each process.
 func (layout *Layout) WaitReady(ctx context.Context, names []string, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// SetMisbehavior replaces the faults that a back end injects; none ends its misbehavior.
+// SetMisbehavior replaces the faults that a back end injects; an empty list ends them all.
 func (layout *Layout) SetMisbehavior(ctx context.Context, name string, faults []string) error {
 	process, err := layout.Find(name)
 	if err != nil {
