--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -35,7 +35,7 @@
 			if err := keys.Init(folder, processes, time.Now()); err != nil {
 				return err
 			}
-			fmt.Fprintf(command.OutOrStdout(), "made keys of %d processes in %s\n", len(processes), folder)
+			fmt.Fprintf(command.OutOrStdout(), "created keys for %d processes in %s\n", len(processes), folder)
 			return nil
 		},
 	}
--- a/internal/command/storage.go
+++ b/internal/command/storage.go
@@ -89,5 +89,5 @@
 func writeProblem(output io.Writer, problem error) {
 	definition, _ := faults.Lookup(faults.CodeOf(problem))
 	fmt.Fprintf(output, "problem %d: %s\n", definition.Code, problem.Error())
-	fmt.Fprintf(output, "  mend: %s\n", definition.Action)
+	fmt.Fprintf(output, "  remedy: %s\n", definition.Action)
 }
--- a/internal/command/storage_test.go
+++ b/internal/command/storage_test.go
@@ -87,7 +87,7 @@
 		}, 0, []string{"torn tail: 4 byte(s)", "result: sound"}},
 		{"damaged log", func(t *testing.T, folder string) {
 			corruptByte(t, firstMatch(t, filepath.Join(folder, "consensus/wal/*")), 100)
-		}, 1, []string{"problem 2001", "mend: "}},
+		}, 1, []string{"problem 2001", "remedy: "}},
 		{"damaged snapshot", func(t *testing.T, folder string) {
 			corruptByte(t, firstMatch(t, filepath.Join(folder, "consensus/snapshots/*")), 20)
 		}, 1, []string{"problem 2007", "not usable"}},
--- a/internal/merlinctl/apply.go
+++ b/internal/merlinctl/apply.go
@@ -36,8 +36,8 @@
 must be confirmed, or accepted in advance with --yes. A change that another
 operator made meanwhile is not overwritten: apply stops with exit code 6.`,
 		Args: cobra.NoArgs,
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-			return tool.apply(ctx, calls, options)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, _ []string) error {
+			return tool.apply(ctx, api, options)
 		}),
 	}
 	flags := command.Flags()
@@ -58,14 +58,14 @@
 	diff string
 }
 
-func (tool *tool) apply(ctx context.Context, calls *client.Client, options *applyOptions) error {
+func (tool *tool) apply(ctx context.Context, api *client.Client, options *applyOptions) error {
 	documents, err := tool.readFiles(options.files)
 	if err != nil {
 		return err
 	}
 	var changes []plannedChange
 	for _, document := range documents {
-		change, err := planChange(ctx, calls, document)
+		change, err := planChange(ctx, api, document)
 		if err != nil {
 			return fmt.Errorf("%s: %w", document.location, err)
 		}
@@ -78,16 +78,16 @@
 		return nil
 	}
 	if options.dryRun {
-		return tool.checkAll(ctx, calls, changes)
+		return tool.checkAll(ctx, api, changes)
 	}
 	if err := tool.confirm(options.yes, fmt.Sprintf("Apply %d changes?", len(changes))); err != nil {
 		return err
 	}
-	last, err := tool.applyAll(ctx, calls, changes)
+	last, err := tool.applyAll(ctx, api, changes)
 	if err != nil || !options.wait.enabled {
 		return err
 	}
-	return tool.waitInForce(ctx, calls, last, options.wait.limit)
+	return tool.waitInForce(ctx, api, last, options.wait.limit)
 }
 
 func (tool *tool) readFiles(names []string) ([]*document, error) {
@@ -115,9 +115,9 @@
 }
 
 // planChange compares a document with the current object.
-func planChange(ctx context.Context, calls *client.Client, document *document) (plannedChange, error) {
+func planChange(ctx context.Context, api *client.Client, document *document) (plannedChange, error) {
 	change := plannedChange{document: document}
-	current, desired, err := currentAndDesired(ctx, calls, document, &change.base)
+	current, desired, err := currentAndDesired(ctx, api, document, &change.base)
 	if client.Code(err) == faults.CodeNotFound {
 		current, err = nil, nil
 	}
@@ -140,39 +140,39 @@
 
 // currentAndDesired returns the current and the desired spec of a document, and sets base to the
 // current revision. When the object does not exist, the error has faults.CodeNotFound, and desired
-// is set all the same.
-func currentAndDesired(ctx context.Context, calls *client.Client, document *document, base *model.Revision) (current, desired any, err error) {
+// is still set.
+func currentAndDesired(ctx context.Context, api *client.Client, document *document, base *model.Revision) (current, desired any, err error) {
 	switch document.Kind {
 	case kindTemplate:
-		template, err := calls.Template(ctx, document.Name)
+		template, err := api.Template(ctx, document.Name)
 		if err != nil {
 			return nil, document.template, err
 		}
 		*base = template.Revision
 		return template.Latest().Spec, document.template, nil
 	case kindTenant:
-		tenant, err := calls.Tenant(ctx, model.TenantName(document.Name))
+		tenant, err := api.Tenant(ctx, model.TenantName(document.Name))
 		if err != nil {
 			return nil, document.tenant, err
 		}
 		*base = tenant.Revision
 		return tenant.Spec, document.tenant, nil
 	}
-	service, err := calls.Service(ctx, document.serviceKey())
+	service, err := api.Service(ctx, document.serviceKey())
 	if err != nil {
 		return nil, document.service, err
 	}
 	*base = service.Revision
-	desiredSpec, err := withLatestVersion(ctx, calls, document.service)
+	desiredSpec, err := withLatestVersion(ctx, api, document.service)
 	return service.Spec, desiredSpec, err
 }
 
 // withLatestVersion sets the template version of a spec that names none to the latest one.
-func withLatestVersion(ctx context.Context, calls *client.Client, spec adminapi.ServiceSpec) (adminapi.ServiceSpec, error) {
+func withLatestVersion(ctx context.Context, api *client.Client, spec adminapi.ServiceSpec) (adminapi.ServiceSpec, error) {
 	if spec.Template.Version != 0 {
 		return spec, nil
 	}
-	template, err := calls.Template(ctx, spec.Template.Name)
+	template, err := api.Template(ctx, spec.Template.Name)
 	if err != nil {
 		return spec, err
 	}
@@ -192,7 +192,7 @@
 }
 
 // confirm asks the operator, unless yes is set. It returns errDeclined unless the answer is "y" or
-// "yes"; the end of the input declines too.
+// "yes"; input that ends without an answer declines.
 func (tool *tool) confirm(yes bool, question string) error {
 	if yes {
 		return nil
@@ -211,10 +211,10 @@
 
 // checkAll validates the changes at the leader without committing them. An object that depends on
 // a new object of the same file cannot be validated before that one exists; a line of output says so.
-func (tool *tool) checkAll(ctx context.Context, calls *client.Client, changes []plannedChange) error {
+func (tool *tool) checkAll(ctx context.Context, api *client.Client, changes []plannedChange) error {
 	creates := false
 	for _, change := range changes {
-		err := change.check(ctx, calls)
+		err := change.check(ctx, api)
 		if client.Code(err) == faults.CodeNotFound && creates {
 			fmt.Fprintf(tool.output, "%s: not checked, because it needs an object that is new in the same file\n", change.document.objectName())
 			continue
@@ -228,22 +228,22 @@
 	return nil
 }
 
-func (change plannedChange) check(ctx context.Context, calls *client.Client) error {
+func (change plannedChange) check(ctx context.Context, api *client.Client) error {
 	switch change.document.Kind {
 	case kindTemplate:
-		return calls.CheckTemplate(ctx, change.document.Name, change.document.template)
+		return api.CheckTemplate(ctx, change.document.Name, change.document.template)
 	case kindTenant:
-		return calls.CheckTenant(ctx, model.TenantName(change.document.Name), change.document.tenant)
+		return api.CheckTenant(ctx, model.TenantName(change.document.Name), change.document.tenant)
 	}
-	return calls.CheckService(ctx, change.document.serviceKey(), change.document.service)
+	return api.CheckService(ctx, change.document.serviceKey(), change.document.service)
 }
 
 // applyAll sends the changes in order and returns the highest revision they were committed at. It
 // stops at the first failed change; those before it stay committed.
-func (tool *tool) applyAll(ctx context.Context, calls *client.Client, changes []plannedChange) (model.Revision, error) {
+func (tool *tool) applyAll(ctx context.Context, api *client.Client, changes []plannedChange) (model.Revision, error) {
 	var last model.Revision
 	for index, change := range changes {
-		answer, err := change.send(ctx, calls)
+		answer, err := change.send(ctx, api)
 		if err != nil {
 			return last, fmt.Errorf("%s: %d of %d changes were applied: %w", change.document.location, index, len(changes), err)
 		}
@@ -253,13 +253,13 @@
 	return last, nil
 }
 
-func (change plannedChange) send(ctx context.Context, calls *client.Client) (adminapi.ChangeAnswer, error) {
+func (change plannedChange) send(ctx context.Context, api *client.Client) (adminapi.ChangeAnswer, error) {
 	precondition := client.Change{Base: change.base}
 	switch change.document.Kind {
 	case kindTemplate:
-		return calls.PutTemplate(ctx, change.document.Name, precondition, change.document.template)
+		return api.PutTemplate(ctx, change.document.Name, precondition, change.document.template)
 	case kindTenant:
-		return calls.PutTenant(ctx, model.TenantName(change.document.Name), precondition, change.document.tenant)
+		return api.PutTenant(ctx, model.TenantName(change.document.Name), precondition, change.document.tenant)
 	}
-	return calls.PutService(ctx, change.document.serviceKey(), precondition, change.document.service)
+	return api.PutService(ctx, change.document.serviceKey(), precondition, change.document.service)
 }
--- a/internal/merlinctl/change.go
+++ b/internal/merlinctl/change.go
@@ -40,52 +40,52 @@
 	command := &cobra.Command{Use: "delete", Short: "Remove an object", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
 	command.PersistentFlags().BoolVarP(&yes, "yes", "y", false, "do not ask for confirmation")
 	template := &cobra.Command{Use: "template NAME", Short: "Remove a template that no service uses", Args: cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			return tool.deleteTemplate(ctx, calls, arguments[0], yes)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			return tool.deleteTemplate(ctx, api, arguments[0], yes)
 		})}
 	tenant := &cobra.Command{Use: "tenant NAME", Short: "Remove a tenant that has no services", Args: cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			return tool.deleteTenant(ctx, calls, model.TenantName(arguments[0]), yes)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			return tool.deleteTenant(ctx, api, model.TenantName(arguments[0]), yes)
 		})}
 	service := &cobra.Command{Use: "service TENANT/SERVICE", Short: "Drain a service and remove it once its flows have ended", Args: cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			return tool.deleteService(ctx, calls, arguments[0], yes, force)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			return tool.deleteService(ctx, api, arguments[0], yes, force)
 		})}
 	service.Flags().BoolVar(&force, "force", false, "remove the service at once and cut its open flows")
 	command.AddCommand(template, tenant, service)
 	return command
 }
 
-func (tool *tool) deleteTemplate(ctx context.Context, calls *client.Client, name string, yes bool) error {
-	current, err := calls.Template(ctx, name)
+func (tool *tool) deleteTemplate(ctx context.Context, api *client.Client, name string, yes bool) error {
+	current, err := api.Template(ctx, name)
 	if err != nil {
 		return err
 	}
 	if err := tool.confirm(yes, fmt.Sprintf("Remove template %s?", name)); err != nil {
 		return err
 	}
-	answer, err := calls.DeleteTemplate(ctx, name, client.Change{Base: current.Revision})
+	answer, err := api.DeleteTemplate(ctx, name, client.Change{Base: current.Revision})
 	return tool.printCommitted("template "+name+" removed", answer, err)
 }
 
-func (tool *tool) deleteTenant(ctx context.Context, calls *client.Client, name model.TenantName, yes bool) error {
-	current, err := calls.Tenant(ctx, name)
+func (tool *tool) deleteTenant(ctx context.Context, api *client.Client, name model.TenantName, yes bool) error {
+	current, err := api.Tenant(ctx, name)
 	if err != nil {
 		return err
 	}
 	if err := tool.confirm(yes, fmt.Sprintf("Remove tenant %s?", name)); err != nil {
 		return err
 	}
-	answer, err := calls.DeleteTenant(ctx, name, client.Change{Base: current.Revision})
+	answer, err := api.DeleteTenant(ctx, name, client.Change{Base: current.Revision})
 	return tool.printCommitted("tenant "+string(name)+" removed", answer, err)
 }
 
-func (tool *tool) deleteService(ctx context.Context, calls *client.Client, name string, yes, force bool) error {
+func (tool *tool) deleteService(ctx context.Context, api *client.Client, name string, yes, force bool) error {
 	key, err := parseServiceKey(name)
 	if err != nil {
 		return err
 	}
-	current, err := calls.Service(ctx, key)
+	current, err := api.Service(ctx, key)
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 	if err := tool.confirm(yes, question); err != nil {
 		return err
 	}
-	answer, err := calls.DeleteService(ctx, key, client.Change{Base: current.Revision}, force)
+	answer, err := api.DeleteService(ctx, key, client.Change{Base: current.Revision}, force)
 	return tool.printCommitted("service "+name+" removed or draining", answer, err)
 }
 
@@ -118,8 +118,8 @@
 		Use:   "drain TENANT/SERVICE/TARGET",
 		Short: "Stop new flows to a target, and show what remains at it",
 		Args:  cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			return tool.drain(ctx, calls, arguments[0], wait)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			return tool.drain(ctx, api, arguments[0], wait)
 		}),
 	}
 	wait.addFlags(command.Flags(), "wait until no flow, feed or request remains at the target")
@@ -131,55 +131,55 @@
 		Use:   "undrain TENANT/SERVICE/TARGET",
 		Short: "End the drain of a target, so that it gets new flows again",
 		Args:  cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			key, current, err := findTarget(ctx, calls, arguments[0])
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			key, current, err := findTarget(ctx, api, arguments[0])
 			if err != nil {
 				return err
 			}
-			answer, err := calls.Undrain(ctx, key, client.Change{Base: current.Revision})
+			answer, err := api.Undrain(ctx, key, client.Change{Base: current.Revision})
 			return tool.printCommitted("target "+arguments[0]+" takes new flows", answer, err)
 		}),
 	}
 }
 
 // findTarget parses TENANT/SERVICE/TARGET and returns the key with the current target.
-func findTarget(ctx context.Context, calls *client.Client, name string) (state.TargetKey, adminapi.Target, error) {
+func findTarget(ctx context.Context, api *client.Client, name string) (state.TargetKey, adminapi.Target, error) {
 	key, err := parseTargetKey(name)
 	if err != nil {
 		return key, adminapi.Target{}, err
 	}
-	current, err := calls.Target(ctx, key)
+	current, err := api.Target(ctx, key)
 	return key, current, err
 }
 
-func (tool *tool) drain(ctx context.Context, calls *client.Client, name string, wait *waitOptions) error {
-	key, current, err := findTarget(ctx, calls, name)
+func (tool *tool) drain(ctx context.Context, api *client.Client, name string, wait *waitOptions) error {
+	key, current, err := findTarget(ctx, api, name)
 	if err != nil {
 		return err
 	}
-	answer, err := calls.Drain(ctx, key, client.Change{Base: current.Revision})
+	answer, err := api.Drain(ctx, key, client.Change{Base: current.Revision})
 	if err := tool.printCommitted("target "+name+" takes no new flows", answer, err); err != nil {
 		return err
 	}
 	if !wait.enabled {
-		current, err = calls.Target(ctx, key)
+		current, err = api.Target(ctx, key)
 		if err != nil {
 			return err
 		}
 		fmt.Fprintln(tool.errorOutput, describeRemaining(current))
 		return nil
 	}
-	return tool.waitDrained(ctx, calls, key, wait.limit)
+	return tool.waitDrained(ctx, api, key, wait.limit)
 }
 
-// waitDrained prints what remains at a draining target, each time it changes, until nothing does
-// or limit has passed.
-func (tool *tool) waitDrained(ctx context.Context, calls *client.Client, key state.TargetKey, limit time.Duration) error {
+// waitDrained prints what remains at a draining target, each time it changes, until nothing remains,
+// the target has left its service, or limit has passed.
+func (tool *tool) waitDrained(ctx context.Context, api *client.Client, key state.TargetKey, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	shown := ""
 	for {
-		current, err := calls.Target(ctx, key)
+		current, err := api.Target(ctx, key)
 		if client.Code(err) == faults.CodeNotFound {
 			fmt.Fprintln(tool.errorOutput, "the target has left its service")
 			return nil
--- a/internal/merlinctl/direct.go
+++ b/internal/merlinctl/direct.go
@@ -138,7 +138,7 @@
 	for direct.wait {
 		current, err := client.Configuration(ctx)
 		if err == nil && current.Version >= document.Version {
-			fmt.Fprintf(direct.tool.output, "version %d holds\n", current.Version)
+			fmt.Fprintf(direct.tool.output, "version %d is in effect\n", current.Version)
 			return nil
 		}
 		select {
--- a/internal/merlinctl/direct_test.go
+++ b/internal/merlinctl/direct_test.go
@@ -106,7 +106,7 @@
 	require.NoError(t, os.WriteFile(file, []byte(directVersion7), 0o600))
 	ran := runDirect(t, member, "", "apply", "--wait", file)
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
-	require.Equal(t, "version 7 is durable\nversion 7 holds\n", ran.output)
+	require.Equal(t, "version 7 is durable\nversion 7 is in effect\n", ran.output)
 
 	ran = runDirect(t, member, directVersion9, "diff", "-")
 	require.Equal(t, ExitSuccess, ran.code, ran.errors)
--- a/internal/merlinctl/explain.go
+++ b/internal/merlinctl/explain.go
@@ -17,9 +17,10 @@
 
 const explainHelp = `Print in order what balancers and members logged about one flow of a direct
 service, and the cause of its outcome. FLOW is the caller's address and port.
-TARGET is the number of a target's incarnation in hex; it prints the events of
-that target instead. LOG is a file with the structured lines that the processes
-write to standard output, or "-" for standard input. No member is contacted.`
+If TARGET is given instead, the number of a target's incarnation in hex, the
+events of that target are printed. LOG is a file with the structured lines that
+the processes write to standard output, or "-" for standard input. No member is
+contacted.`
 
 func (tool *tool) explainCommand() *cobra.Command {
 	return &cobra.Command{
--- a/internal/merlinctl/group.go
+++ b/internal/merlinctl/group.go
@@ -25,16 +25,16 @@
 		Use:   "wait",
 		Short: "Wait until a revision is in force on every leased balancer",
 		Args:  cobra.NoArgs,
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
+		RunE: tool.run(func(ctx context.Context, api *client.Client, _ []string) error {
 			awaited := model.Revision(revision)
 			if awaited == 0 {
-				rollout, err := calls.Rollout(ctx, 0, 0)
+				rollout, err := api.Rollout(ctx, 0, 0)
 				if err != nil {
 					return err
 				}
 				awaited = rollout.Committed
 			}
-			return tool.waitInForce(ctx, calls, awaited, limit)
+			return tool.waitInForce(ctx, api, awaited, limit)
 		}),
 	}
 	command.Flags().Uint64Var(&revision, "revision", 0, "revision to wait for (default: the one committed now)")
@@ -43,14 +43,15 @@
 }
 
 // waitInForce repeats rollout requests until the awaited revision is in force or limit has passed.
+// It makes several short requests, because the leader may change during the wait.
 // Once the group has answered, unavailability, such as during an election, does not end the wait.
-func (tool *tool) waitInForce(ctx context.Context, calls *client.Client, awaited model.Revision, limit time.Duration) error {
+func (tool *tool) waitInForce(ctx context.Context, api *client.Client, awaited model.Revision, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	answered := false
 	for {
 		// The leader must answer before the request itself times out.
-		rollout, err := calls.Rollout(ctx, awaited, min(rolloutRequestWait, limit, tool.settings.Timeout/2))
+		rollout, err := api.Rollout(ctx, awaited, min(rolloutRequestWait, limit, tool.settings.Timeout/2))
 		if err != nil && answered && ctx.Err() == nil && exitCodeOf(err) == ExitUnavailable {
 			continue
 		}
@@ -73,8 +74,8 @@
 		Use:   "rollout",
 		Short: "Show the committed revision, the one in force, and the one each node has applied",
 		Args:  cobra.NoArgs,
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-			rollout, err := calls.Rollout(ctx, 0, 0)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, _ []string) error {
+			rollout, err := api.Rollout(ctx, 0, 0)
 			if err != nil {
 				return err
 			}
@@ -88,8 +89,8 @@
 		Use:   "status",
 		Short: "Show the status of every endpoint",
 		Args:  cobra.NoArgs,
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-			statuses := calls.Statuses(ctx)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, _ []string) error {
+			statuses := api.Statuses(ctx)
 			if err := tool.show(statuses, statusTable(statuses)); err != nil {
 				return err
 			}
@@ -109,32 +110,32 @@
 		&cobra.Command{Use: "list", Short: "List the members", Args: cobra.NoArgs, RunE: tool.run(tool.listMembers)},
 		&cobra.Command{Use: "add NODE", Short: "Add a node as a learner", Args: cobra.ExactArgs(1), RunE: tool.run(tool.addMember)},
 		&cobra.Command{Use: "promote ID", Short: "Promote a learner that has caught up to voter", Args: cobra.ExactArgs(1),
-			RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-				return tool.printResult("member "+arguments[0]+" votes", calls.PromoteMember(ctx, arguments[0]))
+			RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+				return tool.printResult("member "+arguments[0]+" votes", api.PromoteMember(ctx, arguments[0]))
 			})},
 		tool.replaceCommand(),
 		&cobra.Command{Use: "remove ID", Short: "Remove a member", Args: cobra.ExactArgs(1),
-			RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-				return tool.printResult("member "+arguments[0]+" is removed", calls.RemoveMember(ctx, arguments[0]))
+			RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+				return tool.printResult("member "+arguments[0]+" is removed", api.RemoveMember(ctx, arguments[0]))
 			})},
 		&cobra.Command{Use: "transfer", Short: "Transfer leadership to another voter", Args: cobra.NoArgs,
-			RunE: tool.run(func(ctx context.Context, calls *client.Client, _ []string) error {
-				return tool.printResult("leadership is transferred", calls.TransferLeadership(ctx))
+			RunE: tool.run(func(ctx context.Context, api *client.Client, _ []string) error {
+				return tool.printResult("leadership is transferred", api.TransferLeadership(ctx))
 			})},
 	)
 	return command
 }
 
-func (tool *tool) listMembers(ctx context.Context, calls *client.Client, _ []string) error {
-	members, err := calls.Members(ctx)
+func (tool *tool) listMembers(ctx context.Context, api *client.Client, _ []string) error {
+	members, err := api.Members(ctx)
 	if err != nil {
 		return err
 	}
 	return tool.show(members, memberTable(members))
 }
 
-func (tool *tool) addMember(ctx context.Context, calls *client.Client, arguments []string) error {
-	answer, err := calls.AddMember(ctx, model.NodeName(arguments[0]))
+func (tool *tool) addMember(ctx context.Context, api *client.Client, arguments []string) error {
+	answer, err := api.AddMember(ctx, model.NodeName(arguments[0]))
 	if err != nil {
 		return err
 	}
@@ -155,8 +156,8 @@
 		Use:   "backup FILE",
 		Short: "Write a snapshot of the complete state to a new file",
 		Args:  cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			snapshot, err := calls.Backup(ctx)
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			snapshot, err := api.Backup(ctx)
 			if err != nil {
 				return err
 			}
@@ -194,7 +195,7 @@
 		Use:   "restore FILE",
 		Short: "Restore a backup into an empty control group",
 		Args:  cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
 			content, err := os.ReadFile(arguments[0])
 			if err != nil {
 				return faults.New(faults.CodeUsage, "%v", err)
@@ -202,7 +203,7 @@
 			if err := tool.confirm(yes, fmt.Sprintf("Restore %d bytes from %s into the group?", len(content), arguments[0])); err != nil {
 				return err
 			}
-			answer, err := calls.Restore(ctx, content, client.Change{})
+			answer, err := api.Restore(ctx, content, client.Change{})
 			return tool.printCommitted("backup restored", answer, err)
 		}),
 	}
--- a/internal/merlinctl/read.go
+++ b/internal/merlinctl/read.go
@@ -15,16 +15,16 @@
 )
 
 // commandBody is the function of a command that calls the control group.
-type commandBody func(ctx context.Context, calls *client.Client, arguments []string) error
+type commandBody func(ctx context.Context, api *client.Client, arguments []string) error
 
 // run returns a Cobra function that creates the client and calls body with it.
 func (tool *tool) run(body commandBody) func(*cobra.Command, []string) error {
 	return func(command *cobra.Command, arguments []string) error {
-		calls, err := tool.client()
+		api, err := tool.client()
 		if err != nil {
 			return err
 		}
-		return body(command.Context(), calls, arguments)
+		return body(command.Context(), api, arguments)
 	}
 }
 
@@ -59,8 +59,8 @@
 	return fmt.Errorf("unknown command %q for %q", arguments[0], command.CommandPath())
 }
 
-func (tool *tool) getTemplate(ctx context.Context, calls *client.Client, arguments []string) error {
-	template, err := calls.Template(ctx, arguments[0])
+func (tool *tool) getTemplate(ctx context.Context, api *client.Client, arguments []string) error {
+	template, err := api.Template(ctx, arguments[0])
 	if err != nil {
 		return err
 	}
@@ -71,20 +71,20 @@
 	})
 }
 
-func (tool *tool) getTenant(ctx context.Context, calls *client.Client, arguments []string) error {
-	tenant, err := calls.Tenant(ctx, model.TenantName(arguments[0]))
+func (tool *tool) getTenant(ctx context.Context, api *client.Client, arguments []string) error {
+	tenant, err := api.Tenant(ctx, model.TenantName(arguments[0]))
 	if err != nil {
 		return err
 	}
 	return tool.show(tenant, tenantTable([]state.Tenant{tenant}))
 }
 
-func (tool *tool) getService(ctx context.Context, calls *client.Client, arguments []string) error {
+func (tool *tool) getService(ctx context.Context, api *client.Client, arguments []string) error {
 	key, err := parseServiceKey(arguments[0])
 	if err != nil {
 		return err
 	}
-	service, err := calls.Service(ctx, key)
+	service, err := api.Service(ctx, key)
 	if err != nil {
 		return err
 	}
@@ -96,36 +96,36 @@
 	})
 }
 
-func (tool *tool) getTarget(ctx context.Context, calls *client.Client, arguments []string) error {
+func (tool *tool) getTarget(ctx context.Context, api *client.Client, arguments []string) error {
 	key, err := parseTargetKey(arguments[0])
 	if err != nil {
 		return err
 	}
-	target, err := calls.Target(ctx, key)
+	target, err := api.Target(ctx, key)
 	if err != nil {
 		return err
 	}
 	return tool.show(target, targetTable([]adminapi.Target{target}))
 }
 
-func (tool *tool) listTemplates(ctx context.Context, calls *client.Client, _ []string) error {
-	templates, err := calls.Templates(ctx)
+func (tool *tool) listTemplates(ctx context.Context, api *client.Client, _ []string) error {
+	templates, err := api.Templates(ctx)
 	if err != nil {
 		return err
 	}
 	return tool.show(templates, templateTable(templates))
 }
 
-func (tool *tool) listTenants(ctx context.Context, calls *client.Client, _ []string) error {
-	tenants, err := calls.Tenants(ctx)
+func (tool *tool) listTenants(ctx context.Context, api *client.Client, _ []string) error {
+	tenants, err := api.Tenants(ctx)
 	if err != nil {
 		return err
 	}
 	return tool.show(tenants, tenantTable(tenants))
 }
 
-func (tool *tool) listServices(ctx context.Context, calls *client.Client, arguments []string) error {
-	services, err := fetchServices(ctx, calls, arguments)
+func (tool *tool) listServices(ctx context.Context, api *client.Client, arguments []string) error {
+	services, err := fetchServices(ctx, api, arguments)
 	if err != nil {
 		return err
 	}
@@ -133,19 +133,19 @@
 }
 
 // fetchServices returns the services of the tenant in arguments, or of all tenants without one.
-func fetchServices(ctx context.Context, calls *client.Client, arguments []string) ([]adminapi.Service, error) {
+func fetchServices(ctx context.Context, api *client.Client, arguments []string) ([]adminapi.Service, error) {
 	if len(arguments) == 0 {
-		return calls.Services(ctx)
+		return api.Services(ctx)
 	}
-	return calls.TenantServices(ctx, model.TenantName(arguments[0]))
+	return api.TenantServices(ctx, model.TenantName(arguments[0]))
 }
 
-func (tool *tool) listTargets(ctx context.Context, calls *client.Client, arguments []string) error {
+func (tool *tool) listTargets(ctx context.Context, api *client.Client, arguments []string) error {
 	key, err := parseServiceKey(arguments[0])
 	if err != nil {
 		return err
 	}
-	targets, err := calls.Targets(ctx, key)
+	targets, err := api.Targets(ctx, key)
 	if err != nil {
 		return err
 	}
--- a/internal/merlinctl/replace.go
+++ b/internal/merlinctl/replace.go
@@ -21,7 +21,7 @@
 // It can be repeated after an interruption: it continues from the current membership.
 type replacement struct {
 	tool  *tool
-	calls *client.Client
+	api   *client.Client
 	node  model.NodeName
 	yes   bool
 	limit time.Duration
@@ -39,8 +39,8 @@
 A node that answers as a working member is refused. If the command is
 interrupted, run it again: it continues where it stopped.`,
 		Args: cobra.ExactArgs(1),
-		RunE: tool.run(func(ctx context.Context, calls *client.Client, arguments []string) error {
-			replacement.calls = calls
+		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
+			replacement.api = api
 			replacement.node = model.NodeName(arguments[0])
 			return replacement.run(ctx)
 		}),
@@ -51,7 +51,7 @@
 }
 
 func (replacement *replacement) run(ctx context.Context) error {
-	members, err := replacement.calls.Members(ctx)
+	members, err := replacement.api.Members(ctx)
 	if err != nil {
 		return err
 	}
@@ -65,7 +65,7 @@
 		}
 	}
 	if learner == "" {
-		answer, err := replacement.calls.AddMember(ctx, replacement.node)
+		answer, err := replacement.api.AddMember(ctx, replacement.node)
 		if err != nil {
 			return err
 		}
@@ -101,7 +101,7 @@
 	if err := replacement.tool.confirm(replacement.yes, question); err != nil {
 		return err
 	}
-	if err := replacement.calls.RemoveMember(ctx, id); err != nil {
+	if err := replacement.api.RemoveMember(ctx, id); err != nil {
 		return err
 	}
 	return replacement.printStep("member %s is removed", id)
@@ -110,7 +110,7 @@
 // isWorking reports whether the node answers and has applied entries of the log. A node with an
 // empty disk has applied none.
 func (replacement *replacement) isWorking(ctx context.Context) bool {
-	for _, answer := range replacement.calls.Statuses(ctx) {
+	for _, answer := range replacement.api.Statuses(ctx) {
 		if answer.Status != nil && answer.Status.Node == replacement.node && answer.Status.Applied > 0 {
 			return true
 		}
@@ -124,7 +124,7 @@
 	defer cancel()
 	announced := false
 	for {
-		err := replacement.calls.PromoteMember(ctx, learner)
+		err := replacement.api.PromoteMember(ctx, learner)
 		code := client.Code(err)
 		retryable := code == faults.LearnerBehind || code == faults.MembershipChangePending
 		switch {
--- a/internal/merlinctl/settings.go
+++ b/internal/merlinctl/settings.go
@@ -95,8 +95,8 @@
 	return settings, settings.validate()
 }
 
-// environmentValue returns the setting for an environment variable, or an empty name for the one that
-// names the settings file.
+// environmentValue returns the name and value of the setting that an environment variable sets. The
+// name is empty for MERLINCTL_CONFIG, which names the settings file and is not a setting.
 func environmentValue(name, value string) (string, any) {
 	key := strings.ToLower(strings.TrimPrefix(name, environmentPrefix))
 	if key == configurationFlag {
