--- a/internal/command/keys.go
+++ b/internal/command/keys.go
@@ -39,6 +39,6 @@
 			return nil
 		},
 	}
-	command.Flags().StringVar(&folder, "folder", "keys", "folder for the certificate authority and the key folders")
+	command.Flags().StringVar(&folder, "folder", "keys", "folder for the authority and the processes' folders")
 	return command
 }
--- a/internal/merlinctl/apply.go
+++ b/internal/merlinctl/apply.go
@@ -42,8 +42,8 @@
 	}
 	flags := command.Flags()
 	flags.StringSliceVarP(&options.files, "file", "f", nil, `YAML file, or "-" for the standard input`)
-	flags.BoolVarP(&options.yes, "yes", "y", false, "do not ask for confirmation")
-	flags.BoolVar(&options.dryRun, "dry-run", false, "show the difference, validate it at the leader, and change nothing")
+	flags.BoolVarP(&options.yes, "yes", "y", false, "do not ask")
+	flags.BoolVar(&options.dryRun, "dry-run", false, "show the difference, check it at the leader, and change nothing")
 	options.wait.addFlags(flags, "wait until the changes are in force on every leased balancer")
 	_ = command.MarkFlagRequired("file")
 	return command
--- a/internal/merlinctl/change.go
+++ b/internal/merlinctl/change.go
@@ -38,7 +38,7 @@
 func (tool *tool) deleteCommand() *cobra.Command {
 	var force, yes bool
 	command := &cobra.Command{Use: "delete", Short: "Remove an object", RunE: needsSubcommand, Args: cobra.ArbitraryArgs}
-	command.PersistentFlags().BoolVarP(&yes, "yes", "y", false, "do not ask for confirmation")
+	command.PersistentFlags().BoolVarP(&yes, "yes", "y", false, "do not ask")
 	template := &cobra.Command{Use: "template NAME", Short: "Remove a template that no service uses", Args: cobra.ExactArgs(1),
 		RunE: tool.run(func(ctx context.Context, api *client.Client, arguments []string) error {
 			return tool.deleteTemplate(ctx, api, arguments[0], yes)
--- a/internal/merlinctl/direct.go
+++ b/internal/merlinctl/direct.go
@@ -47,7 +47,7 @@
 	apply := &cobra.Command{Use: "apply FILE", Short: "Declare the configuration in FILE", Args: cobra.ExactArgs(1), RunE: direct.run(direct.apply)}
 	apply.Flags().BoolVar(&direct.wait, "wait", false, "wait until a confirmed read returns the version")
 	evacuate := &cobra.Command{Use: "evacuate ZONE", Short: "Send no new flows to the targets of ZONE; open flows continue", Args: cobra.ExactArgs(1), RunE: direct.run(direct.evacuate)}
-	evacuate.Flags().BoolVar(&direct.wait, "wait", false, "wait until the balancers that follow the members named by --member have received the order")
+	evacuate.Flags().BoolVar(&direct.wait, "wait", false, "wait until the balancers that follow the members named by --member know of the order")
 	command.AddCommand(
 		&cobra.Command{Use: "get", Short: "Print the declared configuration as YAML", Args: cobra.NoArgs, RunE: direct.run(direct.get)},
 		&cobra.Command{Use: "diff FILE", Short: "Print what FILE would change", Args: cobra.ExactArgs(1), RunE: direct.run(direct.diff)},
--- a/internal/merlinctl/group.go
+++ b/internal/merlinctl/group.go
@@ -207,7 +207,7 @@
 			return tool.printCommitted("backup restored", answer, err)
 		}),
 	}
-	command.Flags().BoolVarP(&yes, "yes", "y", false, "do not ask for confirmation")
+	command.Flags().BoolVarP(&yes, "yes", "y", false, "do not ask")
 	return command
 }
 
--- a/internal/merlinctl/replace.go
+++ b/internal/merlinctl/replace.go
@@ -45,7 +45,7 @@
 			return replacement.run(ctx)
 		}),
 	}
-	command.Flags().BoolVarP(&replacement.yes, "yes", "y", false, "do not ask for confirmation")
+	command.Flags().BoolVarP(&replacement.yes, "yes", "y", false, "do not ask")
 	command.Flags().DurationVar(&replacement.limit, "wait-limit", defaultWaitLimit, "longest wait for the learner to catch up")
 	return command
 }
--- a/internal/merlinctl/settings.go
+++ b/internal/merlinctl/settings.go
@@ -57,8 +57,8 @@
 	flags.String("token-file", "", "file with the bearer token")
 	flags.String("authority", "", "file with the certificate authority of the members (PEM)")
 	flags.String("server-name", "", "name in the members' certificates, if it is not the endpoint's host")
-	flags.StringP("output", "o", OutputTable, `output format, "table" or "json"`)
-	flags.Duration("timeout", client.DefaultRetryBudget, "time limit of each request, including all its attempts")
+	flags.StringP("output", "o", OutputTable, `form of output, "table" or "json"`)
+	flags.Duration("timeout", client.DefaultRetryBudget, "bound of each request with all its attempts")
 }
 
 // LoadSettings reads the settings file, the environment and the flags; each overrides those before
