--- a/internal/bench/experiment/file.go
+++ b/internal/bench/experiment/file.go
@@ -63,7 +63,7 @@
 	// ActionParameter changes a parameter of a service and waits until the
 	// change is in force. With Every it repeats until the load ends.
 	ActionParameter Action = "parameter"
-	// ActionTargets starts a service's standby targets and adds them to its
+	// ActionAddTargets starts a service's standby targets and adds them to its
 	// parameters.
 	ActionAddTargets Action = "add_targets"
 	// ActionUpgrade starts a second agent beside each named one, adds it to
@@ -105,12 +105,14 @@
 	Impairments *Impairments `yaml:"impairments"`
 }
 
-// Impairments are network faults in the form that the fabric accepts.
+// Impairments are network faults in the form that the fabric accepts. Loss,
+// Duplicate and Reorder are probabilities for each packet, from 0 to 1.
 type Impairments struct {
-	Loss                     float64 `yaml:"loss" json:"loss"`
-	Duplicate                float64 `yaml:"duplicate" json:"duplicate"`
-	Reorder                  float64 `yaml:"reorder" json:"reorder"`
-	ReorderDelayMilliseconds int64   `yaml:"reorder_delay_milliseconds" json:"reorder_delay_milliseconds"`
+	Loss      float64 `yaml:"loss" json:"loss"`
+	Duplicate float64 `yaml:"duplicate" json:"duplicate"`
+	Reorder   float64 `yaml:"reorder" json:"reorder"`
+	// ReorderDelayMilliseconds is the additional delay of reordered packets.
+	ReorderDelayMilliseconds int64 `yaml:"reorder_delay_milliseconds" json:"reorder_delay_milliseconds"`
 	// CutZones are zones that packets and answers of callers cannot enter or
 	// leave.
 	CutZones []string `yaml:"cut_zones" json:"cut_zones,omitempty"`
--- a/internal/bench/experiment/imbalance.go
+++ b/internal/bench/experiment/imbalance.go
@@ -47,7 +47,7 @@
 type point struct{ at, value float64 }
 
 // imbalanceSeries returns the ratio of maximum to mean for each sample in which
-// the figure is not zero at all targets of the service.
+// the figure is above zero at one target of the service or more.
 func imbalanceSeries(samples []Sample, service string, figure func(TargetSample) float64) []point {
 	var series []point
 	for _, sample := range samples {
--- a/internal/bench/experiment/plots.go
+++ b/internal/bench/experiment/plots.go
@@ -23,8 +23,8 @@
 	titlePadding = 3 * vg.Millimeter
 )
 
-// maximumSampleGap is the time between two samples above which a line is split,
-// because the target was not serving in between.
+// maximumSampleGap is the time between two points above which a line is split,
+// because the target was not serving or could not be scraped in between.
 const maximumSampleGap = 2 * sampleInterval
 
 // minimumLabelGap is the time in seconds between two step labels below which
--- a/internal/bench/experiment/result.go
+++ b/internal/bench/experiment/result.go
@@ -116,8 +116,8 @@
 }
 
 // roleCosts returns the usage between two readings of all nodes. A node that
-// restarted in between, seen by processor time that went back, is left out, and
-// so is a node without both readings.
+// restarted in between is left out, which is detected by a decrease of its
+// processor time, and so is a node without both readings.
 func roleCosts(layout *fleet.Layout, before, after map[string]reading, seconds float64) []RoleCost {
 	var all []RoleCost
 	for _, role := range systemRoles {
--- a/internal/bench/experiment/targets.go
+++ b/internal/bench/experiment/targets.go
@@ -49,8 +49,8 @@
 	return runner.layout.WaitReady(ctx, names, inForceTimeout)
 }
 
-// upgrade starts the second agent of a target, drains the first one, and stops
-// it with SIGTERM, on which it ends after its flows.
+// upgrade starts the second agent of a target, drains the first one, and sends
+// it SIGTERM, so that it exits once its flows have ended.
 func (runner *stepRunner) upgrade(ctx context.Context, name string) error {
 	first, err := runner.layout.Find(name)
 	if err != nil {
--- a/internal/bench/operators/history.go
+++ b/internal/bench/operators/history.go
@@ -132,7 +132,7 @@
 	history.operators.Answered(key, answer, time.Since(history.started))
 }
 
-// latestOf returns the highest accepted revision of an object.
+// latestRevision returns the highest accepted revision of an object.
 func (history *history) latestRevision(object string) model.Revision {
 	history.lock.Lock()
 	defer history.lock.Unlock()
--- a/internal/bench/operators/links.go
+++ b/internal/bench/operators/links.go
@@ -48,8 +48,9 @@
 	return &Links{address: address, changed: make(chan struct{}), context: ctx, cancel: cancel}
 }
 
-// Add starts a proxy for connections from a process of one zone to target, a
-// process of another, and returns the address to dial instead of target.
+// Add starts a proxy for connections from a process in fromZone to the address
+// target of a process in toZone, and returns the address to dial instead of
+// target. The zones may be the same; such a link is never cut.
 func (links *Links) Add(fromZone, toZone, target string) (string, error) {
 	listener, err := net.Listen("tcp", netip.AddrPortFrom(links.address, 0).String())
 	if err != nil {
@@ -135,7 +136,8 @@
 	}
 }
 
-// waitUntilHealed waits until the link is not cut, and returns false if ctx ended.
+// waitUntilHealed waits until the link is not cut or ctx ends, and reports whether
+// ctx is still active.
 func (links *Links) waitUntilHealed(ctx context.Context, ends linkEnds) bool {
 	for {
 		cut, changed := links.isCut(ends)
--- a/internal/bench/operators/operators_test.go
+++ b/internal/bench/operators/operators_test.go
@@ -178,7 +178,7 @@
 }
 
 func TestChangeAppliedTwiceIsReported(t *testing.T) {
-	for name, faulty := range map[string]bool{"": false, "applied-once": true} {
+	for violated, faulty := range map[string]bool{"": false, "applied-once": true} {
 		control := &fakeMember{revision: 5, keys: make(map[string]model.Revision), faulty: faulty}
 		server := httptest.NewServer(control)
 		history := testHistory()
@@ -187,7 +187,7 @@
 		revision, result := changeRegister(t.Context(), history, worker.api, worker.name, testRegister(), change, 8)
 		require.Equal(t, checker.ResultAccepted, result)
 		worker.resend(t.Context(), testRegister(), change, 8, revision)
-		require.Equal(t, name, history.violatedInvariants())
+		require.Equal(t, violated, history.violatedInvariants())
 		server.Close()
 	}
 }
--- a/internal/bench/operators/phases.go
+++ b/internal/bench/operators/phases.go
@@ -15,7 +15,7 @@
 const leaderTimeout = 20 * time.Second
 
 // phases runs an undisturbed phase and then injects one failure after another.
-// Each step repairs its failure; after cuts it also waits for a phase length.
+// Each step repairs its own failure; after a cut it also waits for a phase length.
 func (run *run) phases(ctx context.Context) error {
 	steps := []struct {
 		name string
--- a/internal/bench/operators/run.go
+++ b/internal/bench/operators/run.go
@@ -41,7 +41,7 @@
 	// leader is frozen; it must be longer than all of the leader's timeouts.
 	Phase  time.Duration
 	Freeze time.Duration
-	// Progress receives a short text on the current activity.
+	// Progress receives a short text on the current activity; it must not be nil.
 	Progress func(text string)
 }
 
@@ -79,7 +79,7 @@
 	if err := run.readRegisters(ctx); err != nil {
 		return Result{}, err
 	}
-	if err := run.race(ctx); err != nil {
+	if err := run.runAndCheck(ctx); err != nil {
 		return Result{}, err
 	}
 	return run.result(), nil
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// race runs operators and watchers through all phases, and then checks the final
+// runAndCheck runs operators and watchers through all phases, and then checks the final
 // state while the watchers continue.
-func (run *run) race(ctx context.Context) error {
+func (run *run) runAndCheck(ctx context.Context) error {
 	run.history.beginPhase("undisturbed")
 	working, stopWorking := context.WithCancel(ctx)
 	defer stopWorking()
--- a/internal/bench/operators/watch.go
+++ b/internal/bench/operators/watch.go
@@ -37,7 +37,7 @@
 	access  access
 }
 
-// run watches until ctx ends.
+// run polls until ctx ends.
 func (watcher watcher) run(ctx context.Context) error {
 	var polls sync.WaitGroup
 	defer polls.Wait()
