--- a/internal/bench/operators/frozen.go
+++ b/internal/bench/operators/frozen.go
@@ -129,7 +129,7 @@
 	leader.counts.readsAnswered++
 	if revision < newest {
 		leader.counts.staleReads++
-		leader.history.recordViolation(checker.InvariantLinearizable, "%s answered %s at revision %d after it resumed; %d was accepted before the read",
+		leader.history.recordViolation(checker.InvariantLinearizable, "%s answered %s at revision %d after it woke; %d was accepted before the read",
 			leader.name, chosen.name(), revision, newest)
 	}
 }
@@ -148,7 +148,7 @@
 	leader.counts.changes++
 	if result == checker.ResultAccepted {
 		leader.counts.changesAccepted++
-		leader.history.recordViolation(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it resumed", leader.name, chosen.name(), base)
+		leader.history.recordViolation(checker.InvariantOneWinner, "%s accepted a change of %s on revision %d after it woke", leader.name, chosen.name(), base)
 	}
 }
 
