--- a/internal/adminapi/answer.go
+++ b/internal/adminapi/answer.go
@@ -19,7 +19,7 @@
 	header.Set("Cache-Control", "no-store")
 	header.Set("X-Content-Type-Options", "nosniff")
 	writer.WriteHeader(status)
-	// A write error means that the caller closed the connection; there is nobody to report it to.
+	// A write error means that the caller closed the connection, so the error cannot be reported.
 	_, _ = writer.Write(append(encoded, '\n'))
 	return nil
 }
--- a/internal/adminapi/rollout.go
+++ b/internal/adminapi/rollout.go
@@ -71,7 +71,7 @@
 }
 
 // getRollout waits, if the query has a wait, until the revision in the query is in force. The status
-// in the response is read after leadership was confirmed (unless ?stale=true), so a former leader that
+// in the response is read after leadership was confirmed (unless ?stale=true), so a previous leader that
 // was paused or replaced does not report an outdated one.
 func (server *api) getRollout(writer http.ResponseWriter, request *http.Request) error {
 	query, err := parseRolloutQuery(request)
--- a/internal/agent/stateless_reset.go
+++ b/internal/agent/stateless_reset.go
@@ -14,7 +14,7 @@
 	// minResetLength leaves 38 unpredictable bits before the token.
 	minResetLength = 5 + resetTokenLength
 	// maxResetLength is a common length of short packets, so that a reset cannot
-	// be told from them by its length.
+	// be distinguished from them by its length.
 	maxResetLength = 42
 )
 
--- a/internal/direct/directory/evacuation.go
+++ b/internal/direct/directory/evacuation.go
@@ -46,7 +46,7 @@
 
 // apply applies an order at a revision. An order that is already fulfilled is acknowledged
 // whatever its base, because operators repeat an order whose response was lost. It sets changedAt
-// all the same: an opposite order that a slow member still holds must not take effect after the
+// even then: an opposite order that a slow member still holds must not take effect after the
 // acknowledgement.
 func (evacuations *evacuations) apply(order *EvacuationOrder, revision model.Revision) Result {
 	_, evacuated := evacuations.byZone[order.Zone]
--- a/internal/routing/compare/twohop.go
+++ b/internal/routing/compare/twohop.go
@@ -16,7 +16,7 @@
 }
 
 // twoHop is an algorithm with chains of two targets. Balancers keep no flow state. A head that does
-// not own a flow forwards the packet to the bucket's former head, which forwards nothing.
+// not own a flow forwards the packet to the bucket's previous head, which forwards nothing.
 type twoHop struct {
 	*hashing
 	// tables has the buckets, in place of the memberships of hashing.
--- a/internal/sim/directworld/target.go
+++ b/internal/sim/directworld/target.go
@@ -94,7 +94,7 @@
 	return endpoint(target.address.String(), target.zone)
 }
 
-// renewPeriodically registers the target at each renewal interval until it dies or leaves.
+// renewPeriodically registers the target at each renewal interval until it fails or leaves.
 func (target *target) renewPeriodically() {
 	if !target.alive || target.state == directory.TargetLeft {
 		return
--- a/internal/sim/directworld/uploads.go
+++ b/internal/sim/directworld/uploads.go
@@ -39,7 +39,7 @@
 	latestAttempt *uploadAttempt
 }
 
-// uploadFlow is one attempt of an upload on its own flow.
+// uploadAttempt is one attempt of an upload on its own flow.
 type uploadAttempt struct {
 	upload *upload
 	flow   *flow
--- a/internal/sim/world/control.go
+++ b/internal/sim/world/control.go
@@ -16,7 +16,7 @@
 	member *member
 }
 
-// Status implements control.StatusReader.
+// Status returns the status of the member's consensus as of the clock of its process.
 func (group localTimeGroup) Status() replica.Status { return group.member.Status() }
 
 // controlControllers returns the product's controllers of a control member, apart from consensus.
--- a/internal/sim/world/member.go
+++ b/internal/sim/world/member.go
@@ -78,7 +78,7 @@
 	return program
 }
 
-// Status implements control.StatusReader.
+// Status returns the status of the member's consensus as of the clock of its process.
 func (member *member) Status() replica.Status {
 	return member.controller.StatusAt(member.process.LocalNow())
 }
--- a/internal/standin/fabric/delay.go
+++ b/internal/standin/fabric/delay.go
@@ -58,7 +58,7 @@
 	sequence uint64
 	// wake signals Run that a packet was added that is due before all others.
 	wake chan struct{}
-	// free holds delayedPackets for reuse.
+	// free has values of type *delayedPacket for reuse.
 	free sync.Pool
 }
 
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -149,7 +149,7 @@
 }
 
 // reopenTail opens the last segment for appending. A last segment whose header is torn is removed
-// first; if no other is left, it starts segment 1 anew.
+// first; if no other is left, it creates segment 1 again.
 func (log *Log) reopenTail(scan *logScan) error {
 	if scan.tornSegment != 0 {
 		if err := log.removeSegment(scan.tornSegment); err != nil {
