--- a/internal/bench/fleet/file.go
+++ b/internal/bench/fleet/file.go
@@ -120,7 +120,7 @@
 	}
 	var problems []error
 	for _, field := range invalid {
-		problems = append(problems, fmt.Errorf("%s: value %v violates the rule %s=%s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
+		problems = append(problems, fmt.Errorf("%s: value %v breaks the rule %s=%s", field.Namespace(), field.Value(), field.Tag(), field.Param()))
 	}
 	return errors.Join(problems...)
 }
