--- a/internal/sim/world/agent.go
+++ b/internal/sim/world/agent.go
@@ -55,10 +55,10 @@
 	queuedEvents []func()
 	// target is the target that the agent serves. The fields below belong to it and are nil until
 	// the configuration has a target with the agent's name.
-	target   model.Target
-	steering Steerer
-	owners   *flow.OwnedFlows
-	requests *requestHandler
+	target     model.Target
+	steering   Steerer
+	ownedFlows *flow.OwnedFlows
+	requests   *requestHandler
 }
 
 // flowIdleTimeout returns the idle time after which agents remove a flow.
@@ -131,12 +131,12 @@
 	for _, event := range queued {
 		event()
 	}
-	if instance.owners == nil {
+	if instance.ownedFlows == nil {
 		return
 	}
 	if now.Sub(instance.lastExpiry) >= expiryInterval {
 		instance.lastExpiry = now
-		instance.owners.Expire(now)
+		instance.ownedFlows.Expire(now)
 	}
 	instance.requests.reconcile(now)
 }
@@ -152,7 +152,7 @@
 		return
 	}
 	instance.target = target
-	instance.owners = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
+	instance.ownedFlows = flow.NewOwnedFlows(flow.OwnedFlowsOptions{
 		Service:            target.Service,
 		Target:             target.ID,
 		MaximumFlows:       model.DefaultMaximumConnections,
@@ -162,7 +162,7 @@
 	options := steering.Options{
 		Target:             target.ID,
 		Configurations:     instance.store,
-		OwnedFlows:         instance.owners,
+		OwnedFlows:         instance.ownedFlows,
 		Load:               instance.localLoad,
 		Draining:           func() bool { return instance.stopping },
 		MayOpen:            instance.pause.Over,
@@ -190,7 +190,7 @@
 
 // Load implements rollout.Reporter.
 func (instance *agentInstance) Load() *model.TargetLoad {
-	if instance.owners == nil {
+	if instance.ownedFlows == nil {
 		return nil
 	}
 	load := instance.localLoad()
@@ -203,7 +203,7 @@
 	return model.TargetLoad{
 		Target:      instance.target.ID,
 		Incarnation: instance.incarnation,
-		Flows:       uint32(instance.owners.Len()),
+		Flows:       uint32(instance.ownedFlows.Len()),
 		Running:     uint32(admitted.Running),
 		Waiting:     uint32(admitted.Waiting),
 		Slots:       uint32(admitted.Slots),
@@ -317,7 +317,7 @@
 func (instance *agentInstance) closeFlow(tuple model.FiveTuple) {
 	table := instance.store.Current().Buckets[instance.target.Service]
 	if table != nil {
-		instance.owners.Close(routing.BucketOf(routing.FlowHash(tuple), table.Count()), tuple)
+		instance.ownedFlows.Close(routing.BucketOf(routing.FlowHash(tuple), table.Count()), tuple)
 	}
 }
 
--- a/internal/sim/world/faults.go
+++ b/internal/sim/world/faults.go
@@ -147,7 +147,7 @@
 // Idle reports whether a target has no flow and no request in progress, as the parts decide it.
 func (world *World) Idle(name model.NodeName) bool {
 	instance := world.agentsByName[name].instance
-	return instance.owners == nil || world.parts.Idle(instance.owners.Len(), instance.requests.idle())
+	return instance.ownedFlows == nil || world.parts.Idle(instance.ownedFlows.Len(), instance.requests.idle())
 }
 
 // StopTarget stops an idle target as planned: the target announces that it leaves, and its process
