--- a/internal/bench/capacity/benchmark_test.go
+++ b/internal/bench/capacity/benchmark_test.go
@@ -215,11 +215,11 @@
 	for _, flows := range []int{800, 3200, 12_800, 51_200} {
 		b.Run(fmt.Sprintf("flows=%d", flows), func(b *testing.B) {
 			before := heapBytes()
-			owners := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: 1, Target: 1})
+			ownedFlows := flow.NewOwnedFlows(flow.OwnedFlowsOptions{Service: 1, Target: 1})
 			now := time.Now()
 			open := func(number int) model.BucketIndex {
 				bucket := model.BucketIndex(number % buckets)
-				if owners.Open(now, bucket, benchmarkFlow(number), 1) != flow.OpenNew {
+				if ownedFlows.Open(now, bucket, benchmarkFlow(number), 1) != flow.OpenNew {
 					b.Fatal("a flow was not opened")
 				}
 				return bucket
@@ -230,7 +230,7 @@
 			heap := heapBytes() - before
 			number := flows
 			for b.Loop() {
-				owners.Close(open(number), benchmarkFlow(number))
+				ownedFlows.Close(open(number), benchmarkFlow(number))
 				number++
 			}
 			b.ReportMetric(heap/float64(flows), "heap-B/flow")
