--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -89,7 +89,7 @@
 type Group interface {
 	// Propose commits command and returns the state machine's result. An error
 	// with code faults.NotLeader (3001) means that this member is not the leader
-	// and nothing was proposed; faults.OutcomeUnknown (3002) means that the
+	// and nothing was proposed; faults.ProposalOutcomeUnknown (3002) means that the
 	// outcome is unknown.
 	Propose(ctx context.Context, command []byte) (result []byte, err error)
 	// ReadBarrier returns once this member's state includes every change that was
