--- a/internal/direct/directory/directory.go
+++ b/internal/direct/directory/directory.go
@@ -35,7 +35,7 @@
 
 // StartTime is when an incarnation of a target started, in Unix milliseconds by the target's own
 // clock. Zero means that the target does not report it. A target that restarts under its
-// identifier is another incarnation, and the start time tells the two apart.
+// identifier is another incarnation, and the start time distinguishes the two.
 type StartTime int64
 
 // TargetState is the state of one incarnation of a target.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -51,7 +51,7 @@
 }
 
 // Target explains what was registered, found out and decided about a target, which is given by its
-// ID. A restarted target may keep its ID, so its incarnations are not told apart.
+// ID. A restarted target may keep its ID, so its incarnations are not distinguished.
 func Target(lines []Line, id uint64) Explanation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(left, right Line) int { return left.Time.Compare(right.Time) })
--- a/internal/raft/transfer.go
+++ b/internal/raft/transfer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// TransferLeadership hands leadership over to the voter whose log is most up to
+// TransferLeadership transfers leadership to the voter whose log is most up to
 // date. Proposals are refused meanwhile. If the transfer has not succeeded after
 // an election timeout, it is abandoned and this leader accepts proposals again.
 func (raft *Raft) TransferLeadership(now time.Time) error {
--- a/internal/replica/group.go
+++ b/internal/replica/group.go
@@ -106,7 +106,7 @@
 	Promote(ctx context.Context, id MemberID) error
 	// RemoveMember removes a member from the group.
 	RemoveMember(ctx context.Context, id MemberID) error
-	// TransferLeadership hands leadership over to another voter, as before a
+	// TransferLeadership transfers leadership to another voter, as before a
 	// planned stop.
 	TransferLeadership(ctx context.Context) error
 }
--- a/internal/replica/request.go
+++ b/internal/replica/request.go
@@ -100,7 +100,7 @@
 	controller.enqueue(request{kind: requestRemove, member: id, done: errorOnly(done)})
 }
 
-// TransferLeadership hands leadership over to another voter.
+// TransferLeadership transfers leadership to another voter.
 func (controller *Controller) TransferLeadership(done func(err error)) {
 	controller.enqueue(request{kind: requestTransfer, done: errorOnly(done)})
 }
--- a/internal/rollout/publisher.go
+++ b/internal/rollout/publisher.go
@@ -56,8 +56,8 @@
 	// confirmed is the revision that the subscriber last confirmed.
 	confirmed model.Revision
 	sentAt    time.Time
-	// heardAt is when the subscriber last confirmed a revision or subscribed.
-	heardAt time.Time
+	// lastActiveAt is when the subscriber last confirmed a revision or subscribed.
+	lastActiveAt time.Time
 	// hasDescriptions means that the subscriber has, or was sent, the type descriptions of updates.
 	hasDescriptions bool
 	// needsSnapshot means that the subscriber's configuration is wrong and must be replaced.
@@ -86,7 +86,7 @@
 		entry = &subscription{sent: revision}
 		publisher.subscribers[subscriber] = entry
 	}
-	entry.heardAt = now
+	entry.lastActiveAt = now
 	if revision < entry.confirmed {
 		entry.sent = revision
 	}
@@ -138,7 +138,7 @@
 	}
 	var names []model.NodeName
 	for _, name := range slices.Sorted(maps.Keys(publisher.outdated)) {
-		if now.Sub(publisher.subscribers[name].heardAt) <= inactiveAfter {
+		if now.Sub(publisher.subscribers[name].lastActiveAt) <= inactiveAfter {
 			names = append(names, name)
 		}
 	}
--- a/internal/sim/world/caller.go
+++ b/internal/sim/world/caller.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// start begins to open flows and to send requests as load says.
+// start begins to open flows and to send requests as load specifies.
 func (callers *callers) start(load Load) {
 	callers.load = load
 	for _, service := range callers.world.services {
